--- /dev/null
+++ b/cmd/aspenbarrow/log_keys_test.go
@@ -0,0 +1,165 @@
+package main
+
+import (
+	"bytes"
+	"flag"
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+)
+
+var update = flag.Bool("update", false, "write golden files")
+
+// constant is a string that stands in the source, or * for one that does not.
+func constant(e ast.Expr) string {
+	if l, ok := e.(*ast.BasicLit); ok && l.Kind == token.STRING {
+		if s, err := strconv.Unquote(l.Value); err == nil {
+			return s
+		}
+	}
+	return "*"
+}
+
+// method is a call's last name and the last name of what it is called on, if any.
+func method(c *ast.CallExpr) (on, name string) {
+	s, ok := c.Fun.(*ast.SelectorExpr)
+	if !ok {
+		return "", ""
+	}
+	switch x := s.X.(type) {
+	case *ast.Ident:
+		on = x.Name
+	case *ast.SelectorExpr:
+		on = x.Sel.Name
+	}
+	return on, s.Sel.Name
+}
+
+// field is the key of a zap field that a call makes; ok says whether it makes one.
+func field(e ast.Expr) (key string, ok bool) {
+	c, isCall := e.(*ast.CallExpr)
+	if !isCall {
+		return "", false
+	}
+	on, name := method(c)
+	switch {
+	case on != "zap" || slices.Contains([]string{"New", "NewNop", "NewProductionEncoderConfig"}, name):
+		return "", false
+	case name == "Error":
+		return "error", true
+	case len(c.Args) == 0:
+		return "*", true
+	}
+	return constant(c.Args[0]), true
+}
+
+// logged lists each call of a file that logs: level, message and keys. Fields that are made outside of one stand for themselves.
+func logged(f *ast.File) (lines []string) {
+	inside := map[ast.Expr]bool{}
+	ast.Inspect(f, func(n ast.Node) bool {
+		c, ok := n.(*ast.CallExpr)
+		if !ok {
+			return true
+		}
+		on, level := method(c)
+		message, fields := "", c.Args
+		switch {
+		case on == "zap" || len(c.Args) == 0:
+			return true
+		case slices.Contains([]string{"Debug", "Info", "Warn", "Error", "DPanic", "Panic", "Fatal"}, level):
+			message, fields = constant(c.Args[0]), c.Args[1:]
+			if !strings.HasPrefix(strings.ToLower(on), "log") && !slices.ContainsFunc(fields, func(e ast.Expr) bool { _, ok := field(e); return ok }) {
+				return true
+			}
+		case level == "With" && slices.ContainsFunc(fields, func(e ast.Expr) bool { _, ok := field(e); return ok }):
+		default:
+			return true
+		}
+		var keys []string
+		for _, e := range fields {
+			key, ok := field(e)
+			if !ok {
+				key = "*"
+			}
+			inside[e] = true
+			keys = append(keys, key)
+		}
+		lines = append(lines, strings.ToLower(level)+"\t"+message+"\t"+strings.Join(keys, ","))
+		return true
+	})
+	ast.Inspect(f, func(n ast.Node) bool {
+		if e, ok := n.(ast.Expr); ok && !inside[e] {
+			if key, ok := field(e); ok {
+				lines = append(lines, "field\t\t"+key)
+			}
+		}
+		return true
+	})
+	return lines
+}
+
+// Whoever reads the log by its keys goes on reading it: no message, level or key changes unseen.
+func TestLog_KeysGolden(t *testing.T) {
+	root := "."
+	for range 8 {
+		if _, err := os.Stat(filepath.Join(root, "go.mod")); err == nil {
+			break
+		}
+		root = filepath.Join(root, "..")
+	}
+	var lines []string
+	err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
+		if err != nil {
+			return err
+		}
+		if d.IsDir() {
+			if name := d.Name(); path != root && (name == "testdata" || strings.HasPrefix(name, ".")) {
+				return filepath.SkipDir
+			}
+			return nil
+		}
+		if !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
+			return nil
+		}
+		f, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
+		if err == nil {
+			lines = append(lines, logged(f)...)
+		}
+		return err
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	slices.Sort(lines)
+	got, name := []byte(strings.Join(lines, "\n")+"\n"), filepath.Join("testdata", "log_keys.txt")
+	if *update {
+		if err := os.WriteFile(name, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(name)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got, want) {
+		old := strings.Split(strings.TrimSuffix(string(want), "\n"), "\n")
+		for _, l := range lines {
+			if i := slices.Index(old, l); i >= 0 {
+				old = slices.Delete(old, i, i+1)
+			} else {
+				t.Errorf("new: %q", l)
+			}
+		}
+		for _, l := range old {
+			t.Errorf("gone: %q", l)
+		}
+		t.Errorf("%s is not what the source logs", name)
+	}
+}
