--- /dev/null
+++ b/cmd/aspenlab/golden_test.go
@@ -0,0 +1,342 @@
+// This file holds what the lab writes to bytes that an earlier version wrote. A change that is meant to show in them
+// writes them anew with -update; the difference of the stored files is then read like any other.
+
+package main
+
+import (
+	"bytes"
+	"encoding/json"
+	"flag"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"aspenbarrow/internal/checker"
+	"aspenbarrow/internal/fleet"
+	"aspenbarrow/internal/measure"
+	"aspenbarrow/internal/rehearsal"
+	"aspenbarrow/internal/report"
+	"aspenbarrow/internal/seeds"
+	"aspenbarrow/internal/trouble"
+	"aspenbarrow/internal/world"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// golden holds bytes to a stored file and returns that file's path.
+func golden(t *testing.T, name string, got []byte) string {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *update {
+		if err := os.WriteFile(path, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got, want) {
+		i := 0
+		for i < min(len(got), len(want)) && got[i] == want[i] {
+			i++
+		}
+		t.Errorf("%s: %d bytes, stored are %d; from byte %d on %.120q, stored is %.120q", name, len(got), len(want), i, got[i:], want[i:])
+	}
+	return path
+}
+
+// again reads a stored file into a value, strictly, and writes it with an indent; the bytes must be the stored ones.
+func again(t *testing.T, path, indent string, into any) {
+	t.Helper()
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	d := json.NewDecoder(bytes.NewReader(text))
+	d.DisallowUnknownFields()
+	if err := d.Decode(into); err != nil {
+		t.Fatalf("%s: %v", path, err)
+	}
+	var out bytes.Buffer
+	e := json.NewEncoder(&out)
+	e.SetIndent("", indent)
+	if err := e.Encode(into); err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(bytes.TrimSpace(out.Bytes()), bytes.TrimSpace(text)) {
+		t.Errorf("%s: read and written again it is another\n%s", path, out.Bytes())
+	}
+}
+
+// full says of every exported field under a value that it isn't zero, save what JSON leaves out.
+func full(t *testing.T, at string, v reflect.Value) {
+	t.Helper()
+	switch v.Kind() {
+	case reflect.Pointer:
+		if v.IsNil() {
+			t.Errorf("%s is nil", at)
+			return
+		}
+		full(t, at, v.Elem())
+	case reflect.Struct:
+		for i := range v.NumField() {
+			f := v.Type().Field(i)
+			if f.Tag.Get("json") == "-" {
+				continue
+			}
+			if !f.IsExported() && !f.Anonymous {
+				t.Errorf("%s.%s does not go out", at, f.Name)
+				continue
+			}
+			full(t, at+"."+f.Name, v.Field(i))
+		}
+	case reflect.Slice, reflect.Map:
+		if v.Len() == 0 {
+			t.Errorf("%s is empty", at)
+		}
+		if v.Kind() == reflect.Slice {
+			for i := range v.Len() {
+				full(t, at+"[]", v.Index(i))
+			}
+			return
+		}
+		for _, k := range v.MapKeys() {
+			full(t, at+"["+k.String()+"]", v.MapIndex(k))
+		}
+	default:
+		if v.IsZero() {
+			t.Errorf("%s is zero", at)
+		}
+	}
+}
+
+func batch() seeds.Batch {
+	class := func(n int) seeds.Class {
+		return seeds.Class{Asked: n + 4, Served: n + 3, OnTime: n + 2, Attempts: n + 5}
+	}
+	seed := func(n int) seeds.Seed {
+		return seeds.Seed{Seed: uint64(n), Worth: float64(n) + 0.1, Answers: 30, Refused: n, Failed: n + 1, Attempts: 40, Steps: 9000,
+			Broken:  []string{"drain at 3.000000: sent <late> & twice"},
+			Classes: map[string]seeds.Class{"watch": class(10), "fetch": class(20), "submit": class(30)}}
+	}
+	return seeds.Batch{From: 1, Count: 2, Length: 15 * time.Second, Failing: 2, Counts: map[string]int{"attempt": 80, "fault relay killed": 3},
+		Pairs: map[string]int{"relay killed + relay killed": 1}, Seeds: []seeds.Seed{seed(1), seed(2)}}
+}
+
+func TestBatch_Golden(t *testing.T) {
+	written := func(b seeds.Batch) []byte {
+		path := filepath.Join(t.TempDir(), "b.json")
+		if err := b.Write(path); err != nil {
+			t.Fatal(err)
+		}
+		text, err := os.ReadFile(path)
+		if err != nil {
+			t.Fatal(err)
+		}
+		return text
+	}
+	b := batch()
+	full(t, "batch", reflect.ValueOf(b))
+	path := golden(t, "batch.golden.json", written(b))
+	again(t, path, "", &seeds.Batch{})
+	kept, err := seeds.Read(path)
+	if err != nil || !reflect.DeepEqual(kept, b) {
+		t.Fatalf("%v, %+v", err, kept)
+	}
+	golden(t, "batch.golden.json", written(kept))
+
+	// Compared, each measure sees the field that it is of.
+	later := batch()
+	for i := range later.Seeds {
+		s := &later.Seeds[i]
+		s.Worth, s.Refused, s.Failed, s.Attempts = s.Worth+1, s.Refused+3, s.Failed+6, s.Attempts+9
+		for name, c := range s.Classes {
+			s.Classes[name] = seeds.Class{Asked: c.Asked, Served: c.Served + 1, OnTime: c.OnTime + 2, Attempts: c.Attempts + 3}
+		}
+	}
+	diffs, err := seeds.Compare(kept, later)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var lines strings.Builder
+	for _, d := range diffs {
+		lines.WriteString(d.String() + "\n")
+	}
+	golden(t, "batch-compared.golden.txt", []byte(lines.String()))
+}
+
+// Seeds played by the command: the same bytes as then, and none of a class's counts is lost on its way.
+func TestPlayedBatch_Golden(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "b.json")
+	if out, err := lab(t, "--from", "3", "--count", "2", "--length", "15s", "--quiet", "--json", path); err != nil {
+		t.Fatalf("%v\n%s", err, out)
+	}
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	stored := golden(t, "batch-played.golden.json", text)
+	var b seeds.Batch
+	again(t, stored, "", &b)
+	for _, s := range b.Seeds {
+		full(t, "classes", reflect.ValueOf(s.Classes))
+	}
+	out, err := lab(t, "--from", "3", "--count", "2", "--length", "15s", "--quiet", "--compare", stored)
+	if n := strings.Count(out, "+0.0000 ± 0.0000"); err != nil || n != 13 {
+		t.Errorf("%v, %d measures are the same\n%s", err, n, out)
+	}
+}
+
+func fault(kind string, i int) trouble.Fault {
+	return trouble.Fault{Kind: kind, At: time.Duration(i+1) * time.Second, For: 2500 * time.Millisecond, Who: i + 1, Much: 0.25, Hit: []int{1, 2},
+		Link: &trouble.Link{From: trouble.Party{Kind: trouble.Relays, Who: []int{3, 7}}, To: trouble.Party{Kind: trouble.Backends, Who: []int{1}},
+			Both: true, Cut: true, Hold: true, Loss: 0.1, Double: 0.2, Reorder: 0.3, Delay: 20 * time.Millisecond, Jitter: 5 * time.Millisecond},
+		Line: 10 * (i + 1)}
+}
+
+func TestFaultScript_Golden(t *testing.T) {
+	var script []trouble.Fault
+	for i, k := range rehearsal.Kinds() {
+		script = append(script, fault(k, i))
+	}
+	full(t, "script", reflect.ValueOf(script))
+	text, err := json.MarshalIndent(script, "", " ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var kept []trouble.Fault
+	again(t, golden(t, "faults.golden.json", append(text, '\n')), " ", &kept)
+	if !reflect.DeepEqual(kept, script) {
+		t.Errorf("%+v", kept)
+	}
+	golden(t, "faults.golden.txt", []byte(seeds.Script(kept)))
+
+	// What seeds --script takes of it.
+	var played []trouble.Fault
+	for _, f := range kept {
+		if slices.Contains(world.Kinds(), f.Kind) {
+			played = append(played, f)
+		}
+	}
+	if len(played) != len(world.Kinds()) {
+		t.Errorf("%d of %d kinds are stored", len(played), len(world.Kinds()))
+	}
+	if text, err = json.Marshal(played); err != nil {
+		t.Fatal(err)
+	}
+	f := seedsFlags{script: filepath.Join(t.TempDir(), "s.json")}
+	if err := os.WriteFile(f.script, text, 0o644); err != nil {
+		t.Fatal(err)
+	}
+	if err := f.options(); err != nil || !reflect.DeepEqual(f.opt.Script, played) {
+		t.Errorf("%v, %+v", err, f.opt.Script)
+	}
+	paths, err := filepath.Glob("../../example/experiments/*.json")
+	if err != nil || len(paths) < 2 {
+		t.Fatalf("%v, %v", paths, err)
+	}
+	for _, p := range paths {
+		f := seedsFlags{script: p}
+		if err := f.options(); err != nil || len(f.opt.Script) == 0 || f.opt.Script[0].At == 0 || f.opt.Script[0].Much == 0 {
+			t.Errorf("%s: %v, %+v", p, err, f.opt.Script)
+		}
+	}
+}
+
+var (
+	spread  = measure.Spread{Deviation: 0.1, Least: 0.8, Most: 1.3, Jain: 0.97}
+	second  = measure.Second{Spread: spread, Mean: 0.5, Hashing: 0.2, Even: 0.05, Idle: 0.25, Herd: 1.5, HerdPart: 9.5, Loads: []float64{0.4, -1, 1e-9}, HerdHash: 1.75, Arrivals: 12}
+	service = world.Second{Asked: 10.5, Served: 9.25}
+)
+
+func outcome(program string) rehearsal.Outcome {
+	return rehearsal.Outcome{Script: "a <bad> day & night", Seed: 1<<63 + 1, Whole: 0.9, WorstTen: 0.7, WorstAt: 3, Classes: map[string]float64{"fetch": 0.8, "submit": 0.85, "watch": 0.95},
+		Seconds: []world.Second{service, service}, Evenness: []measure.Second{second}, Counts: map[string]int{"attempt": 9, "moved": 2}, Program: program,
+		Faults:  []fleet.Effect{{Fault: fault("relays paused", 4), Began: 2 * time.Second, Ended: 5 * time.Second, Did: map[string]int{"struck": 3}}},
+		Waits:   &fleet.Waits{Count: 7, P50: 1.5, P99: 120, P999: 180.5, Max: 200},
+		Rates:   &fleet.Rates{Probes: 1.5, ProbesOne: 2, Handshakes: 3.5, HandshakeOne: 4, Datagrams: 5.5, DatagramOne: 6, Calls: 7.5},
+		Usage:   &fleet.Usage{CPUMedian: 0.25, CPUMost: 0.75, MemMedian: 1 << 24, MemMost: 1 << 25},
+		Machine: []float64{0.5, 0.625}, Broken: []string{"drain at 3.000000: sent late"}}
+}
+
+func TestOutcomes_Golden(t *testing.T) {
+	outcomes := []rehearsal.Outcome{outcome("a"), outcome("b")}
+	full(t, "outcomes", reflect.ValueOf(outcomes))
+	dir := t.TempDir()
+	if err := report.Write(dir, outcomes); err != nil {
+		t.Fatal(err)
+	}
+	for name, stored := range map[string]string{"report.json": "outcomes.golden.json", "report.csv": "outcomes.golden.csv"} {
+		text, err := os.ReadFile(filepath.Join(dir, name))
+		if err != nil {
+			t.Fatal(err)
+		}
+		golden(t, stored, text)
+	}
+	path := filepath.Join("testdata", "outcomes.golden.json")
+	again(t, path, "", &[]rehearsal.Outcome{})
+	if kept, err := report.Read(path); err != nil || !reflect.DeepEqual(kept, outcomes) {
+		t.Errorf("%v, %+v", err, kept)
+	}
+}
+
+// Played by the commands on the virtual clock: the same bytes as then, which the report's command reads.
+func TestRehearsal_Golden(t *testing.T) {
+	var out bytes.Buffer
+	c := rehearseCommand()
+	c.SetOut(&out)
+	c.SetArgs([]string{"testdata/day.toml", "--json"})
+	if err := c.Execute(); err != nil {
+		t.Fatal(err)
+	}
+	path := golden(t, "rehearsal.golden.json", out.Bytes())
+	var o rehearsal.Outcome
+	again(t, path, " ", &o)
+	if kept, err := report.Read(path); err != nil || len(kept) != 1 || !reflect.DeepEqual(kept[0], o) {
+		t.Errorf("%v, %+v", err, kept)
+	}
+
+	out.Reset()
+	c = experimentCommand()
+	c.SetOut(&out)
+	c.SetArgs([]string{"testdata/day.toml", "--json", "--seeds", "3", "--workers", "2", "--policies", "module,hash"})
+	if err := c.Execute(); err != nil {
+		t.Fatal(err)
+	}
+	var cells []rehearsal.Cell
+	again(t, golden(t, "experiment.golden.json", out.Bytes()), " ", &cells)
+}
+
+// The other forms that tests, tools and later programs may store.
+func TestResults_Golden(t *testing.T) {
+	o := outcome("a")
+	all := struct {
+		Summary measure.Summary  `json:"summary"`
+		Cells   []rehearsal.Cell `json:"cells"`
+		World   world.Result     `json:"world"`
+		Fleet   fleet.Result     `json:"fleet"`
+	}{
+		measure.Summary{Spread: spread, Mean: 0.5, Hashing: 0.2, Even: 0.05, Ratio: 0.55, Worst: 0.6, Lowest: 0.3, Idle: 1.25, Herd: 1.5, HerdHash: 1.75},
+		[]rehearsal.Cell{{Script: "s", Policy: "hash", Whole: 0.9, Ten: 0.8, Diff: -0.01, Bound: 0.005, Broken: 1, Need: 12}},
+		world.Result{Seed: 9, Relays: 2, Backends: 3, Clients: 4, Faults: []world.Fault{fault("relay killed", 1)},
+			Broken: []checker.Broken{{Rule: "drain", At: 3 * time.Second, Text: "sent late"}}, Counts: o.Counts, Pairs: map[string]int{"a + b": 2}, Worth: 5.5,
+			Asked: 6, Refused: 7, Failed: 8, Attempts: 10, Steps: 11, Service: o.Seconds, ByClass: o.Seconds, Even: o.Evenness},
+		fleet.Result{Program: "a", Seed: 9, Ready: time.Second, Service: o.Seconds, Evenness: o.Evenness, Faults: o.Faults, Broken: o.Broken, Counts: o.Counts,
+			Waits: *o.Waits, Rates: *o.Rates, Usage: *o.Usage, Machine: o.Machine, Attempts: []int{3, 4}},
+	}
+	full(t, "results", reflect.ValueOf(all))
+	text, err := json.MarshalIndent(all, "", " ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	into := reflect.New(reflect.TypeOf(all))
+	again(t, golden(t, "results.golden.json", append(text, '\n')), " ", into.Interface())
+	if !reflect.DeepEqual(into.Elem().Interface(), any(all)) {
+		t.Errorf("%+v", into.Elem().Interface())
+	}
+}
