--- a/cmd/aspenbarrow/log_keys_test.go
+++ b/cmd/aspenbarrow/log_keys_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"flag"
 	"go/ast"
 	"go/parser"
 	"go/token"
@@ -15,8 +14,6 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write golden files")
-
 // constant is a string that stands in the source, or * for one that does not.
 func constant(e ast.Expr) string {
 	if l, ok := e.(*ast.BasicLit); ok && l.Kind == token.STRING {
--- a/internal/machine/golden_test.go
+++ b/internal/machine/golden_test.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"encoding/json"
-	goflag "flag"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -16,8 +15,6 @@
 	"aspenbarrow/internal/membership"
 )
 
-var update = goflag.Bool("update", false, "write golden files")
-
 // goldenAt is when the hot-restart document was written, and by whose clock it is read.
 const goldenAt = 1000 * time.Second
 
