--- a/internal/machine/golden_test.go
+++ b/internal/machine/golden_test.go
@@ -18,8 +18,8 @@
 // goldenAt is when the hot-restart document was written, and by whose clock it is read.
 const goldenAt = 1000 * time.Second
 
-// golden is a file of testdata, without the newline at its end.
-func golden(t *testing.T, name string) []byte {
+// goldenFile is a file of testdata, without the newline at its end.
+func goldenFile(t *testing.T, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", name))
 	if err != nil {
@@ -36,7 +36,7 @@
 			t.Fatal(err)
 		}
 	}
-	if want := golden(t, name); !bytes.Equal(got, want) {
+	if want := goldenFile(t, name); !bytes.Equal(got, want) {
 		t.Errorf("%s:\n got %s\nwant %s", name, got, want)
 	}
 }
@@ -86,7 +86,7 @@
 		t.Fatal(err)
 	}
 	n.Join(goldenAt)
-	if err := n.Inherit(goldenAt, golden(t, "hot_restart.json")); err != nil {
+	if err := n.Inherit(goldenAt, goldenFile(t, "hot_restart.json")); err != nil {
 		t.Fatal(err)
 	}
 	return n
@@ -95,7 +95,7 @@
 // What one version hands over the next one reads, whatever its types are called: no key may change unseen, nor one come
 // or go. A key that is changed on purpose is changed in the file by hand, for -update writes only what is still read.
 func TestNode_HotRestartGolden(t *testing.T) {
-	text := golden(t, "hot_restart.json")
+	text := goldenFile(t, "hot_restart.json")
 	var b bequest
 	var plain any
 	if err := json.Unmarshal(text, &b); err != nil {
@@ -142,7 +142,7 @@
 	}
 	wantGolden(t, "seen.json", wrote)
 
-	text := golden(t, "seen.json")
+	text := goldenFile(t, "seen.json")
 	var m balance.Memory
 	if err := json.Unmarshal(text, &m); err != nil {
 		t.Fatal(err)
