--- a/balance/balance.go
+++ b/balance/balance.go
@@ -48,12 +48,12 @@
 		return nil
 	}
 	// Stateful: it follows what it belongs to. Packets would be reset elsewhere, a split group paid twice.
-	if c.MidFlow && c.tries == 0 || c.grouped {
+	if c.MidStream && c.tries == 0 || c.grouped {
 		if d, ok := b.divert[c.flow]; ok && // where it is known to stand it is borne already, cold or not
-			(c.MidFlow && c.tries == 0 && d.to.State == StateReady || b.usable(now, d.to, c)) {
+			(c.MidStream && c.tries == 0 && d.to.State == StateReady || b.usable(now, d.to, c)) {
 			return d.to
 		}
-		if c.MidFlow || home.groups[c.key] > 0 {
+		if c.MidStream || home.groups[c.key] > 0 {
 			return home
 		}
 	}
@@ -93,7 +93,7 @@
 	if c.grouped || b.tells < sureCrowd || !b.reported(now, home) || !ask && !b.reported(now, backup) {
 		return b.load(home)-b.load(backup) >= b.delta()
 	}
-	part := float64(b.set.Relays) / float64(len(b.ready))      // of what this relay does, from all
+	part := float64(b.set.RelayCount) / float64(len(b.ready))  // of what this relay does, from all
 	conn := b.crowd / (max(1, float64(b.all.n)-c.rush) * part) // what one adds to a report
 	lead := home.full + float64(home.since)*conn
 	if ask {
@@ -139,7 +139,7 @@
 		}
 		most = max(most, int(b.part(c.key)*float64(len(b.ready))/2))
 	}
-	if ahead >= most && (b.set.TellsDelay && ahead >= len(b.ready)/portion || b.crowd > headroom) {
+	if ahead >= most && (b.set.ReportsMessageDelay && ahead >= len(b.ready)/portion || b.crowd > headroom) {
 		return nil
 	}
 	return next
@@ -187,7 +187,7 @@
 // sound is the same but for the ramp of a cold server. One that it holds already is borne already.
 func (b *Balancer) sound(now time.Duration, s *server, c *call) bool {
 	return s.State == StateReady && b.allowed(now, s, c) && !slices.Contains(c.tried[:], s) &&
-		(c.MidFlow && c.tries == 0 || s.until <= now && b.room(s, c) && !slices.Contains(c.shunned[:], s))
+		(c.MidStream && c.tries == 0 || s.until <= now && b.room(s, c) && !slices.Contains(c.shunned[:], s))
 }
 
 // delta is Δ: connections' worth, relative to a server of mean size.
@@ -198,8 +198,8 @@
 
 // --- the life of a request -----------------------------------------------------
 
-// Request takes a new connection.
-func (b *Balancer) Request(now time.Duration, r Request) {
+// RequestArrived takes a new connection.
+func (b *Balancer) RequestArrived(now time.Duration, r Request) {
 	if b.calls[r.ID] != nil {
 		return
 	}
@@ -207,7 +207,7 @@
 	b.budget = min(b.budget+b.earns(c), float64(len(b.ready)))
 	b.try(now, c)
 	if !c.done {
-		b.do.After(r.ID, max(0, c.deadline-now-b.set.Tick))
+		b.do.SetTimer(r.ID, max(0, c.deadline-now-b.set.Tick))
 	}
 }
 
@@ -221,7 +221,7 @@
 	for s != nil && b.shun(now, s, c) {
 		s = b.place(now, c)
 	}
-	if s == nil || b.overShare(c) || now < b.due && !c.MidFlow { // past what all bear
+	if s == nil || b.overShare(c) || now < b.due && !c.MidStream { // past what all bear
 		b.answer(now, c)
 		return
 	}
@@ -238,26 +238,26 @@
 	}
 	// All the time there is, unless a file says less: with set-ups slow everywhere cut ones make a storm.
 	left := c.deadline - now
-	if t := c.Timing.Attempt; t > 0 {
+	if t := c.RetryPolicy.AttemptTimeout; t > 0 {
 		left = min(left, t)
 	}
-	if second := c.Timing.Second; second > 0 && c.tries == 1 {
-		b.do.After(c.ID, second)
+	if second := c.RetryPolicy.HedgeDelay; second > 0 && c.tries == 1 {
+		b.do.SetTimer(c.ID, second)
 	}
 	b.do.Send(c.ID, s.ID, left)
 }
 
 // earns is what a request adds to the budget of attempts. Where a file sets it, a retry earns nothing.
 func (b *Balancer) earns(c *call) float64 {
-	if c.Repeat && c.Timing.Budget > 0 {
+	if c.ClientRetry && c.RetryPolicy.RetryBudget > 0 {
 		return 0
 	}
-	return cmp.Or(max(0, c.Timing.Budget), 0.2)
+	return cmp.Or(max(0, c.RetryPolicy.RetryBudget), 0.2)
 }
 
 // again makes a further attempt, after a pause where the timing says so that does not outlast the request.
 func (b *Balancer) again(now time.Duration, c *call) {
-	wait := c.Timing.Backoff
+	wait := c.RetryPolicy.BaseBackoff
 	if wait == 0 || c.cut {
 		c.cut = false
 		b.try(now, c)
@@ -265,7 +265,7 @@
 	}
 	for range c.tries - 1 {
 		wait *= 2
-		if most := c.Timing.MaxBackoff; most > 0 {
+		if most := c.RetryPolicy.MaxBackoff; most > 0 {
 			wait = min(wait, most)
 		}
 	}
@@ -275,14 +275,14 @@
 		return
 	}
 	c.again = now + wait
-	b.do.After(c.ID, wait)
+	b.do.SetTimer(c.ID, wait)
 }
 
 // second cancels a first attempt that has been silent, if another server may take the request then.
 // The copy goes out when the first is known to have ended: two are never out at once.
 func (b *Balancer) second(now time.Duration, c *call) {
-	t := c.Timing.Second
-	if t <= 0 || !b.set.Cancel || c.cut || c.tries != 1 || now-c.sent < t || c.most < 2 || b.budget < 1 {
+	t := c.RetryPolicy.HedgeDelay
+	if t <= 0 || !b.set.Cancellation || c.cut || c.tries != 1 || now-c.sent < t || c.most < 2 || b.budget < 1 {
 		return
 	}
 	after := *c
@@ -297,11 +297,11 @@
 // more often its kind was late, twice that where none can be asked. Each relay would send it home in turn.
 func (b *Balancer) shun(now time.Duration, s *server, c *call) bool {
 	chance, most := shunning*b.kindOf(s).lateness(), shunned
-	if !b.set.Probes {
+	if !b.set.HealthChecks {
 		chance, most = 2*chance, len(c.shunned)
 	}
-	if c.MidFlow || c.shuns >= most ||
-		!b.failing(now, s, c) && (!c.Back || s.n > 0 || b.rng.Float64() >= chance) {
+	if c.MidStream || c.shuns >= most ||
+		!b.failing(now, s, c) && (!c.Reconnecting || s.n > 0 || b.rng.Float64() >= chance) {
 		return false
 	}
 	c.shunned[c.shuns], c.shuns = s, c.shuns+1
@@ -311,26 +311,26 @@
 // failing says whether a server reports errors on more than a few of the attempts made there. What may not be
 // repeated passes it by: each of many relays would find that out by one of those, which is lost then.
 func (b *Balancer) failing(now time.Duration, s *server, c *call) bool {
-	made := float64(b.set.Relays) / max(b.pace, b.set.Tick).Seconds() / float64(len(b.ready)) // a second
-	return b.set.Classes[c.Class].Effect != Safe && b.reported(now, s) && s.errs > made/fewOf
+	made := float64(b.set.RelayCount) / max(b.pace, b.set.Tick).Seconds() / float64(len(b.ready)) // a second
+	return b.set.Classes[c.Class].Idempotency != Idempotent && b.reported(now, s) && s.errs > made/fewOf
 }
 
 // ask holds a connection until its server has answered a probe, where this relay has no word of it of late.
 // Among many relays each has connections on few servers: the others may be full unseen.
 func (b *Balancer) ask(now time.Duration, s *server, c *call) bool {
-	if !b.unheard(now, s) || c.MidFlow || c.asks == 2*spread || c.deadline-now <= 2*b.answerTime(c, s) {
+	if !b.unheard(now, s) || c.MidStream || c.asks == 2*spread || c.deadline-now <= 2*b.answerTime(c, s) {
 		return false
 	}
 	b.probe(s)
 	c.asked, c.sent, c.asks, c.askedBy = s, now, c.asks+1, now+b.answerTime(c, s)
 	b.held = append(b.held, c)
-	b.do.After(c.ID, c.askedBy-now)
+	b.do.SetTimer(c.ID, c.askedBy-now)
 	return true
 }
 
 // unheard says whether a server is to be asked: notes tell only that it is late, a report how much it holds.
 func (b *Balancer) unheard(now time.Duration, s *server) bool {
-	return b.set.Probes && (s.n == 0 || b.share >= 0) && now-s.heard >= 2*beat
+	return b.set.HealthChecks && (s.n == 0 || b.share >= 0) && now-s.heard >= 2*beat
 }
 
 // reported says whether a report of late tells how full a server is.
@@ -341,10 +341,10 @@
 
 // overShare says whether the tenant holds its share here while half the servers are full.
 func (b *Balancer) overShare(c *call) bool {
-	if c.Tenant >= len(b.set.Tenants) || b.set.OverShareWorth >= 1 || c.MidFlow {
+	if c.Tenant >= len(b.set.Tenants) || b.set.OverQuotaPriority >= 1 || c.MidStream {
 		return false
 	}
-	quota := b.set.Tenants[c.Tenant].Connections / float64(b.set.Relays)
+	quota := b.set.Tenants[c.Tenant].ConnectionQuota / float64(b.set.RelayCount)
 	if quota <= 0 || float64(b.taken[c.Tenant]) < quota {
 		return false
 	}
@@ -363,15 +363,15 @@
 		return true
 	}
 	class := &b.set.Classes[c.Class]
-	switch class.Effect {
-	case Safe:
+	switch class.Idempotency {
+	case Idempotent:
 		return true
-	case Keyed:
-		if up := max(b.set.DialTimeout, c.Timing.Connect); now+up-c.ranAt >= class.Window-b.set.Tick {
+	case IdempotentWithKey:
+		if up := max(b.set.DialTimeout, c.RetryPolicy.ConnectTimeout); now+up-c.ranAt >= class.DedupWindow-b.set.Tick {
 			return false
 		}
-		return class.Scope == ScopeAll || class.Scope == ScopeZone && s.Zone == c.ranServer.Zone ||
-			class.Scope == ScopeCell && s.Cell == c.ranServer.Cell
+		return class.DedupScope == ScopeAll || class.DedupScope == ScopeZone && s.Zone == c.ranServer.Zone ||
+			class.DedupScope == ScopeCell && s.Cell == c.ranServer.Cell
 	}
 	return false
 }
@@ -379,47 +379,47 @@
 // answer gives the final answer: refused where a retry is known to do no harm, else failed.
 func (b *Balancer) answer(now time.Duration, c *call) {
 	class := &b.set.Classes[c.Class]
-	if !c.mayRan || class.Effect == Safe || class.Effect == Keyed && class.Scope == ScopeAll {
-		b.do.Refuse(c.ID, min(b.set.MaxRetryAfter, beat))
+	if !c.mayRan || class.Idempotency == Idempotent || class.Idempotency == IdempotentWithKey && class.DedupScope == ScopeAll {
+		b.do.Reject(c.ID, min(b.set.MaxRetryAfter, beat))
 	} else {
 		b.do.Fail(c.ID)
 	}
 	b.finish(c)
 }
 
-// Began hears that a connection stands.
-func (b *Balancer) Began(now time.Duration, o Outcome) {
+// AttemptSucceeded hears that a connection stands.
+func (b *Balancer) AttemptSucceeded(now time.Duration, o AttemptResult) {
 	if c := b.calls[o.ID]; c != nil && c.at != nil && o.Attempt == c.tries-1 {
 		c.began = true
-		b.judge(now, c.at, OK)
+		b.judge(now, c.at, StatusOK)
 		b.shared(now, c, o.Latency > b.slow(c))
 	}
 }
 
-// Outcome hears the end of an attempt or of an open connection.
-func (b *Balancer) Outcome(now time.Duration, o Outcome) {
+// AttemptEnded hears the end of an attempt or of an open connection.
+func (b *Balancer) AttemptEnded(now time.Duration, o AttemptResult) {
 	c := b.calls[o.ID]
 	if c == nil || c.at == nil || o.Attempt != c.tries-1 {
 		return
 	}
 	s := c.at
 	// One reset may be the network's. Taken for trouble, each would move half of what a sound server holds.
-	stray := o.Status == Reset && !b.set.TellsDelay && s.stray(now)
-	if o.Status == Reset && c.began && s.State == StateReady && !stray || o.Status == Full {
+	stray := o.Status == StatusReset && !b.set.ReportsMessageDelay && s.stray(now)
+	if o.Status == StatusReset && c.began && s.State == StateReady && !stray || o.Status == StatusOverloaded {
 		keep := 0.85
-		if o.Status == Reset && !b.set.TellsDelay { // notes would have cut it before: what it holds is late
+		if o.Status == StatusReset && !b.set.ReportsMessageDelay { // notes would have cut it before: what it holds is late
 			keep = 0.5
 		}
 		b.overload(now, s, keep)
 	}
-	if !c.began && (o.Status == Error || o.Status == Timeout && now-c.sent > b.slow(c)) {
+	if !c.began && (o.Status == StatusError || o.Status == StatusTimeout && now-c.sent > b.slow(c)) {
 		b.shared(now, c, true)
 	}
 	b.detach(c)
-	if !stray && (!c.began || o.Status == Reset && !b.set.TellsDelay) { // without notes drops tell first
+	if !stray && (!c.began || o.Status == StatusReset && !b.set.ReportsMessageDelay) { // without notes drops tell first
 		b.judge(now, s, o.Status)
 	}
-	if o.Status.Ran() && !c.mayRan {
+	if o.Status.MayHaveExecuted() && !c.mayRan {
 		c.mayRan, c.ranAt, c.ranServer = true, c.sent, s
 	}
 	switch {
@@ -433,13 +433,13 @@
 	}
 }
 
-// Note hears of a pending attempt.
-func (b *Balancer) Note(now time.Duration, id uint64, kind NoteKind, v float64) {
+// LoadReported hears of a pending attempt.
+func (b *Balancer) LoadReported(now time.Duration, id uint64, kind LoadSignal, v float64) {
 	c := b.calls[id]
 	if c == nil || c.at == nil {
 		return
 	}
-	if kind == NoteDelay && v > b.quickest {
+	if kind == SignalMessageDelay && v > b.quickest {
 		b.kindOf(c.at).late++
 		// Where reports tell the load they set the limit: notes would cut it to its floor while everything is
 		// slow, and one that claims room is stale or wrong. But what is piled up keeps all late until it is
@@ -452,17 +452,17 @@
 			b.overload(now, c.at, max(0.1, min(keep, 1-pile)))
 		}
 	}
-	if kind == NoteLoad && sane(v) > 0 {
+	if kind == SignalConnectionLoad && sane(v) > 0 {
 		b.heard(c, v)
 	}
 }
 
-// Timer hears a timer that this module asked for.
-func (b *Balancer) Timer(now time.Duration, token uint64) {
+// TimerFired hears a timer that this module asked for.
+func (b *Balancer) TimerFired(now time.Duration, token uint64) {
 	switch token {
 	case tickToken:
 		b.upkeep(now)
-		b.do.After(tickToken, beat)
+		b.do.SetTimer(tickToken, beat)
 		return
 	case leaveToken:
 		b.leave(now)
@@ -489,10 +489,10 @@
 // traffic, and one is all that each of many relays may see. Capped: trouble of all ejects nobody.
 func (b *Balancer) judge(now time.Duration, s *server, st Status) {
 	switch st {
-	case OK:
+	case StatusOK:
 		s.bench = 0
 		return
-	case Full, Cancelled, Moot:
+	case StatusOverloaded, StatusCancelled, StatusAbandoned:
 		return
 	}
 	b.out = slices.DeleteFunc(b.out, func(o *server) bool { return o.until <= now })
@@ -539,7 +539,7 @@
 // room says whether a server that has shown overload can bear the connection. One that this relay has nothing
 // on always can where it may be asked first.
 func (b *Balancer) room(s *server, c *call) bool {
-	return s.limit == 0 || b.set.Probes && s.n == 0 && s.also == 0 || b.own(&s.sums)+b.loadOf(c) <= s.limit
+	return s.limit == 0 || b.set.HealthChecks && s.n == 0 && s.also == 0 || b.own(&s.sums)+b.loadOf(c) <= s.limit
 }
 
 // overload lowers what a server is held to bear to a part of its T: else what it drops comes straight back.
@@ -578,7 +578,7 @@
 		}
 		pick.moved = true
 		excess -= b.loadOf(pick)
-		b.do.Move(pick.ID)
+		b.do.Migrate(pick.ID)
 	}
 }
 
@@ -596,11 +596,11 @@
 		}
 		if s.State == StateDraining {
 			b.depart(now, s, s.news+drainTime, beat)
-		} else if s.State == StateGone {
+		} else if s.State == StateRemoved {
 			b.depart(now, s, now, beat)
 		}
 		// Where notes tell of late messages only a limit is looked after, else every server.
-		if s.State != StateReady || s.limit == 0 && b.set.TellsDelay {
+		if s.State != StateReady || s.limit == 0 && b.set.ReportsMessageDelay {
 			continue
 		}
 		if now-s.hot >= 2*beat {
@@ -611,7 +611,7 @@
 			}
 		}
 		// The answer sets the limit. From each of many relays a probe a second would cost too much.
-		if b.set.Probes && b.share >= 0 && b.rng.Float64()*probeConns < float64(s.n) {
+		if b.set.HealthChecks && b.share >= 0 && b.rng.Float64()*probeConns < float64(s.n) {
 			b.probe(s)
 		}
 	}
@@ -622,9 +622,9 @@
 	b.relieve(s, b.own(&s.sums)*(1-float64(step)/float64(max(step, by-now))))
 }
 
-// Leave hears that no connection is to be here by a time, since this relay stops or is drained; 0: it is
+// DrainBy hears that no connection is to be here by a time, since this relay stops or is drained; 0: it is
 // to stay after all. Where packets pass through, another takes over. Until then it serves who still comes.
-func (b *Balancer) Leave(now, at time.Duration) {
+func (b *Balancer) DrainBy(now, at time.Duration) {
 	if b.set.PassThrough {
 		return
 	}
@@ -634,7 +634,7 @@
 	b.leaves = at
 	if at > 0 && !b.stepping {
 		b.stepping = true
-		b.do.After(leaveToken, 0)
+		b.do.SetTimer(leaveToken, 0)
 	}
 }
 
@@ -645,35 +645,35 @@
 	for _, s := range b.busy {
 		b.depart(now, s, b.leaves, step)
 	}
-	b.do.After(leaveToken, step)
+	b.do.SetTimer(leaveToken, step)
 }
 
 // probe asks a server how it does, unless a probe is out already.
 func (b *Balancer) probe(s *server) {
 	if !s.probing {
 		s.probing = true
-		b.do.Probe(s.ID)
+		b.do.CheckHealth(s.ID)
 	}
 }
 
-// Probed hears a probe's answer. It sets the limit that fills a server; with no report, late means full.
-func (b *Balancer) Probed(now time.Duration, r Report) {
+// HealthCheckDone hears a probe's answer. It sets the limit that fills a server; with no report, late means full.
+func (b *Balancer) HealthCheckDone(now time.Duration, r HealthCheckResult) {
 	s := b.servers[r.Backend]
 	if s == nil {
 		return
 	}
 	b.replied(s, r)
-	told, full := r.Status == OK && b.share >= 0 && b.share < len(r.Load), 0.0
+	told, full := r.Status == StatusOK && b.share >= 0 && b.share < len(r.Load), 0.0
 	switch {
 	case told:
 		full = sane(float64(r.Load[b.share]))
 		b.tells++
 		b.crowd += (min(full, 2) - b.crowd) / float64(min(b.tells, 8))
-	case r.Status != OK && r.Status != Moot || r.Latency.Seconds()*1000 > b.quickest: // moot: not asked
+	case r.Status != StatusOK && r.Status != StatusAbandoned || r.Latency.Seconds()*1000 > b.quickest: // moot: not asked
 		full = 1
 	}
 	mark, fill := 0.9, headroom
-	if told && !b.set.TellsDelay { // reports are all that tells of late messages, and they are old
+	if told && !b.set.ReportsMessageDelay { // reports are all that tells of late messages, and they are old
 		// Where all are known to be fuller there is nowhere to move to: it would only turn away.
 		if b.crowd <= blindRoom || b.tells < sureCrowd {
 			mark, fill = headroom, blindRoom
@@ -682,14 +682,14 @@
 		if s.lags > 2 || s.lags > 0 && now-s.word < 2*beat { // three in a row, or one and a peer's word
 			full = max(full, 1) // it works slower, late however small the load that its old report tells
 			b.overload(now, s, 0.5)
-			if b.set.Peers && s.lags == 3 {
-				b.do.Tell(-1, notice(s))
+			if b.set.Gossip && s.lags == 3 {
+				b.do.SendGossip(-1, notice(s))
 			}
 		} else if s.lags > 0 { // one alone is chance
 			b.probe(s)
 		}
 	}
-	if told && full > 0 && s.n > 0 && (s.limit > 0 || full > mark && !b.set.TellsDelay) {
+	if told && full > 0 && s.n > 0 && (s.limit > 0 || full > mark && !b.set.ReportsMessageDelay) {
 		if l := b.own(&s.sums) * max(0.5, fill/full); s.limit == 0 || l < s.limit || now-s.hot >= 2*beat {
 			s.limit = l
 		}
@@ -702,10 +702,10 @@
 	b.answered(now, s, full)
 }
 
-// Peer hears that a server lags at another relay. It is asked at once, and one late answer is enough then:
+// GossipReceived hears that a server lags at another relay. It is asked at once, and one late answer is enough then:
 // taken at its word, one relay's mistake would halve what all relays hold there.
-func (b *Balancer) Peer(now time.Duration, from int, data []byte) {
-	if s := b.noticed(data); s != nil && !b.set.TellsDelay && s.paces > surePace {
+func (b *Balancer) GossipReceived(now time.Duration, from int, data []byte) {
+	if s := b.noticed(data); s != nil && !b.set.ReportsMessageDelay && s.paces > surePace {
 		s.word = now
 		b.probe(s)
 	}
@@ -725,7 +725,7 @@
 // part, by chance below a connection. Its own connections on a usual server say how many fill one.
 func (b *Balancer) rushed(now time.Duration, s *server, full float64) bool {
 	if b.lost == 0 || now-b.lost >= clearEvery ||
-		!slices.ContainsFunc(b.held, func(c *call) bool { return c.asked == s && c.Back && !c.done }) {
+		!slices.ContainsFunc(b.held, func(c *call) bool { return c.asked == s && c.Reconnecting && !c.done }) {
 		return false
 	}
 	fills := max(1, float64(b.all.n)) / float64(max(1, len(b.ready))) / max(b.crowd, 0.1)
@@ -743,16 +743,16 @@
 // warmth is the share of its capacity a server surely has.
 func (b *Balancer) warmth(now time.Duration, s *server) float64 {
 	age := now - s.ReadyAt
-	if s.ReadyAt == 0 || b.set.WarmUp <= 0 || age >= b.set.WarmUp {
+	if s.ReadyAt == 0 || b.set.SlowStartWindow <= 0 || age >= b.set.SlowStartWindow {
 		return 1
 	}
-	return b.set.ColdFrom + (1-b.set.ColdFrom)*max(0, float64(age)/float64(b.set.WarmUp))
+	return b.set.SlowStartFloor + (1-b.set.SlowStartFloor)*max(0, float64(age)/float64(b.set.SlowStartWindow))
 }
 
 // refill says whether a cold server may get one more from here in this span: what this relay has on warm ones
 // is borne over a warm-up. What is unused lapses, or a rush would spend what all relays have saved.
 func (b *Balancer) refill(now time.Duration, s *server) bool {
-	if span := max(1, b.set.FallSpan); now >= s.filled {
+	if span := max(1, b.set.OverloadWindow); now >= s.filled {
 		conns, size := 0.0, 0.0
 		for _, o := range b.ready {
 			if b.warmth(now, o) >= 1 {
@@ -761,9 +761,9 @@
 		}
 		// Half of what would push it over. Relays without connections count as so many a server all together:
 		// as one each they would send the more, the more of them there are.
-		conns = max(conns, min(1, idleConns/float64(b.set.Relays)*float64(len(b.ready))))
+		conns = max(conns, min(1, idleConns/float64(b.set.RelayCount)*float64(len(b.ready))))
 		fills := conns / max(b.crowd, blindRoom) / cmp.Or(size, float64(len(b.ready))) * s.size
-		rate := b.set.FallMultiple / 2 * fills * b.warmth(now, s) / b.set.WarmUp.Seconds()
+		rate := b.set.OverloadMultiple / 2 * fills * b.warmth(now, s) / b.set.SlowStartWindow.Seconds()
 		s.budget = math.Floor(rate*span.Seconds() + b.rng.Float64())
 		s.filled = now + span - (now-s.filled)%span
 	}
@@ -772,14 +772,14 @@
 
 // --- the list -----------------------------------------------------------------------
 
-// List hears news of the backends.
-func (b *Balancer) List(now time.Duration, kind ListKind, lines []Backend) {
-	if kind == ListFailed {
-		b.list.wait = min(max(beat, 2*b.list.wait), max(beat, b.set.AskEvery/2))
+// EndpointsUpdated hears news of the backends.
+func (b *Balancer) EndpointsUpdated(now time.Duration, kind EndpointUpdateKind, lines []Backend) {
+	if kind == UpdateFailed {
+		b.list.wait = min(max(beat, 2*b.list.wait), max(beat, b.set.PollInterval/2))
 		b.list.again = now + time.Duration(float64(b.list.wait)*(0.5+b.rng.Float64()))
 		return
 	}
-	if kind != ListCached {
+	if kind != UpdateCached {
 		b.list = listState{}
 	}
 	b.record(now, kind, lines)
@@ -803,6 +803,6 @@
 }
 
 func (b *Balancer) askList(now time.Duration) {
-	b.do.Subscribe(true)
-	b.list.again = now + max(beat, b.set.AskEvery) // a call that is never answered is asked again
+	b.do.WatchEndpoints(true)
+	b.list.again = now + max(beat, b.set.PollInterval) // a call that is never answered is asked again
 }
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -22,25 +22,27 @@
 func (r *recorder) Send(id uint64, to BackendID, t time.Duration) {
 	r.did = append(r.did, action{what: "send", id: id, to: to, wait: t})
 }
-func (r *recorder) Refuse(id uint64, t time.Duration) {
+func (r *recorder) Reject(id uint64, t time.Duration) {
 	r.did = append(r.did, action{what: "refuse", id: id, wait: t})
 }
 func (r *recorder) Fail(id uint64) { r.did = append(r.did, action{what: "fail", id: id}) }
 func (r *recorder) Cancel(id uint64, n int) {
 	r.did = append(r.did, action{what: "cancel", id: id, attempt: n})
 }
-func (r *recorder) Probe(to BackendID)   { r.did = append(r.did, action{what: "probe", to: to}) }
-func (r *recorder) Release(to BackendID) { r.did = append(r.did, action{what: "release", to: to}) }
-func (r *recorder) Move(id uint64)       { r.did = append(r.did, action{what: "move", id: id}) }
-func (r *recorder) Tell(peer int, data []byte) {
+func (r *recorder) CheckHealth(to BackendID) { r.did = append(r.did, action{what: "probe", to: to}) }
+func (r *recorder) ReleaseHealthCheck(to BackendID) {
+	r.did = append(r.did, action{what: "release", to: to})
+}
+func (r *recorder) Migrate(id uint64) { r.did = append(r.did, action{what: "move", id: id}) }
+func (r *recorder) SendGossip(peer int, data []byte) {
 	r.did = append(r.did, action{what: "tell", attempt: peer})
 }
-func (r *recorder) After(token uint64, d time.Duration) {
+func (r *recorder) SetTimer(token uint64, d time.Duration) {
 	r.did = append(r.did, action{what: "after", id: token, wait: d})
 }
-func (r *recorder) Subscribe(bool) { r.did = append(r.did, action{what: "subscribe"}) }
-func (r *recorder) Fetch()         { r.did = append(r.did, action{what: "fetch"}) }
-func (r *recorder) Log(string)     {}
+func (r *recorder) WatchEndpoints(bool) { r.did = append(r.did, action{what: "subscribe"}) }
+func (r *recorder) FetchEndpoints()     { r.did = append(r.did, action{what: "fetch"}) }
+func (r *recorder) Log(string)          {}
 
 // take returns the actions of one kind since the last take of any.
 func (r *recorder) take(what string) []action {
@@ -62,20 +64,20 @@
 
 func settings() Settings {
 	return Settings{
-		Me: 0, Relays: 2, Tick: 4 * ms, TryLimit: 4, Weights: WeightsNominal,
+		RelayIndex: 0, RelayCount: 2, Tick: 4 * ms, MaxAttempts: 4, Weights: WeightsNominal,
 		Classes: []Class{
-			{OnTime: 500 * ms, GiveUp: 2 * sec, MessageAim: 60 * ms, Effect: Safe, Worth: 1},
-			{OnTime: 500 * ms, GiveUp: 2 * sec, MessageAim: 60 * ms, Effect: Unsafe, Worth: 1},
-			{OnTime: 500 * ms, GiveUp: 2 * sec, MessageAim: 60 * ms, Effect: Keyed, Scope: ScopeCell,
-				Window: sec, Worth: 1},
-			{OnTime: 500 * ms, GiveUp: 2 * sec, MessageAim: 60 * ms, Effect: Keyed, Scope: ScopeZone,
-				Window: sec, Worth: 1},
-			{OnTime: 500 * ms, GiveUp: 2 * sec, MessageAim: 60 * ms, Effect: Keyed, Scope: ScopeAll,
-				Window: sec, Worth: 1},
+			{LatencyObjective: 500 * ms, ClientTimeout: 2 * sec, MessageLatencyObjective: 60 * ms, Idempotency: Idempotent, PriorityWeight: 1},
+			{LatencyObjective: 500 * ms, ClientTimeout: 2 * sec, MessageLatencyObjective: 60 * ms, Idempotency: NonIdempotent, PriorityWeight: 1},
+			{LatencyObjective: 500 * ms, ClientTimeout: 2 * sec, MessageLatencyObjective: 60 * ms, Idempotency: IdempotentWithKey, DedupScope: ScopeCell,
+				DedupWindow: sec, PriorityWeight: 1},
+			{LatencyObjective: 500 * ms, ClientTimeout: 2 * sec, MessageLatencyObjective: 60 * ms, Idempotency: IdempotentWithKey, DedupScope: ScopeZone,
+				DedupWindow: sec, PriorityWeight: 1},
+			{LatencyObjective: 500 * ms, ClientTimeout: 2 * sec, MessageLatencyObjective: 60 * ms, Idempotency: IdempotentWithKey, DedupScope: ScopeAll,
+				DedupWindow: sec, PriorityWeight: 1},
 		},
-		DrainGrace: 250 * ms, AnswerSlack: 16 * ms, DialTimeout: 250 * ms, AskEvery: 10 * sec,
-		ColdFrom: 0.3, WarmUp: 10 * sec, FallMultiple: 2, FallSpan: 2 * sec, MaxRetryAfter: sec,
-		TellsDelay: true, TellsLoad: true,
+		DrainGrace: 250 * ms, AnswerSlack: 16 * ms, DialTimeout: 250 * ms, PollInterval: 10 * sec,
+		SlowStartFloor: 0.3, SlowStartWindow: 10 * sec, OverloadMultiple: 2, OverloadWindow: 2 * sec, MaxRetryAfter: sec,
+		ReportsMessageDelay: true, ReportsConnectionLoad: true,
 	}
 }
 
@@ -91,7 +93,7 @@
 	t.Helper()
 	r := &recorder{}
 	b := New(sec, 1, s, r)
-	b.List(sec, ListCached, fleet(n))
+	b.EndpointsUpdated(sec, UpdateCached, fleet(n))
 	r.clear()
 	return b, r
 }
@@ -100,10 +102,10 @@
 func sent(t *testing.T, b *Balancer, r *recorder, now time.Duration, q Request) BackendID {
 	t.Helper()
 	r.clear()
-	if q.Left == 0 {
-		q.Left = 2 * sec
+	if q.TimeLeft == 0 {
+		q.TimeLeft = 2 * sec
 	}
-	b.Request(now, q)
+	b.RequestArrived(now, q)
 	got := r.take("send")
 	if len(got) != 1 || got[0].id != q.ID {
 		t.Fatalf("request %d: sends %v", q.ID, got)
@@ -117,7 +119,7 @@
 		for key := uint64(1); key <= 500; key++ {
 			r := &recorder{}
 			b := New(sec, key, settings(), r)
-			b.List(sec, ListCached, list)
+			b.EndpointsUpdated(sec, UpdateCached, list)
 			got[key] = sent(t, b, r, sec, Request{ID: 1, Key: key})
 		}
 		return got
@@ -144,20 +146,20 @@
 		name string
 		step
 	}{
-		{"safe after an error", step{0, Error, "send"}},
-		{"unsafe after an error", step{1, Error, "fail"}},
-		{"unsafe after a time-out", step{1, Timeout, "fail"}},
-		{"unsafe after a rejection", step{1, Full, "send"}},
-		{"unsafe after a failed connect", step{1, ConnectFailed, "send"}},
-		{"keyed for a cell", step{2, Error, "send cell"}},
-		{"keyed for a zone", step{3, Reset, "send zone"}},
-		{"keyed for all", step{4, Reset, "send"}},
+		{"safe after an error", step{0, StatusError, "send"}},
+		{"unsafe after an error", step{1, StatusError, "fail"}},
+		{"unsafe after a time-out", step{1, StatusTimeout, "fail"}},
+		{"unsafe after a rejection", step{1, StatusOverloaded, "send"}},
+		{"unsafe after a failed connect", step{1, StatusConnectFailed, "send"}},
+		{"keyed for a cell", step{2, StatusError, "send cell"}},
+		{"keyed for a zone", step{3, StatusReset, "send zone"}},
+		{"keyed for all", step{4, StatusReset, "send"}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			b, r := start(t, settings(), 8)
 			first := sent(t, b, r, sec, Request{ID: 9, Class: tc.class, Key: 5})
 			r.clear()
-			b.Outcome(sec+100*ms, Outcome{ID: 9, Backend: first, Status: tc.status})
+			b.AttemptEnded(sec+100*ms, AttemptResult{ID: 9, Backend: first, Status: tc.status})
 			sends, fails := r.take("send"), r.take("fail")
 			if tc.want == "fail" {
 				if len(sends) != 0 || len(fails) != 1 {
@@ -184,7 +186,7 @@
 	b, r := start(t, settings(), 8)
 	first := sent(t, b, r, sec, Request{ID: 9, Class: 3, Key: 5})
 	r.clear()
-	b.Outcome(sec+sec, Outcome{ID: 9, Backend: first, Status: Reset})
+	b.AttemptEnded(sec+sec, AttemptResult{ID: 9, Backend: first, Status: StatusReset})
 	if len(r.take("send")) != 0 || len(r.take("fail")) != 1 || len(r.take("refuse")) != 0 {
 		t.Fatalf("after the window: %v", r.did)
 	}
@@ -194,13 +196,13 @@
 	for _, c := range []struct {
 		at    time.Duration
 		again int
-	}{{sec + s.Classes[3].Window - 250*ms, 0}, {sec + s.Classes[3].Window - 350*ms, 1}} {
+	}{{sec + s.Classes[3].DedupWindow - 250*ms, 0}, {sec + s.Classes[3].DedupWindow - 350*ms, 1}} {
 		b, r := start(t, s, 8)
 		first := sent(t, b, r, sec, Request{ID: 9, Class: 3, Key: 5})
 		r.clear()
-		b.Outcome(c.at, Outcome{ID: 9, Backend: first, Status: Reset})
+		b.AttemptEnded(c.at, AttemptResult{ID: 9, Backend: first, Status: StatusReset})
 		if got := len(r.take("send")); got != c.again {
-			t.Errorf("%v before the window's end: %d sent, want %d", sec+s.Classes[3].Window-c.at, got, c.again)
+			t.Errorf("%v before the window's end: %d sent, want %d", sec+s.Classes[3].DedupWindow-c.at, got, c.again)
 		}
 	}
 }
@@ -208,9 +210,9 @@
 func TestEmptyFleetHoldsThenAnswersInTime(t *testing.T) {
 	r := &recorder{}
 	b := New(sec, 1, settings(), r)
-	b.List(sec, ListCached, nil)
+	b.EndpointsUpdated(sec, UpdateCached, nil)
 	r.clear()
-	b.Request(sec, Request{ID: 1, Key: 1, Left: 2 * sec})
+	b.RequestArrived(sec, Request{ID: 1, Key: 1, TimeLeft: 2 * sec})
 	if len(r.take("send"))+len(r.take("refuse"))+len(r.take("fail")) != 0 {
 		t.Fatalf("answered at once: %v", r.did)
 	}
@@ -219,12 +221,12 @@
 		t.Fatalf("no timely timer: %v", r.did)
 	}
 	r.clear()
-	b.Timer(sec+timers[0].wait, timers[0].id)
+	b.TimerFired(sec+timers[0].wait, timers[0].id)
 	if len(r.take("refuse")) != 1 {
 		t.Fatalf("no final answer: %v", r.did)
 	}
 	r.clear()
-	b.List(4*sec, ListFull, fleet(3))
+	b.EndpointsUpdated(4*sec, UpdateFull, fleet(3))
 	if len(r.take("send")) != 0 {
 		t.Fatal("sent after the final answer")
 	}
@@ -233,9 +235,9 @@
 func TestHeldRequestGoesWhenAServerComes(t *testing.T) {
 	r := &recorder{}
 	b := New(sec, 1, settings(), r)
-	b.Request(sec, Request{ID: 1, Key: 1, Left: 2 * sec})
+	b.RequestArrived(sec, Request{ID: 1, Key: 1, TimeLeft: 2 * sec})
 	r.clear()
-	b.List(sec+100*ms, ListFull, fleet(1))
+	b.EndpointsUpdated(sec+100*ms, UpdateFull, fleet(1))
 	if got := r.take("send"); len(got) != 1 {
 		t.Fatalf("held request not sent: %v", r.did)
 	}
@@ -245,8 +247,8 @@
 	b, r := start(t, settings(), 3)
 	list := fleet(3)
 	list[0].State = StateDraining
-	b.List(2*sec, ListDelta, list[:1])
-	b.List(2*sec, ListDelta, []Backend{{ID: 2, State: StateGone, Weight: 1}})
+	b.EndpointsUpdated(2*sec, UpdateDelta, list[:1])
+	b.EndpointsUpdated(2*sec, UpdateDelta, []Backend{{ID: 2, State: StateRemoved, Weight: 1}})
 	for id := uint64(1); id < 50; id++ {
 		if to := sent(t, b, r, 2*sec, Request{ID: id, Key: id}); to != 3 {
 			t.Fatalf("request %d went to %d", id, to)
@@ -258,15 +260,15 @@
 	b, r := start(t, settings(), 3)
 	first := sent(t, b, r, sec, Request{ID: 1, Key: 1})
 	r.clear()
-	b.Outcome(sec, Outcome{ID: 77, Backend: 1, Status: Error})
-	b.Outcome(sec, Outcome{ID: 1, Attempt: 3, Backend: first, Status: Error})
-	b.Began(sec, Outcome{ID: 78})
-	b.Gone(sec, 79)
-	b.Note(sec, 80, NoteLoad, 5)
-	b.Timer(sec, 81)
-	b.Probed(sec, Report{Backend: 99})
-	b.Peer(sec, 7, []byte{1, 2, 3})
-	b.Request(sec, Request{ID: 1, Key: 1, Left: sec})
+	b.AttemptEnded(sec, AttemptResult{ID: 77, Backend: 1, Status: StatusError})
+	b.AttemptEnded(sec, AttemptResult{ID: 1, Attempt: 3, Backend: first, Status: StatusError})
+	b.AttemptSucceeded(sec, AttemptResult{ID: 78})
+	b.ClientClosed(sec, 79)
+	b.LoadReported(sec, 80, SignalConnectionLoad, 5)
+	b.TimerFired(sec, 81)
+	b.HealthCheckDone(sec, HealthCheckResult{Backend: 99})
+	b.GossipReceived(sec, 7, []byte{1, 2, 3})
+	b.RequestArrived(sec, Request{ID: 1, Key: 1, TimeLeft: sec})
 	if len(r.did) != 0 {
 		t.Fatalf("acted on nothing: %v", r.did)
 	}
@@ -280,12 +282,12 @@
 	for relay := range relays {
 		r := &recorder{}
 		b := New(sec, uint64(relay), settings(), r)
-		b.List(sec, ListCached, fleet(4))
+		b.EndpointsUpdated(sec, UpdateCached, fleet(4))
 		for id := uint64(1); id <= 40; id++ {
 			sent(t, b, r, sec, Request{ID: id, Key: id})
-			b.Began(sec, Outcome{ID: id})
+			b.AttemptSucceeded(sec, AttemptResult{ID: id})
 		}
-		b.List(20*sec, ListDelta, []Backend{{ID: 9, State: StateReady, Weight: 1, ReadyAt: 20 * sec}})
+		b.EndpointsUpdated(20*sec, UpdateDelta, []Backend{{ID: 9, State: StateReady, Weight: 1, ReadyAt: 20 * sec}})
 		for id := uint64(100); id < 160; id++ {
 			if sent(t, b, r, 20*sec, Request{ID: id, Key: id}) == 9 {
 				n++
@@ -313,19 +315,19 @@
 
 func TestListOnRequestBacksOffAndAsksAgain(t *testing.T) {
 	s := settings()
-	s.ListOnRequest = true
+	s.PollEndpoints = true
 	r := &recorder{}
 	b := New(sec, 1, s, r)
 	if len(r.take("subscribe")) != 1 {
 		t.Fatal("did not ask for the list")
 	}
 	r.clear()
-	b.List(2*sec, ListFailed, nil)
+	b.EndpointsUpdated(2*sec, UpdateFailed, nil)
 	if len(r.take("subscribe")) != 0 {
 		t.Fatal("asked again at once")
 	}
 	for now := 2 * sec; now < 5*sec; now += sec {
-		b.Timer(now, tickToken)
+		b.TimerFired(now, tickToken)
 	}
 	if n := len(r.take("subscribe")); n != 1 {
 		t.Fatalf("asked %d times in 3 s", n)
@@ -338,7 +340,7 @@
 	var to BackendID
 	for id := from; id < from+n; id++ {
 		to = sent(t, b, r, sec, Request{ID: id, Key: id, Group: group})
-		b.Began(sec, Outcome{ID: id})
+		b.AttemptSucceeded(sec, AttemptResult{ID: id})
 	}
 	return to
 }
@@ -349,8 +351,8 @@
 	s.Groups = true
 	b, r := start(t, s, 6)
 	home := sent(t, b, r, sec, Request{ID: 1, Key: 1, Group: 7})
-	b.Began(sec, Outcome{ID: 1})
-	b.Outcome(2*sec, Outcome{ID: 1, Backend: home, Status: Reset, Closed: true})
+	b.AttemptSucceeded(sec, AttemptResult{ID: 1})
+	b.AttemptEnded(2*sec, AttemptResult{ID: 1, Backend: home, Status: StatusReset, Closed: true})
 	back := 0
 	for id := uint64(2); id < 12; id++ {
 		if sent(t, b, r, 2*sec, Request{ID: id, Key: id, Group: 7}) == home {
@@ -369,12 +371,12 @@
 	b, r := start(t, s, 6)
 	loaded(t, b, r, 1, 10, 7)
 	c := b.calls[1]
-	b.Note(sec, 1, NoteLoad, 1000)
+	b.LoadReported(sec, 1, SignalConnectionLoad, 1000)
 	for id := uint64(2); id <= 10; id++ {
-		b.Note(sec, id, NoteLoad, 500)
+		b.LoadReported(sec, id, SignalConnectionLoad, 500)
 	}
 	r.clear()
-	b.Note(2*sec, 1, NoteDelay, 500)
+	b.LoadReported(2*sec, 1, SignalMessageDelay, 500)
 	moves := r.take("move")
 	if len(moves) == 0 || moves[0].id != 1 || len(moves) >= len(c.at.open) {
 		t.Fatalf("moved %v of %d", moves, len(c.at.open))
@@ -399,7 +401,7 @@
 		}
 	}
 	r.clear()
-	b.Note(2*sec, 1, NoteDelay, 500)
+	b.LoadReported(2*sec, 1, SignalMessageDelay, 500)
 	if moves := r.take("move"); len(moves) == 0 || moves[0].id != lone {
 		t.Errorf("moved %v, want %d first", moves, lone)
 	}
@@ -409,16 +411,16 @@
 // than they bring: a group overflows to the next of its order, then it is refused.
 func TestOverflowKeepsAGroupTogether(t *testing.T) {
 	s := settings()
-	s.Groups, s.Report = true, []Field{FieldLoadShare}
+	s.Groups, s.ReportFields = true, []ReportField{FieldLoadShare}
 	b, r := start(t, s, 12)
 	seen := map[BackendID]bool{}
 	refused := 0
 	for id := uint64(1); id <= 60; id++ {
 		r.clear()
-		b.Request(2*sec, Request{ID: id, Key: id, Group: 7, Left: sec})
+		b.RequestArrived(2*sec, Request{ID: id, Key: id, Group: 7, TimeLeft: sec})
 		for _, a := range r.take("send") {
 			seen[a.to] = true
-			b.Began(2*sec, Outcome{ID: id})
+			b.AttemptSucceeded(2*sec, AttemptResult{ID: id})
 			b.servers[a.to].limit = 3
 		}
 		refused += len(r.take("refuse"))
@@ -431,18 +433,18 @@
 // Near the fleet's limits, what a tenant asks beyond its share takes others' room.
 func TestOverShareIsRefusedOnlyWhileRoomIsShort(t *testing.T) {
 	s := settings()
-	s.OverShareWorth = 0.1
-	s.Tenants = []Tenant{{Share: 0.5, Connections: 20}, {Share: 0.5, Connections: 20}}
+	s.OverQuotaPriority = 0.1
+	s.Tenants = []Tenant{{Share: 0.5, ConnectionQuota: 20}, {Share: 0.5, ConnectionQuota: 20}}
 	b, r := start(t, s, 4)
 	for id := uint64(1); id <= 15; id++ { // ten are its share on one of two relays
 		sent(t, b, r, sec, Request{ID: id, Key: id})
-		b.Began(sec, Outcome{ID: id})
+		b.AttemptSucceeded(sec, AttemptResult{ID: id})
 	}
 	for _, o := range b.ready {
 		o.limit, o.hot = 1.25*b.own(&o.sums), sec
 	}
 	r.clear()
-	b.Request(sec, Request{ID: 50, Key: 50, Left: sec})
+	b.RequestArrived(sec, Request{ID: 50, Key: 50, TimeLeft: sec})
 	if len(r.take("refuse")) != 1 {
 		t.Errorf("over its share with little room: %v", r.did)
 	}
@@ -456,7 +458,7 @@
 		s.Groups = true
 		b, r := start(t, s, 6)
 		loaded(t, b, r, 1, 20, 7)
-		b.Note(2*sec, 1, NoteDelay, ms)
+		b.LoadReported(2*sec, 1, SignalMessageDelay, ms)
 		return b.calls[1].at.limit
 	}
 	if none, little, much, most := limit(19), limit(25), limit(150), limit(1e9); none != 0 || little <= much ||
@@ -473,17 +475,17 @@
 		least, most int // of 20
 	}{{100, 15, 20}, {600, 4, 10}, {5000, 1, 4}} {
 		s := settings()
-		s.Groups, s.Probes, s.Report = true, true, []Field{FieldLoadShare}
+		s.Groups, s.HealthChecks, s.ReportFields = true, true, []ReportField{FieldLoadShare}
 		b, r := start(t, s, 6)
 		for _, o := range b.ready {
 			o.heard = sec
 		}
 		loaded(t, b, r, 1, 20, 7)
 		hot := b.calls[1].at
-		b.Note(2*sec, 1, NoteDelay, 25)
-		b.Probed(2*sec+10*ms, Report{Backend: hot.ID, Load: []float32{0.9}})
+		b.LoadReported(2*sec, 1, SignalMessageDelay, 25)
+		b.HealthCheckDone(2*sec+10*ms, HealthCheckResult{Backend: hot.ID, Load: []float32{0.9}})
 		r.clear()
-		b.Note(4*sec, 1, NoteDelay, tc.ms)
+		b.LoadReported(4*sec, 1, SignalMessageDelay, tc.ms)
 		if stay := hot.n - len(r.take("move")); stay < tc.least || stay > tc.most {
 			t.Errorf("%v ms piled up: %d of %d stay", tc.ms, stay, hot.n)
 		}
@@ -497,18 +499,18 @@
 	for relay := range 240 {
 		r := &recorder{}
 		s := settings()
-		s.Relays = 240
+		s.RelayCount = 240
 		b := New(sec, uint64(relay), s, r)
 		list := fleet(10)
 		list[0].ReadyAt = sec
-		b.List(sec, ListCached, list)
+		b.EndpointsUpdated(sec, UpdateCached, list)
 		for i := uint64(1); i <= 40; i++ { // short ones: none is open when the next comes
 			id := uint64(relay)*100 + i
 			now := sec + time.Duration(i)*200*ms
 			if sent(t, b, r, now, Request{ID: id, Key: id}) == 1 {
 				n++
 			}
-			b.Outcome(now, Outcome{ID: id, Status: OK, Closed: true})
+			b.AttemptEnded(now, AttemptResult{ID: id, Status: StatusOK, Closed: true})
 		}
 	}
 	if n < 4 || n > 24 { // 240 relays' one connection each on 10 servers
@@ -521,7 +523,7 @@
 	b, r := start(t, settings(), 4)
 	s := b.servers[1]
 	s.limit, s.until, s.bench = 3, 60*sec, 16*sec
-	b.List(30*sec, ListDelta, []Backend{{ID: 1, State: StateReady, Weight: 1, ReadyAt: 29 * sec}})
+	b.EndpointsUpdated(30*sec, UpdateDelta, []Backend{{ID: 1, State: StateReady, Weight: 1, ReadyAt: 29 * sec}})
 	if s.limit != 0 || s.until != 0 || s.bench != 0 {
 		t.Errorf("old marks stay: %+v", s)
 	}
@@ -539,23 +541,23 @@
 // A frozen or wrong report must not lift the limit of a server whose messages are late.
 func TestReportsThatClaimRoomAreNotBelievedAgainstLateMessages(t *testing.T) {
 	s := settings()
-	s.Groups, s.Probes, s.Report = true, true, []Field{FieldLoadShare}
+	s.Groups, s.HealthChecks, s.ReportFields = true, true, []ReportField{FieldLoadShare}
 	b, r := start(t, s, 6)
 	for _, o := range b.ready {
 		o.heard = sec
 	}
 	loaded(t, b, r, 1, 20, 7)
 	hot := b.calls[1].at
-	claim := Report{Backend: hot.ID, Load: []float32{0.1}}
-	b.Note(2*sec, 1, NoteDelay, 100)
-	b.Probed(2*sec+10*ms, claim)
+	claim := HealthCheckResult{Backend: hot.ID, Load: []float32{0.1}}
+	b.LoadReported(2*sec, 1, SignalMessageDelay, 100)
+	b.HealthCheckDone(2*sec+10*ms, claim)
 	first := hot.limit
-	b.Note(3*sec, 1, NoteDelay, 100)
-	b.Probed(3*sec+10*ms, claim)
+	b.LoadReported(3*sec, 1, SignalMessageDelay, 100)
+	b.HealthCheckDone(3*sec+10*ms, claim)
 	if hot.limit >= first {
 		t.Errorf("limit %v after %v: the note did not cut or the report lifted it", hot.limit, first)
 	}
-	b.Probed(6*sec, claim)
+	b.HealthCheckDone(6*sec, claim)
 	if hot.limit <= first {
 		t.Errorf("limit stays %v though messages are in time", hot.limit)
 	}
@@ -565,9 +567,9 @@
 func TestNothingIsSentAfterTheClientLeft(t *testing.T) {
 	b, r := start(t, settings(), 4)
 	to := sent(t, b, r, sec, Request{ID: 1, Key: 1})
-	b.Gone(sec+10*ms, 1)
+	b.ClientClosed(sec+10*ms, 1)
 	r.clear()
-	b.Outcome(sec+20*ms, Outcome{ID: 1, Backend: to, Status: Error})
+	b.AttemptEnded(sec+20*ms, AttemptResult{ID: 1, Backend: to, Status: StatusError})
 	if len(r.did) != 0 || len(b.calls) != 0 {
 		t.Errorf("did %v, %d calls left", r.did, len(b.calls))
 	}
@@ -576,7 +578,7 @@
 // manyRelays are the settings of a relay among many, on a fleet that answers probes.
 func manyRelays() Settings {
 	s := settings()
-	s.Groups, s.Probes, s.Report, s.Relays = true, true, []Field{FieldLoadShare}, 400
+	s.Groups, s.HealthChecks, s.ReportFields, s.RelayCount = true, true, []ReportField{FieldLoadShare}, 400
 	return s
 }
 
@@ -594,19 +596,19 @@
 		stays  bool
 	}{
 		{"room", func(b *Balancer, id BackendID) {
-			b.Probed(sec+10*ms, Report{Backend: id, Load: []float32{0.4}})
+			b.HealthCheckDone(sec+10*ms, HealthCheckResult{Backend: id, Load: []float32{0.4}})
 		}, true},
 		{"full", func(b *Balancer, id BackendID) {
-			b.Probed(sec+10*ms, Report{Backend: id, Load: []float32{1.2}})
+			b.HealthCheckDone(sec+10*ms, HealthCheckResult{Backend: id, Load: []float32{1.2}})
 		}, false},
 		{"dead", func(b *Balancer, id BackendID) {
-			b.Probed(sec+10*ms, Report{Backend: id, Status: ConnectFailed})
+			b.HealthCheckDone(sec+10*ms, HealthCheckResult{Backend: id, Status: StatusConnectFailed})
 		}, false},
-		{"silent", func(b *Balancer, id BackendID) { b.Timer(sec+125*ms, 1) }, false},
+		{"silent", func(b *Balancer, id BackendID) { b.TimerFired(sec+125*ms, 1) }, false},
 	}
 	for _, c := range cases {
 		b, r := blindRelay(t, 20)
-		b.Request(sec, Request{ID: 1, Key: 1, Group: 7, Left: 2 * sec})
+		b.RequestArrived(sec, Request{ID: 1, Key: 1, Group: 7, TimeLeft: 2 * sec})
 		first := r.take("probe")
 		if len(first) != 1 || len(r.take("send")) != 0 {
 			t.Fatalf("%s: a blind relay did %v", c.name, r.did)
@@ -630,12 +632,12 @@
 	// asked learns by one late answer how long the way to a zone is, and then has a question to another server there out.
 	asked := func() (b *Balancer, r *recorder, now time.Duration, id uint64, to BackendID) {
 		s := manyRelays()
-		s.Classes[0].OnTime, s.DialTimeout = 60*ms, 100*ms
+		s.Classes[0].LatencyObjective, s.DialTimeout = 60*ms, 100*ms
 		b, r = start(t, s, 20)
 		learned := map[int]bool{}
 		for now, id = sec, 1; ; now, id = now+3*sec, id+1 {
 			r.clear()
-			b.Request(now, Request{ID: id, Key: id, Group: id, Left: 2 * sec})
+			b.RequestArrived(now, Request{ID: id, Key: id, Group: id, TimeLeft: 2 * sec})
 			got := r.take("probe")
 			if len(got) != 1 {
 				t.Fatalf("request %d: %v", id, r.did)
@@ -643,34 +645,34 @@
 			if to = got[0].to; learned[b.servers[to].Zone] {
 				return b, r, now, id, to
 			}
-			b.Timer(now+15*ms, id)
+			b.TimerFired(now+15*ms, id)
 			for _, late := range r.take("probe") {
 				learned[b.servers[late.to].Zone] = true
-				b.Probed(now+40*ms, Report{Backend: late.to, Latency: 40 * ms, Load: []float32{0.4}})
+				b.HealthCheckDone(now+40*ms, HealthCheckResult{Backend: late.to, Latency: 40 * ms, Load: []float32{0.4}})
 			}
 		}
 	}
 	b, r, now, id, to := asked()
 	r.clear()
-	b.Timer(now+15*ms, id)
+	b.TimerFired(now+15*ms, id)
 	if len(r.did) != 0 {
 		t.Errorf("given up on before it can have answered: %v", r.did)
 	}
-	b.Probed(now+40*ms, Report{Backend: to, Latency: 40 * ms, Load: []float32{0.4}})
+	b.HealthCheckDone(now+40*ms, HealthCheckResult{Backend: to, Latency: 40 * ms, Load: []float32{0.4}})
 	if got := r.take("send"); len(got) != 1 || got[0].to != to {
 		t.Errorf("its answer came in time: %v", r.did)
 	}
 	b, _, now, id, to = asked()
-	if b.Timer(now+80*ms, id); !b.Avoids(now+80*ms, to) {
+	if b.TimerFired(now+80*ms, id); !b.Unavailable(now+80*ms, to) {
 		t.Error("one that is silent for twice the time of its way is not passed by")
 	}
 	b, r, now, id, to = asked() // a way that grows meanwhile leaves no question without an end
 	waits := r.take("after")
 	other := slices.IndexFunc(b.ready, func(o *server) bool { return o.ID != to && o.Zone == b.servers[to].Zone })
-	b.Probed(now+10*ms, Report{Backend: b.ready[other].ID, Latency: 300 * ms, Load: []float32{0.4}})
+	b.HealthCheckDone(now+10*ms, HealthCheckResult{Backend: b.ready[other].ID, Latency: 300 * ms, Load: []float32{0.4}})
 	if by := now + waits[0].wait; by > now+100*ms {
 		t.Errorf("asked for %v", waits[0].wait)
-	} else if b.Timer(by, id); !b.Avoids(by, to) {
+	} else if b.TimerFired(by, id); !b.Unavailable(by, to) {
 		t.Error("a question is left without an end since the way has grown")
 	}
 }
@@ -684,26 +686,26 @@
 		n, now := 0, start+since
 		for relay := range 80 {
 			s := settings()
-			s.Relays, s.Groups, s.Probes, s.Report = 80, true, true, []Field{FieldLoadShare}
+			s.RelayCount, s.Groups, s.HealthChecks, s.ReportFields = 80, true, true, []ReportField{FieldLoadShare}
 			r := &recorder{}
 			b := New(start, uint64(relay), s, r)
-			b.List(start, ListCached, fleet(11))
-			b.List(start, ListDelta, []Backend{{ID: 11, State: StateGone}})
+			b.EndpointsUpdated(start, UpdateCached, fleet(11))
+			b.EndpointsUpdated(start, UpdateDelta, []Backend{{ID: 11, State: StateRemoved}})
 			ready := b.ready
 			for i := range conns { // spread over all servers but the one asked for
 				c := b.newCall(now, Request{ID: 100 + i, Group: 100 + i})
 				b.attach(c, ready[1+i%9])
 			}
 			for i := range 64 {
-				b.Probed(now, Report{Backend: ready[1+i%9].ID, Load: []float32{0.5}})
+				b.HealthCheckDone(now, HealthCheckResult{Backend: ready[1+i%9].ID, Load: []float32{0.5}})
 			}
 			group := uint64(1)
 			for b.first(mix(group), func(*server) bool { return true }) != ready[0] {
 				group++
 			}
-			b.Request(now, Request{ID: 1, Group: group, Left: 2 * sec, Back: back})
+			b.RequestArrived(now, Request{ID: 1, Group: group, TimeLeft: 2 * sec, Reconnecting: back})
 			r.clear()
-			b.Probed(now+ms, Report{Backend: ready[0].ID, Load: []float32{full}})
+			b.HealthCheckDone(now+ms, HealthCheckResult{Backend: ready[0].ID, Load: []float32{full}})
 			for _, a := range r.take("send") {
 				if a.to == ready[0].ID {
 					n++
@@ -732,9 +734,9 @@
 
 func TestAskingEnds(t *testing.T) {
 	b, r := blindRelay(t, 20)
-	b.Request(sec, Request{ID: 1, Key: 1, Group: 7, Left: 2 * sec})
+	b.RequestArrived(sec, Request{ID: 1, Key: 1, Group: 7, TimeLeft: 2 * sec})
 	for now := sec; now < 3*sec; now += 125 * ms {
-		b.Timer(now, 1)
+		b.TimerFired(now, 1)
 	}
 	if n := len(r.take("probe")); n > 2*spread {
 		t.Errorf("%d probes for one connection", n)
@@ -751,10 +753,10 @@
 	for seed := uint64(1); seed <= 400; seed++ {
 		r := &recorder{}
 		b := New(sec, seed, settings(), r)
-		b.List(sec, ListCached, fleet(20))
+		b.EndpointsUpdated(sec, UpdateCached, fleet(20))
 		sent(t, b, r, sec, Request{ID: 1, Key: 1})
-		b.Began(sec, Outcome{ID: 1})
-		b.Note(2*sec, 1, NoteDelay, 80) // four times a third of the aim: 20% too much
+		b.AttemptSucceeded(sec, AttemptResult{ID: 1})
+		b.LoadReported(2*sec, 1, SignalMessageDelay, 80) // four times a third of the aim: 20% too much
 		moved += len(r.take("move"))
 	}
 	if moved < 40 || moved > 140 {
@@ -770,12 +772,12 @@
 		b.ready[0].heard = sec
 		for id := uint64(1); id <= conns; id++ {
 			sent(t, b, r, sec, Request{ID: id, Key: 1, Group: 7})
-			b.Began(sec, Outcome{ID: id})
+			b.AttemptSucceeded(sec, AttemptResult{ID: id})
 		}
 		r.clear()
 		for now := 2 * sec; now < 102*sec; now += sec {
 			b.ready[0].limit, b.ready[0].probing = 1000, false
-			b.Timer(now, tickToken)
+			b.TimerFired(now, tickToken)
 		}
 		return len(r.take("probe"))
 	}
@@ -788,7 +790,7 @@
 func TestOneFailureSuspendsAndTheSuspendedShareIsCapped(t *testing.T) {
 	b, _ := start(t, settings(), 9)
 	for _, s := range b.ready {
-		b.judge(2*sec, s, Error)
+		b.judge(2*sec, s, StatusError)
 	}
 	out := 0
 	for _, s := range b.ready {
@@ -807,20 +809,20 @@
 	for name, w := range weights {
 		list := fleet(300)
 		list[7].Weight = w
-		list = append(list, list[8], Backend{ID: 9999, State: StateGone, Weight: w}) // twice, and never seen
+		list = append(list, list[8], Backend{ID: 9999, State: StateRemoved, Weight: w}) // twice, and never seen
 		s := settings()
-		s.Relays, s.Probes, s.Report = 0, true, []Field{FieldLoadShare}
-		s.Tenants = []Tenant{{Share: 1, Connections: 5}}
+		s.RelayCount, s.HealthChecks, s.ReportFields = 0, true, []ReportField{FieldLoadShare}
+		s.Tenants = []Tenant{{Share: 1, ConnectionQuota: 5}}
 		r := &recorder{}
 		b := New(sec, 1, s, r)
-		b.List(sec, ListFull, list)
+		b.EndpointsUpdated(sec, UpdateFull, list)
 		got := map[BackendID]int{}
 		for id := uint64(1); id <= 600; id++ {
-			b.Request(sec, Request{ID: id, Key: id, Left: 2 * sec})
+			b.RequestArrived(sec, Request{ID: id, Key: id, TimeLeft: 2 * sec})
 			for _, load := range []float32{-3, 1e30, float32(math.NaN()), float32(math.Inf(1))} {
-				b.Probed(sec, Report{Backend: BackendID(1 + id%300), Load: []float32{load}})
+				b.HealthCheckDone(sec, HealthCheckResult{Backend: BackendID(1 + id%300), Load: []float32{load}})
 			}
-			b.Probed(sec, Report{Backend: 424242, Load: nil})
+			b.HealthCheckDone(sec, HealthCheckResult{Backend: 424242, Load: nil})
 		}
 		for _, a := range r.take("send") {
 			got[a.to]++
@@ -843,19 +845,19 @@
 		for seed := uint64(1); seed <= 200; seed++ {
 			r := &recorder{}
 			b := New(sec, seed, settings(), r)
-			b.List(sec, ListCached, list)
+			b.EndpointsUpdated(sec, UpdateCached, list)
 			sent(t, b, r, sec, Request{ID: 1, Key: seed})
 			weak := b.calls[1].at
-			b.Began(sec, Outcome{ID: 1})
+			b.AttemptSucceeded(sec, AttemptResult{ID: 1})
 			for now := 2 * sec; now < 32*sec; now += sec {
 				if now < sec*time.Duration(2+late) {
-					b.Note(now, 1, NoteDelay, 21)
+					b.LoadReported(now, 1, SignalMessageDelay, 21)
 				}
-				b.Timer(now, tickToken)
+				b.TimerFired(now, tickToken)
 			}
-			b.Outcome(32*sec, Outcome{ID: 1, Backend: weak.ID, Status: Cancelled})
-			b.Timer(43*sec, tickToken) // what it can bear is forgotten, its kind is not
-			to := sent(t, b, r, 43*sec, Request{ID: 2, Key: seed, Back: back})
+			b.AttemptEnded(32*sec, AttemptResult{ID: 1, Backend: weak.ID, Status: StatusCancelled})
+			b.TimerFired(43*sec, tickToken) // what it can bear is forgotten, its kind is not
+			to := sent(t, b, r, 43*sec, Request{ID: 2, Key: seed, Reconnecting: back})
 			if b.servers[to].Kind == weak.Kind {
 				n++
 			}
@@ -870,7 +872,7 @@
 // With set-ups slow everywhere, an attempt cut short is work lost and asked for again.
 func TestAnAttemptGetsAllTheTimeLeft(t *testing.T) {
 	b, r := start(t, settings(), 8)
-	b.Request(sec, Request{ID: 1, Key: 1, Left: 1900 * ms})
+	b.RequestArrived(sec, Request{ID: 1, Key: 1, TimeLeft: 1900 * ms})
 	if got := r.take("send"); len(got) != 1 || got[0].wait != 1900*ms {
 		t.Errorf("sends %v", got)
 	}
@@ -880,14 +882,14 @@
 func TestBooksOnIdleServersEnd(t *testing.T) {
 	b, r := start(t, settings(), 20)
 	to := sent(t, b, r, sec, Request{ID: 1, Key: 1})
-	b.Began(sec, Outcome{ID: 1})
-	b.Note(2*sec, 1, NoteDelay, 200)
-	b.Outcome(3*sec, Outcome{ID: 1, Backend: to, Status: Cancelled, Closed: true})
+	b.AttemptSucceeded(sec, AttemptResult{ID: 1})
+	b.LoadReported(2*sec, 1, SignalMessageDelay, 200)
+	b.AttemptEnded(3*sec, AttemptResult{ID: 1, Backend: to, Status: StatusCancelled, Closed: true})
 	if len(b.busy) != 1 || b.servers[to].limit == 0 {
 		t.Fatalf("busy %d, limit %v right after", len(b.busy), b.servers[to].limit)
 	}
 	for now := 4 * sec; now < 20*sec; now += sec {
-		b.Timer(now, tickToken)
+		b.TimerFired(now, tickToken)
 	}
 	if len(b.busy) != 0 || b.servers[to].limit != 0 {
 		t.Errorf("busy %d, limit %v long after", len(b.busy), b.servers[to].limit)
@@ -906,10 +908,10 @@
 		{4, 0.5, false, 4}, {4, 1, false, 3}} // without notes even a small fleet is used while it says that it has room
 	for _, c := range cases {
 		s := settings()
-		s.TellsDelay, s.Report = c.tells, []Field{FieldLoadShare}
+		s.ReportsMessageDelay, s.ReportFields = c.tells, []ReportField{FieldLoadShare}
 		b, _ := start(t, s, c.servers)
 		b.set.Groups, b.crowd = true, c.crowd
-		q := b.newCall(sec, Request{ID: 1, Group: 7, Left: 2 * sec})
+		q := b.newCall(sec, Request{ID: 1, Group: 7, TimeLeft: 2 * sec})
 		n := 0
 		for s := b.place(sec, q); s != nil; s = b.place(sec, q) {
 			s.until, n = 60*sec, n+1
@@ -926,7 +928,7 @@
 	at := map[BackendID]int{}
 	for id := uint64(1); id <= uint64(n); id++ {
 		to := sent(t, b, r, sec, Request{ID: id, Key: id})
-		b.Began(sec, Outcome{ID: id, Backend: to})
+		b.AttemptSucceeded(sec, AttemptResult{ID: id, Backend: to})
 		at[to]++
 	}
 	return at
@@ -935,10 +937,10 @@
 // ticks runs upkeep at a time and counts the moves, which end their connections.
 func ticks(b *Balancer, r *recorder, now time.Duration) int {
 	r.clear()
-	b.Timer(now, tickToken)
+	b.TimerFired(now, tickToken)
 	moves := r.take("move")
 	for _, m := range moves {
-		b.Outcome(now, Outcome{ID: m.id, Status: Cancelled, Closed: true})
+		b.AttemptEnded(now, AttemptResult{ID: m.id, Status: StatusCancelled, Closed: true})
 	}
 	return len(moves)
 }
@@ -948,7 +950,7 @@
 	at := opened(t, b, r, 40)
 	list := fleet(2)
 	list[0].State = StateDraining
-	b.List(2*sec, ListDelta, list[:1])
+	b.EndpointsUpdated(2*sec, UpdateDelta, list[:1])
 	left, most := at[1], 0
 	for beats := time.Duration(1); beats <= drainTime/beat; beats++ {
 		n := ticks(b, r, 2*sec+beats*sec)
@@ -971,7 +973,7 @@
 func TestConnectionsLeaveAGoneServerAtTheNextBeat(t *testing.T) {
 	b, r := start(t, settings(), 2)
 	at := opened(t, b, r, 20)
-	b.List(2*sec, ListFull, fleet(2)[1:])
+	b.EndpointsUpdated(2*sec, UpdateFull, fleet(2)[1:])
 	if n := ticks(b, r, 3*sec); n != at[1] || n == 0 {
 		t.Errorf("%d of %d moved", n, at[1])
 	}
@@ -981,10 +983,10 @@
 func leaving(b *Balancer, r *recorder, from, to time.Duration) (moved []int) {
 	for now := from; now < to; now += step {
 		r.clear()
-		b.Timer(now, leaveToken)
+		b.TimerFired(now, leaveToken)
 		got := r.take("move")
 		for _, m := range got {
-			b.Outcome(now, Outcome{ID: m.id, Status: Cancelled, Closed: true})
+			b.AttemptEnded(now, AttemptResult{ID: m.id, Status: StatusCancelled, Closed: true})
 		}
 		moved = append(moved, len(got))
 	}
@@ -1005,7 +1007,7 @@
 		b, r := start(t, s, 3)
 		opened(t, b, r, 90)
 		r.clear()
-		b.Leave(2*sec, 4*sec)
+		b.DrainBy(2*sec, 4*sec)
 		moved := leaving(b, r, 2*sec, 4*sec)
 		switch {
 		case pass && total(moved) != 0: // another relay takes the packets over unbroken
@@ -1013,12 +1015,12 @@
 		case !pass && (total(moved) != 90 || slices.Max(moved) > 15 || total(moved[:10]) < 30):
 			t.Errorf("%v moved, of 90", moved)
 		}
-		if b.Timer(4*sec, tickToken); pass {
+		if b.TimerFired(4*sec, tickToken); pass {
 			continue
 		}
 		// Whoever comes up after that is asked to move at the next step.
-		b.Request(4*sec, Request{ID: 200, Key: 9, Left: 2 * sec})
-		b.Began(4*sec, Outcome{ID: 200})
+		b.RequestArrived(4*sec, Request{ID: 200, Key: 9, TimeLeft: 2 * sec})
+		b.AttemptSucceeded(4*sec, AttemptResult{ID: 200})
 		if late := leaving(b, r, 4*sec+step, 4*sec+2*step); total(late) != 1 {
 			t.Errorf("%v moved of one that came late", late)
 		}
@@ -1031,14 +1033,14 @@
 	b, r := start(t, settings(), 3)
 	opened(t, b, r, 60)
 	r.clear()
-	b.Leave(2*sec, 4*sec)
+	b.DrainBy(2*sec, 4*sec)
 	first := total(leaving(b, r, 2*sec, 2500*ms))
-	if b.Leave(2500*ms, 9*sec); b.leaves != 4*sec { // seed 1193: SIGTERM within a drain put its end off
+	if b.DrainBy(2500*ms, 9*sec); b.leaves != 4*sec { // seed 1193: SIGTERM within a drain put its end off
 		t.Errorf("a drain until 4 s ends at %v", b.leaves)
 	}
-	b.Leave(2500*ms, 0)
-	b.Leave(2500*ms, 5*sec)
-	b.Leave(2500*ms, 0)
+	b.DrainBy(2500*ms, 0)
+	b.DrainBy(2500*ms, 5*sec)
+	b.DrainBy(2500*ms, 0)
 	if n := len(r.take("after")); n > 1 {
 		t.Errorf("%d timers set", n)
 	}
@@ -1060,9 +1062,9 @@
 	at := opened(t, b, r, 30)
 	list := fleet(3)
 	list[0].State = StateDraining
-	b.List(2*sec, ListDelta, list[:1])
+	b.EndpointsUpdated(2*sec, UpdateDelta, list[:1])
 	r.clear()
-	b.Leave(2*sec, 3500*ms)
+	b.DrainBy(2*sec, 3500*ms)
 	leaving(b, r, 2*sec, 3500*ms)
 	if left := b.servers[1].n; at[1] == 0 || left != 0 {
 		t.Errorf("of %d on the draining server %d are left when the relay ends", at[1], left)
@@ -1074,9 +1076,9 @@
 	opened(t, b, r, 20)
 	list := fleet(2)
 	list[0].State = StateDraining
-	b.List(2*sec, ListDelta, list[:1])
+	b.EndpointsUpdated(2*sec, UpdateDelta, list[:1])
 	ticks(b, r, 3*sec)
-	b.List(4*sec, ListDelta, fleet(2)[:1])
+	b.EndpointsUpdated(4*sec, UpdateDelta, fleet(2)[:1])
 	if l := b.servers[1].limit; l != 0 {
 		t.Errorf("the limit of the drain, %v, stays", l)
 	}
@@ -1085,16 +1087,16 @@
 // untold are settings of a relay that hears loads by probes and of lateness nothing.
 func untold() Settings {
 	s := settings()
-	s.TellsDelay, s.Probes, s.Report = false, true, []Field{FieldLoadShare}
+	s.ReportsMessageDelay, s.HealthChecks, s.ReportFields = false, true, []ReportField{FieldLoadShare}
 	return s
 }
 
 // asked places n connections on the only server, whose probes tell a load.
 func asked(b *Balancer, n int, load float32) {
-	b.Probed(sec, Report{Backend: 1, Load: []float32{load}})
+	b.HealthCheckDone(sec, HealthCheckResult{Backend: 1, Load: []float32{load}})
 	for id := uint64(1); id <= uint64(n); id++ {
-		b.Request(sec, Request{ID: id, Key: id, Left: 2 * sec})
-		b.Began(sec, Outcome{ID: id, Backend: 1})
+		b.RequestArrived(sec, Request{ID: id, Key: id, TimeLeft: 2 * sec})
+		b.AttemptSucceeded(sec, AttemptResult{ID: id, Backend: 1})
 	}
 }
 
@@ -1103,16 +1105,16 @@
 	for _, tells := range []bool{true, false} {
 		for _, tc := range []struct{ conns, least, most int }{{1, 4, 20}, {2, 10, 32}, {16, 40, 40}} {
 			s := untold()
-			s.TellsDelay = tells
+			s.ReportsMessageDelay = tells
 			b, r := start(t, s, 1)
 			asked(b, tc.conns, 0.3)
 			probes := 0
 			for beats := 1; beats <= 40; beats++ {
 				r.clear()
 				now := sec + time.Duration(beats)*sec
-				b.Timer(now, tickToken)
+				b.TimerFired(now, tickToken)
 				probes += len(r.take("probe"))
-				b.Probed(now, Report{Backend: 1, Load: []float32{0.3}})
+				b.HealthCheckDone(now, HealthCheckResult{Backend: 1, Load: []float32{0.3}})
 			}
 			if tells && probes != 0 || !tells && (probes < tc.least || probes > tc.most) {
 				t.Errorf("notes %v: %d probes in 40 s for %d connections", tells, probes, tc.conns)
@@ -1134,7 +1136,7 @@
 		asked(b, 10, 0.3)
 		r.clear()
 		b.crowd, b.tells = tc.crowd, tc.tells
-		b.Probed(4*sec, Report{Backend: 1, Load: []float32{tc.load}})
+		b.HealthCheckDone(4*sec, HealthCheckResult{Backend: 1, Load: []float32{tc.load}})
 		if n := len(r.take("move")); (n > 0) != tc.moves {
 			t.Errorf("others at %v, this one at %v: %d of 10 moved", tc.crowd, tc.load, n)
 		}
@@ -1149,11 +1151,11 @@
 		most  int
 	}{{true, 0.95, 0, 0}, {false, 0.7, 0, 0}, {false, 0.8, 1, 4}, {false, 1.5, 4, 6}} {
 		s := untold()
-		s.TellsDelay = tc.tells
+		s.ReportsMessageDelay = tc.tells
 		b, r := start(t, s, 1)
 		asked(b, 10, 0.3)
 		r.clear()
-		b.Probed(4*sec, Report{Backend: 1, Load: []float32{tc.load}})
+		b.HealthCheckDone(4*sec, HealthCheckResult{Backend: 1, Load: []float32{tc.load}})
 		if n := len(r.take("move")); n < tc.least || n > tc.most {
 			t.Errorf("notes %v, load %v: %d of 10 moved", tc.tells, tc.load, n)
 		}
@@ -1163,21 +1165,21 @@
 func TestAServerThatDropsConnectionsGetsNoneBackAtOnce(t *testing.T) {
 	b, r := start(t, untold(), 4)
 	for id := BackendID(1); id <= 4; id++ {
-		b.Probed(sec, Report{Backend: id, Load: []float32{0.3}})
+		b.HealthCheckDone(sec, HealthCheckResult{Backend: id, Load: []float32{0.3}})
 	}
 	home := sent(t, b, r, sec, Request{ID: 1, Key: 7})
-	b.Began(sec, Outcome{ID: 1, Backend: home})
+	b.AttemptSucceeded(sec, AttemptResult{ID: 1, Backend: home})
 	for id := uint64(2); id <= 3; id++ {
 		for s := BackendID(1); s <= 4; s++ {
-			b.Probed(sec, Report{Backend: s, Load: []float32{0.3}})
+			b.HealthCheckDone(sec, HealthCheckResult{Backend: s, Load: []float32{0.3}})
 		}
 		if to := sent(t, b, r, sec, Request{ID: id, Key: 7}); to != home {
 			t.Fatalf("request %d at %d, the others at %d", id, to, home)
 		}
-		b.Began(sec, Outcome{ID: id, Backend: home})
+		b.AttemptSucceeded(sec, AttemptResult{ID: id, Backend: home})
 	}
 	for id := uint64(1); id <= 3; id++ {
-		b.Outcome(2*sec, Outcome{ID: id, Backend: home, Status: Reset, Closed: true})
+		b.AttemptEnded(2*sec, AttemptResult{ID: id, Backend: home, Status: StatusReset, Closed: true})
 	}
 	if to := sent(t, b, r, 2*sec+100*ms, Request{ID: 11, Key: 7}); to == home {
 		t.Error("the client went back to the server that had just dropped it")
@@ -1187,15 +1189,15 @@
 func TestADropMovesTheRestOffWhereNoNoteTells(t *testing.T) {
 	for _, tells := range []bool{true, false} {
 		s := untold()
-		s.TellsDelay = tells
+		s.ReportsMessageDelay = tells
 		b, r := start(t, s, 1)
 		asked(b, 10, 0.3)
 		r.clear()
-		b.Outcome(4*sec, Outcome{ID: 1, Backend: 1, Status: Reset, Closed: true})
+		b.AttemptEnded(4*sec, AttemptResult{ID: 1, Backend: 1, Status: StatusReset, Closed: true})
 		if n := len(r.take("move")); !tells && n > 0 { // one may be the network's
 			t.Errorf("one reset moved %d", n)
 		}
-		b.Outcome(4*sec+300*ms, Outcome{ID: 2, Backend: 1, Status: Reset, Closed: true})
+		b.AttemptEnded(4*sec+300*ms, AttemptResult{ID: 2, Backend: 1, Status: StatusReset, Closed: true})
 		if n := len(r.take("move")); tells && n > 2 || !tells && n < 4 {
 			t.Errorf("notes %v: %d of 8 moved", tells, n)
 		}
@@ -1219,13 +1221,13 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			s := untold()
-			s.TellsDelay = tc.tells
+			s.ReportsMessageDelay = tc.tells
 			b, r := start(t, s, 1)
 			asked(b, 10, 0.3)
 			b.servers[1].pace, b.servers[1].paces = 0, 0
 			r.clear()
 			for i, took := range tc.took {
-				b.Probed(4*sec+time.Duration(i)*ms, Report{Backend: 1, Latency: took * time.Microsecond, Load: []float32{0.3}})
+				b.HealthCheckDone(4*sec+time.Duration(i)*ms, HealthCheckResult{Backend: 1, Latency: took * time.Microsecond, Load: []float32{0.3}})
 			}
 			if moves := len(r.take("move")); (moves > 0) != tc.moves {
 				t.Errorf("%d moves", moves)
@@ -1243,8 +1245,8 @@
 	b.servers[1].limit = 12 * b.meanLoad()
 	r.clear()
 	for i, load := range []float64{50000, 20000, 80000} {
-		b.Note(2*sec, uint64(i+1), NoteLoad, load)
-		b.Probed(2*sec, Report{Backend: 1, Latency: ms, Load: []float32{0.4}})
+		b.LoadReported(2*sec, uint64(i+1), SignalConnectionLoad, load)
+		b.HealthCheckDone(2*sec, HealthCheckResult{Backend: 1, Latency: ms, Load: []float32{0.4}})
 	}
 	if n := len(r.take("move")); n != 0 {
 		t.Errorf("%d moves", n)
@@ -1255,7 +1257,7 @@
 	}
 	t0 := b.own(&s.sums)
 	was := s.limit
-	b.Note(3*sec, 1, NoteLoad, 250000) // a change of its own is one of T
+	b.LoadReported(3*sec, 1, SignalConnectionLoad, 250000) // a change of its own is one of T
 	if grew := b.own(&s.sums) / t0; grew < 1.2 || s.limit > was*grew*0.95 {
 		t.Errorf("T grew %v times, the limit %v times", grew, s.limit/was)
 	}
@@ -1263,12 +1265,12 @@
 
 func TestANoticeOfASlowServerMovesClientsHereToo(t *testing.T) {
 	s := untold()
-	s.Peers = true
+	s.Gossip = true
 	relay := func() (*Balancer, *recorder) {
 		b, r := start(t, s, 2)
 		for range surePace + 1 {
 			for id := BackendID(1); id <= 2; id++ {
-				b.Probed(sec, Report{Backend: id, Latency: ms, Load: []float32{0.3}})
+				b.HealthCheckDone(sec, HealthCheckResult{Backend: id, Latency: ms, Load: []float32{0.3}})
 			}
 		}
 		opened(t, b, r, 12)
@@ -1277,29 +1279,29 @@
 	}
 	b, r := relay()
 	for i := range 3 {
-		b.Probed(4*sec+time.Duration(i)*ms, Report{Backend: 1, Latency: 2 * ms, Load: []float32{0.3}})
+		b.HealthCheckDone(4*sec+time.Duration(i)*ms, HealthCheckResult{Backend: 1, Latency: 2 * ms, Load: []float32{0.3}})
 	}
 	if n := len(r.take("tell")); n != 1 {
 		t.Fatalf("the others are told %d times", n)
 	}
 	other, seen := relay()
 	for _, junk := range [][]byte{nil, {1}, make([]byte, 8), make([]byte, 256)} {
-		other.Peer(4*sec, 1, junk)
+		other.GossipReceived(4*sec, 1, junk)
 	}
 	if n := len(seen.take("move")); n != 0 {
 		t.Errorf("%d moved for what is no notice", n)
 	}
-	other.Peer(4*sec, 1, notice(b.servers[1]))
+	other.GossipReceived(4*sec, 1, notice(b.servers[1]))
 	if n := len(seen.take("move")); n != 0 || !other.servers[1].probing {
 		t.Errorf("by another relay's word alone %d clients move; it is asked: %v", n, other.servers[1].probing)
 	}
-	other.Probed(4*sec+2*ms, Report{Backend: 1, Latency: 2 * ms, Load: []float32{0.3}})
+	other.HealthCheckDone(4*sec+2*ms, HealthCheckResult{Backend: 1, Latency: 2 * ms, Load: []float32{0.3}})
 	if n := len(seen.take("move")); n == 0 {
 		t.Error("the other relay keeps all its clients there")
 	}
 	third, calm := relay()
-	third.Peer(4*sec, 1, notice(b.servers[1]))
-	third.Probed(4*sec+ms, Report{Backend: 1, Latency: ms, Load: []float32{0.3}})
+	third.GossipReceived(4*sec, 1, notice(b.servers[1]))
+	third.HealthCheckDone(4*sec+ms, HealthCheckResult{Backend: 1, Latency: ms, Load: []float32{0.3}})
 	if n := len(calm.take("move")); n != 0 {
 		t.Errorf("one relay's mistake moves %d clients at another that sees nothing wrong", n)
 	}
--- a/balance/bench_test.go
+++ b/balance/bench_test.go
@@ -14,13 +14,13 @@
 	for i := range list {
 		list[i].Weight = float64(1 + i%3)
 	}
-	b.List(sec, ListFull, list)
+	b.EndpointsUpdated(sec, UpdateFull, list)
 	for _, o := range b.ready {
 		o.heard = time.Hour
 	}
 	for id := uint64(1); id <= 300; id++ {
-		b.Request(sec, Request{ID: id, Key: id, Group: 1 + id%40, Left: 2 * sec})
-		b.Began(sec, Outcome{ID: id})
+		b.RequestArrived(sec, Request{ID: id, Key: id, Group: 1 + id%40, TimeLeft: 2 * sec})
+		b.AttemptSucceeded(sec, AttemptResult{ID: id})
 	}
 	return b, r
 }
@@ -29,7 +29,7 @@
 	for _, n := range []int{12, 120, 480} {
 		bench.Run(fmt.Sprint(n), func(bench *testing.B) {
 			b, _ := benchRelay(n)
-			c := b.newCall(sec, Request{ID: 1 << 40, Key: 5, Left: 2 * sec})
+			c := b.newCall(sec, Request{ID: 1 << 40, Key: 5, TimeLeft: 2 * sec})
 			bench.ReportAllocs()
 			for i := 0; bench.Loop(); i++ {
 				c.key = mix(uint64(i % 1000))
@@ -46,9 +46,9 @@
 			bench.ReportAllocs()
 			for id := uint64(1 << 30); bench.Loop(); id++ {
 				r.clear()
-				b.Request(2*sec, Request{ID: id, Key: id % 1000, Group: id % 40, Left: 2 * sec})
-				b.Began(2*sec, Outcome{ID: id})
-				b.Outcome(2*sec, Outcome{ID: id, Status: OK, Closed: true})
+				b.RequestArrived(2*sec, Request{ID: id, Key: id % 1000, Group: id % 40, TimeLeft: 2 * sec})
+				b.AttemptSucceeded(2*sec, AttemptResult{ID: id})
+				b.AttemptEnded(2*sec, AttemptResult{ID: id, Status: StatusOK, Closed: true})
 			}
 		})
 	}
@@ -67,7 +67,7 @@
 			bench.ReportAllocs()
 			for now := 3 * sec; bench.Loop(); now += sec {
 				r.clear()
-				b.Timer(now, tickToken)
+				b.TimerFired(now, tickToken)
 				b.ready[0].limit = 1e9
 			}
 		})
--- a/balance/books.go
+++ b/balance/books.go
@@ -103,7 +103,7 @@
 }
 
 // untimed is the timing of requests that have none.
-var untimed Timing
+var untimed RetryPolicy
 
 // kind is what this relay saw of servers of one kind while it had connections there.
 type kind struct{ late, seconds float64 }
@@ -136,9 +136,9 @@
 
 // replied takes in that a probe has ended and, if it was answered, what the way to its server's zone takes: a quick
 // answer tells, a late one may tell of the server.
-func (b *Balancer) replied(s *server, r Report) {
+func (b *Balancer) replied(s *server, r HealthCheckResult) {
 	s.probing = false
-	if r.Status != OK {
+	if r.Status != StatusOK {
 		return
 	}
 	usual := b.ways[s.Zone]
@@ -158,8 +158,8 @@
 func (b *Balancer) way(s *server) time.Duration { return min(b.ways[s.Zone], b.set.DialTimeout) }
 
 // errors is how many a second a report tells of, 0 where it tells of none.
-func (b *Balancer) errors(r Report) float64 {
-	if r.Status != OK || b.errs < 0 || b.errs >= len(r.Load) {
+func (b *Balancer) errors(r HealthCheckResult) float64 {
+	if r.Status != StatusOK || b.errs < 0 || b.errs >= len(r.Load) {
 		return 0
 	}
 	return sane(float64(r.Load[b.errs]))
@@ -244,14 +244,14 @@
 	if r.Tenant < 0 || r.Tenant >= len(b.taken) {
 		r.Tenant = 0
 	}
-	if r.Timing == nil {
-		r.Timing = &untimed
+	if r.RetryPolicy == nil {
+		r.RetryPolicy = &untimed
 	}
-	c := &call{Request: r, most: b.set.TryLimit, deadline: now + r.Left, key: mix(r.Key), load: sane(r.Load)}
-	if t := r.Timing.Total; t > 0 {
+	c := &call{Request: r, most: b.set.MaxAttempts, deadline: now + r.TimeLeft, key: mix(r.Key), load: sane(r.ExpectedLoad)}
+	if t := r.RetryPolicy.RequestTimeout; t > 0 {
 		c.deadline = min(c.deadline, now+t)
 	}
-	if n := r.Timing.Attempts; n > 0 {
+	if n := r.RetryPolicy.MaxAttempts; n > 0 {
 		c.most = min(c.most, n)
 	}
 	switch {
@@ -263,7 +263,7 @@
 	}
 	c.flow = c.key
 	if !c.grouped {
-		name := b.set.Classes[r.Class].Name // a number may be another after a reload, and in a next process
+		name := b.set.Classes[r.Class].NameHash // a number may be another after a reload, and in a next process
 		if name == 0 {
 			name = uint64(r.Class)
 		}
@@ -277,11 +277,11 @@
 }
 
 // aim is the time within which a request's set-up is wanted.
-func (b *Balancer) aim(c *call) time.Duration { return b.set.Classes[c.Class].OnTime }
+func (b *Balancer) aim(c *call) time.Duration { return b.set.Classes[c.Class].LatencyObjective }
 
 // demands counts a request of a group. Who comes again counts once, or a group that is refused would seem to grow.
 func (b *Balancer) demands(c *call) {
-	if !c.Repeat && !c.Back && (len(b.demand) < maxDivert || b.demand[c.key] > 0) {
+	if !c.ClientRetry && !c.Reconnecting && (len(b.demand) < maxDivert || b.demand[c.key] > 0) {
 		b.demand[c.key]++
 		b.demanded++
 	}
@@ -314,16 +314,16 @@
 }
 
 // record takes in a list's lines and sorts out who is ready.
-func (b *Balancer) record(now time.Duration, kind ListKind, lines []Backend) {
-	if kind != ListDelta { // who is not named in a whole list is gone
+func (b *Balancer) record(now time.Duration, kind EndpointUpdateKind, lines []Backend) {
+	if kind != UpdateDelta { // who is not named in a whole list is gone
 		named := make(map[BackendID]bool, len(lines))
 		for i := range lines {
 			named[lines[i].ID] = true
 		}
 		for _, s := range b.servers {
-			if !named[s.ID] && s.State != StateGone {
+			if !named[s.ID] && s.State != StateRemoved {
 				b.loses(now, s)
-				s.State, s.news = StateGone, now
+				s.State, s.news = StateRemoved, now
 			}
 		}
 	}
@@ -334,7 +334,7 @@
 	for id, s := range b.servers {
 		if s.State == StateReady {
 			b.ready = append(b.ready, s)
-		} else if s.State == StateGone && s.n == 0 && now-s.news > forget {
+		} else if s.State == StateRemoved && s.n == 0 && now-s.news > forget {
 			delete(b.servers, id)
 		}
 	}
@@ -353,7 +353,7 @@
 	}
 	if l.State == StateReady && (l.ReadyAt != s.ReadyAt || s.State == StateDraining) {
 		s.until, s.bench, s.limit, s.heard, s.pace, s.paces = 0, 0, 0, now-2*beat, 0, 0
-		s.filled, s.budget = now+time.Duration(b.rng.Float64()*float64(b.set.FallSpan)), 0 // not all relays' spans begin together
+		s.filled, s.budget = now+time.Duration(b.rng.Float64()*float64(b.set.OverloadWindow)), 0 // not all relays' spans begin together
 	}
 	if l.State != s.State {
 		s.news = now
@@ -571,9 +571,9 @@
 	return b.all.n, byServer
 }
 
-// Books says what does not come out even in what this relay counts: connections in all, by server, by tenant and by
+// CheckInvariants says what does not come out even in what this relay counts: connections in all, by server, by tenant and by
 // group. For checks from outside, at any time between two events.
-func (b *Balancer) Books() error {
+func (b *Balancer) CheckInvariants() error {
 	byServer, open, byGroup, byTenant := 0, 0, 0, 0
 	for _, s := range b.servers {
 		byServer, open = byServer+s.n, open+len(s.open)
@@ -590,31 +590,31 @@
 	return nil
 }
 
-// Avoided is how many servers the list holds, and how many of them get nothing new now: draining,
+// CountUnavailable is how many servers the list holds, and how many of them get nothing new now: draining,
 // suspended or held to be full.
-func (b *Balancer) Avoided(now time.Duration) (listed, avoided int) {
+func (b *Balancer) CountUnavailable(now time.Duration) (listed, avoided int) {
 	for id, s := range b.servers {
-		if s.State == StateGone {
+		if s.State == StateRemoved {
 			continue
 		}
 		listed++
-		if b.Avoids(now, id) {
+		if b.Unavailable(now, id) {
 			avoided++
 		}
 	}
 	return listed, avoided
 }
 
-// Avoids says whether a server gets nothing new now.
-func (b *Balancer) Avoids(now time.Duration, id BackendID) bool {
+// Unavailable says whether a server gets nothing new now.
+func (b *Balancer) Unavailable(now time.Duration, id BackendID) bool {
 	s := b.servers[id]
-	return s != nil && s.State != StateGone &&
+	return s != nil && s.State != StateRemoved &&
 		(s.State == StateDraining || s.until > now || s.limit > 0 && s.n > 0 && b.own(&s.sums) >= s.limit)
 }
 
-// Follow takes over what another than this module decided for a request: attempt number so much went to a server,
+// ReplayDecision takes over what another than this module decided for a request: attempt number so much went to a server,
 // or, with sent false, it got its final answer. Nothing is sent.
-func (b *Balancer) Follow(now time.Duration, r Request, attempt int, to BackendID, sent bool) {
+func (b *Balancer) ReplayDecision(now time.Duration, r Request, attempt int, to BackendID, sent bool) {
 	c, s := b.calls[r.ID], b.servers[to]
 	if c != nil {
 		if c.at != nil {
@@ -629,7 +629,7 @@
 		return
 	}
 	if c == nil {
-		r.Repeat = true // it was counted when it came
+		r.ClientRetry = true // it was counted when it came
 		c = b.newCall(now, r)
 	}
 	c.asked, c.again, c.sent, c.tries, c.done = nil, 0, now, attempt+1, false
--- a/balance/codec_test.go
+++ b/balance/codec_test.go
@@ -49,7 +49,7 @@
 	told []string
 }
 
-func (r *teller) Tell(peer int, data []byte) {
+func (r *teller) SendGossip(peer int, data []byte) {
 	r.told = append(r.told, fmt.Sprintf("%d %x", peer, data))
 }
 
@@ -58,13 +58,13 @@
 	const slow, well = BackendID(0x0a124a071b5b), BackendID(0x0a9011f21b84)
 	relay := func() (*Balancer, *teller) {
 		s := untold()
-		s.Peers = true
+		s.Gossip = true
 		r := &teller{}
 		b := New(sec, 1, s, r)
-		b.List(sec, ListCached, []Backend{{ID: slow, State: StateReady, Weight: 1}, {ID: well, State: StateReady, Zone: 1, Weight: 1}})
+		b.EndpointsUpdated(sec, UpdateCached, []Backend{{ID: slow, State: StateReady, Weight: 1}, {ID: well, State: StateReady, Zone: 1, Weight: 1}})
 		for range surePace + 1 {
 			for _, id := range []BackendID{slow, well} {
-				b.Probed(sec, Report{Backend: id, Latency: ms, Load: []float32{0.3}})
+				b.HealthCheckDone(sec, HealthCheckResult{Backend: id, Latency: ms, Load: []float32{0.3}})
 			}
 		}
 		opened(t, b, &r.recorder, 12)
@@ -73,7 +73,7 @@
 	}
 	b, r := relay()
 	for i := range 3 {
-		b.Probed(4*sec+time.Duration(i)*ms, Report{Backend: slow, Latency: 2 * ms, Load: []float32{0.3}})
+		b.HealthCheckDone(4*sec+time.Duration(i)*ms, HealthCheckResult{Backend: slow, Latency: 2 * ms, Load: []float32{0.3}})
 	}
 	golden(t, "notice.txt", strings.Join(r.told, "\n")+"\n")
 
@@ -88,17 +88,17 @@
 	}
 	other, seen := relay()
 	for n := range data { // cut short, it is none
-		other.Peer(4*sec, 1, data[:n])
+		other.GossipReceived(4*sec, 1, data[:n])
 	}
-	other.Peer(4*sec, 1, append(slices.Clone(data), 0))
+	other.GossipReceived(4*sec, 1, append(slices.Clone(data), 0))
 	if asked := seen.take("probe"); len(asked) != 0 {
 		t.Errorf("%v is asked for what is no notice", asked)
 	}
-	other.Peer(4*sec, 1, data)
+	other.GossipReceived(4*sec, 1, data)
 	if asked := seen.take("probe"); len(asked) != 1 || asked[0].to != slow {
 		t.Errorf("asked is %v, the notice names %x", asked, slow)
 	}
-	other.Probed(4*sec+2*ms, Report{Backend: slow, Latency: 2 * ms, Load: []float32{0.3}})
+	other.HealthCheckDone(4*sec+2*ms, HealthCheckResult{Backend: slow, Latency: 2 * ms, Load: []float32{0.3}})
 	if len(seen.take("move")) == 0 {
 		t.Error("the notice moves nobody")
 	}
--- a/balance/cold_test.go
+++ b/balance/cold_test.go
@@ -28,9 +28,9 @@
 func (f coldFleet) plays(t *testing.T, seed uint64) (at []time.Duration, set Settings, fills float64) {
 	t.Helper()
 	set = settings()
-	set.Relays, set.PassThrough, set.TellsLoad, set.TellsDelay = f.relays, true, false, false
-	set.ColdFrom, set.WarmUp, set.FallMultiple, set.FallSpan = 0.3, 8*sec, 2.5, 3*sec
-	fills = f.n / (set.FallMultiple * set.ColdFrom * set.FallSpan.Seconds() / set.WarmUp.Seconds())
+	set.RelayCount, set.PassThrough, set.ReportsConnectionLoad, set.ReportsMessageDelay = f.relays, true, false, false
+	set.SlowStartFloor, set.SlowStartWindow, set.OverloadMultiple, set.OverloadWindow = 0.3, 8*sec, 2.5, 3*sec
+	fills = f.n / (set.OverloadMultiple * set.SlowStartFloor * set.OverloadWindow.Seconds() / set.SlowStartWindow.Seconds())
 	conns := 0.6 * fills * coldServers
 	if f.idle {
 		conns = math.Min(conns, 0.3*float64(f.relays))
@@ -38,7 +38,7 @@
 	rng := rand.New(rand.NewPCG(seed, 5))
 	var keys []uint64
 	probe := New(sec, 1, set, &recorder{})
-	probe.List(sec, ListCached, append(fleet(coldServers), Backend{ID: 99, State: StateReady, Weight: 1}))
+	probe.EndpointsUpdated(sec, UpdateCached, append(fleet(coldServers), Backend{ID: 99, State: StateReady, Weight: 1}))
 	for len(keys) < 400 {
 		if key := rng.Uint64(); probe.first(mix(key), func(*server) bool { return true }).ID == 99 {
 			keys = append(keys, key)
@@ -59,7 +59,7 @@
 		if told {
 			list = append(list, cold)
 		}
-		x.b.List(now, ListCached, list)
+		x.b.EndpointsUpdated(now, UpdateCached, list)
 	}
 	relays := make([]*relay, f.relays)
 	for i := range relays {
@@ -80,13 +80,13 @@
 		for range x.conns {
 			id++
 			sent(t, x.b, x.r, sec, Request{ID: id, Key: rng.Uint64()})
-			x.b.Began(sec, Outcome{ID: id})
+			x.b.AttemptSucceeded(sec, AttemptResult{ID: id})
 		}
 	}
 	for _, x := range relays {
-		x.b.List(start, ListDelta, []Backend{cold})
+		x.b.EndpointsUpdated(start, UpdateDelta, []Backend{cold})
 	}
-	for now := start; now < start+set.WarmUp; now += 100 * ms {
+	for now := start; now < start+set.SlowStartWindow; now += 100 * ms {
 		if f.restart && now == start+f.rush-sec {
 			for i, x := range relays {
 				if i%2 == 1 {
@@ -104,12 +104,12 @@
 			for range n {
 				id++
 				x.r.clear()
-				x.b.Request(now, Request{ID: id, Key: keys[rng.IntN(len(keys))], Left: 2 * sec, MidFlow: f.mid && now >= start+f.rush})
+				x.b.RequestArrived(now, Request{ID: id, Key: keys[rng.IntN(len(keys))], TimeLeft: 2 * sec, MidStream: f.mid && now >= start+f.rush})
 				if got := x.r.take("send"); len(got) == 1 {
 					if got[0].to == 99 {
 						at = append(at, now)
 					}
-					x.b.Outcome(now, Outcome{ID: id, Status: Cancelled, Closed: true})
+					x.b.AttemptEnded(now, AttemptResult{ID: id, Status: StatusCancelled, Closed: true})
 				}
 			}
 		}
@@ -142,12 +142,12 @@
 						for i, from := range at {
 							calls := 0
 							for _, to := range at[i:] {
-								if to-from <= set.FallSpan {
+								if to-from <= set.OverloadWindow {
 									calls++
 								}
 							}
-							age := float64(from-coldStart) / float64(set.WarmUp)
-							most := set.FallMultiple * (set.ColdFrom + (1-set.ColdFrom)*age) * fills * set.FallSpan.Seconds() / set.WarmUp.Seconds()
+							age := float64(from-coldStart) / float64(set.SlowStartWindow)
+							most := set.OverloadMultiple * (set.SlowStartFloor + (1-set.SlowStartFloor)*age) * fills * set.OverloadWindow.Seconds() / set.SlowStartWindow.Seconds()
 							if float64(calls) > most+2*math.Sqrt(most)+2 {
 								t.Fatalf("%d relays, budget %v at the start, seed %d: %d calls in a span where %.1f are allowed",
 									relays, n, seed, calls, most)
@@ -171,10 +171,10 @@
 		s.PassThrough = true
 		b, r := start(t, s, 4)
 		cold := Backend{ID: 9, State: StateReady, Weight: 1, ReadyAt: 20 * sec}
-		b.List(20*sec, ListDelta, []Backend{cold})
+		b.EndpointsUpdated(20*sec, UpdateDelta, []Backend{cold})
 		sends := 0
 		for id := uint64(1); id <= 40; id++ {
-			q := Request{ID: id, Key: id, MidFlow: true, Left: 2 * sec}
+			q := Request{ID: id, Key: id, MidStream: true, TimeLeft: 2 * sec}
 			c := b.newCall(20*sec, q)
 			delete(b.calls, id)
 			if known {
@@ -199,8 +199,8 @@
 		for _, groups := range []bool{false, true} {
 			rng := rand.New(rand.NewPCG(uint64(relays), 7))
 			set := settings()
-			set.Relays, set.Probes, set.Report, set.Groups = relays, true, []Field{FieldLoadShare}, groups
-			set.ColdFrom, set.WarmUp, set.FallMultiple, set.FallSpan, set.TellsDelay = 0.3, 8*sec, 2.5, 3*sec, false
+			set.RelayCount, set.HealthChecks, set.ReportFields, set.Groups = relays, true, []ReportField{FieldLoadShare}, groups
+			set.SlowStartFloor, set.SlowStartWindow, set.OverloadMultiple, set.OverloadWindow, set.ReportsMessageDelay = 0.3, 8*sec, 2.5, 3*sec, false
 			const fills = 40.0 // connections fill a server
 			type relay struct {
 				b *Balancer
@@ -215,27 +215,27 @@
 			for i := range all {
 				x := relay{r: &recorder{}}
 				x.b = New(sec, rng.Uint64(), set, x.r)
-				x.b.List(sec, ListCached, fleet(warm))
+				x.b.EndpointsUpdated(sec, UpdateCached, fleet(warm))
 				for s := range sureCrowd {
-					x.b.Probed(sec, Report{Backend: BackendID(1 + s%warm), Latency: ms, Load: []float32{0.5}})
+					x.b.HealthCheckDone(sec, HealthCheckResult{Backend: BackendID(1 + s%warm), Latency: ms, Load: []float32{0.5}})
 				}
 				for range int(fills*warm/float64(relays) + rng.Float64()) {
 					id++
 					sent(t, x.b, x.r, sec, Request{ID: id, Key: rng.Uint64(), Group: id})
-					x.b.Began(sec, Outcome{ID: id})
+					x.b.AttemptSucceeded(sec, AttemptResult{ID: id})
 				}
-				x.b.List(coldStart, ListDelta, starts[warm:])
+				x.b.EndpointsUpdated(coldStart, UpdateDelta, starts[warm:])
 				all[i] = x
 			}
 			got := map[BackendID][]time.Duration{}
-			for now := coldStart; now < coldStart+set.WarmUp; now += 100 * ms {
+			for now := coldStart; now < coldStart+set.SlowStartWindow; now += 100 * ms {
 				for _, x := range all {
 					if rng.IntN(15) != 0 {
 						continue
 					}
 					id++
 					x.r.clear()
-					x.b.Request(now, Request{ID: id, Key: rng.Uint64(), Group: id, Left: 2 * sec, Back: true})
+					x.b.RequestArrived(now, Request{ID: id, Key: rng.Uint64(), Group: id, TimeLeft: 2 * sec, Reconnecting: true})
 					for range 10 {
 						did := x.r.take("probe")
 						x.r.clear()
@@ -244,11 +244,11 @@
 							if p.to >= 100 {
 								load = 0.1
 							}
-							x.b.Probed(now+ms, Report{Backend: p.to, Latency: ms, Load: []float32{load}})
+							x.b.HealthCheckDone(now+ms, HealthCheckResult{Backend: p.to, Latency: ms, Load: []float32{load}})
 						}
 						if to := x.r.take("send"); len(to) == 1 {
 							got[to[0].to] = append(got[to[0].to], now)
-							x.b.Outcome(now+ms, Outcome{ID: id, Status: Cancelled, Closed: true})
+							x.b.AttemptEnded(now+ms, AttemptResult{ID: id, Status: StatusCancelled, Closed: true})
 							break
 						}
 					}
@@ -260,12 +260,12 @@
 				for i, from := range got[s] {
 					calls := 0
 					for _, to := range got[s][i:] {
-						if to-from <= set.FallSpan {
+						if to-from <= set.OverloadWindow {
 							calls++
 						}
 					}
-					age := float64(from-coldStart) / float64(set.WarmUp)
-					most := set.FallMultiple * (set.ColdFrom + (1-set.ColdFrom)*age) * fills * set.FallSpan.Seconds() / set.WarmUp.Seconds()
+					age := float64(from-coldStart) / float64(set.SlowStartWindow)
+					most := set.OverloadMultiple * (set.SlowStartFloor + (1-set.SlowStartFloor)*age) * fills * set.OverloadWindow.Seconds() / set.SlowStartWindow.Seconds()
 					if float64(calls) > most+2*math.Sqrt(most)+2 {
 						t.Fatalf("%d relays: %d calls in a span where %.1f are allowed", relays, calls, most)
 					}
@@ -285,7 +285,7 @@
 func TestAFleetThatIsColdAllOverIsNotPushedOver(t *testing.T) {
 	const relays, servers, fills = 300, 20, 20.0
 	set := settings()
-	set.Relays, set.ColdFrom, set.WarmUp, set.FallMultiple, set.FallSpan = relays, 0.3, 8*sec, 2.5, 3*sec
+	set.RelayCount, set.SlowStartFloor, set.SlowStartWindow, set.OverloadMultiple, set.OverloadWindow = relays, 0.3, 8*sec, 2.5, 3*sec
 	rng := rand.New(rand.NewPCG(9, 9))
 	list := fleet(servers)
 	for i := range list {
@@ -295,18 +295,18 @@
 	for range relays {
 		r := &recorder{}
 		b := New(coldStart, rng.Uint64(), set, r)
-		b.List(coldStart, ListCached, list)
-		for now := coldStart; now < coldStart+set.FallSpan; now += 100 * ms {
+		b.EndpointsUpdated(coldStart, UpdateCached, list)
+		for now := coldStart; now < coldStart+set.OverloadWindow; now += 100 * ms {
 			id++
 			r.clear()
-			b.Request(now, Request{ID: id, Key: rng.Uint64(), Left: 2 * sec})
+			b.RequestArrived(now, Request{ID: id, Key: rng.Uint64(), TimeLeft: 2 * sec})
 			if to := r.take("send"); len(to) == 1 {
 				got[to[0].to]++
-				b.Outcome(now, Outcome{ID: id, Status: Cancelled, Closed: true})
+				b.AttemptEnded(now, AttemptResult{ID: id, Status: StatusCancelled, Closed: true})
 			}
 		}
 	}
-	most := set.FallMultiple * set.ColdFrom * fills * set.FallSpan.Seconds() / set.WarmUp.Seconds()
+	most := set.OverloadMultiple * set.SlowStartFloor * fills * set.OverloadWindow.Seconds() / set.SlowStartWindow.Seconds()
 	total := 0
 	for s, n := range got {
 		if total += n; float64(n) > most+2*math.Sqrt(most)+2 {
--- a/balance/life.go
+++ b/balance/life.go
@@ -17,70 +17,70 @@
 		servers: map[BackendID]*server{}, calls: map[uint64]*call{}, divert: map[uint64]diversion{}, demand: map[uint64]float64{},
 		kinds: map[int]*kind{}, ways: map[int]time.Duration{},
 		usual: []float64{1}, seen: []float64{0}, taken: make([]int, max(1, len(s.Tenants))),
-		cleared: now, budget: 1, crowd: 1, share: slices.Index(s.Report, FieldLoadShare),
-		errs: slices.Index(s.Report, FieldErrors)}
-	b.Retune(s)
-	if s.ListOnRequest {
+		cleared: now, budget: 1, crowd: 1, share: slices.Index(s.ReportFields, FieldLoadShare),
+		errs: slices.Index(s.ReportFields, FieldErrors)}
+	b.UpdateSettings(s)
+	if s.PollEndpoints {
 		b.askList(now)
 	}
-	do.After(tickToken, beat)
+	do.SetTimer(tickToken, beat)
 	return b
 }
 
-// Retune takes other settings over. Requests and connections keep the class and the number of attempts that
+// UpdateSettings takes other settings over. Requests and connections keep the class and the number of attempts that
 // they were taken under; loads and placements stay.
-func (b *Balancer) Retune(s Settings) {
+func (b *Balancer) UpdateSettings(s Settings) {
 	if !s.RetryAfter {
 		s.MaxRetryAfter = 0
 	}
 	if b.here > 0 {
-		s.Relays = b.here
+		s.RelayCount = b.here
 	}
 	b.set, b.quickest = s, math.Inf(1)
 	for _, class := range s.Classes {
-		aim := class.MessageAim
+		aim := class.MessageLatencyObjective
 		if aim <= 0 { // nobody says; taken as it stands, every answer to a probe would be late and every server full
-			aim = class.OnTime
+			aim = class.LatencyObjective
 		}
-		if !class.Gone && aim > 0 {
+		if !class.Retired && aim > 0 {
 			b.quickest = min(b.quickest, float64(aim)/float64(3*time.Millisecond))
 		}
 	}
 	b.grow(len(s.Classes))
 }
 
-// Here hears how many relays there are at present, this one included, in place of the number in the settings; 0:
+// SetActiveRelays hears how many relays there are at present, this one included, in place of the number in the settings; 0:
 // nobody knows any more, and from the next Retune on that number counts again.
-func (b *Balancer) Here(relays int) {
+func (b *Balancer) SetActiveRelays(relays int) {
 	if b.here = max(0, relays); b.here > 0 {
-		b.set.Relays = b.here
+		b.set.RelayCount = b.here
 	}
 }
 
-// Open takes over a connection that flows through this relay already.
-func (b *Balancer) Open(now time.Duration, r Request, id BackendID) {
+// SessionAdopted takes over a connection that flows through this relay already.
+func (b *Balancer) SessionAdopted(now time.Duration, r Request, id BackendID) {
 	if b.calls[r.ID] != nil {
 		return
 	}
 	s := b.servers[id]
 	if s == nil {
-		s = b.learn(now, Backend{ID: id, State: StateGone, Weight: 1})
+		s = b.learn(now, Backend{ID: id, State: StateRemoved, Weight: 1})
 	}
 	c := b.newCall(now, r)
 	c.began, c.tries = true, 1
 	b.attach(c, s)
 }
 
-// Gone hears that the client left.
-func (b *Balancer) Gone(now time.Duration, id uint64) {
+// ClientClosed hears that the client left.
+func (b *Balancer) ClientClosed(now time.Duration, id uint64) {
 	if c := b.calls[id]; c != nil && !c.done {
 		b.finish(c)
 	}
 }
 
-// Expire hears that a request has no time left, whatever it had when it came: this relay's own end is near. What is
+// DeadlineExceeded hears that a request has no time left, whatever it had when it came: this relay's own end is near. What is
 // out is given up, and its end brings the answer.
-func (b *Balancer) Expire(now time.Duration, id uint64) {
+func (b *Balancer) DeadlineExceeded(now time.Duration, id uint64) {
 	c := b.calls[id]
 	if c == nil || c.done || c.began {
 		return
@@ -89,7 +89,7 @@
 		b.do.Cancel(id, c.tries-1)
 		return
 	}
-	b.Timer(now, id)
+	b.TimerFired(now, id)
 }
 
 func (b *Balancer) upkeep(now time.Duration) {
--- a/balance/memory_test.go
+++ b/balance/memory_test.go
@@ -9,21 +9,21 @@
 )
 
 // heir is a relay that has taken over what another remembers, by way of its text.
-func heir(t *testing.T, s Settings, n int, now time.Duration, m Memory) (*Balancer, *recorder) {
+func heir(t *testing.T, s Settings, n int, now time.Duration, m Snapshot) (*Balancer, *recorder) {
 	t.Helper()
 	text, err := json.Marshal(m)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var read Memory
+	var read Snapshot
 	if err := json.Unmarshal(text, &read); err != nil {
 		t.Fatal(err)
 	}
 	r := &recorder{}
 	b := New(now, 2, s, r)
-	b.List(now, ListCached, fleet(n))
-	b.Recall(now, read)
-	b.Beside(now, read)
+	b.EndpointsUpdated(now, UpdateCached, fleet(n))
+	b.Restore(now, read)
+	b.UpdateOtherProcess(now, read)
 	r.clear()
 	return b, r
 }
@@ -35,13 +35,13 @@
 	s.PassThrough = true
 	b, r := start(t, s, 6)
 	to := sent(t, b, r, sec, Request{ID: 1, Key: 11})
-	b.Outcome(sec, Outcome{ID: 1, Backend: to, Status: Error})
+	b.AttemptEnded(sec, AttemptResult{ID: 1, Backend: to, Status: StatusError})
 	b.remember(sec, &call{flow: 77}, b.servers[5])
 	sent(t, b, r, sec, Request{ID: 2, Key: 12, Class: 1})
-	b.Note(sec, 2, NoteLoad, 40)
+	b.LoadReported(sec, 2, SignalConnectionLoad, 40)
 	cold := b.servers[2]
 	cold.ReadyAt, cold.filled, cold.budget = sec, sec+500*ms, 2
-	n, _ := heir(t, s, 6, sec+10*ms, b.Memory())
+	n, _ := heir(t, s, 6, sec+10*ms, b.Snapshot())
 	if got := n.servers[to]; got.until != b.servers[to].until || got.until <= sec || len(n.out) != 1 {
 		t.Errorf("server %d is suspended until %v, was until %v; %d are out", to, got.until, b.servers[to].until, len(n.out))
 	}
@@ -61,16 +61,16 @@
 func TestWhatTheOldProcessHoldsCountsWithTheNew(t *testing.T) {
 	b, r := start(t, settings(), 2)
 	opened(t, b, r, 40)
-	n, nr := heir(t, settings(), 2, 2*sec, b.Memory())
+	n, nr := heir(t, settings(), 2, 2*sec, b.Snapshot())
 	full := b.servers[1]
 	b.overload(2*sec, full, 0.5)
-	n.Beside(2*sec+100*ms, b.Memory())
+	n.UpdateOtherProcess(2*sec+100*ms, b.Snapshot())
 	for id := uint64(1); id <= 30; id++ {
 		if to := sent(t, n, nr, 2*sec+200*ms, Request{ID: id, Key: id}); to == 1 {
 			t.Fatalf("request %d goes to the server that the old process moves its clients off", id)
 		}
 	}
-	n.Beside(3*sec, Memory{})
+	n.UpdateOtherProcess(3*sec, Snapshot{})
 	if n.servers[1].also != 0 || n.servers[2].also != 0 {
 		t.Error("the old process's connections still count though it has ended")
 	}
@@ -79,30 +79,30 @@
 // Packets of a diverted connection find its server after its class has another number, by a reload or in a next process.
 func TestADiversionOutlastsItsClassesNumber(t *testing.T) {
 	s := settings()
-	s.PassThrough, s.Classes[0].Name = true, 0xc0ffee
+	s.PassThrough, s.Classes[0].NameHash = true, 0xc0ffee
 	b, r := start(t, s, 6)
 	home := sent(t, b, r, sec, Request{ID: 1, Key: 5})
 	other := b.servers[home%6+1]
 	b.remember(sec, b.calls[1], other)
 	changed := s
-	changed.Classes = append(slices.Clone(s.Classes), Class{OnTime: 400 * ms, GiveUp: sec, Effect: Unsafe, Name: 0xc0ffee})
-	b.Retune(changed)
-	if to := sent(t, b, r, sec, Request{ID: 2, Key: 5, Class: 5, MidFlow: true}); to != other.ID {
+	changed.Classes = append(slices.Clone(s.Classes), Class{LatencyObjective: 400 * ms, ClientTimeout: sec, Idempotency: NonIdempotent, NameHash: 0xc0ffee})
+	b.UpdateSettings(changed)
+	if to := sent(t, b, r, sec, Request{ID: 2, Key: 5, Class: 5, MidStream: true}); to != other.ID {
 		t.Errorf("after a reload they go to %d, not to %d", to, other.ID)
 	}
 	changed.Classes = []Class{s.Classes[1], s.Classes[0]}
-	n, nr := heir(t, changed, 6, sec, b.Memory())
-	if to := sent(t, n, nr, sec, Request{ID: 3, Key: 5, Class: 1, MidFlow: true}); to != other.ID {
+	n, nr := heir(t, changed, 6, sec, b.Snapshot())
+	if to := sent(t, n, nr, sec, Request{ID: 3, Key: 5, Class: 1, MidStream: true}); to != other.ID {
 		t.Errorf("in a next process they go to %d, not to %d", to, other.ID)
 	}
 }
 
 func TestAMemoryThatCannotBeTrueIsNotBelieved(t *testing.T) {
 	now := 100 * sec
-	n, _ := heir(t, settings(), 2, now, Memory{Servers: []ServerMemory{
-		{ID: 1, Until: 1 << 60, Bench: 1 << 60, Hot: 1 << 60, Heard: 1 << 60, Filled: -5, Limit: -1, Budget: 1e300, Paces: 1 << 30, Held: -7},
-		{ID: 99, Until: 1 << 60}}, Diverted: []Diverted{{1, 99, now}, {2, 1, 1 << 60}}, Usual: []float64{1}, Seen: []float64{1},
-		Kinds: map[int][2]float64{0: {1, -1}, 1: {-1, 1}}, Crowd: 1e9, Tells: -4, Lost: 1 << 60})
+	n, _ := heir(t, settings(), 2, now, Snapshot{Backends: []BackendSnapshot{
+		{ID: 1, EjectedUntil: 1 << 60, EjectionTime: 1 << 60, LastOverload: 1 << 60, LastHealthCheck: 1 << 60, SlowStartRefill: -5, ConcurrencyLimit: -1, SlowStartTokens: 1e300, LatencySamples: 1 << 30, TrackedLoad: -7},
+		{ID: 99, EjectedUntil: 1 << 60}}, StickyOverrides: []StickyOverride{{1, 99, now}, {2, 1, 1 << 60}}, ClassLoads: []float64{1}, ClassLoadSamples: []float64{1},
+		KindLateness: map[int][2]float64{0: {1, -1}, 1: {-1, 1}}, MeanUtilization: 1e9, UtilizationReports: -4, LastBackendLoss: 1 << 60})
 	s := n.servers[1]
 	if s.until > now+16*beat || s.bench > 16*beat || s.hot > now || s.heard > now || s.filled < 0 || s.limit != 0 || s.budget > maxBudget ||
 		s.paces > surePace+1 || s.also != 0 || math.IsInf(s.budget, 0) {
@@ -121,7 +121,7 @@
 	home := sent(t, b, r, sec, Request{ID: 1, Key: 5})
 	b.servers[home].limit, b.servers[home].hot = 0.5, sec
 	b.servers[home].until = 10 * sec
-	if to := sent(t, b, r, sec, Request{ID: 2, Key: 5, MidFlow: true}); to != home {
+	if to := sent(t, b, r, sec, Request{ID: 2, Key: 5, MidStream: true}); to != home {
 		t.Errorf("they go to %d, not to %d that holds it", to, home)
 	}
 	if to := sent(t, b, r, sec, Request{ID: 3, Key: 5}); to == home {
--- a/balance/shape_test.go
+++ b/balance/shape_test.go
@@ -7,7 +7,7 @@
 
 // ends reports the end of a request's only attempt so far.
 func ends(b *Balancer, now time.Duration, id uint64, at BackendID, st Status) {
-	b.Outcome(now, Outcome{ID: id, Backend: at, Status: st})
+	b.AttemptEnded(now, AttemptResult{ID: id, Backend: at, Status: st})
 }
 
 // flood asks for one place after the other, one each step, and answers each attempt as how says, after took. It
@@ -18,13 +18,13 @@
 		*id++
 		*now += 20 * ms
 		r.clear()
-		b.Request(*now, Request{ID: *id, Key: *id, Left: 2 * sec})
+		b.RequestArrived(*now, Request{ID: *id, Key: *id, TimeLeft: 2 * sec})
 		for got := r.take("send"); len(got) > 0; got = r.take("send") {
 			sends++
 			r.clear()
-			if st := how(got[0].to); st == OK {
-				b.Began(*now+took, Outcome{ID: *id, Backend: got[0].to, Attempt: got[0].attempt, Latency: took})
-				b.Outcome(*now+took, Outcome{ID: *id, Backend: got[0].to, Status: OK, Closed: true})
+			if st := how(got[0].to); st == StatusOK {
+				b.AttemptSucceeded(*now+took, AttemptResult{ID: *id, Backend: got[0].to, Attempt: got[0].attempt, Latency: took})
+				b.AttemptEnded(*now+took, AttemptResult{ID: *id, Backend: got[0].to, Status: StatusOK, Closed: true})
 			} else {
 				ends(b, *now+took, *id, got[0].to, st)
 			}
@@ -39,17 +39,17 @@
 	for name, slow := range map[string]bool{"errors": false, "slow": true} {
 		t.Run(name, func(t *testing.T) {
 			s := settings()
-			s.TryLimit, s.RetryAfter = 1, true
+			s.MaxAttempts, s.RetryAfter = 1, true
 			b, r := start(t, s, 12)
 			now, id := sec, uint64(0)
-			how, took := func(BackendID) Status { return OK }, 10*ms
+			how, took := func(BackendID) Status { return StatusOK }, 10*ms
 			if n := flood(b, r, &now, &id, 100, took, how); n != 100 {
 				t.Fatalf("%d of 100 attempts with all well", n)
 			}
 			if slow {
 				took = 400 * ms // of 500 in which a set-up is wanted
 			} else {
-				how = func(BackendID) Status { return Error }
+				how = func(BackendID) Status { return StatusError }
 			}
 			if n := flood(b, r, &now, &id, 200, took, how); n > 40 {
 				t.Errorf("%d of 200 attempts while all set-ups fail", n)
@@ -57,7 +57,7 @@
 			if got := r.take("refuse"); len(got) != 1 || got[0].wait <= 0 {
 				t.Errorf("refused as %v, want one with a time to come back", got)
 			}
-			how, took = func(BackendID) Status { return OK }, 10*ms
+			how, took = func(BackendID) Status { return StatusOK }, 10*ms
 			now += longestGap * 2
 			flood(b, r, &now, &id, 2000, took, how)
 			if n := flood(b, r, &now, &id, 100, took, how); n != 100 {
@@ -77,13 +77,13 @@
 		st   Status
 		gap  bool
 	}{
-		{"up beyond its aim, within what a way may take", 100 * ms, OK, false},
-		{"given up within what a way may take", 150 * ms, Timeout, false},
-		{"up beyond both", 300 * ms, OK, true},
-		{"given up beyond both", 300 * ms, Timeout, true},
+		{"up beyond its aim, within what a way may take", 100 * ms, StatusOK, false},
+		{"given up within what a way may take", 150 * ms, StatusTimeout, false},
+		{"up beyond both", 300 * ms, StatusOK, true},
+		{"given up beyond both", 300 * ms, StatusTimeout, true},
 	} {
 		s := settings()
-		s.Classes[0].OnTime, s.DialTimeout, s.TryLimit = 60*ms, 250*ms, 1
+		s.Classes[0].LatencyObjective, s.DialTimeout, s.MaxAttempts = 60*ms, 250*ms, 1
 		b, r := start(t, s, 12)
 		now, id := sec, uint64(0)
 		flood(b, r, &now, &id, 40, c.took, func(BackendID) Status { return c.st })
@@ -96,19 +96,19 @@
 // A relay that spaces its set-ups out refused the packets of connections that stood, which broke them.
 func TestWhatStandsIsNoSetUpToBeSpacedOut(t *testing.T) {
 	s := settings()
-	s.PassThrough, s.TryLimit = true, 1
+	s.PassThrough, s.MaxAttempts = true, 1
 	b, r := start(t, s, 12)
 	now, id := sec, uint64(0)
-	flood(b, r, &now, &id, 40, 10*ms, func(BackendID) Status { return Error })
+	flood(b, r, &now, &id, 40, 10*ms, func(BackendID) Status { return StatusError })
 	if now >= b.due {
 		t.Fatal("attempts are not spaced out")
 	}
 	r.clear()
-	b.Request(now, Request{ID: 1 << 20, Key: 1, MidFlow: true, Left: 2 * sec})
+	b.RequestArrived(now, Request{ID: 1 << 20, Key: 1, MidStream: true, TimeLeft: 2 * sec})
 	if len(r.take("send")) != 1 {
 		t.Error("packets of a connection that stands were refused")
 	}
-	b.Request(now, Request{ID: 1 << 21, Key: 1, Left: 2 * sec})
+	b.RequestArrived(now, Request{ID: 1 << 21, Key: 1, TimeLeft: 2 * sec})
 	if len(r.take("refuse")) != 1 {
 		t.Error("a new connection was not refused")
 	}
@@ -116,14 +116,14 @@
 
 func TestOneServersTroubleSpacesNothingOut(t *testing.T) {
 	s := settings()
-	s.TryLimit = 1
+	s.MaxAttempts = 1
 	b, r := start(t, s, 12)
 	now, id := sec, uint64(0)
 	flood(b, r, &now, &id, 400, 10*ms, func(at BackendID) Status {
 		if at == 3 {
-			return Error
+			return StatusError
 		}
-		return OK
+		return StatusOK
 	})
 	if b.gap != 0 {
 		t.Errorf("attempts are spaced out by %v", b.gap)
@@ -135,9 +135,9 @@
 func TestAServerShortOfRoomGetsNoFirstConnectionUnasked(t *testing.T) {
 	b, r := start(t, settings(), 2)
 	home := sent(t, b, r, sec, Request{ID: 1, Key: 1})
-	b.Began(sec, Outcome{ID: 1})
-	b.Note(2*sec, 1, NoteDelay, 200)
-	b.Outcome(2*sec, Outcome{ID: 1, Backend: home, Status: Cancelled, Closed: true})
+	b.AttemptSucceeded(sec, AttemptResult{ID: 1})
+	b.LoadReported(2*sec, 1, SignalMessageDelay, 200)
+	b.AttemptEnded(2*sec, AttemptResult{ID: 1, Backend: home, Status: StatusCancelled, Closed: true})
 	if to := sent(t, b, r, 3*sec, Request{ID: 2, Key: 1}); to == home {
 		t.Error("went to a server that was late a second ago")
 	}
@@ -156,15 +156,15 @@
 		b, r := start(t, s, c.servers)
 		for id := uint64(1); id <= 8; id++ {
 			sent(t, b, r, sec, Request{ID: id, Key: id, Group: 100 + id})
-			b.Began(sec, Outcome{ID: id})
+			b.AttemptSucceeded(sec, AttemptResult{ID: id})
 		}
 		for id := uint64(1); c.late && id <= 8; id++ {
-			b.Note(2*sec, id, NoteDelay, 60)
+			b.LoadReported(2*sec, id, SignalMessageDelay, 60)
 		}
 		r.clear()
-		q := Request{ID: 99, Key: 99, Group: 99, Left: 2 * sec}
+		q := Request{ID: 99, Key: 99, Group: 99, TimeLeft: 2 * sec}
 		b.first(mix(q.Group), func(*server) bool { return true }).until = 60 * sec
-		b.Request(3*sec, q)
+		b.RequestArrived(3*sec, q)
 		if got := len(r.take("send")) == 0; got != c.stays {
 			t.Errorf("%+v: the group stayed at its home: %v", c, got)
 		}
@@ -181,12 +181,12 @@
 	loaded(t, b, r, 1, 20, 7)
 	at := b.calls[1].at
 	bore := b.own(&at.sums)
-	b.Note(2*sec, 1, NoteDelay, 5000)
+	b.LoadReported(2*sec, 1, SignalMessageDelay, 5000)
 	if at.limit < 0.49*bore {
 		t.Errorf("%.0f of %.0f are left", at.limit, bore)
 	}
 	for now := 3 * sec; now <= 9*sec; now += sec {
-		b.Timer(now, tickToken)
+		b.TimerFired(now, tickToken)
 	}
 	if at.limit < 0.8*bore || at.limit > 0.95*bore {
 		t.Errorf("after seven seconds the limit is %.0f of %.0f", at.limit, bore)
@@ -198,13 +198,13 @@
 func TestAReturningClientPassesAllHomesOfAWeakKindBy(t *testing.T) {
 	passed := func(probes bool) (most int) {
 		s := settings()
-		s.Probes = probes
+		s.HealthChecks = probes
 		for seed := uint64(1); seed <= 60; seed++ {
 			r := &recorder{}
 			b := New(sec, seed, s, r)
-			b.List(sec, ListCached, fleet(12))
+			b.EndpointsUpdated(sec, UpdateCached, fleet(12))
 			b.kinds[0] = &kind{late: 95, seconds: 95}
-			b.Request(2*sec, Request{ID: 1, Key: seed, Left: sec, Back: true})
+			b.RequestArrived(2*sec, Request{ID: 1, Key: seed, TimeLeft: sec, Reconnecting: true})
 			most = max(most, b.calls[1].shuns)
 		}
 		return most
@@ -217,15 +217,15 @@
 // A request that fails at one server after the other may be the cause itself, and has all its attempts.
 func TestARequestsOwnFailuresSpaceNothingOut(t *testing.T) {
 	b, r := start(t, settings(), 12)
-	flood(b, r, new(time.Duration), new(uint64), 30, 10*ms, func(BackendID) Status { return OK })
+	flood(b, r, new(time.Duration), new(uint64), 30, 10*ms, func(BackendID) Status { return StatusOK })
 	r.clear()
-	b.Request(sec, Request{ID: 99, Key: 99, Left: 2 * sec})
+	b.RequestArrived(sec, Request{ID: 99, Key: 99, TimeLeft: 2 * sec})
 	for n := range 4 {
 		got := r.take("send")
 		if len(got) != n+1 {
 			t.Fatalf("%d attempts after %d failures", len(got), n)
 		}
-		b.Outcome(sec+10*ms, Outcome{ID: 99, Attempt: n, Backend: got[n].to, Status: Error})
+		b.AttemptEnded(sec+10*ms, AttemptResult{ID: 99, Attempt: n, Backend: got[n].to, Status: StatusError})
 	}
 }
 
@@ -241,12 +241,12 @@
 			if int(id)%of != 0 {
 				group = 100 + id
 			}
-			b.newCall(sec, Request{ID: id, Group: group, Left: sec})
+			b.newCall(sec, Request{ID: id, Group: group, TimeLeft: sec})
 		}
 		for id := uint64(100); id < 200; id++ {
-			b.newCall(sec, Request{ID: id, Group: 7, Left: sec, Back: true})
+			b.newCall(sec, Request{ID: id, Group: 7, TimeLeft: sec, Reconnecting: true})
 		}
-		q := b.newCall(sec, Request{ID: 999, Group: 7, Left: sec})
+		q := b.newCall(sec, Request{ID: 999, Group: 7, TimeLeft: sec})
 		for s := b.place(sec, q); s != nil; s = b.place(sec, q) {
 			s.until, n = 60*sec, n+1
 		}
@@ -265,13 +265,13 @@
 	for _, o := range b.ready {
 		o.until = 60 * sec
 	}
-	q := Request{ID: 1, Group: 7, Left: 2 * sec}
-	b.Request(2*sec, q) // refused
-	b.Follow(2*sec, q, 0, 3, true)
+	q := Request{ID: 1, Group: 7, TimeLeft: 2 * sec}
+	b.RequestArrived(2*sec, q) // refused
+	b.ReplayDecision(2*sec, q, 0, 3, true)
 	if all, at := b.Connections(); all != 1 || at != 1 || b.calls[1].at.ID != 3 || b.demanded != 1 {
 		t.Errorf("%d connections, %d by server, %v requests counted", all, at, b.demanded)
 	}
-	b.Follow(2*sec, q, 0, 0, false)
+	b.ReplayDecision(2*sec, q, 0, 0, false)
 	if all, _ := b.Connections(); all != 0 || len(b.calls) != 0 {
 		t.Errorf("%d connections and %d calls after its answer", all, len(b.calls))
 	}
@@ -282,17 +282,17 @@
 func TestWithoutMessageAimsServersThatAnswerAreUsed(t *testing.T) {
 	s := settings()
 	for i := range s.Classes {
-		s.Classes[i].MessageAim = 0
+		s.Classes[i].MessageLatencyObjective = 0
 	}
-	s.Probes, s.Report, s.TellsDelay = true, nil, false
+	s.HealthChecks, s.ReportFields, s.ReportsMessageDelay = true, nil, false
 	b, r := start(t, s, 3)
-	b.Request(sec, Request{ID: 1, Key: 1, Left: 2 * sec})
+	b.RequestArrived(sec, Request{ID: 1, Key: 1, TimeLeft: 2 * sec})
 	asked := r.take("probe")
 	if len(asked) != 1 {
 		t.Fatalf("did %v", r.did)
 	}
 	r.clear()
-	b.Probed(sec+5*ms, Report{Backend: asked[0].to, Status: OK, Latency: 5 * ms})
+	b.HealthCheckDone(sec+5*ms, HealthCheckResult{Backend: asked[0].to, Status: StatusOK, Latency: 5 * ms})
 	if got := r.take("send"); len(got) != 1 || got[0].to != asked[0].to {
 		t.Errorf("after an answer in 5 ms it did %v", r.did)
 	}
--- a/balance/timing_test.go
+++ b/balance/timing_test.go
@@ -8,7 +8,7 @@
 // timed starts a balancer whose servers are all known well enough to send to at once.
 func timed(t *testing.T, n int) (*Balancer, *recorder) {
 	s := settings()
-	s.Cancel, s.RetryAfter, s.MaxRetryAfter = true, true, 2*sec
+	s.Cancellation, s.RetryAfter, s.MaxRetryAfter = true, true, 2*sec
 	b, r := start(t, s, n)
 	b.budget = 10
 	return b, r
@@ -17,18 +17,18 @@
 func TestAnAttemptHasTheTimeThatItsRouteSays(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
-		timing *Timing
+		timing *RetryPolicy
 		left   time.Duration
 		want   time.Duration
 	}{
 		{"none", nil, 2 * sec, 2 * sec},
-		{"all zero", &Timing{}, 2 * sec, 2 * sec},
-		{"an attempt's", &Timing{Attempt: 300 * ms}, 2 * sec, 300 * ms},
-		{"the whole's", &Timing{Total: 900 * ms}, 2 * sec, 900 * ms},
-		{"the client's patience is less", &Timing{Attempt: 3 * sec, Total: 4 * sec}, 700 * ms, 700 * ms},
+		{"all zero", &RetryPolicy{}, 2 * sec, 2 * sec},
+		{"an attempt's", &RetryPolicy{AttemptTimeout: 300 * ms}, 2 * sec, 300 * ms},
+		{"the whole's", &RetryPolicy{RequestTimeout: 900 * ms}, 2 * sec, 900 * ms},
+		{"the client's patience is less", &RetryPolicy{AttemptTimeout: 3 * sec, RequestTimeout: 4 * sec}, 700 * ms, 700 * ms},
 	} {
 		b, r := timed(t, 3)
-		b.Request(sec, Request{ID: 1, Key: 7, Left: tc.left, Timing: tc.timing})
+		b.RequestArrived(sec, Request{ID: 1, Key: 7, TimeLeft: tc.left, RetryPolicy: tc.timing})
 		if got := r.take("send"); len(got) != 1 || got[0].wait != tc.want {
 			t.Errorf("%s: %+v", tc.name, got)
 		}
@@ -39,10 +39,10 @@
 func TestWhatTimedOutMayHaveRun(t *testing.T) {
 	for class, again := range map[int]bool{0: true, 1: false} {
 		b, r := timed(t, 4)
-		b.Request(sec, Request{ID: 1, Class: class, Key: 7, Left: 2 * sec, Timing: &Timing{Attempt: 200 * ms}})
+		b.RequestArrived(sec, Request{ID: 1, Class: class, Key: 7, TimeLeft: 2 * sec, RetryPolicy: &RetryPolicy{AttemptTimeout: 200 * ms}})
 		to := r.take("send")[0].to
 		r.clear()
-		b.Outcome(sec+200*ms, Outcome{ID: 1, Backend: to, Status: Timeout})
+		b.AttemptEnded(sec+200*ms, AttemptResult{ID: 1, Backend: to, Status: StatusTimeout})
 		var sends, fails int
 		for _, a := range r.did {
 			switch a.what {
@@ -61,12 +61,12 @@
 func TestAttemptsAreCountedByTheRouteAndNeverOverTheSettings(t *testing.T) {
 	for attempts, want := range map[int]int{0: 4, 1: 1, 2: 2, 9: 4} {
 		b, r := timed(t, 8)
-		b.Request(sec, Request{ID: 1, Key: 7, Left: 2 * sec, Timing: &Timing{Attempts: attempts}})
+		b.RequestArrived(sec, Request{ID: 1, Key: 7, TimeLeft: 2 * sec, RetryPolicy: &RetryPolicy{MaxAttempts: attempts}})
 		n := 0
 		for s := r.take("send"); len(s) == 1; s = r.take("send") {
 			n++
 			r.clear()
-			b.Outcome(sec, Outcome{ID: 1, Attempt: n - 1, Backend: s[0].to, Status: ConnectFailed})
+			b.AttemptEnded(sec, AttemptResult{ID: 1, Attempt: n - 1, Backend: s[0].to, Status: StatusConnectFailed})
 		}
 		if n != want {
 			t.Errorf("%d attempts by the route: %d made", attempts, n)
@@ -76,7 +76,7 @@
 
 func TestABackOffIsHeldAndDoublesUpToItsCeiling(t *testing.T) {
 	b, r := timed(t, 8)
-	b.Request(sec, Request{ID: 1, Key: 7, Left: 2 * sec, Timing: &Timing{Backoff: 100 * ms, MaxBackoff: 150 * ms}})
+	b.RequestArrived(sec, Request{ID: 1, Key: 7, TimeLeft: 2 * sec, RetryPolicy: &RetryPolicy{BaseBackoff: 100 * ms, MaxBackoff: 150 * ms}})
 	now := sec
 	for n, most := range []time.Duration{100 * ms, 150 * ms, 150 * ms} {
 		to := r.take("send")
@@ -84,7 +84,7 @@
 			t.Fatalf("attempt %d: %+v", n, r.did)
 		}
 		r.clear()
-		b.Outcome(now, Outcome{ID: 1, Attempt: n, Backend: to[0].to, Status: ConnectFailed})
+		b.AttemptEnded(now, AttemptResult{ID: 1, Attempt: n, Backend: to[0].to, Status: StatusConnectFailed})
 		wait := time.Duration(0)
 		for _, a := range r.did {
 			switch {
@@ -97,16 +97,16 @@
 		if wait < most/2 || wait > most {
 			t.Errorf("a pause of %v after attempt %d, at most %v", wait, n, most)
 		}
-		b.Timer(now+wait/2, 1)
+		b.TimerFired(now+wait/2, 1)
 		r.clear()
 		now += wait
-		b.Timer(now, 1)
+		b.TimerFired(now, 1)
 	}
 	// One that would outlast the request is not begun.
 	b, r = timed(t, 8)
-	b.Request(sec, Request{ID: 1, Key: 7, Left: 60 * ms, Timing: &Timing{Backoff: 200 * ms}})
+	b.RequestArrived(sec, Request{ID: 1, Key: 7, TimeLeft: 60 * ms, RetryPolicy: &RetryPolicy{BaseBackoff: 200 * ms}})
 	to := r.take("send")[0].to
-	b.Outcome(sec, Outcome{ID: 1, Backend: to, Status: ConnectFailed})
+	b.AttemptEnded(sec, AttemptResult{ID: 1, Backend: to, Status: StatusConnectFailed})
 	if len(r.take("refuse")) != 1 {
 		t.Error("given up, but not answered at once")
 	}
@@ -115,18 +115,18 @@
 // A pause that ends while its server drains finds another; a request keeps what it began with.
 func TestAfterAPauseTheFleetIsLookedAtAnew(t *testing.T) {
 	b, r := timed(t, 3)
-	b.Request(sec, Request{ID: 1, Key: 7, Left: 2 * sec, Timing: &Timing{Backoff: 100 * ms}})
+	b.RequestArrived(sec, Request{ID: 1, Key: 7, TimeLeft: 2 * sec, RetryPolicy: &RetryPolicy{BaseBackoff: 100 * ms}})
 	first := r.take("send")[0].to
 	r.clear()
-	b.Outcome(sec, Outcome{ID: 1, Backend: first, Status: Full})
+	b.AttemptEnded(sec, AttemptResult{ID: 1, Backend: first, Status: StatusOverloaded})
 	list := fleet(3)
 	for i := range list {
 		if list[i].ID != first && len(list) > 0 {
 			list[i].State = StateDraining
-			b.List(sec+50*ms, ListDelta, list[i:i+1])
+			b.EndpointsUpdated(sec+50*ms, UpdateDelta, list[i:i+1])
 			left := 6 - int(first) - int(list[i].ID)
 			r.clear()
-			b.Timer(sec+200*ms, 1)
+			b.TimerFired(sec+200*ms, 1)
 			if got := r.take("send"); len(got) != 1 || int(got[0].to) != left {
 				t.Errorf("after the pause: %+v, wanted %d", got, left)
 			}
@@ -151,15 +151,15 @@
 	} {
 		b, r := timed(t, tc.servers)
 		b.budget = tc.budget - 0.2
-		b.Request(sec, Request{ID: 1, Class: tc.class, Key: 7, Left: 2 * sec, Timing: &Timing{Second: 300 * ms}})
+		b.RequestArrived(sec, Request{ID: 1, Class: tc.class, Key: 7, TimeLeft: 2 * sec, RetryPolicy: &RetryPolicy{HedgeDelay: 300 * ms}})
 		to := r.take("send")[0].to
 		r.clear()
-		b.Timer(sec+200*ms, 1)
+		b.TimerFired(sec+200*ms, 1)
 		if len(r.take("cancel")) != 0 {
 			t.Errorf("%s: cancelled before its time", tc.name)
 		}
-		b.Timer(sec+300*ms, 1)
-		b.Timer(sec+310*ms, 1)
+		b.TimerFired(sec+300*ms, 1)
+		b.TimerFired(sec+310*ms, 1)
 		if got := len(r.take("cancel")); got != map[bool]int{true: 1}[tc.want] {
 			t.Errorf("%s: %d cancelled", tc.name, got)
 			continue
@@ -171,7 +171,7 @@
 			continue
 		}
 		r.clear()
-		b.Outcome(sec+312*ms, Outcome{ID: 1, Backend: to, Status: Cancelled})
+		b.AttemptEnded(sec+312*ms, AttemptResult{ID: 1, Backend: to, Status: StatusCancelled})
 		if got := r.take("send"); len(got) != 1 || got[0].to == to {
 			t.Errorf("%s: then %+v", tc.name, got)
 		}
@@ -181,12 +181,12 @@
 func TestWhatClientsSendAgainEarnsNothingWhereTheBudgetIsSet(t *testing.T) {
 	b, _ := timed(t, 8)
 	for _, tc := range []struct {
-		timing *Timing
+		timing *RetryPolicy
 		repeat bool
 		want   float64
-	}{{nil, true, 0.2}, {&Timing{Budget: 0.05}, false, 0.05}, {&Timing{Budget: 0.05}, true, 0}} {
+	}{{nil, true, 0.2}, {&RetryPolicy{RetryBudget: 0.05}, false, 0.05}, {&RetryPolicy{RetryBudget: 0.05}, true, 0}} {
 		b.budget = 1
-		b.Request(sec, Request{ID: uint64(100 * tc.want), Key: 7, Left: sec, Timing: tc.timing, Repeat: tc.repeat})
+		b.RequestArrived(sec, Request{ID: uint64(100 * tc.want), Key: 7, TimeLeft: sec, RetryPolicy: tc.timing, ClientRetry: tc.repeat})
 		if got := b.budget - 1; got < tc.want-1e-9 || got > tc.want+1e-9 {
 			t.Errorf("%+v earned %v", tc, got)
 		}
@@ -196,10 +196,10 @@
 // A whole shorter than a probe's answer is not spent on waiting for one.
 func TestATotalShorterThanAProbeIsNotSpentOnIt(t *testing.T) {
 	s := settings()
-	s.Probes, s.DialTimeout = true, 20*ms
+	s.HealthChecks, s.DialTimeout = true, 20*ms
 	for total, asks := range map[time.Duration]int{0: 1, 80 * ms: 0, sec: 1} {
 		b, r := start(t, s, 3)
-		b.Request(10*sec, Request{ID: 1, Key: 7, Left: 2 * sec, Timing: &Timing{Total: total}})
+		b.RequestArrived(10*sec, Request{ID: 1, Key: 7, TimeLeft: 2 * sec, RetryPolicy: &RetryPolicy{RequestTimeout: total}})
 		if probes, sends := len(r.take("probe")), len(r.take("send")); probes != asks || sends != 1-asks {
 			t.Errorf("a total of %v: %d probes, %d sent", total, probes, sends)
 		}
--- a/balance/told_test.go
+++ b/balance/told_test.go
@@ -10,7 +10,7 @@
 func many(t *testing.T, n int, seed int, change func(*Settings)) (*Balancer, *recorder) {
 	t.Helper()
 	s := settings()
-	s.Relays, s.Probes, s.Report = 200, true, []Field{FieldLoadShare}
+	s.RelayCount, s.HealthChecks, s.ReportFields = 200, true, []ReportField{FieldLoadShare}
 	if change != nil {
 		change(&s)
 	}
@@ -18,7 +18,7 @@
 	b.rng = rand.New(rand.NewPCG(uint64(seed), 1))
 	for range sureCrowd { // how full the fleet is
 		for id := BackendID(1); id <= BackendID(n); id++ {
-			b.Probed(sec, Report{Backend: id, Latency: ms, Load: []float32{0.6}})
+			b.HealthCheckDone(sec, HealthCheckResult{Backend: id, Latency: ms, Load: []float32{0.6}})
 		}
 	}
 	return b, r
@@ -29,8 +29,8 @@
 func settles(t *testing.T, b *Balancer, r *recorder, now time.Duration, q Request, load func(BackendID) float64) (BackendID, int) {
 	t.Helper()
 	r.clear()
-	q.Left = 2 * sec
-	b.Request(now, q)
+	q.TimeLeft = 2 * sec
+	b.RequestArrived(now, q)
 	asked := 0
 	for range 10 {
 		if got := r.take("send"); len(got) > 0 {
@@ -40,7 +40,7 @@
 		r.clear()
 		for _, p := range probes {
 			asked++
-			b.Probed(now+ms, Report{Backend: p.to, Latency: ms, Load: []float32{float32(load(p.to))}})
+			b.HealthCheckDone(now+ms, HealthCheckResult{Backend: p.to, Latency: ms, Load: []float32{float32(load(p.to))}})
 		}
 	}
 	t.Fatalf("request %d was not sent", q.ID)
@@ -57,7 +57,7 @@
 		least, most int // of 400 requests at the heavy half
 	}{
 		{"reported", nil, 60, 140}, // half of what is at home there finds a light backup
-		{"no report tells the load", func(s *Settings) { s.Report = []Field{FieldQueue} }, 180, 220},
+		{"no report tells the load", func(s *Settings) { s.ReportFields = []ReportField{FieldQueue} }, 180, 220},
 		{"a group is not split", func(s *Settings) { s.Groups = true }, 180, 220},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -115,17 +115,17 @@
 func TestBooksComeOutEven(t *testing.T) {
 	b, r := many(t, 5, 1, func(s *Settings) { s.Groups = true })
 	opened(t, b, r, 20)
-	if err := b.Books(); err != nil || b.all.n != 20 {
+	if err := b.CheckInvariants(); err != nil || b.all.n != 20 {
 		t.Fatalf("%d connections: %v", b.all.n, err)
 	}
 	for id := uint64(1); id <= 20; id++ {
-		b.Outcome(9*sec, Outcome{ID: id, Attempt: b.calls[id].tries - 1, Status: []Status{OK, Reset, Error, Cancelled}[id%4], Closed: true})
-		if err := b.Books(); err != nil {
+		b.AttemptEnded(9*sec, AttemptResult{ID: id, Attempt: b.calls[id].tries - 1, Status: []Status{StatusOK, StatusReset, StatusError, StatusCancelled}[id%4], Closed: true})
+		if err := b.CheckInvariants(); err != nil {
 			t.Fatalf("after end %d: %v", id, err)
 		}
 	}
 	b.taken[0]++
-	if b.Books() == nil {
+	if b.CheckInvariants() == nil {
 		t.Error("a connection that stays in its tenant's count is not told")
 	}
 }
@@ -138,9 +138,9 @@
 		slow    time.Duration // from half of the answers on
 		found   bool
 	}{{"steady", 20, 0, false}, {"scattering", 1200, 0, false}, {"steady, then slow", 20, 800, true}} {
-		b, r := many(t, 1, 1, func(s *Settings) { s.TellsDelay = false })
+		b, r := many(t, 1, 1, func(s *Settings) { s.ReportsMessageDelay = false })
 		settles(t, b, r, 4*sec, Request{ID: 1}, func(BackendID) float64 { return 0.3 })
-		b.Began(4*sec, Outcome{ID: 1, Backend: 1})
+		b.AttemptSucceeded(4*sec, AttemptResult{ID: 1, Backend: 1})
 		b.servers[1].pace, b.servers[1].paces, b.scatter, b.paces = 0, 0, 0, 0
 		found := false
 		for i := range 600 {
@@ -148,7 +148,7 @@
 			if i > 300 {
 				took += tc.slow
 			}
-			b.Probed(5*sec+time.Duration(i)*200*ms, Report{Backend: 1, Latency: took * time.Microsecond, Load: []float32{0.3}})
+			b.HealthCheckDone(5*sec+time.Duration(i)*200*ms, HealthCheckResult{Backend: 1, Latency: took * time.Microsecond, Load: []float32{0.3}})
 			found = found || b.servers[1].lags > 2
 		}
 		if found != tc.found {
@@ -164,21 +164,21 @@
 	const n = 8
 	for _, tc := range []struct {
 		name    string
-		effect  Effect
+		effect  Idempotency
 		failing int     // servers that report errors, from the first on
 		errs    float32 // so many a second
 		least   int     // of 200 requests at the failing ones
 		most    int
 	}{
-		{"unsafe", Unsafe, 2, 5, 0, 0},
-		{"keyed", Keyed, 2, 5, 0, 0},
-		{"safe goes there and finds out", Safe, 2, 5, 30, 70},
-		{"all report errors", Unsafe, n, 5, 200, 200},
-		{"one in 25 attempts", Unsafe, 2, 1, 30, 70},
+		{"unsafe", NonIdempotent, 2, 5, 0, 0},
+		{"keyed", IdempotentWithKey, 2, 5, 0, 0},
+		{"safe goes there and finds out", Idempotent, 2, 5, 30, 70},
+		{"all report errors", NonIdempotent, n, 5, 200, 200},
+		{"one in 25 attempts", NonIdempotent, 2, 1, 30, 70},
 	} {
 		b, r := many(t, n, 3, func(s *Settings) {
-			s.Report = []Field{FieldLoadShare, FieldErrors}
-			s.Classes[0].Effect, s.Classes[0].Window = tc.effect, 5*sec
+			s.ReportFields = []ReportField{FieldLoadShare, FieldErrors}
+			s.Classes[0].Idempotency, s.Classes[0].DedupWindow = tc.effect, 5*sec
 		})
 		b.pace = sec // 200 relays, eight servers: 25 attempts a second at each
 		now, at := 2*sec, 0
@@ -188,12 +188,12 @@
 				if int(s) <= tc.failing {
 					errs = tc.errs
 				}
-				b.Probed(now-ms, Report{Backend: s, Latency: ms, Load: []float32{0.3, errs}})
+				b.HealthCheckDone(now-ms, HealthCheckResult{Backend: s, Latency: ms, Load: []float32{0.3, errs}})
 			}
-			if to := sent(t, b, r, now, Request{ID: id, Key: id * 77, Left: 2 * sec}); int(to) <= tc.failing {
+			if to := sent(t, b, r, now, Request{ID: id, Key: id * 77, TimeLeft: 2 * sec}); int(to) <= tc.failing {
 				at++
 			}
-			b.Outcome(now, Outcome{ID: id, Status: Cancelled, Closed: true})
+			b.AttemptEnded(now, AttemptResult{ID: id, Status: StatusCancelled, Closed: true})
 			b.pace = sec
 		}
 		if at < tc.least || at > tc.most {
@@ -212,15 +212,15 @@
 		asked bool
 	}{{"no longer than the connect time-out", 240 * ms, true}, {"no longer than two answers", 48 * ms, false}} {
 		b, r := many(t, n, 3, func(s *Settings) {
-			s.Report = []Field{FieldLoadShare, FieldErrors}
-			s.Classes[1].OnTime, s.Classes[1].GiveUp = 100*ms, 240*ms
+			s.ReportFields = []ReportField{FieldLoadShare, FieldErrors}
+			s.Classes[1].LatencyObjective, s.Classes[1].ClientTimeout = 100*ms, 240*ms
 		})
 		at, asked := 0, 0
 		for id := uint64(1); id <= 200; id++ {
 			now := 10*sec + time.Duration(id)*3*sec // nothing has been heard for longer than a report lasts
 			b.pace = sec
 			r.clear()
-			b.Request(now, Request{ID: id, Key: id * 77, Class: 1, Left: tc.left})
+			b.RequestArrived(now, Request{ID: id, Key: id * 77, Class: 1, TimeLeft: tc.left})
 			for len(r.take("send")) == 0 {
 				probes := r.take("probe")
 				if len(probes) == 0 {
@@ -233,13 +233,13 @@
 					if p.to <= 2 {
 						errs = 5
 					}
-					b.Probed(now+ms, Report{Backend: p.to, Latency: ms, Load: []float32{0.3, errs}})
+					b.HealthCheckDone(now+ms, HealthCheckResult{Backend: p.to, Latency: ms, Load: []float32{0.3, errs}})
 				}
 			}
 			if r.take("send")[0].to <= 2 {
 				at++
 			}
-			b.Outcome(now+2*ms, Outcome{ID: id, Status: Cancelled, Closed: true})
+			b.AttemptEnded(now+2*ms, AttemptResult{ID: id, Status: StatusCancelled, Closed: true})
 		}
 		if tc.asked != (asked >= 200) || tc.asked != (at == 0) {
 			t.Errorf("%s: %d probes, %d of 200 went to servers that fail", tc.name, asked, at)
--- a/cmd/aspenlab/seeds.go
+++ b/cmd/aspenlab/seeds.go
@@ -98,9 +98,9 @@
 			if err != nil {
 				return fmt.Errorf("%s: %w", f.timing, err)
 			}
-			var t balance.Timing
+			var t balance.RetryPolicy
 			if r := cfg.Relay.Routes.Pick(q); r != nil {
-				t = r.Timing
+				t = r.RetryPolicy
 			}
 			f.opt.Timings = append(f.opt.Timings, t)
 		}
--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -110,28 +110,28 @@
 		delete(h.instances, at)
 	case mesa.View:
 		var list []balance.Backend
-		if e.Kind != balance.ListFailed {
+		if e.Kind != balance.UpdateFailed {
 			list = h.lists[e.Slot]
 		}
-		b.List(now, e.Kind, list)
+		b.EndpointsUpdated(now, e.Kind, list)
 	case mesa.Call:
-		b.Request(now, e.Request)
+		b.RequestArrived(now, e.Request)
 	case mesa.Resumed:
-		b.Open(now, e.Request, e.Backend)
+		b.SessionAdopted(now, e.Request, e.Backend)
 	case mesa.Begun:
-		b.Began(now, e.Outcome)
+		b.AttemptSucceeded(now, e.Outcome)
 	case mesa.Note:
-		b.Note(now, e.Outcome.ID, e.NoteKind, e.Value)
+		b.LoadReported(now, e.Outcome.ID, e.NoteKind, e.Value)
 	case mesa.Settled:
-		b.Outcome(now, e.Outcome)
+		b.AttemptEnded(now, e.Outcome)
 	case mesa.Dropped:
-		b.Gone(now, e.Outcome.ID)
+		b.ClientClosed(now, e.Outcome.ID)
 	case mesa.Fired:
-		b.Timer(now, e.Token)
+		b.TimerFired(now, e.Token)
 	case mesa.Probed:
-		b.Probed(now, e.Report)
+		b.HealthCheckDone(now, e.Report)
 	case mesa.Datagram:
-		b.Peer(now, e.From, e.Data)
+		b.GossipReceived(now, e.From, e.Data)
 	}
 	return nil
 }
--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -27,7 +27,7 @@
 	}
 	return func(_ time.Duration, seed uint64, s balance.Settings, do balance.Actions) machine.Decider {
 		p := &policy{set: s, do: do, rng: rand.New(rand.NewPCG(seed, 0xba5e)), calls: map[uint64]*call{},
-			held: map[balance.BackendID]int{}, state: map[balance.BackendID]balance.State{}}
+			held: map[balance.BackendID]int{}, state: map[balance.BackendID]balance.BackendState{}}
 		switch name {
 		case "random":
 			p.rank = func(*call, balance.BackendID) float64 { return p.rng.Float64() }
@@ -40,8 +40,8 @@
 		default:
 			panic("there is no policy " + name)
 		}
-		if s.ListOnRequest {
-			do.Subscribe(true)
+		if s.PollEndpoints {
+			do.WatchEndpoints(true)
 		}
 		return p
 	}
@@ -74,20 +74,20 @@
 	calls map[uint64]*call
 	order []uint64 // of calls, as they came
 	ready []balance.BackendID
-	state map[balance.BackendID]balance.State
+	state map[balance.BackendID]balance.BackendState
 	held  map[balance.BackendID]int
 }
 
 var _ machine.Decider = (*policy)(nil)
 
-func (p *policy) Request(now time.Duration, r balance.Request) {
-	c := &call{Request: r, until: now + r.Left}
+func (p *policy) RequestArrived(now time.Duration, r balance.Request) {
+	c := &call{Request: r, until: now + r.TimeLeft}
 	p.calls[r.ID] = c
 	p.order = append(p.order, r.ID)
 	p.try(now, c)
 }
 
-func (p *policy) Open(_ time.Duration, r balance.Request, id balance.BackendID) {
+func (p *policy) SessionAdopted(_ time.Duration, r balance.Request, id balance.BackendID) {
 	p.calls[r.ID] = &call{Request: r, at: id, out: true, began: true, tried: []balance.BackendID{id}}
 	p.order = append(p.order, r.ID)
 	p.held[id]++
@@ -105,7 +105,7 @@
 			best, least, found = id, v, true
 		}
 	}
-	if !found || len(c.tried) >= p.set.TryLimit || c.until-now <= 2*p.set.Tick {
+	if !found || len(c.tried) >= p.set.MaxAttempts || c.until-now <= 2*p.set.Tick {
 		p.answer(c)
 		return
 	}
@@ -117,14 +117,14 @@
 
 // answer gives the final answer.
 func (p *policy) answer(c *call) {
-	if c.ran && p.set.Classes[c.Class].Effect != balance.Safe {
+	if c.ran && p.set.Classes[c.Class].Idempotency != balance.Idempotent {
 		p.do.Fail(c.ID)
 	} else {
 		after := time.Duration(0)
 		if p.set.RetryAfter {
 			after = min(p.set.MaxRetryAfter, time.Second)
 		}
-		p.do.Refuse(c.ID, after)
+		p.do.Reject(c.ID, after)
 	}
 	p.end(c)
 }
@@ -136,42 +136,42 @@
 	}
 }
 
-func (p *policy) Began(_ time.Duration, o balance.Outcome) {
+func (p *policy) AttemptSucceeded(_ time.Duration, o balance.AttemptResult) {
 	if c := p.calls[o.ID]; c != nil && c.out {
 		c.began = true
 	}
 }
 
-func (p *policy) Outcome(now time.Duration, o balance.Outcome) {
+func (p *policy) AttemptEnded(now time.Duration, o balance.AttemptResult) {
 	c := p.calls[o.ID]
 	if c == nil || !c.out || o.Attempt != len(c.tried)-1 {
 		return
 	}
 	c.out = false
 	p.held[c.at]--
-	c.ran = c.ran || o.Status.Ran()
+	c.ran = c.ran || o.Status.MayHaveExecuted()
 	switch {
 	case c.done || c.began || o.Closed:
 		p.end(c)
-	case c.ran && p.set.Classes[c.Class].Effect != balance.Safe:
+	case c.ran && p.set.Classes[c.Class].Idempotency != balance.Idempotent:
 		p.answer(c)
 	default:
 		p.try(now, c)
 	}
 }
 
-func (p *policy) Gone(_ time.Duration, id uint64) {
+func (p *policy) ClientClosed(_ time.Duration, id uint64) {
 	if c := p.calls[id]; c != nil && !c.done {
 		p.end(c)
 	}
 }
 
-func (p *policy) List(_ time.Duration, kind balance.ListKind, lines []balance.Backend) {
-	if kind == balance.ListFailed {
-		p.do.Subscribe(true)
+func (p *policy) EndpointsUpdated(_ time.Duration, kind balance.EndpointUpdateKind, lines []balance.Backend) {
+	if kind == balance.UpdateFailed {
+		p.do.WatchEndpoints(true)
 		return
 	}
-	if kind != balance.ListDelta {
+	if kind != balance.UpdateDelta {
 		clear(p.state)
 	}
 	for _, l := range lines {
@@ -192,12 +192,12 @@
 	p.order = slices.DeleteFunc(p.order, func(id uint64) bool { return p.calls[id] == nil })
 	for _, id := range p.order {
 		if c := p.calls[id]; c.began && which(c) {
-			p.do.Move(id)
+			p.do.Migrate(id)
 		}
 	}
 }
 
-func (p *policy) Expire(now time.Duration, id uint64) {
+func (p *policy) DeadlineExceeded(now time.Duration, id uint64) {
 	switch c := p.calls[id]; {
 	case c == nil || c.done || c.began:
 	case c.out:
@@ -208,7 +208,7 @@
 	}
 }
 
-func (p *policy) Leave(_, at time.Duration) {
+func (p *policy) DrainBy(_, at time.Duration) {
 	if at > 0 {
 		p.move(func(*call) bool { return true })
 	}
@@ -226,15 +226,15 @@
 	return all, byServer
 }
 
-func (p *policy) Note(time.Duration, uint64, balance.NoteKind, float64) {}
-func (p *policy) Timer(time.Duration, uint64)                           {}
-func (p *policy) Probed(time.Duration, balance.Report)                  {}
-func (p *policy) Peer(time.Duration, int, []byte)                       {}
+func (p *policy) LoadReported(time.Duration, uint64, balance.LoadSignal, float64) {}
+func (p *policy) TimerFired(time.Duration, uint64)                                {}
+func (p *policy) HealthCheckDone(time.Duration, balance.HealthCheckResult)        {}
+func (p *policy) GossipReceived(time.Duration, int, []byte)                       {}
 
-func (p *policy) Retune(s balance.Settings) { p.set = s }
+func (p *policy) UpdateSettings(s balance.Settings) { p.set = s }
 
-func (p *policy) Here(int) {}
+func (p *policy) SetActiveRelays(int) {}
 
-func (p *policy) Avoided(time.Duration) (listed, avoided int) {
+func (p *policy) CountUnavailable(time.Duration) (listed, avoided int) {
 	return len(p.state), len(p.state) - len(p.ready)
 }
--- a/internal/baseline/baseline_test.go
+++ b/internal/baseline/baseline_test.go
@@ -17,15 +17,15 @@
 }
 
 func (h *hand) Send(_ uint64, to balance.BackendID, _ time.Duration) { h.sent = append(h.sent, to) }
-func (h *hand) Refuse(uint64, time.Duration)                         { h.refused++ }
+func (h *hand) Reject(uint64, time.Duration)                         { h.refused++ }
 func (h *hand) Fail(uint64)                                          { h.failed++ }
-func (h *hand) Move(id uint64)                                       { h.moved = append(h.moved, id) }
+func (h *hand) Migrate(id uint64)                                    { h.moved = append(h.moved, id) }
 
 func start(name string, load func(balance.BackendID) float64) (machine.Decider, *hand) {
 	h := &hand{}
-	s := balance.Settings{TryLimit: 3, Tick: time.Millisecond, Classes: []balance.Class{{Effect: balance.Safe}, {Effect: balance.Unsafe}}}
+	s := balance.Settings{MaxAttempts: 3, Tick: time.Millisecond, Classes: []balance.Class{{Idempotency: balance.Idempotent}, {Idempotency: balance.NonIdempotent}}}
 	p := Named(name, load)(0, 1, s, h)
-	p.List(0, balance.ListFull, []balance.Backend{{ID: 1, State: balance.StateReady}, {ID: 2, State: balance.StateReady},
+	p.EndpointsUpdated(0, balance.UpdateFull, []balance.Backend{{ID: 1, State: balance.StateReady}, {ID: 2, State: balance.StateReady},
 		{ID: 3, State: balance.StateReady}, {ID: 4, State: balance.StateDraining}})
 	return p, h
 }
@@ -36,8 +36,8 @@
 		p, h := start(name, func(id balance.BackendID) float64 { return loads[id] })
 		count := map[balance.BackendID]int{}
 		for id := uint64(1); id <= 30; id++ {
-			p.Request(0, balance.Request{ID: id, Key: 7, Left: time.Second})
-			p.Began(0, balance.Outcome{ID: id})
+			p.RequestArrived(0, balance.Request{ID: id, Key: 7, TimeLeft: time.Second})
+			p.AttemptSucceeded(0, balance.AttemptResult{ID: id})
 			count[h.sent[id-1]]++
 		}
 		ok := count[4] == 0
@@ -54,7 +54,7 @@
 		if all, by := p.Connections(); !ok || all != 30 || by != 30 {
 			t.Errorf("%s: %v, %d connections, %d by server", name, count, all, by)
 		}
-		p.List(0, balance.ListDelta, []balance.Backend{{ID: h.sent[0], State: balance.StateDraining}})
+		p.EndpointsUpdated(0, balance.UpdateDelta, []balance.Backend{{ID: h.sent[0], State: balance.StateDraining}})
 		if len(h.moved) != count[h.sent[0]] {
 			t.Errorf("%s: %d moved off a draining server with %d", name, len(h.moved), count[h.sent[0]])
 		}
@@ -65,9 +65,9 @@
 	for _, name := range Names() {
 		for class, want := range map[int][3]int{0: {3, 1, 0}, 1: {1, 0, 1}} { // sent, refused, failed
 			p, h := start(name, func(balance.BackendID) float64 { return 0 })
-			p.Request(0, balance.Request{ID: 1, Class: class, Left: time.Second})
+			p.RequestArrived(0, balance.Request{ID: 1, Class: class, TimeLeft: time.Second})
 			for n := 0; n < len(h.sent); n++ {
-				p.Outcome(0, balance.Outcome{ID: 1, Attempt: n, Status: balance.Error})
+				p.AttemptEnded(0, balance.AttemptResult{ID: 1, Attempt: n, Status: balance.StatusError})
 			}
 			if got := [3]int{len(h.sent), h.refused, h.failed}; got != want {
 				t.Errorf("%s, class %d: %v, want %v", name, class, got, want)
--- a/internal/config/codec_test.go
+++ b/internal/config/codec_test.go
@@ -44,15 +44,15 @@
 }
 
 var (
-	effectWords  = map[balance.Effect]string{balance.Safe: "safe", balance.Keyed: "keyed", balance.Unsafe: "unsafe"}
-	scopeWords   = map[balance.Scope]string{balance.ScopeAll: "all", balance.ScopeZone: "zone", balance.ScopeCell: "cell"}
-	weightsWords = map[balance.Weights]string{balance.WeightsOff: "off", balance.WeightsNominal: "nominal", balance.WeightsRough: "rough",
+	effectWords  = map[balance.Idempotency]string{balance.Idempotent: "safe", balance.IdempotentWithKey: "keyed", balance.NonIdempotent: "unsafe"}
+	scopeWords   = map[balance.DedupScope]string{balance.ScopeAll: "all", balance.ScopeZone: "zone", balance.ScopeCell: "cell"}
+	weightsWords = map[balance.WeightMode]string{balance.WeightsOff: "off", balance.WeightsNominal: "nominal", balance.WeightsRough: "rough",
 		balance.WeightsLive: "live"}
-	fieldWords = map[balance.Field]string{balance.FieldOther: "other", balance.FieldInflight: "held", balance.FieldQueue: "waiting",
-		balance.FieldUtilization: "utilization", balance.FieldErrors: "errors", balance.FieldLoadShare: "load share", balance.FieldPiledUp: "piled up"}
+	fieldWords = map[balance.ReportField]string{balance.FieldOther: "other", balance.FieldInflight: "held", balance.FieldQueue: "waiting",
+		balance.FieldUtilization: "utilization", balance.FieldErrors: "errors", balance.FieldLoadShare: "load share", balance.FieldBacklog: "piled up"}
 )
 
-func fieldsWritten(list []balance.Field) (out []string) {
+func fieldsWritten(list []balance.ReportField) (out []string) {
 	for _, f := range list {
 		out = append(out, fieldWords[f])
 	}
@@ -78,38 +78,38 @@
 	say("all peers at", r.PeersAll)
 	say("known", string(r.Known))
 	say("scratch", r.Scratch)
-	say("relay, of how many, zone", s.Me, s.Relays, s.Zone)
+	say("relay, of how many, zone", s.RelayIndex, s.RelayCount, s.Zone)
 	say("zones", s.ZoneNames)
 	say("kinds", s.KindNames)
 	say("report's names", s.FieldNames)
-	say("report", fieldsWritten(s.Report))
+	say("report", fieldsWritten(s.ReportFields))
 	say("idle close", s.IdleClose)
 	say("tick", s.Tick)
-	say("over share", s.OverShareWorth)
+	say("over share", s.OverQuotaPriority)
 	say("groups", s.Groups)
 	say("passes through", s.PassThrough)
-	say("tells load, delay", s.TellsLoad, s.TellsDelay)
-	say("park", s.Park)
-	say("probes", s.Probes)
-	say("peers told", s.Peers)
-	say("cancel", s.Cancel)
+	say("tells load, delay", s.ReportsConnectionLoad, s.ReportsMessageDelay)
+	say("park", s.ParkTime)
+	say("probes", s.HealthChecks)
+	say("peers told", s.Gossip)
+	say("cancel", s.Cancellation)
 	say("retry after, at most", s.RetryAfter, s.MaxRetryAfter)
-	say("tries", s.TryLimit)
+	say("tries", s.MaxAttempts)
 	say("dial", s.DialTimeout)
-	say("list on request, every", s.ListOnRequest, s.AskEvery)
+	say("list on request, every", s.PollEndpoints, s.PollInterval)
 	say("answer slack", s.AnswerSlack)
 	say("drain grace", s.DrainGrace)
-	say("cold from, warm up", s.ColdFrom, s.WarmUp)
-	say("falls over at, for", s.FallMultiple, s.FallSpan)
+	say("cold from, warm up", s.SlowStartFloor, s.SlowStartWindow)
+	say("falls over at, for", s.OverloadMultiple, s.OverloadWindow)
 	say("weights", weightsWords[s.Weights])
-	p := &s.Prices
-	say("prices", p.CrossZone, p.Waste, p.Probe, p.Move, p.Peer, p.List, p.LateFail)
+	p := &s.Costs
+	say("prices", p.CrossZone, p.Waste, p.HealthCheck, p.Migration, p.Gossip, p.List, p.LateFailure)
 	for i, x := range s.Classes {
-		say(fmt.Sprintf("class %d %s", i, s.ClassNames[i]), fmt.Sprintf("%x", x.Name), x.OnTime, x.GiveUp, x.MessageAim, effectWords[x.Effect],
-			scopeWords[x.Scope], x.Window, x.Worth, x.Gone)
+		say(fmt.Sprintf("class %d %s", i, s.ClassNames[i]), fmt.Sprintf("%x", x.NameHash), x.LatencyObjective, x.ClientTimeout, x.MessageLatencyObjective, effectWords[x.Idempotency],
+			scopeWords[x.DedupScope], x.DedupWindow, x.PriorityWeight, x.Retired)
 	}
 	for i, x := range s.Tenants {
-		say(fmt.Sprintf("tenant %d %s", i, s.TenantNames[i]), x.Share, x.QuotaPerS, x.Connections)
+		say(fmt.Sprintf("tenant %d %s", i, s.TenantNames[i]), x.Share, x.RequestsPerSecond, x.ConnectionQuota)
 	}
 	if w := r.Watch; w == nil {
 		say("watched", "no")
@@ -128,9 +128,9 @@
 					for _, group := range []uint64{0, 0x5c0f6e1a2b3d4c59} {
 						q := route.Request{Class: class, Tenant: tenant, Zone: s.Zone, Protocol: protocol, Key: key, Group: group}
 						if x := r.Routes.Pick(q); x != nil {
-							t := &x.Timing
-							say(fmt.Sprintf("goes %d %d %d %x %x", class, tenant, protocol, key>>56, group>>60), x.Name+":", t.Connect, t.Attempt, t.Total,
-								t.Attempts, t.Backoff, t.MaxBackoff, t.Budget, t.Second)
+							t := &x.RetryPolicy
+							say(fmt.Sprintf("goes %d %d %d %x %x", class, tenant, protocol, key>>56, group>>60), x.Name+":", t.ConnectTimeout, t.AttemptTimeout, t.RequestTimeout,
+								t.MaxAttempts, t.BaseBackoff, t.MaxBackoff, t.RetryBudget, t.HedgeDelay)
 						}
 					}
 				}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -122,7 +122,7 @@
 		if err != nil {
 			return Config{}, fmt.Errorf("watch: %w", err)
 		}
-		if w.Peers && in.PeerListen == "" {
+		if w.Gossip && in.PeerListen == "" {
 			return Config{}, errors.New("watch: relays would tell one another, and peer_listen is missing")
 		}
 		shape = machine.ShapeOf(&w.Settings)
@@ -139,7 +139,7 @@
 		if fs := of.Faults(); len(fs) > 0 {
 			return Config{}, fmt.Errorf("membership: %s: %s", fs[0].Key, fs[0].Reason)
 		}
-		if !s.Peers || in.PeerListen == "" || len(in.Peers) <= s.Me {
+		if !s.Gossip || in.PeerListen == "" || len(in.Peers) <= s.RelayIndex {
 			return Config{}, errors.New("membership: settings.limits.peers, peer_listen and this relay among peers are wanted")
 		}
 		members = &of
@@ -171,9 +171,9 @@
 }
 
 var (
-	effects = map[string]balance.Effect{"safe": balance.Safe, "keyed": balance.Keyed, "unsafe": balance.Unsafe}
-	scopes  = map[string]balance.Scope{"all": balance.ScopeAll, "zone": balance.ScopeZone, "cell": balance.ScopeCell}
-	weights = map[string]balance.Weights{"off": balance.WeightsOff, "nominal": balance.WeightsNominal,
+	effects = map[string]balance.Idempotency{"safe": balance.Idempotent, "keyed": balance.IdempotentWithKey, "unsafe": balance.NonIdempotent}
+	scopes  = map[string]balance.DedupScope{"all": balance.ScopeAll, "zone": balance.ScopeZone, "cell": balance.ScopeCell}
+	weights = map[string]balance.WeightMode{"off": balance.WeightsOff, "nominal": balance.WeightsNominal,
 		"rough": balance.WeightsRough, "live": balance.WeightsLive}
 )
 
@@ -303,12 +303,12 @@
 	if f.Relay.DrainGrace > 0 {
 		grace = f.Relay.DrainGrace
 	}
-	s.Settings = balance.Settings{Me: f.Relay.Number, Relays: max(1, f.Relay.Relays), Zone: max(0, zone), Tick: u.Tick,
-		OverShareWorth: u.OverShare, Groups: u.Groups, PassThrough: u.PassThrough, TellsLoad: u.TellsLoad, TellsDelay: u.TellsDelay, Probes: u.Probes,
-		Peers: u.Peers, Cancel: u.Cancel, RetryAfter: u.RetryAfter, TryLimit: u.MaxAttempts, MaxRetryAfter: u.MaxRetryAfter,
-		DialTimeout: u.Connect, ListOnRequest: f.Discovery.Mode == "on-request", AskEvery: f.Discovery.Ask,
-		AnswerSlack: u.AnswerSlack, DrainGrace: grace, ColdFrom: u.ColdFrom, WarmUp: u.WarmUp, FallMultiple: u.FallTimes,
-		FallSpan: u.FallSpan, Weights: weights[u.Weights]}
+	s.Settings = balance.Settings{RelayIndex: f.Relay.Number, RelayCount: max(1, f.Relay.Relays), Zone: max(0, zone), Tick: u.Tick,
+		OverQuotaPriority: u.OverShare, Groups: u.Groups, PassThrough: u.PassThrough, ReportsConnectionLoad: u.TellsLoad, ReportsMessageDelay: u.TellsDelay, HealthChecks: u.Probes,
+		Gossip: u.Peers, Cancellation: u.Cancel, RetryAfter: u.RetryAfter, MaxAttempts: u.MaxAttempts, MaxRetryAfter: u.MaxRetryAfter,
+		DialTimeout: u.Connect, PollEndpoints: f.Discovery.Mode == "on-request", PollInterval: f.Discovery.Ask,
+		AnswerSlack: u.AnswerSlack, DrainGrace: grace, SlowStartFloor: u.ColdFrom, SlowStartWindow: u.WarmUp, OverloadMultiple: u.FallTimes,
+		OverloadWindow: u.FallSpan, Weights: weights[u.Weights]}
 	for _, d := range []struct {
 		key string
 		bad bool
@@ -324,13 +324,13 @@
 		r.fault("rules.over-share-worth", "%v is over the full worth", u.OverShare)
 	}
 	for _, name := range u.Report {
-		s.Report = append(s.Report, settings.Field(name))
+		s.ReportFields = append(s.ReportFields, settings.Field(name))
 	}
 	if u.TellsLoad && u.TellsDelay {
 		r.fault("rules.tells-delay", "a LOAD line carries one thing: rules.tells-load says that it is the connection's load")
 	}
 	if !u.Probes { // reports come with answers to probes: held to be told, they would be waited for in vain
-		s.Report, s.FieldNames = nil, nil
+		s.ReportFields, s.FieldNames = nil, nil
 	}
 	if len(f.Classes) == 0 {
 		r.fault("class", "is missing: a relay needs one class at least")
@@ -355,8 +355,8 @@
 			r.fault(key+".on-time", "%v is over %s.give-up, %v", c.OnTime, key, c.GiveUp)
 		}
 		s.ClassNames = append(s.ClassNames, c.Name)
-		s.Classes = append(s.Classes, balance.Class{Name: settings.NameOf(c.Name), OnTime: c.OnTime, GiveUp: c.GiveUp, MessageAim: c.MessageAim,
-			Effect: effects[c.Effect], Scope: scopes[c.Scope], Window: c.Window, Worth: c.Worth})
+		s.Classes = append(s.Classes, balance.Class{NameHash: settings.NameOf(c.Name), LatencyObjective: c.OnTime, ClientTimeout: c.GiveUp, MessageLatencyObjective: c.MessageAim,
+			Idempotency: effects[c.Effect], DedupScope: scopes[c.Scope], DedupWindow: c.Window, PriorityWeight: c.Worth})
 	}
 	share := 0.0
 	for i, t := range f.Tenants {
@@ -368,7 +368,7 @@
 			r.fault(key+".share", "the shares up to here come to %.3g, over the whole", share)
 		}
 		s.TenantNames = append(s.TenantNames, t.Name)
-		s.Tenants = append(s.Tenants, balance.Tenant{Share: t.Share, QuotaPerS: t.Quota, Connections: t.Connections})
+		s.Tenants = append(s.Tenants, balance.Tenant{Share: t.Share, RequestsPerSecond: t.Quota, ConnectionQuota: t.Connections})
 	}
 	return s
 }
@@ -382,31 +382,31 @@
 	return reason
 }
 
-func (t *timingSection) timing() balance.Timing {
-	return balance.Timing{Connect: t.Connect, Attempt: t.Attempt, Total: t.Total, Attempts: t.Attempts, Backoff: t.Backoff,
-		MaxBackoff: t.MaxBackoff, Budget: t.Budget, Second: t.Second}
+func (t *timingSection) timing() balance.RetryPolicy {
+	return balance.RetryPolicy{ConnectTimeout: t.Connect, AttemptTimeout: t.Attempt, RequestTimeout: t.Total, MaxAttempts: t.Attempts, BaseBackoff: t.Backoff,
+		MaxBackoff: t.MaxBackoff, RetryBudget: t.Budget, HedgeDelay: t.Second}
 }
 
 // over is a timing with what it leaves open taken from a wider one.
-func over(t, wider balance.Timing) balance.Timing {
+func over(t, wider balance.RetryPolicy) balance.RetryPolicy {
 	take := func(to *time.Duration, from time.Duration) {
 		if *to == 0 {
 			*to = from
 		}
 	}
-	if t.Backoff == 0 { // a pause and its ceiling go together
+	if t.BaseBackoff == 0 { // a pause and its ceiling go together
 		take(&t.MaxBackoff, wider.MaxBackoff)
 	}
-	take(&t.Connect, wider.Connect)
-	take(&t.Attempt, wider.Attempt)
-	take(&t.Total, wider.Total)
-	take(&t.Backoff, wider.Backoff)
-	take(&t.Second, wider.Second)
-	if t.Attempts == 0 {
-		t.Attempts = wider.Attempts
+	take(&t.ConnectTimeout, wider.ConnectTimeout)
+	take(&t.AttemptTimeout, wider.AttemptTimeout)
+	take(&t.RequestTimeout, wider.RequestTimeout)
+	take(&t.BaseBackoff, wider.BaseBackoff)
+	take(&t.HedgeDelay, wider.HedgeDelay)
+	if t.MaxAttempts == 0 {
+		t.MaxAttempts = wider.MaxAttempts
 	}
-	if t.Budget == 0 {
-		t.Budget = wider.Budget
+	if t.RetryBudget == 0 {
+		t.RetryBudget = wider.RetryBudget
 	}
 	return t
 }
@@ -414,9 +414,9 @@
 // routes makes the table of routes: the file's in their order, then one for each
 // class that has a timing of its own or by way of retries.
 func (f *file) routes(r *reader, s *settings.Settings, rules route.Rules) *route.Table {
-	timings := make([]balance.Timing, len(f.Classes))
+	timings := make([]balance.RetryPolicy, len(f.Classes))
 	plain := f.Retries.timing()
-	check := func(key string, t balance.Timing, class int, by string) {
+	check := func(key string, t balance.RetryPolicy, class int, by string) {
 		if f.Classes[class].GiveUp == 0 {
 			return // told already
 		}
@@ -435,7 +435,7 @@
 		own := f.Classes[i].timing()
 		timings[i] = over(own, plain)
 		if timings[i] == plain {
-			if i == 0 || plain != (balance.Timing{}) {
+			if i == 0 || plain != (balance.RetryPolicy{}) {
 				check("retries", plain, i, fmt.Sprintf(", for class %q", f.Classes[i].Name))
 			}
 			continue
@@ -461,22 +461,22 @@
 		i := at[n]
 		key, own := fmt.Sprintf("route[%d]", i), f.Routes[i].timing()
 		if class := a.Match.Class; class != route.Any {
-			a.Timing = over(own, timings[class])
-			check(key, a.Timing, class, "")
+			a.RetryPolicy = over(own, timings[class])
+			check(key, a.RetryPolicy, class, "")
 			all = append(all, a)
 			continue
 		}
 		for class := range f.Classes { // a class's timing shows through, so each has its own
-			a.Match.Class, a.Timing = class, over(own, timings[class])
-			check(key, a.Timing, class, fmt.Sprintf(", for class %q", f.Classes[class].Name))
+			a.Match.Class, a.RetryPolicy = class, over(own, timings[class])
+			check(key, a.RetryPolicy, class, fmt.Sprintf(", for class %q", f.Classes[class].Name))
 			all = append(all, a)
 		}
 	}
 	for i, t := range timings {
-		if t != (balance.Timing{}) {
+		if t != (balance.RetryPolicy{}) {
 			m := route.Everything
 			m.Class = i
-			all = append(all, route.Route{Name: "class " + f.Classes[i].Name, Match: m, Timing: t})
+			all = append(all, route.Route{Name: "class " + f.Classes[i].Name, Match: m, RetryPolicy: t})
 		}
 	}
 	if len(all) == 0 {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -85,23 +85,23 @@
 		t.Fatal(err)
 	}
 	s := c.Relay.Settings
-	if c.Relay.Name != "n1" || c.Relay.Seed != 0x8c1f || s.Me != 1 || s.Zone != 1 || len(s.Classes) != 3 || s.TryLimit != 4 ||
-		s.Classes[1].Window != 2*time.Second || s.Classes[2].Effect != balance.Unsafe || s.Tenants[1].Share != 0.4 {
+	if c.Relay.Name != "n1" || c.Relay.Seed != 0x8c1f || s.RelayIndex != 1 || s.Zone != 1 || len(s.Classes) != 3 || s.MaxAttempts != 4 ||
+		s.Classes[1].DedupWindow != 2*time.Second || s.Classes[2].Idempotency != balance.NonIdempotent || s.Tenants[1].Share != 0.4 {
 		t.Errorf("%+v", c.Relay)
 	}
 	for _, tc := range []struct {
 		q    route.Request
 		name string
-		want balance.Timing
+		want balance.RetryPolicy
 	}{
-		{route.Request{Class: 0, Key: 0x7f << 56}, "hot", balance.Timing{Connect: 200 * time.Millisecond, Second: 400 * time.Millisecond}},
-		{route.Request{Class: 0, Key: 0x7e << 56}, "class status-watch", balance.Timing{Connect: 200 * time.Millisecond}},
-		{route.Request{Class: 1, Tenant: 1}, "fetches", balance.Timing{Connect: 200 * time.Millisecond,
-			Attempt: 500 * time.Millisecond, Attempts: 3, Backoff: 50 * time.Millisecond, MaxBackoff: 100 * time.Millisecond}},
-		{route.Request{Class: 2, Tenant: 1}, "milano", balance.Timing{Connect: 200 * time.Millisecond, Budget: 0.1}},
+		{route.Request{Class: 0, Key: 0x7f << 56}, "hot", balance.RetryPolicy{ConnectTimeout: 200 * time.Millisecond, HedgeDelay: 400 * time.Millisecond}},
+		{route.Request{Class: 0, Key: 0x7e << 56}, "class status-watch", balance.RetryPolicy{ConnectTimeout: 200 * time.Millisecond}},
+		{route.Request{Class: 1, Tenant: 1}, "fetches", balance.RetryPolicy{ConnectTimeout: 200 * time.Millisecond,
+			AttemptTimeout: 500 * time.Millisecond, MaxAttempts: 3, BaseBackoff: 50 * time.Millisecond, MaxBackoff: 100 * time.Millisecond}},
+		{route.Request{Class: 2, Tenant: 1}, "milano", balance.RetryPolicy{ConnectTimeout: 200 * time.Millisecond, RetryBudget: 0.1}},
 	} {
 		r := c.Relay.Routes.Pick(tc.q)
-		if r == nil || r.Name != tc.name || r.Timing != tc.want {
+		if r == nil || r.Name != tc.name || r.RetryPolicy != tc.want {
 			t.Errorf("%+v goes by %+v", tc.q, r)
 		}
 	}
@@ -354,17 +354,17 @@
 			return
 		}
 		accepted++
-		class, timing := c.Relay.Settings.Classes[0], c.Relay.Routes.Pick(route.Request{}).Timing
-		n := timing.Attempts
+		class, timing := c.Relay.Settings.Classes[0], c.Relay.Routes.Pick(route.Request{}).RetryPolicy
+		n := timing.MaxAttempts
 		if n == 0 {
 			n = 4
 		}
-		whole := time.Duration(n) * timing.Attempt
-		for i, wait := 1, timing.Backoff; i < n; i, wait = i+1, 2*wait {
+		whole := time.Duration(n) * timing.AttemptTimeout
+		for i, wait := 1, timing.BaseBackoff; i < n; i, wait = i+1, 2*wait {
 			whole += wait
 		}
-		if n > 4 || whole > class.GiveUp-16*time.Millisecond || timing.Second > 0 && (class.Effect == balance.Unsafe || n < 2) ||
-			class.Effect == balance.Keyed && timing.Second >= class.Window && timing.Second > 0 {
+		if n > 4 || whole > class.ClientTimeout-16*time.Millisecond || timing.HedgeDelay > 0 && (class.Idempotency == balance.NonIdempotent || n < 2) ||
+			class.Idempotency == balance.IdempotentWithKey && timing.HedgeDelay >= class.DedupWindow && timing.HedgeDelay > 0 {
 			t.Fatalf("accepted: %+v for %+v", timing, class)
 		}
 		again, err := Parse("w.toml", []byte(c.Write()), none, false)
--- a/internal/config/explain.go
+++ b/internal/config/explain.go
@@ -57,22 +57,22 @@
 	e := Explanation{Route: "(none)"}
 	add := func(key, value, from string) { e.Timing = append(e.Timing, Setting{key, value, from}) }
 	class := s.Classes[q.Class]
-	connect, attempts := s.DialTimeout, s.TryLimit
-	attempt, total := time.Duration(0), class.GiveUp
+	connect, attempts := s.DialTimeout, s.MaxAttempts
+	attempt, total := time.Duration(0), class.ClientTimeout
 	r := c.Relay.Routes.Pick(q)
 	if r != nil {
 		e.Route = r.Name
-		t := r.Timing
-		if t.Connect > 0 {
-			connect = t.Connect
+		t := r.RetryPolicy
+		if t.ConnectTimeout > 0 {
+			connect = t.ConnectTimeout
 		}
-		if t.Attempts > 0 {
-			attempts = min(attempts, t.Attempts)
+		if t.MaxAttempts > 0 {
+			attempts = min(attempts, t.MaxAttempts)
 		}
-		if t.Total > 0 {
-			total = min(total, t.Total)
+		if t.RequestTimeout > 0 {
+			total = min(total, t.RequestTimeout)
 		}
-		attempt = t.Attempt
+		attempt = t.AttemptTimeout
 	}
 	add(route.KeyConnect, connect.String(), "")
 	if attempt > 0 {
@@ -82,17 +82,17 @@
 	}
 	add(route.KeyTotal, total.String(), "")
 	add(route.KeyAttempts, strconv.Itoa(attempts), "")
-	if r != nil && r.Timing.Backoff > 0 {
-		add(route.KeyBackoff, r.Timing.Backoff.String(), "")
-		if r.Timing.MaxBackoff > 0 {
-			add(route.KeyMaxBackoff, r.Timing.MaxBackoff.String(), "")
+	if r != nil && r.RetryPolicy.BaseBackoff > 0 {
+		add(route.KeyBackoff, r.RetryPolicy.BaseBackoff.String(), "")
+		if r.RetryPolicy.MaxBackoff > 0 {
+			add(route.KeyMaxBackoff, r.RetryPolicy.MaxBackoff.String(), "")
 		}
 	}
-	if r != nil && r.Timing.Budget > 0 {
-		add(route.KeyBudget, strconv.FormatFloat(r.Timing.Budget, 'g', -1, 64), "")
+	if r != nil && r.RetryPolicy.RetryBudget > 0 {
+		add(route.KeyBudget, strconv.FormatFloat(r.RetryPolicy.RetryBudget, 'g', -1, 64), "")
 	}
-	if r != nil && r.Timing.Second > 0 {
-		add(route.KeySecond, r.Timing.Second.String(), "")
+	if r != nil && r.RetryPolicy.HedgeDelay > 0 {
+		add(route.KeySecond, r.RetryPolicy.HedgeDelay.String(), "")
 	}
 	return e
 }
--- a/internal/machine/agent.go
+++ b/internal/machine/agent.go
@@ -129,7 +129,7 @@
 	case "draining":
 		e.line.State = balance.StateDraining
 	case "gone":
-		e.line.State = balance.StateGone
+		e.line.State = balance.StateRemoved
 	default:
 		return member{}, fmt.Errorf("backend %q has unknown state %q", s.ID, s.State)
 	}
@@ -176,14 +176,14 @@
 // NewAgent watches from the start where changes come unasked or where it follows
 // another agent.
 func NewAgent(address string, set *settings.Settings, moved bool, rng *rand.Rand) *Agent {
-	return &Agent{Address: address, set: set, rng: rng, watching: !set.ListOnRequest || moved, wait: leastWait}
+	return &Agent{Address: address, set: set, rng: rng, watching: !set.PollEndpoints || moved, wait: leastWait}
 }
 
 // Knows has an agent that is asked for changes go on from the list that a configuration holds, which is the agent's as
 // this relay had it last. To fetch it whole and then watch would be two calls where one does: where lists come on
 // request discovery has no room for that when many relays start together, and turns the watches away.
 func (a *Agent) Knows(version uint64) {
-	a.version, a.have = version, a.set.ListOnRequest
+	a.version, a.have = version, a.set.PollEndpoints
 }
 
 // Want hears what the module asks for: a watch, or the whole list once.
@@ -219,7 +219,7 @@
 // News is what an answer brings.
 type News struct {
 	Members Members
-	Kind    balance.ListKind
+	Kind    balance.EndpointUpdateKind
 	Any     bool          // something for the Node
 	Pause   time.Duration // before the next call
 }
@@ -233,15 +233,15 @@
 	}
 	if spoilt != nil {
 		a.again()
-		return News{Members: l, Kind: balance.ListDelta, Any: len(l.entries) > 0, Pause: a.backOff()}, fmt.Errorf("body: %w", spoilt)
+		return News{Members: l, Kind: balance.UpdateDelta, Any: len(l.entries) > 0, Pause: a.backOff()}, fmt.Errorf("body: %w", spoilt)
 	}
 	// An agent whose versions go back has begun anew: what it knew in between was told to nobody.
 	a.have = l.full || l.version >= a.version
 	a.wait, a.version = leastWait, l.version
-	n := News{Members: l, Kind: balance.ListDelta, Any: a.whole || l.full || len(l.entries) > 0 || !a.heard}
+	n := News{Members: l, Kind: balance.UpdateDelta, Any: a.whole || l.full || len(l.entries) > 0 || !a.heard}
 	a.heard = true
 	if l.full {
-		n.Kind = balance.ListFull
+		n.Kind = balance.UpdateFull
 	}
 	return n, nil
 }
--- a/internal/machine/attempt.go
+++ b/internal/machine/attempt.go
@@ -56,25 +56,25 @@
 func (e *AttemptError) status() balance.Status {
 	switch {
 	case e.stopped && (e.stage == unsent || e.stage == written): // given up, and no word against the backend either
-		return balance.Moot
+		return balance.StatusAbandoned
 	case e.stopped:
-		return balance.Cancelled
+		return balance.StatusCancelled
 	case e.stage == unsent || e.stage == written:
-		return balance.ConnectFailed
+		return balance.StatusConnectFailed
 	case e.stage == waited && e.timeout:
-		return balance.Timeout
+		return balance.StatusTimeout
 	case e.stage == waited:
-		return balance.Reset
+		return balance.StatusReset
 	}
 	switch e.answer {
 	case busy:
-		return balance.Full
+		return balance.StatusOverloaded
 	case moved, unread: // what it cannot read is no fault of the backend's
-		return balance.Cancelled
+		return balance.StatusCancelled
 	case bye:
-		return balance.OK
+		return balance.StatusOK
 	}
-	return balance.Error
+	return balance.StatusError
 }
 
 // Backend is what flows need of a backend. A Node owns the list of them; the
@@ -91,7 +91,7 @@
 func (b *Backend) Addr() string { return *b.addr.Load() }
 
 // set keeps the moment from which a backend wants nothing new.
-func (b *Backend) set(now time.Duration, s balance.State) {
+func (b *Backend) set(now time.Duration, s balance.BackendState) {
 	if s == balance.StateReady {
 		b.closed.Store(0)
 	} else {
--- a/internal/machine/codec_test.go
+++ b/internal/machine/codec_test.go
@@ -49,8 +49,8 @@
 var goldenEvents = map[event]string{needMore: "need more", pinged: "pinged", opened: "opened", passed: "passed", up: "up", bye: "bye", moved: "moved",
 	failed: "failed", busy: "busy", unread: "unread", odd: "odd"}
 
-var goldenStatuses = map[balance.Status]string{balance.OK: "ok", balance.Error: "error", balance.Full: "full", balance.Timeout: "timeout",
-	balance.ConnectFailed: "connect failed", balance.Reset: "reset", balance.Cancelled: "cancelled", balance.Moot: "moot"}
+var goldenStatuses = map[balance.Status]string{balance.StatusOK: "ok", balance.StatusError: "error", balance.StatusOverloaded: "full", balance.StatusTimeout: "timeout",
+	balance.StatusConnectFailed: "connect failed", balance.StatusReset: "reset", balance.StatusCancelled: "cancelled", balance.StatusAbandoned: "moot"}
 
 // goldenLines are a client's: probes, openings with each name, and what is wrong with others.
 func goldenLines() []string {
@@ -97,7 +97,7 @@
 		if ev == opened {
 			o, r := &m.open, &m.open.Request
 			say("  id %x, class %d, tenant %d, key %x, group %x, load %v, repeat %v, back %v, mid-flow %v, at %q, waits %v, d is %q, length %d",
-				o.id, r.Class, r.Tenant, r.Key, r.Group, r.Load, r.Repeat, r.Back, r.MidFlow, o.at, o.patience, o.line[o.left:o.right], o.Len())
+				o.id, r.Class, r.Tenant, r.Key, r.Group, r.ExpectedLoad, r.ClientRetry, r.Reconnecting, r.MidStream, o.at, o.patience, o.line[o.left:o.right], o.Len())
 			left, _, err := m.feed([]byte("one\r\ntwo\nthr"))
 			say("  then lines are %s, %v", goldenEvents[left], err)
 		}
@@ -235,7 +235,7 @@
 		for _, e := range m.entries {
 			l := &e.line
 			fmt.Fprintf(&out, "  %s at %q: id %x, %s, zone %d, cell %d, weight %v, kind %d, ready at %v\n", e.name, e.addr, uint64(l.ID),
-				map[balance.State]string{balance.StateGone: "gone", balance.StateReady: "ready", balance.StateDraining: "draining"}[l.State],
+				map[balance.BackendState]string{balance.StateRemoved: "gone", balance.StateReady: "ready", balance.StateDraining: "draining"}[l.State],
 				l.Zone, l.Cell, l.Weight, l.Kind, l.ReadyAt)
 		}
 	}
--- a/internal/machine/crossings_test.go
+++ b/internal/machine/crossings_test.go
@@ -14,10 +14,10 @@
 )
 
 // lone is a configuration with one class, of a patience, on one backend.
-func lone(patience time.Duration, effect balance.Effect, pass bool) Config {
+func lone(patience time.Duration, effect balance.Idempotency, pass bool) Config {
 	cfg := testConfig()
 	cfg.Settings.PassThrough = pass
-	cfg.Settings.Classes = []balance.Class{{OnTime: patience / 2, GiveUp: patience, Effect: effect}}
+	cfg.Settings.Classes = []balance.Class{{LatencyObjective: patience / 2, ClientTimeout: patience, Idempotency: effect}}
 	return cfg
 }
 
@@ -32,15 +32,15 @@
 	for _, tc := range []struct {
 		name     string
 		patience time.Duration
-		effect   balance.Effect
+		effect   balance.Idempotency
 		pass     bool
 		came     time.Duration // before SIGTERM; below 0: after it
 		want     string
 	}{
-		{"longer than there is", 4500 * time.Millisecond, balance.Safe, false, 10 * time.Millisecond, "BUSY 1000\r\n"},
-		{"it may have run", 4500 * time.Millisecond, balance.Unsafe, false, 10 * time.Millisecond, AnswerFailed},
-		{"packets pass through", 4500 * time.Millisecond, balance.Safe, true, 10 * time.Millisecond, "BUSY 1000\r\n"},
-		{"it came late", 4500 * time.Millisecond, balance.Safe, false, -400 * time.Millisecond, "BUSY 1000\r\n"},
+		{"longer than there is", 4500 * time.Millisecond, balance.Idempotent, false, 10 * time.Millisecond, "BUSY 1000\r\n"},
+		{"it may have run", 4500 * time.Millisecond, balance.NonIdempotent, false, 10 * time.Millisecond, AnswerFailed},
+		{"packets pass through", 4500 * time.Millisecond, balance.Idempotent, true, 10 * time.Millisecond, "BUSY 1000\r\n"},
+		{"it came late", 4500 * time.Millisecond, balance.Idempotent, false, -400 * time.Millisecond, "BUSY 1000\r\n"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			n, h := node(t, lone(tc.patience, tc.effect, tc.pass))
@@ -88,7 +88,7 @@
 
 // A request that nothing was sent for yet, since no list names a ready server, is answered before the end as well.
 func TestALeavingRelayAnswersWhoeverWaitsForAList(t *testing.T) {
-	cfg := lone(8*time.Second, balance.Safe, true)
+	cfg := lone(8*time.Second, balance.Idempotent, true)
 	cfg.Known = nil
 	n, h := node(t, cfg)
 	f := greeted(t, n, 1, says(1))
@@ -104,7 +104,7 @@
 // 1.5 s whatever the settings said, and what was left was cut off without MOVE. One that comes up at the last moment
 // is moved too.
 func TestMovesFitBeforeTheEndOfALeavingRelay(t *testing.T) {
-	n, h := node(t, lone(300*time.Millisecond, balance.Safe, false))
+	n, h := node(t, lone(300*time.Millisecond, balance.Idempotent, false))
 	for seq := uint64(1); seq <= 30; seq++ {
 		f := greeted(t, n, seq, says(seq))
 		n.Opened(time.Second, f)
@@ -137,7 +137,7 @@
 		}
 	}
 	n.Heard(time.Second+760*time.Millisecond, 98, unheard.Event)
-	if err := n.Balancer().(*balance.Balancer).Books(); err != nil {
+	if err := n.Balancer().(*balance.Balancer).CheckInvariants(); err != nil {
 		t.Error(err)
 	}
 }
@@ -145,7 +145,7 @@
 // Someone may come between the look that found nothing owed and the end; and in the end itself, when the queue is
 // emptied: what is begun then would never be answered.
 func TestWhoComesWhileARelayEndsIsAnswered(t *testing.T) {
-	n, h := node(t, lone(time.Second, balance.Safe, true))
+	n, h := node(t, lone(time.Second, balance.Idempotent, true))
 	n.Leave(time.Second)
 	played(n, time.Second+620*time.Millisecond) // nothing is owed: the end is set
 	f := greeted(t, n, 1, says(1))
@@ -169,8 +169,8 @@
 
 // A class that a reload dropped lengthens nobody's leave: SIGKILL comes by the settings in force.
 func TestADroppedClassDoesNotPutTheEndOff(t *testing.T) {
-	cfg := with([]string{"long", "short"}, []balance.Class{class(balance.Safe), class(balance.Safe)}, 4)
-	cfg.Settings.Classes[0].GiveUp, cfg.Settings.Classes[1].GiveUp = 2800*time.Millisecond, 300*time.Millisecond
+	cfg := with([]string{"long", "short"}, []balance.Class{class(balance.Idempotent), class(balance.Idempotent)}, 4)
+	cfg.Settings.Classes[0].ClientTimeout, cfg.Settings.Classes[1].ClientTimeout = 2800*time.Millisecond, 300*time.Millisecond
 	cfg.Settings.PassThrough = false
 	n, h := node(t, cfg)
 	f := greeted(t, n, 1, strings.Replace(says(1), "chat", "long", 1))
@@ -190,7 +190,7 @@
 // asks is an agent of a relay whose lists come on request, or unasked.
 func asks(request bool) *Agent {
 	s := testConfig().Settings
-	s.ListOnRequest = request
+	s.PollEndpoints = request
 	return NewAgent("d:1", &s, false, rand.New(rand.NewPCG(1, 1)))
 }
 
@@ -388,7 +388,7 @@
 // asksBy is an agent whose module has asked for a watch.
 func asksBy(request, moved bool, rng *rand.Rand) *Agent {
 	s := testConfig().Settings
-	s.ListOnRequest = request
+	s.PollEndpoints = request
 	a := NewAgent("d:1", &s, moved, rng)
 	a.Want(true)
 	return a
--- a/internal/machine/flow.go
+++ b/internal/machine/flow.go
@@ -127,7 +127,7 @@
 // Event is what a Node is to hear of a flow.
 type Event struct {
 	Kind    EventKind
-	Outcome balance.Outcome
+	Outcome balance.AttemptResult
 	Load    float64 // as the LOAD line gave it: Node.note knows what it measures
 }
 
@@ -262,7 +262,7 @@
 		f.down = backendLines{began: true}
 		f.stands.Store(true) // before UP is out: the client's next line may be here as soon as it is
 		do.Stand = true
-		do.Event = Event{Kind: Stood, Outcome: balance.Outcome{ID: f.Seq, Attempt: a.number, Backend: a.To.ID,
+		do.Event = Event{Kind: Stood, Outcome: balance.AttemptResult{ID: f.Seq, Attempt: a.number, Backend: a.To.ID,
 			Latency: now - a.Begun}}
 		return do
 	case fail == nil: // the connection is given back unserved
@@ -274,15 +274,15 @@
 		f.tally().wrong.Add(1) // no connection came of it
 		f.Gone()
 	}
-	o := balance.Outcome{ID: f.Seq, Attempt: a.number, Backend: a.To.ID, Status: fail.status(), Latency: now - a.Begun,
+	o := balance.AttemptResult{ID: f.Seq, Attempt: a.number, Backend: a.To.ID, Status: fail.status(), Latency: now - a.Begun,
 		Closed: f.over, Load: fail.report}
 	if do.Answer != "" {
 		o.Closed = true
 	}
-	if f.Open.Request.MidFlow && o.Status == balance.Reset {
+	if f.Open.Request.MidStream && o.Status == balance.StatusReset {
 		// Any backend but the one that holds it resets such a connection: it works as it should, and
 		// to eject it would take one sound backend after another out when a relay has gone.
-		o.Status = balance.Cancelled
+		o.Status = balance.StatusCancelled
 	}
 	do.Event = Event{Kind: AttemptEnded, Outcome: o}
 	return do
@@ -359,7 +359,7 @@
 
 // Between is asked whenever no line is under way: only there may MOVE go out.
 func (f *Flow) Between() (Verdict, bool) {
-	return Verdict{Status: balance.Cancelled, Client: true, Last: lineMove}, f.moving.Load()
+	return Verdict{Status: balance.StatusCancelled, Client: true, Last: lineMove}, f.moving.Load()
 }
 
 // Idle hears that nothing came from the backend for a while.
@@ -370,7 +370,7 @@
 		return f.closedByClient(), true
 	case f.stuck.Load() || asked != 0 && now-asked > Silence:
 		// The machine has vanished or is cut off: nothing but a time-out tells.
-		return Verdict{Status: balance.Reset, Client: true, Last: lineMove, Silent: true}, true
+		return Verdict{Status: balance.StatusReset, Client: true, Last: lineMove, Silent: true}, true
 	}
 	return Verdict{}, false
 }
@@ -383,9 +383,9 @@
 
 func (f *Flow) closedByClient() Verdict {
 	if End(f.ended.Load()) == ByFIN {
-		return Verdict{Status: balance.OK}
+		return Verdict{Status: balance.StatusOK}
 	}
-	return Verdict{Status: balance.Cancelled}
+	return Verdict{Status: balance.StatusCancelled}
 }
 
 // BackendEnded ends the client's side in the way that the backend ended its own.
@@ -397,9 +397,9 @@
 	if f.ended.Load() != 0 {
 		return f.closedByClient()
 	}
-	v := Verdict{Status: balance.Reset}
+	v := Verdict{Status: balance.StatusReset}
 	if f.asked.Load() != 0 {
-		v.Status = balance.Cancelled
+		v.Status = balance.StatusCancelled
 	}
 	if how != ByFIN {
 		v.Reset = true
@@ -408,9 +408,9 @@
 	v.Client = true
 	switch f.down.last {
 	case bye:
-		v.Status = balance.OK
+		v.Status = balance.StatusOK
 	case moved:
-		v.Status = balance.Cancelled
+		v.Status = balance.StatusCancelled
 	}
 	return v
 }
@@ -418,7 +418,7 @@
 // Closed is the event of the end that a verdict brings.
 func (f *Flow) Closed(v Verdict) Event {
 	f.Gone()
-	return Event{Kind: AttemptEnded, Outcome: balance.Outcome{ID: f.Seq, Attempt: f.at.number, Backend: f.at.To.ID,
+	return Event{Kind: AttemptEnded, Outcome: balance.AttemptResult{ID: f.Seq, Attempt: f.at.number, Backend: f.at.To.ID,
 		Status: v.Status, Closed: true}}
 }
 
--- a/internal/machine/golden_test.go
+++ b/internal/machine/golden_test.go
@@ -134,7 +134,7 @@
 		}
 		n.Opened(goldenAt, f)
 	}
-	n.Probed(goldenAt, balance.Report{Backend: backendID("b"), Load: []float32{0.5}, Latency: 3 * time.Millisecond})
+	n.Probed(goldenAt, balance.HealthCheckResult{Backend: backendID("b"), Load: []float32{0.5}, Latency: 3 * time.Millisecond})
 	n.Heard(goldenAt, 3, Event{Kind: Told, Load: 0.25})
 	wrote, err := n.Seen()
 	if err != nil {
@@ -143,7 +143,7 @@
 	wantGolden(t, "seen.json", wrote)
 
 	text := goldenFile(t, "seen.json")
-	var m balance.Memory
+	var m balance.Snapshot
 	if err := json.Unmarshal(text, &m); err != nil {
 		t.Fatal(err)
 	}
@@ -154,13 +154,13 @@
 	if err := next.Beside(goldenAt, text); err != nil {
 		t.Fatal(err)
 	}
-	heard := next.balancer.(remembers).Memory()
-	if len(heard.Servers) != 2 || len(m.Servers) != 2 {
-		t.Fatalf("%d servers, the file has %d", len(heard.Servers), len(m.Servers))
+	heard := next.balancer.(remembers).Snapshot()
+	if len(heard.Backends) != 2 || len(m.Backends) != 2 {
+		t.Fatalf("%d servers, the file has %d", len(heard.Backends), len(m.Backends))
 	}
-	for i, s := range heard.Servers {
-		if s.Held != m.Servers[i].Held || s.Held == 0 {
-			t.Errorf("server %d holds %v, the file says %v", i, s.Held, m.Servers[i].Held)
+	for i, s := range heard.Backends {
+		if s.TrackedLoad != m.Backends[i].TrackedLoad || s.TrackedLoad == 0 {
+			t.Errorf("server %d holds %v, the file says %v", i, s.TrackedLoad, m.Backends[i].TrackedLoad)
 		}
 	}
 }
--- a/internal/machine/handover.go
+++ b/internal/machine/handover.go
@@ -24,14 +24,14 @@
 
 // bequest is the form of what is handed over.
 type bequest struct {
-	Version     int            `json:"version"`
-	Name        string         `json:"name"`
-	At          time.Duration  `json:"at"`
-	Classes     []string       `json:"classes"`
-	Drained     bool           `json:"drained"`
-	Incarnation uint64         `json:"incarnation,omitempty"` // among the relays
-	Members     []heirloom     `json:"members"`
-	Memory      balance.Memory `json:"memory"`
+	Version     int              `json:"version"`
+	Name        string           `json:"name"`
+	At          time.Duration    `json:"at"`
+	Classes     []string         `json:"classes"`
+	Drained     bool             `json:"drained"`
+	Incarnation uint64           `json:"incarnation,omitempty"` // among the relays
+	Members     []heirloom       `json:"members"`
+	Memory      balance.Snapshot `json:"memory"`
 }
 
 // heirloom is one backend as the list had it last.
@@ -45,9 +45,9 @@
 
 // remembers is a Decider whose memory outlives its process.
 type remembers interface {
-	Memory() balance.Memory
-	Recall(now time.Duration, m balance.Memory)
-	Beside(now time.Duration, m balance.Memory)
+	Snapshot() balance.Snapshot
+	Restore(now time.Duration, m balance.Snapshot)
+	UpdateOtherProcess(now time.Duration, m balance.Snapshot)
 }
 
 var _ remembers = (*balance.Balancer)(nil)
@@ -58,21 +58,21 @@
 	if !ok {
 		return nil, errBequest
 	}
-	seen := m.Memory()
-	seen.Diverted, seen.Usual, seen.Seen, seen.Kinds = nil, nil, nil, nil
+	seen := m.Snapshot()
+	seen.StickyOverrides, seen.ClassLoads, seen.ClassLoadSamples, seen.KindLateness = nil, nil, nil, nil
 	return json.Marshal(seen)
 }
 
 // Beside takes that in; none: the other process has ended.
 func (n *Node) Beside(now time.Duration, text []byte) error {
-	var m balance.Memory
+	var m balance.Snapshot
 	if len(text) > 0 {
 		if err := json.Unmarshal(text, &m); err != nil {
 			return fmt.Errorf("%w: %w", errBequest, err)
 		}
 	}
 	if b, ok := n.balancer.(remembers); ok {
-		n.run(now, func() { b.Beside(n.now, m) })
+		n.run(now, func() { b.UpdateOtherProcess(n.now, m) })
 	}
 	return nil
 }
@@ -81,13 +81,13 @@
 func (n *Node) Bequeath(now time.Duration) ([]byte, error) {
 	b := bequest{Version: bequestVersion, Name: n.cfg.Name, At: now, Classes: n.names, Drained: n.drained.Load()}
 	if m, ok := n.balancer.(remembers); ok {
-		b.Memory = m.Memory()
+		b.Memory = m.Snapshot()
 	}
 	if n.members != nil {
 		b.Incarnation = n.members.Incarnation()
 	}
 	for _, k := range n.named {
-		if k.line.State != balance.StateGone {
+		if k.line.State != balance.StateRemoved {
 			b.Members = append(b.Members, heirloom{k.Name, k.Addr(), k.line})
 		}
 	}
@@ -101,20 +101,20 @@
 // renumber has the loads of classes go by their numbers in this process.
 func (b *bequest) renumber(names []string) {
 	m := &b.Memory
-	if len(m.Usual) != len(b.Classes)+1 || len(m.Seen) != len(m.Usual) {
-		m.Usual, m.Seen = nil, nil
+	if len(m.ClassLoads) != len(b.Classes)+1 || len(m.ClassLoadSamples) != len(m.ClassLoads) {
+		m.ClassLoads, m.ClassLoadSamples = nil, nil
 		return
 	}
 	usual, seen := make([]float64, len(names)+1), make([]float64, len(names)+1)
 	for i, name := range names {
 		for j, old := range b.Classes { // of several by one name the last is the newest
-			if old == name && m.Seen[j] > 0 {
-				usual[i], seen[i] = m.Usual[j], m.Seen[j]
+			if old == name && m.ClassLoadSamples[j] > 0 {
+				usual[i], seen[i] = m.ClassLoads[j], m.ClassLoadSamples[j]
 			}
 		}
 	}
-	usual[len(names)], seen[len(names)] = m.Usual[len(b.Classes)], m.Seen[len(b.Classes)]
-	m.Usual, m.Seen = usual, seen
+	usual[len(names)], seen[len(names)] = m.ClassLoads[len(b.Classes)], m.ClassLoadSamples[len(b.Classes)]
+	m.ClassLoads, m.ClassLoadSamples = usual, seen
 }
 
 // Inherit takes over what the former process handed on; with an error nothing of it.
@@ -142,11 +142,11 @@
 	n.handed = b.Incarnation
 	n.run(now, func() {
 		if len(l.entries) > 0 && !n.told { // what discovery has said to this process is newer
-			n.listed(l, balance.ListCached)
+			n.listed(l, balance.UpdateCached)
 		}
 		if r, ok := n.balancer.(remembers); ok {
-			r.Recall(n.now, b.Memory)
-			r.Beside(n.now, b.Memory)
+			r.Restore(n.now, b.Memory)
+			r.UpdateOtherProcess(n.now, b.Memory)
 		}
 	})
 	if b.Drained {
--- a/internal/machine/machine_test.go
+++ b/internal/machine/machine_test.go
@@ -166,12 +166,12 @@
 
 func testConfig() Config {
 	s := settings.Settings{ClassNames: []string{"chat"}, ZoneNames: []string{"east"}, KindNames: []string{"k"},
-		FieldNames: []string{"x0"}, IdleClose: 5 * time.Second, Settings: balance.Settings{Relays: 2,
-			Tick: 4 * time.Millisecond, Probes: true, Peers: true, RetryAfter: true, MaxRetryAfter: time.Second,
-			TryLimit: 4, DialTimeout: 250 * time.Millisecond, DrainGrace: 250 * time.Millisecond,
-			Report: []balance.Field{balance.FieldLoadShare}, PassThrough: true,
-			Classes: []balance.Class{{OnTime: 500 * time.Millisecond, GiveUp: time.Second,
-				MessageAim: 60 * time.Millisecond}}}}
+		FieldNames: []string{"x0"}, IdleClose: 5 * time.Second, Settings: balance.Settings{RelayCount: 2,
+			Tick: 4 * time.Millisecond, HealthChecks: true, Gossip: true, RetryAfter: true, MaxRetryAfter: time.Second,
+			MaxAttempts: 4, DialTimeout: 250 * time.Millisecond, DrainGrace: 250 * time.Millisecond,
+			ReportFields: []balance.ReportField{balance.FieldLoadShare}, PassThrough: true,
+			Classes: []balance.Class{{LatencyObjective: 500 * time.Millisecond, ClientTimeout: time.Second,
+				MessageLatencyObjective: 60 * time.Millisecond}}}}
 	return Config{Name: "n0", Discovery: "d:1", Seed: 1, MemoryMB: 64, Sockets: 256, Known: []byte(three),
 		Peers: []string{"127.0.0.1:1", "127.0.0.1:2"}, Settings: s}
 }
@@ -185,7 +185,7 @@
 		t.Fatal(err)
 	}
 	for _, name := range []string{"a", "b", "c"} {
-		n.Probed(time.Second, balance.Report{Backend: backendID(name), Load: []float32{0.1}})
+		n.Probed(time.Second, balance.HealthCheckResult{Backend: backendID(name), Load: []float32{0.1}})
 	}
 	return n, h
 }
@@ -240,9 +240,9 @@
 		t.Errorf("%v", heard)
 	}
 	a := actions{n}
-	a.Tell(1, []byte("more"))
-	a.Tell(2, []byte("nobody"))
-	a.Tell(0, make([]byte, MaxDatagram+1))
+	a.SendGossip(1, []byte("more"))
+	a.SendGossip(2, []byte("nobody"))
+	a.SendGossip(0, make([]byte, MaxDatagram+1))
 	if !slices.Equal(h.told, []string{"127.0.0.1:2 more"}) {
 		t.Errorf("%q", h.told)
 	}
@@ -255,13 +255,13 @@
 	waits *bool
 }
 
-func (d noted) Note(_ time.Duration, _ uint64, kind balance.NoteKind, v float64) {
+func (d noted) LoadReported(_ time.Duration, _ uint64, kind balance.LoadSignal, v float64) {
 	*d.notes = append(*d.notes, fmt.Sprint(kind, " ", v))
 }
 
-func (d noted) Retune(s balance.Settings) {
-	*d.waits = s.TellsDelay
-	d.Decider.Retune(s)
+func (d noted) UpdateSettings(s balance.Settings) {
+	*d.waits = s.ReportsMessageDelay
+	d.Decider.UpdateSettings(s)
 }
 
 // A LOAD line does not say what it measures; the settings do. A message's milliseconds at a late backend
@@ -273,11 +273,11 @@
 		want        string
 	}{{false, true, "2 412.5"}, {true, false, "1 412500"}, {true, true, "1 412500"}, {false, false, "1 412500"}} {
 		cfg := testConfig()
-		cfg.Settings.TellsLoad, cfg.Settings.TellsDelay = tc.load, tc.delay
+		cfg.Settings.ReportsConnectionLoad, cfg.Settings.ReportsMessageDelay = tc.load, tc.delay
 		var notes []string
 		var waits bool
 		cfg.Decide = func(now time.Duration, seed uint64, s balance.Settings, do balance.Actions) Decider {
-			waits = s.TellsDelay
+			waits = s.ReportsMessageDelay
 			return noted{balance.New(now, seed, s, do), &notes, &waits}
 		}
 		n, _ := node(t, cfg)
@@ -314,15 +314,15 @@
 // tells of them, and this relay's connections there are moved on.
 func TestServersOverTheirCapacityAreRelievedWhereNoNoteComes(t *testing.T) {
 	cfg := testConfig()
-	cfg.Settings.TellsLoad, cfg.Settings.TellsDelay, cfg.Settings.Probes = false, true, true
-	cfg.Settings.Report = []balance.Field{balance.FieldLoadShare}
+	cfg.Settings.ReportsConnectionLoad, cfg.Settings.ReportsMessageDelay, cfg.Settings.HealthChecks = false, true, true
+	cfg.Settings.ReportFields = []balance.ReportField{balance.FieldLoadShare}
 	n, h := node(t, cfg)
 	now := time.Second
 	full := func() { // each server that is asked says that it has twice what it can do
 		for len(h.probed) > 0 {
 			b := h.probed[0]
 			h.probed = h.probed[1:]
-			n.Probed(now, balance.Report{Backend: b, Load: []float32{2}, Latency: time.Millisecond})
+			n.Probed(now, balance.HealthCheckResult{Backend: b, Load: []float32{2}, Latency: time.Millisecond})
 		}
 	}
 	for id := uint64(1); id <= 24; id++ {
@@ -337,7 +337,7 @@
 			n.Due(now)
 		}
 		if o := h.orders[id]; len(o) > 0 && o[0].To != nil {
-			n.Heard(now, id, Event{Kind: Stood, Outcome: balance.Outcome{ID: id, Backend: o[0].To.ID}})
+			n.Heard(now, id, Event{Kind: Stood, Outcome: balance.AttemptResult{ID: id, Backend: o[0].To.ID}})
 		}
 	}
 	for range 12 {
@@ -362,8 +362,8 @@
 		if h.last(9) != first {
 			t.Fatal("two connections of one key are apart")
 		}
-		n.Heard(time.Second, 9, Event{Kind: AttemptEnded, Outcome: balance.Outcome{ID: 9, Backend: first.ID,
-			Status: balance.Reset, Closed: true}})
+		n.Heard(time.Second, 9, Event{Kind: AttemptEnded, Outcome: balance.AttemptResult{ID: 9, Backend: first.ID,
+			Status: balance.StatusReset, Closed: true}})
 		do := f.Order(time.Second, h.orders[1][0])
 		n.Heard(time.Second+time.Millisecond, 1, f.Tried(time.Second, do.Try, do.Try.Broke(9, true, io.EOF, false)).Event)
 		// Another connection of that key goes where the first went, unless that backend is ejected.
@@ -424,7 +424,7 @@
 		{"refused, then UP", func(f *Flow, a *Attempt) (answers int) {
 			answers += count(f.Order(0, Order{Answer: "BUSY\r\n"}))
 			late := f.Tried(0, a, nil)
-			if !late.DropBack || late.Event.Outcome.Status != balance.Cancelled {
+			if !late.DropBack || late.Event.Outcome.Status != balance.StatusCancelled {
 				answers = -9
 			}
 			return answers + count(late)
@@ -545,7 +545,7 @@
 		{"SIGHUP in the same moment", func(n *Node, at func(time.Duration, bool)) {
 			at(0, true)
 			next := n.Config()
-			next.Discovery, next.Settings.TryLimit = "d:9", 1
+			next.Discovery, next.Settings.MaxAttempts = "d:9", 1
 			if err := n.Reload(time.Second, next, 256); err != nil {
 				t.Error(err)
 			}
@@ -557,7 +557,7 @@
 		}, [2]int{40, 40}, true},
 	} {
 		cfg := testConfig()
-		cfg.Settings.PassThrough, cfg.Settings.Probes = false, false
+		cfg.Settings.PassThrough, cfg.Settings.HealthChecks = false, false
 		n, h := node(t, cfg)
 		flows := map[uint64]*Flow{}
 		for seq := uint64(1); seq <= 40; seq++ {
@@ -569,7 +569,7 @@
 				for _, seq := range h.moved {
 					if f := flows[seq]; f != nil {
 						delete(flows, seq)
-						n.Heard(now, seq, f.Closed(Verdict{Status: balance.Cancelled}))
+						n.Heard(now, seq, f.Closed(Verdict{Status: balance.StatusCancelled}))
 						n.Closed(now, seq)
 					}
 				}
@@ -593,7 +593,7 @@
 // A client that waits when its relay is drained has its answer, and is moved once it stands.
 func TestAnOpeningInFlightOutlastsTheDrain(t *testing.T) {
 	cfg := testConfig()
-	cfg.Settings.PassThrough, cfg.Settings.Probes = false, false
+	cfg.Settings.PassThrough, cfg.Settings.HealthChecks = false, false
 	n, h := node(t, cfg)
 	f := greeted(t, n, 1, "OPEN 0000000000000001 0000000000000002 c=chat,d=4000\r\n")
 	n.Opened(time.Second, f)
@@ -630,7 +630,7 @@
 // module never heard of a change again.
 func TestAWatchAskedForDuringAFailingCallIsMade(t *testing.T) {
 	s := testConfig().Settings
-	s.ListOnRequest = true
+	s.PollEndpoints = true
 	a := NewAgent("d:1", &s, false, rand.New(rand.NewPCG(1, 1)))
 	if _, ok := a.Next(); ok {
 		t.Fatal("a call that nobody asked for")
--- a/internal/machine/members.go
+++ b/internal/machine/members.go
@@ -29,11 +29,11 @@
 
 // rejoin begins anew, by another list of peers or other settings.
 func (n *Node) rejoin(cfg *Config) {
-	if cfg.Membership == nil || n.set.Me >= len(cfg.Peers) {
+	if cfg.Membership == nil || n.set.RelayIndex >= len(cfg.Peers) {
 		if n.members != nil {
 			n.members = nil
 			n.hear(0)
-			n.balancer.Retune(n.believed())
+			n.balancer.UpdateSettings(n.believed())
 		}
 		return
 	}
@@ -42,7 +42,7 @@
 	} else {
 		n.after(memberTimer, 0, 0)
 	}
-	n.members = membership.New(n.now, cfg.Seed, *cfg.Membership, membership.Self{Number: n.set.Me, Name: cfg.Name,
+	n.members = membership.New(n.now, cfg.Seed, *cfg.Membership, membership.Self{Number: n.set.RelayIndex, Name: cfg.Name,
 		Start: uint64(n.born / time.Millisecond), Incarnation: n.handed}, len(cfg.Peers))
 }
 
@@ -69,7 +69,7 @@
 func (n *Node) hear(here int) {
 	n.log.Info("relays here", zap.Int("before", n.here), zap.Int("now", here))
 	n.here = here
-	n.balancer.Here(here)
+	n.balancer.SetActiveRelays(here)
 }
 
 func (n *Node) passOn(out []membership.Out) {
--- a/internal/machine/members_test.go
+++ b/internal/machine/members_test.go
@@ -21,8 +21,8 @@
 	notices int
 }
 
-func (d counting) Here(relays int)                 { d.seen.here = append(d.seen.here, relays) }
-func (d counting) Peer(time.Duration, int, []byte) { d.seen.notices++ }
+func (d counting) SetActiveRelays(relays int)                { d.seen.here = append(d.seen.here, relays) }
+func (d counting) GossipReceived(time.Duration, int, []byte) { d.seen.notices++ }
 
 // pair is two Nodes of a fleet of three that hear one another; the third was never started. pass has time go by.
 func pair(t *testing.T, on bool) (nodes [2]*Node, hosts [2]*host, seen [2]*seenByModule, pass func(until time.Duration)) {
@@ -31,7 +31,7 @@
 	for i := range nodes {
 		seen[i] = &seenByModule{}
 		cfg := testConfig()
-		cfg.Peers, cfg.Settings.Me, cfg.Settings.Relays, cfg.Settings.Peers = peers, i, 3, true
+		cfg.Peers, cfg.Settings.RelayIndex, cfg.Settings.RelayCount, cfg.Settings.Gossip = peers, i, 3, true
 		cfg.Decide = func(now time.Duration, seed uint64, s balance.Settings, do balance.Actions) Decider {
 			return counting{balance.New(now, seed, s, do), seen[i]}
 		}
--- a/internal/machine/node.go
+++ b/internal/machine/node.go
@@ -52,22 +52,22 @@
 // Decider is what makes a relay's decisions: the module, or a policy that it is
 // compared with.
 type Decider interface {
-	Request(now time.Duration, r balance.Request)
-	Open(now time.Duration, r balance.Request, id balance.BackendID)
-	Began(now time.Duration, o balance.Outcome)
-	Outcome(now time.Duration, o balance.Outcome)
-	Gone(now time.Duration, id uint64)
-	Note(now time.Duration, id uint64, kind balance.NoteKind, v float64)
-	Timer(now time.Duration, token uint64)
-	Leave(now, at time.Duration)
-	Expire(now time.Duration, id uint64)
-	Probed(now time.Duration, r balance.Report)
-	Peer(now time.Duration, from int, data []byte)
-	List(now time.Duration, kind balance.ListKind, lines []balance.Backend)
+	RequestArrived(now time.Duration, r balance.Request)
+	SessionAdopted(now time.Duration, r balance.Request, id balance.BackendID)
+	AttemptSucceeded(now time.Duration, o balance.AttemptResult)
+	AttemptEnded(now time.Duration, o balance.AttemptResult)
+	ClientClosed(now time.Duration, id uint64)
+	LoadReported(now time.Duration, id uint64, kind balance.LoadSignal, v float64)
+	TimerFired(now time.Duration, token uint64)
+	DrainBy(now, at time.Duration)
+	DeadlineExceeded(now time.Duration, id uint64)
+	HealthCheckDone(now time.Duration, r balance.HealthCheckResult)
+	GossipReceived(now time.Duration, from int, data []byte)
+	EndpointsUpdated(now time.Duration, kind balance.EndpointUpdateKind, lines []balance.Backend)
 	Connections() (all, byServer int)
-	Avoided(now time.Duration) (listed, avoided int)
-	Retune(s balance.Settings)
-	Here(relays int)
+	CountUnavailable(now time.Duration) (listed, avoided int)
+	UpdateSettings(s balance.Settings)
+	SetActiveRelays(relays int)
 }
 
 var _ Decider = (*balance.Balancer)(nil)
@@ -135,11 +135,11 @@
 	seq, id  uint64
 	class    int
 	resumed  bool
-	timing   *balance.Timing // nil: none of its own
-	holder   string          // the backend of the last attempt
-	sent     int             // attempts ordered
-	settled  int             // attempts whose outcome the module has
-	finished bool            // the module has given its final answer or heard that none is owed
+	timing   *balance.RetryPolicy // nil: none of its own
+	holder   string               // the backend of the last attempt
+	sent     int                  // attempts ordered
+	settled  int                  // attempts whose outcome the module has
+	finished bool                 // the module has given its final answer or heard that none is owed
 }
 
 // Node is one relay's books. Its methods are called one at a time.
@@ -204,7 +204,7 @@
 		if spoilt == nil { // else it is fetched whole
 			n.cached = &known.version
 		}
-		n.Listed(now, known, balance.ListCached)
+		n.Listed(now, known, balance.UpdateCached)
 	}
 	if cfg.Management != "" || n.watch != nil {
 		n.after(figureTimer, 0, 0)
@@ -239,7 +239,7 @@
 // oneNote settles what a LOAD line means, since it does not say which kind of note it carries: a
 // connection's load where backends tell that, else, where the settings promise it, how long a message takes.
 func oneNote(s settings.Settings) settings.Settings {
-	s.TellsDelay = s.TellsDelay && !s.TellsLoad
+	s.ReportsMessageDelay = s.ReportsMessageDelay && !s.ReportsConnectionLoad
 	return s
 }
 
@@ -248,7 +248,7 @@
 // is asked how full it is while no note speaks against it, and what it holds stays late for as long as it stands.
 func (n *Node) believed() balance.Settings {
 	s := n.set.Settings
-	s.TellsDelay = s.TellsDelay && n.noted
+	s.ReportsMessageDelay = s.ReportsMessageDelay && n.noted
 	return s
 }
 
@@ -402,9 +402,9 @@
 func (n *Node) fire(t timer) {
 	switch t.kind {
 	case moduleTimer:
-		n.balancer.Timer(n.now, t.token)
+		n.balancer.TimerFired(n.now, t.token)
 	case lateTimer:
-		n.balancer.Leave(n.now, max(n.now, min(n.now+lastMoves, n.answerBy-lastWrites)))
+		n.balancer.DrainBy(n.now, max(n.now, min(n.now+lastMoves, n.answerBy-lastWrites)))
 		n.after(lookTimer, 0, 0)
 	case lookTimer:
 		if !n.owes() || n.now >= n.leaveBy {
@@ -425,10 +425,10 @@
 		n.lastCall()
 	case drainTimer:
 		if n.draining && t.token == n.drains && !n.leaving.Load() {
-			n.balancer.Leave(n.now, n.now+drainMoves)
+			n.balancer.DrainBy(n.now, n.now+drainMoves)
 		}
 	case figureTimer:
-		n.book.listed(n.balancer.Avoided(n.now))
+		n.book.listed(n.balancer.CountUnavailable(n.now))
 		if n.watch != nil {
 			n.watch.sweep(n.now)
 		}
@@ -459,7 +459,7 @@
 			n.host.Move(seq) // says nothing to one that does not stand
 		}
 		if !c.finished {
-			n.balancer.Expire(n.now, seq)
+			n.balancer.DeadlineExceeded(n.now, seq)
 		}
 	}
 }
@@ -472,8 +472,8 @@
 func (n *Node) Leave(now time.Duration) {
 	patience := time.Duration(0)
 	for _, c := range n.set.Classes {
-		if !c.Gone { // SIGKILL comes by the settings in force; who came under others has no more time
-			patience = max(patience, c.GiveUp)
+		if !c.Retired { // SIGKILL comes by the settings in force; who came under others has no more time
+			patience = max(patience, c.ClientTimeout)
 		}
 	}
 	answers := min(patience, mostPatience) + afterwards
@@ -510,7 +510,7 @@
 		case on:
 			n.after(drainTimer, n.drains, drainNotice)
 		case !n.leaving.Load():
-			n.balancer.Leave(n.now, 0)
+			n.balancer.DrainBy(n.now, 0)
 		}
 	})
 }
@@ -554,13 +554,13 @@
 		}
 		if !bytes.Equal(cfg.Known, was.Known) && len(known.entries) > 0 && !n.told {
 			changed = append(changed, "known") // what discovery says itself is never older
-			n.listed(known, balance.ListCached)
+			n.listed(known, balance.UpdateCached)
 		}
 		if !reflect.DeepEqual(set, *n.set) {
 			changed = append(changed, "settings") // what is open keeps those that it was taken under
 			n.set, n.names = &set, names
 			n.book.name(names)
-			n.balancer.Retune(n.believed())
+			n.balancer.UpdateSettings(n.believed())
 			n.host.Settings(n.set)
 		}
 		if !cfg.Routes.Equal(was.Routes) {
@@ -621,7 +621,7 @@
 	if n.members != nil && n.fromMember(now, i, data) {
 		return
 	}
-	n.run(now, func() { n.balancer.Peer(n.now, i, data) })
+	n.run(now, func() { n.balancer.GossipReceived(n.now, i, data) })
 }
 
 // --- flows ---------------------------------------------------------------------
@@ -656,21 +656,21 @@
 	n.flows[c.seq] = c
 	q := f.Open.Request
 	q.ID = c.seq
-	q.Left = max(0, f.Open.patience-(n.now-f.Came))
+	q.TimeLeft = max(0, f.Open.patience-(n.now-f.Came))
 	if by := n.answerBy; by > 0 { // nobody is to wait here for longer than this relay is there
 		if n.now >= by { // and it still is
 			by = n.leaveBy
 		}
-		q.Left = max(0, min(q.Left, by-n.now))
+		q.TimeLeft = max(0, min(q.TimeLeft, by-n.now))
 	}
 	if !c.resumed {
 		if r := n.cfg.Routes.Pick(route.Request{Class: q.Class, Tenant: q.Tenant, Zone: n.set.Zone,
 			Protocol: route.Line, Group: q.Group, Key: q.Key}); r != nil {
-			c.timing = &r.Timing
-			q.Timing = c.timing
+			c.timing = &r.RetryPolicy
+			q.RetryPolicy = c.timing
 		}
 		n.pending++
-		n.balancer.Request(n.now, q)
+		n.balancer.RequestArrived(n.now, q)
 		return
 	}
 	b := n.backends[backendID(string(f.Open.at))]
@@ -681,7 +681,7 @@
 		return
 	}
 	c.sent, c.holder = 1, b.Name
-	n.balancer.Open(n.now, q, b.ID)
+	n.balancer.SessionAdopted(n.now, q, b.ID)
 	n.host.Order(c.seq, Order{To: b, Until: n.now + standing, Resume: true})
 }
 
@@ -704,11 +704,11 @@
 	switch e.Kind {
 	case ClientLeft:
 		n.answered(c)
-		n.balancer.Gone(n.now, c.seq)
+		n.balancer.ClientClosed(n.now, c.seq)
 	case Stood:
 		n.answered(c)
 		n.log.Debug("stands", zap.Uint64("flow", c.seq), zap.String("backend", c.holder), zap.Int("class", c.class))
-		n.balancer.Began(n.now, e.Outcome)
+		n.balancer.AttemptSucceeded(n.now, e.Outcome)
 	case Told:
 		n.log.Debug("told", zap.Uint64("flow", c.seq), zap.String("backend", c.holder), zap.Float64("load", e.Load))
 		n.note(c, e.Load)
@@ -717,8 +717,8 @@
 		c.settled++
 		o.Closed = o.Closed || c.resumed
 		n.log.Debug("ended", zap.Uint64("flow", c.seq), zap.String("backend", c.holder), zap.Uint8("status", uint8(o.Status)))
-		n.balancer.Outcome(n.now, o)
-		if c.resumed && o.Status != balance.OK {
+		n.balancer.AttemptEnded(n.now, o)
+		if c.resumed && o.Status != balance.StatusOK {
 			n.host.Order(c.seq, Order{Answer: AnswerFailed}) // ignored by one that stood
 		}
 	}
@@ -727,16 +727,16 @@
 // note passes a LOAD line on as the kind of note that the settings promise. Taken for the connection's own
 // load, a late message's milliseconds raise T by orders of magnitude on the very backend that is late.
 func (n *Node) note(c *call, v float64) {
-	if n.set.TellsDelay {
+	if n.set.ReportsMessageDelay {
 		if !n.noted {
 			n.noted = true
 			n.log.Info("backends tell of late messages", zap.String("first", c.holder))
-			n.balancer.Retune(n.believed())
+			n.balancer.UpdateSettings(n.believed())
 		}
-		n.balancer.Note(n.now, c.seq, balance.NoteDelay, v)
+		n.balancer.LoadReported(n.now, c.seq, balance.SignalMessageDelay, v)
 		return
 	}
-	n.balancer.Note(n.now, c.seq, balance.NoteLoad, v*1000) // in milliseconds of work a second, as a guess in OPEN is
+	n.balancer.LoadReported(n.now, c.seq, balance.SignalConnectionLoad, v*1000) // in milliseconds of work a second, as a guess in OPEN is
 }
 
 // answered counts a request as no longer owed an answer.
@@ -759,10 +759,10 @@
 		delete(n.ids, c.id)
 		if !c.finished {
 			n.answered(c)
-			n.balancer.Gone(n.now, flow)
+			n.balancer.ClientClosed(n.now, flow)
 		}
 		if c.settled < c.sent {
-			n.balancer.Outcome(n.now, balance.Outcome{ID: flow, Attempt: c.sent - 1, Status: balance.Moot, Closed: true})
+			n.balancer.AttemptEnded(n.now, balance.AttemptResult{ID: flow, Attempt: c.sent - 1, Status: balance.StatusAbandoned, Closed: true})
 		}
 	})
 }
@@ -771,18 +771,18 @@
 
 // Listed takes in news of the backends; order counts: addresses first, since the
 // module may send in answer.
-func (n *Node) Listed(now time.Duration, l Members, kind balance.ListKind) {
+func (n *Node) Listed(now time.Duration, l Members, kind balance.EndpointUpdateKind) {
 	n.run(now, func() {
-		if kind != balance.ListCached && kind != balance.ListFailed {
+		if kind != balance.UpdateCached && kind != balance.UpdateFailed {
 			n.told = true
 		}
 		n.listed(l, kind)
 	})
 }
 
-func (n *Node) listed(l Members, kind balance.ListKind) {
-	if kind == balance.ListFailed {
-		n.balancer.List(n.now, kind, nil)
+func (n *Node) listed(l Members, kind balance.EndpointUpdateKind) {
+	if kind == balance.UpdateFailed {
+		n.balancer.EndpointsUpdated(n.now, kind, nil)
 		return
 	}
 	named := map[*Backend]bool{}
@@ -807,15 +807,15 @@
 		named[b] = true
 		lines = append(lines, e.line)
 	}
-	if kind != balance.ListDelta {
+	if kind != balance.UpdateDelta {
 		for _, b := range n.named {
 			if !named[b] {
-				b.line.State = balance.StateGone
-				b.set(n.now, balance.StateGone)
+				b.line.State = balance.StateRemoved
+				b.set(n.now, balance.StateRemoved)
 			}
 		}
 	}
-	n.balancer.List(n.now, kind, lines)
+	n.balancer.EndpointsUpdated(n.now, kind, lines)
 	n.ready.Store(true)
 	if !n.listedOnce {
 		n.listedOnce = true
@@ -824,8 +824,8 @@
 }
 
 // Probed hears a probe's answer.
-func (n *Node) Probed(now time.Duration, rep balance.Report) {
-	n.run(now, func() { n.balancer.Probed(n.now, rep) })
+func (n *Node) Probed(now time.Duration, rep balance.HealthCheckResult) {
+	n.run(now, func() { n.balancer.HealthCheckDone(n.now, rep) })
 }
 
 // --- actions -------------------------------------------------------------------
@@ -842,7 +842,7 @@
 	}
 	c.sent++
 	if b == nil {
-		o := balance.Outcome{ID: id, Attempt: c.sent - 1, Backend: to, Status: balance.ConnectFailed}
+		o := balance.AttemptResult{ID: id, Attempt: c.sent - 1, Backend: to, Status: balance.StatusConnectFailed}
 		a.later = append(a.later, func() { a.heard(c, Event{Kind: AttemptEnded, Outcome: o}) })
 		return
 	}
@@ -850,12 +850,12 @@
 	a.log.Debug("sent", zap.Uint64("flow", id), zap.String("backend", b.Name), zap.Duration("timeout", timeout))
 	o := Order{To: b, Until: a.now + timeout}
 	if c.timing != nil {
-		o.Dial = c.timing.Connect
+		o.Dial = c.timing.ConnectTimeout
 	}
 	a.host.Order(id, o)
 }
 
-func (a actions) Refuse(id uint64, after time.Duration) { a.final(id, BusyAnswer(after)) }
+func (a actions) Reject(id uint64, after time.Duration) { a.final(id, BusyAnswer(after)) }
 func (a actions) Fail(id uint64)                        { a.final(id, AnswerFailed) }
 
 func (a actions) final(id uint64, line string) {
@@ -871,25 +871,25 @@
 	}
 }
 
-func (a actions) Probe(to balance.BackendID) {
+func (a actions) CheckHealth(to balance.BackendID) {
 	if b := a.backends[to]; b != nil {
 		a.host.Probe(b)
 	}
 }
 
-func (a actions) Release(to balance.BackendID) { a.host.Release(to) }
+func (a actions) ReleaseHealthCheck(to balance.BackendID) { a.host.Release(to) }
 
-func (a actions) Move(id uint64) {
+func (a actions) Migrate(id uint64) {
 	if c := a.flows[id]; c != nil {
 		a.log.Debug("client is to move", zap.Uint64("flow", id), zap.String("backend", c.holder))
 		a.host.Move(id)
 	}
 }
 
-func (a actions) Tell(peer int, data []byte) {
+func (a actions) SendGossip(peer int, data []byte) {
 	to := a.cfg.PeersAll
 	switch {
-	case !a.set.Peers || len(data) > MaxDatagram || peer >= len(a.cfg.Peers):
+	case !a.set.Gossip || len(data) > MaxDatagram || peer >= len(a.cfg.Peers):
 		return
 	case peer >= 0:
 		to = a.cfg.Peers[peer]
@@ -897,7 +897,7 @@
 	a.host.Datagram(to, append([]byte(nil), data...))
 }
 
-func (a actions) After(token uint64, d time.Duration) { a.after(moduleTimer, token, d) }
-func (a actions) Subscribe(on bool)                   { a.host.Ask(on) }
-func (a actions) Fetch()                              { a.host.Ask(false) }
-func (a actions) Log(text string)                     { a.log.Info("module", zap.String("text", text)) }
+func (a actions) SetTimer(token uint64, d time.Duration) { a.after(moduleTimer, token, d) }
+func (a actions) WatchEndpoints(on bool)                 { a.host.Ask(on) }
+func (a actions) FetchEndpoints()                        { a.host.Ask(false) }
+func (a actions) Log(text string)                        { a.log.Info("module", zap.String("text", text)) }
--- a/internal/machine/pieces_test.go
+++ b/internal/machine/pieces_test.go
@@ -77,7 +77,7 @@
 				passed, have = passed+string(have[:k]), have[k:]
 			}
 			end := f.BackendEnded(ByFIN)
-			if passed != line || len(have) > 0 || !stands || end.Status != balance.Cancelled || len(told) == 0 || told[len(told)-1] != 7 || len(told) > 2 {
+			if passed != line || len(have) > 0 || !stands || end.Status != balance.StatusCancelled || len(told) == 0 || told[len(told)-1] != 7 || len(told) > 2 {
 				t.Errorf("cut after %d and %d: passed %q, left %q, told %v, ended %+v", i, j, passed, have, told, end)
 			}
 		}
