--- a/internal/machine/probes.go
+++ b/internal/machine/probes.go
@@ -37,7 +37,7 @@
 	Addr     string
 	Asked    time.Duration
 	Deadline time.Duration
-	Report   balance.Report // once it is done
+	Report   balance.HealthCheckResult // once it is done
 	of       *Probes
 	conn     any
 	reused   bool
@@ -80,7 +80,7 @@
 // probe that waits here for a backend that is silent.
 func (p *Probes) Begin(now time.Duration, b *Backend) (*Probe, ProbeStep) {
 	pr := &Probe{To: b, Addr: b.Addr(), Asked: now, Deadline: now + 2*p.set.Load().DialTimeout, of: p,
-		Report: balance.Report{Backend: b.ID}}
+		Report: balance.HealthCheckResult{Backend: b.ID}}
 	if i := slices.IndexFunc(p.idle, func(k *Kept) bool { return k.id == b.ID }); i >= 0 {
 		k := p.take(i)
 		if k.addr == pr.Addr && now-k.since < p.KeepFor() { // by the settings in force: a reload may have made it shorter
@@ -112,7 +112,7 @@
 	}
 	if p.used >= p.room { // not asked: says nothing of the backend
 		step.Done = true
-		pr.Report.Status, pr.Report.Latency = balance.Moot, now-pr.Asked
+		pr.Report.Status, pr.Report.Latency = balance.StatusAbandoned, now-pr.Asked
 		return step
 	}
 	p.used++
@@ -123,7 +123,7 @@
 // NoConn hears that no connection came up.
 func (pr *Probe) NoConn(now time.Duration) ProbeStep {
 	pr.of.used--
-	return pr.done(now, balance.ConnectFailed)
+	return pr.done(now, balance.StatusConnectFailed)
 }
 
 // Dialled hears that a connection is up. The answer's time counts, not the dial's:
@@ -142,9 +142,9 @@
 func (pr *Probe) Answered(now time.Duration, line string) ProbeStep {
 	p := pr.of
 	word, report, _ := strings.Cut(line, " ")
-	status := balance.OK
+	status := balance.StatusOK
 	if word != "PONG" {
-		status = balance.Error
+		status = balance.StatusError
 	}
 	step := pr.done(now, status)
 	pr.Report.Load = parseReport([]byte(report), p.set.Load().FieldNames)
@@ -166,9 +166,9 @@
 	step := ProbeStep{}
 	switch {
 	case timeout:
-		step = pr.done(now, balance.Timeout)
+		step = pr.done(now, balance.StatusTimeout)
 	case !pr.reused:
-		step = pr.done(now, balance.Reset)
+		step = pr.done(now, balance.StatusReset)
 	default:
 		step = pr.dial(now)
 	}
--- a/internal/machine/protocol.go
+++ b/internal/machine/protocol.go
@@ -252,13 +252,13 @@
 		case "h":
 			var ms float64
 			ms, err = decimal(value)
-			o.Request.Load = ms * 1000 // the guess is in milliseconds of work a second
+			o.Request.ExpectedLoad = ms * 1000 // the guess is in milliseconds of work a second
 		case "r":
-			o.Request.Repeat, err = flag(value)
+			o.Request.ClientRetry, err = flag(value)
 		case "again":
-			o.Request.Back, err = flag(value)
+			o.Request.Reconnecting, err = flag(value)
 		case "mid":
-			o.Request.MidFlow, err = flag(value)
+			o.Request.MidStream, err = flag(value)
 			if !names.PassThrough { // nowhere else does a connection come to a relay unbroken
 				err = errSyntax
 			}
@@ -270,11 +270,11 @@
 		}
 		at += len(pair) + 1
 	}
-	if !class || o.right == 0 || o.Request.MidFlow && o.at != nil {
+	if !class || o.right == 0 || o.Request.MidStream && o.at != nil {
 		return o, errSyntax
 	}
 	// Nobody waits longer than the class's give-up time, whatever the line says.
-	if most := names.Classes[o.Request.Class].GiveUp; most > 0 {
+	if most := names.Classes[o.Request.Class].ClientTimeout; most > 0 {
 		o.patience = min(o.patience, most)
 	}
 	return o, nil
--- a/internal/machine/protocol_test.go
+++ b/internal/machine/protocol_test.go
@@ -14,7 +14,7 @@
 
 var names = &settings.Settings{ClassNames: []string{"chat", "order"}, TenantNames: []string{"acme", "bolt"},
 	ZoneNames: []string{"east", "west"}, KindNames: []string{"k"}, FieldNames: []string{"utilization", "x0"},
-	Settings: balance.Settings{PassThrough: true, Classes: []balance.Class{{GiveUp: 2 * time.Second}, {}}}}
+	Settings: balance.Settings{PassThrough: true, Classes: []balance.Class{{ClientTimeout: 2 * time.Second}, {}}}}
 
 func TestParseOpen(t *testing.T) {
 	const ids = "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 "
@@ -23,8 +23,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := balance.Request{Class: 1, Tenant: 1, Key: 0x7f3a9c21e0b4d655, Group: 0x5c0f6e1a2b3d4c59, Load: 2500,
-		Repeat: true, MidFlow: true, Back: true}
+	want := balance.Request{Class: 1, Tenant: 1, Key: 0x7f3a9c21e0b4d655, Group: 0x5c0f6e1a2b3d4c59, ExpectedLoad: 2500,
+		ClientRetry: true, MidStream: true, Reconnecting: true}
 	if o.Request != want || o.id != 0x9b1f03aa5c7e2d41 || o.patience != 1500500*time.Microsecond ||
 		line[o.left:o.right] != "1500.5" {
 		t.Errorf("%+v", o)
@@ -82,7 +82,7 @@
 		if err != nil {
 			return
 		}
-		if !form.Match(line) || o.patience < 0 || o.Request.Load < 0 || !digits(bytes.Replace(line[o.left:o.right], []byte("."), nil, 1)) {
+		if !form.Match(line) || o.patience < 0 || o.Request.ExpectedLoad < 0 || !digits(bytes.Replace(line[o.left:o.right], []byte("."), nil, 1)) {
 			t.Errorf("%q is taken as %+v", line, o)
 		}
 	})
@@ -224,7 +224,7 @@
 		t.Errorf("%+v", a)
 	}
 	if b.line.Zone < 2 || b.line.Kind < 1 || b.line.State != balance.StateDraining || b.line.ReadyAt != 0 ||
-		c.line.State != balance.StateGone {
+		c.line.State != balance.StateRemoved {
 		t.Errorf("%+v, %+v", b, c)
 	}
 	for _, bad := range []string{"", "null", "[]", `{"servers":[]}`, `{"version":-1}`,
@@ -253,23 +253,23 @@
 		want balance.Status
 		ran  bool
 	}{
-		{AttemptError{stage: unsent}, balance.ConnectFailed, false},
-		{AttemptError{stage: unsent, timeout: true}, balance.ConnectFailed, false},
-		{AttemptError{stage: written, wrote: 12}, balance.ConnectFailed, false},
-		{AttemptError{stage: waited}, balance.Reset, true},
-		{AttemptError{stage: waited, timeout: true}, balance.Timeout, true},
-		{AttemptError{stage: waited, stopped: true}, balance.Cancelled, true},
-		{AttemptError{stage: written, wrote: 12, stopped: true}, balance.Moot, false},
-		{AttemptError{stage: unsent, stopped: true}, balance.Moot, false},
-		{AttemptError{stage: answered, answer: busy}, balance.Full, false},
-		{AttemptError{stage: answered, answer: failed}, balance.Error, true},
-		{AttemptError{stage: answered, answer: moved}, balance.Cancelled, true},
-		{AttemptError{stage: answered, answer: bye}, balance.OK, true},
-		{AttemptError{stage: answered, answer: odd}, balance.Error, true},
-		{AttemptError{stage: answered, answer: unread}, balance.Cancelled, true},
+		{AttemptError{stage: unsent}, balance.StatusConnectFailed, false},
+		{AttemptError{stage: unsent, timeout: true}, balance.StatusConnectFailed, false},
+		{AttemptError{stage: written, wrote: 12}, balance.StatusConnectFailed, false},
+		{AttemptError{stage: waited}, balance.StatusReset, true},
+		{AttemptError{stage: waited, timeout: true}, balance.StatusTimeout, true},
+		{AttemptError{stage: waited, stopped: true}, balance.StatusCancelled, true},
+		{AttemptError{stage: written, wrote: 12, stopped: true}, balance.StatusAbandoned, false},
+		{AttemptError{stage: unsent, stopped: true}, balance.StatusAbandoned, false},
+		{AttemptError{stage: answered, answer: busy}, balance.StatusOverloaded, false},
+		{AttemptError{stage: answered, answer: failed}, balance.StatusError, true},
+		{AttemptError{stage: answered, answer: moved}, balance.StatusCancelled, true},
+		{AttemptError{stage: answered, answer: bye}, balance.StatusOK, true},
+		{AttemptError{stage: answered, answer: odd}, balance.StatusError, true},
+		{AttemptError{stage: answered, answer: unread}, balance.StatusCancelled, true},
 	} {
 		tc.e.err = errors.New("cause")
-		if got := tc.e.status(); got != tc.want || got.Ran() != tc.ran {
+		if got := tc.e.status(); got != tc.want || got.MayHaveExecuted() != tc.ran {
 			t.Errorf("%v: status %v", &tc.e, got)
 		}
 		if tc.e.Error() == "" || !errors.Is(&tc.e, tc.e.err) {
--- a/internal/machine/retune.go
+++ b/internal/machine/retune.go
@@ -20,11 +20,11 @@
 // lists, reports and lines are read, and what it does with packets.
 func lasting(s, was *settings.Settings) settings.Settings {
 	o := *s
-	o.Me, o.Relays, o.Zone, o.Tick = was.Me, was.Relays, was.Zone, was.Tick
-	o.ZoneNames, o.KindNames, o.FieldNames, o.Report = was.ZoneNames, was.KindNames, was.FieldNames, was.Report
+	o.RelayIndex, o.RelayCount, o.Zone, o.Tick = was.RelayIndex, was.RelayCount, was.Zone, was.Tick
+	o.ZoneNames, o.KindNames, o.FieldNames, o.ReportFields = was.ZoneNames, was.KindNames, was.FieldNames, was.ReportFields
 	o.Tenants, o.TenantNames = was.Tenants, was.TenantNames
-	o.Groups, o.PassThrough, o.TellsLoad, o.TellsDelay = was.Groups, was.PassThrough, was.TellsLoad, was.TellsDelay
-	o.Peers, o.ListOnRequest, o.Weights = was.Peers, was.ListOnRequest, was.Weights
+	o.Groups, o.PassThrough, o.ReportsConnectionLoad, o.ReportsMessageDelay = was.Groups, was.PassThrough, was.ReportsConnectionLoad, was.ReportsMessageDelay
+	o.Gossip, o.PollEndpoints, o.Weights = was.Gossip, was.PollEndpoints, was.Weights
 	return o
 }
 
@@ -42,12 +42,12 @@
 	out.Classes, names = slices.Clone(n.set.Classes), slices.Clone(n.names)
 	out.ClassNames = make([]string, len(names))
 	for i := range out.Classes {
-		out.Classes[i].Gone = true
+		out.Classes[i].Retired = true
 	}
 	for i, c := range s.Classes {
 		name, number := s.ClassNames[i], -1
 		for j, known := range out.Classes {
-			if known.Gone = false; names[j] == name && known == c && out.ClassNames[j] == "" {
+			if known.Retired = false; names[j] == name && known == c && out.ClassNames[j] == "" {
 				number = j
 			}
 		}
@@ -56,7 +56,7 @@
 			names, out.ClassNames = append(names, name), append(out.ClassNames, "")
 			out.Classes = append(out.Classes, c)
 		}
-		out.Classes[number].Gone, out.ClassNames[number] = false, name
+		out.Classes[number].Retired, out.ClassNames[number] = false, name
 		numbers = append(numbers, number)
 	}
 	if len(names) > mostClasses {
--- a/internal/machine/retune_test.go
+++ b/internal/machine/retune_test.go
@@ -11,14 +11,14 @@
 )
 
 // class makes a class with an effect.
-func class(effect balance.Effect) balance.Class {
-	return balance.Class{OnTime: 500 * time.Millisecond, GiveUp: time.Second, MessageAim: 60 * time.Millisecond, Effect: effect}
+func class(effect balance.Idempotency) balance.Class {
+	return balance.Class{LatencyObjective: 500 * time.Millisecond, ClientTimeout: time.Second, MessageLatencyObjective: 60 * time.Millisecond, Idempotency: effect}
 }
 
 // with is the test's configuration with other classes and attempts.
 func with(names []string, classes []balance.Class, attempts int) Config {
 	cfg := testConfig()
-	cfg.Settings.ClassNames, cfg.Settings.Classes, cfg.Settings.TryLimit = names, classes, attempts
+	cfg.Settings.ClassNames, cfg.Settings.Classes, cfg.Settings.MaxAttempts = names, classes, attempts
 	return cfg
 }
 
@@ -49,15 +49,15 @@
 // the class is unsafe or gone by now, one of an unsafe class is not though the class is safe by now.
 func TestARequestKeepsTheRulesThatItWasTakenUnder(t *testing.T) {
 	names := []string{"look", "act"}
-	n, h := node(t, with(names, []balance.Class{class(balance.Safe), class(balance.Unsafe)}, 4))
+	n, h := node(t, with(names, []balance.Class{class(balance.Idempotent), class(balance.NonIdempotent)}, 4))
 	for seq := uint64(100); seq < 130; seq++ { // they earn further attempts
 		opensAs(t, n, seq, "look")
 	}
 	stands := func(seq uint64) { // or failures alone would space attempts out
-		n.Heard(time.Second, seq, Event{Kind: Stood, Outcome: balance.Outcome{ID: seq, Latency: time.Millisecond}})
+		n.Heard(time.Second, seq, Event{Kind: Stood, Outcome: balance.AttemptResult{ID: seq, Latency: time.Millisecond}})
 	}
 	look, act, gone := opensAs(t, n, 1, "look"), opensAs(t, n, 2, "act"), opensAs(t, n, 3, "look")
-	if err := n.Reload(time.Second, with(names, []balance.Class{class(balance.Unsafe), class(balance.Safe)}, 4), 256); err != nil {
+	if err := n.Reload(time.Second, with(names, []balance.Class{class(balance.NonIdempotent), class(balance.Idempotent)}, 4), 256); err != nil {
 		t.Fatal(err)
 	}
 	if o := fails(n, h, look, time.Second); o.To == nil {
@@ -66,7 +66,7 @@
 	if o := fails(n, h, act, time.Second); o.Answer != AnswerFailed {
 		t.Errorf("an unsafe request has %+v", o)
 	}
-	if err := n.Reload(time.Second, with(names[1:], []balance.Class{class(balance.Safe)}, 4), 256); err != nil {
+	if err := n.Reload(time.Second, with(names[1:], []balance.Class{class(balance.Idempotent)}, 4), 256); err != nil {
 		t.Fatal(err)
 	}
 	stands(100)
@@ -91,7 +91,7 @@
 
 // Attempts lowered below those used end nothing early: the request has as many as it began with, the next one fewer.
 func TestLoweredAttemptsAreForTheNextRequests(t *testing.T) {
-	names, classes := []string{"chat"}, []balance.Class{class(balance.Safe)}
+	names, classes := []string{"chat"}, []balance.Class{class(balance.Idempotent)}
 	n, h := node(t, with(names, classes, 3))
 	for seq := uint64(100); seq < 130; seq++ { // they earn further attempts
 		opensAs(t, n, seq, "chat")
@@ -114,15 +114,15 @@
 // Classes that come and go, in any order, keep their numbers as long as they are the same; what changes for ever is
 // refused in the end, and nothing of that file is taken.
 func TestClassesKeepTheirNumbers(t *testing.T) {
-	n, _ := node(t, with([]string{"a", "b"}, []balance.Class{class(balance.Safe), class(balance.Unsafe)}, 4))
+	n, _ := node(t, with([]string{"a", "b"}, []balance.Class{class(balance.Idempotent), class(balance.NonIdempotent)}, 4))
 	table, _ := route.New([]route.Route{{Name: "r", Match: route.Match{Class: 0, Tenant: route.Any, Zone: route.Any, Protocol: route.Any}}})
-	cfg := with([]string{"b", "a"}, []balance.Class{class(balance.Unsafe), class(balance.Safe)}, 4)
+	cfg := with([]string{"b", "a"}, []balance.Class{class(balance.NonIdempotent), class(balance.Idempotent)}, 4)
 	cfg.Routes = table
 	for range 5 {
 		if err := n.Reload(time.Second, cfg, 256); err != nil {
 			t.Fatal(err)
 		}
-		if err := n.Reload(time.Second, with([]string{"a"}, []balance.Class{class(balance.Safe)}, 4), 256); err != nil {
+		if err := n.Reload(time.Second, with([]string{"a"}, []balance.Class{class(balance.Idempotent)}, 4), 256); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -134,8 +134,8 @@
 	}
 	var refused error
 	for i := 0; refused == nil && i < 2*mostClasses; i++ {
-		c := class(balance.Safe)
-		c.Worth = float64(i + 2)
+		c := class(balance.Idempotent)
+		c.PriorityWeight = float64(i + 2)
 		refused = n.Reload(time.Second, with([]string{"a"}, []balance.Class{c}, 2), 256)
 	}
 	if refused == nil || len(n.Settings().Classes) > mostClasses {
@@ -145,16 +145,16 @@
 
 // Loads and remembered places outlast a reload, and a relay's place among the others waits for a restart.
 func TestAReloadForgetsNothing(t *testing.T) {
-	n, h := node(t, with([]string{"chat"}, []balance.Class{class(balance.Safe)}, 4))
+	n, h := node(t, with([]string{"chat"}, []balance.Class{class(balance.Idempotent)}, 4))
 	for seq := uint64(1); seq <= 10; seq++ {
 		standsAt(t, n, h, seq, time.Second)
 	}
-	cfg := with([]string{"other", "chat"}, []balance.Class{class(balance.Unsafe), class(balance.Safe)}, 4)
-	cfg.Settings.Relays, cfg.Settings.ZoneNames = 9, []string{"west"}
+	cfg := with([]string{"other", "chat"}, []balance.Class{class(balance.NonIdempotent), class(balance.Idempotent)}, 4)
+	cfg.Settings.RelayCount, cfg.Settings.ZoneNames = 9, []string{"west"}
 	if err := n.Reload(time.Second, cfg, 256); err != nil {
 		t.Fatal(err)
 	}
-	if all, by := n.Balancer().Connections(); all != 10 || by != 10 || n.Settings().Relays != 2 || n.Settings().ZoneNames[0] != "east" {
+	if all, by := n.Balancer().Connections(); all != 10 || by != 10 || n.Settings().RelayCount != 2 || n.Settings().ZoneNames[0] != "east" {
 		t.Errorf("T counts %d, %d; %+v", all, by, n.Settings())
 	}
 	for seq := uint64(11); seq <= 14; seq++ {
--- a/internal/machine/watch.go
+++ b/internal/machine/watch.go
@@ -18,19 +18,19 @@
 // Shape is what may differ between deployments in what the module has to go by.
 type Shape struct {
 	Probes, Peers, Groups, RetryAfter bool
-	Report                            []balance.Field // of load reports, in order; empty: none come
-	Weights                           balance.Weights
+	Report                            []balance.ReportField // of load reports, in order; empty: none come
+	Weights                           balance.WeightMode
 }
 
 // ShapeOf is the shape that settings have.
 func ShapeOf(b *balance.Settings) *Shape {
-	return &Shape{Probes: b.Probes, Peers: b.Peers, Groups: b.Groups, RetryAfter: b.RetryAfter, Report: b.Report, Weights: b.Weights}
+	return &Shape{Probes: b.HealthChecks, Peers: b.Gossip, Groups: b.Groups, RetryAfter: b.RetryAfter, Report: b.ReportFields, Weights: b.Weights}
 }
 
 // over is settings with another shape.
 func (s *Shape) over(b balance.Settings) balance.Settings {
-	b.Probes, b.Peers, b.Groups, b.RetryAfter = s.Probes, s.Peers, s.Groups, s.RetryAfter
-	b.Report, b.Weights = s.Report, s.Weights
+	b.HealthChecks, b.Gossip, b.Groups, b.RetryAfter = s.Probes, s.Peers, s.Groups, s.RetryAfter
+	b.ReportFields, b.Weights = s.Report, s.Weights
 	return b
 }
 
@@ -213,8 +213,8 @@
 		w.count(WatchAgain)
 	}
 	r := f.request
-	r.Left -= now - f.came
-	w.other.Follow(now, r, f.sends-1, real.to, real.sent)
+	r.TimeLeft -= now - f.came
+	w.other.ReplayDecision(now, r, f.sends-1, real.to, real.sent)
 	if !real.sent {
 		w.drop(id)
 	}
@@ -253,7 +253,7 @@
 			Avoids(time.Duration, balance.BackendID) bool
 		}); ok {
 			for _, b := range w.node.named {
-				is, would := real.Avoids(now, b.ID), w.other.Avoids(now, b.ID)
+				is, would := real.Avoids(now, b.ID), w.other.Unavailable(now, b.ID)
 				if is == would {
 					delete(w.differs, b.ID)
 					continue
@@ -288,126 +288,128 @@
 // timer is a timer that the other half has asked for.
 func (w *watch) timer(now time.Duration, token uint64) {
 	w.safely(func() {
-		w.other.Timer(now, token)
+		w.other.TimerFired(now, token)
 		w.settle(now)
 	})
 }
 
 // --- what both hear ----------------------------------------------------------------
 
-func (w *watch) Request(now time.Duration, r balance.Request) {
+func (w *watch) RequestArrived(now time.Duration, r balance.Request) {
 	if !w.ended() {
 		w.flows[r.ID] = &watchedFlow{request: r, came: now}
 	}
-	w.both(now, func(d Decider) { d.Request(now, r) })
+	w.both(now, func(d Decider) { d.RequestArrived(now, r) })
 }
 
-func (w *watch) Open(now time.Duration, r balance.Request, id balance.BackendID) {
+func (w *watch) SessionAdopted(now time.Duration, r balance.Request, id balance.BackendID) {
 	if !w.ended() {
 		w.flows[r.ID] = &watchedFlow{request: r, came: now, sends: 1, began: true}
 	}
-	w.both(now, func(d Decider) { d.Open(now, r, id) })
+	w.both(now, func(d Decider) { d.SessionAdopted(now, r, id) })
 }
 
-func (w *watch) Began(now time.Duration, o balance.Outcome) {
+func (w *watch) AttemptSucceeded(now time.Duration, o balance.AttemptResult) {
 	w.safely(func() {
 		w.force(now, o.ID)
 		if f := w.flows[o.ID]; f != nil {
 			f.began = true
 		}
 	})
-	w.both(now, func(d Decider) { d.Began(now, o) })
+	w.both(now, func(d Decider) { d.AttemptSucceeded(now, o) })
 }
 
-func (w *watch) Outcome(now time.Duration, o balance.Outcome) {
+func (w *watch) AttemptEnded(now time.Duration, o balance.AttemptResult) {
 	over := false
 	w.safely(func() {
 		w.force(now, o.ID)
 		f := w.flows[o.ID]
 		over = f != nil && (f.began || o.Closed)
 	})
-	w.both(now, func(d Decider) { d.Outcome(now, o) })
+	w.both(now, func(d Decider) { d.AttemptEnded(now, o) })
 	if over {
 		w.safely(func() { w.drop(o.ID) })
 	}
 }
 
-func (w *watch) Gone(now time.Duration, id uint64) {
+func (w *watch) ClientClosed(now time.Duration, id uint64) {
 	w.safely(func() {
 		w.force(now, id)
 		// A client that leaves while what decides holds it leaves nothing behind where it was sent in vain.
 		if f := w.flows[id]; f != nil && f.other.sent {
-			w.other.Follow(now, f.request, 0, 0, false)
+			w.other.ReplayDecision(now, f.request, 0, 0, false)
 		}
 	})
-	w.both(now, func(d Decider) { d.Gone(now, id) })
+	w.both(now, func(d Decider) { d.ClientClosed(now, id) })
 	w.safely(func() { w.drop(id) })
 }
 
-func (w *watch) Note(now time.Duration, id uint64, kind balance.NoteKind, v float64) {
-	w.both(now, func(d Decider) { d.Note(now, id, kind, v) })
+func (w *watch) LoadReported(now time.Duration, id uint64, kind balance.LoadSignal, v float64) {
+	w.both(now, func(d Decider) { d.LoadReported(now, id, kind, v) })
 }
 
 // Timer is what decides alone: the other half has timers of its own.
-func (w *watch) Timer(now time.Duration, token uint64) {
-	w.Decider.Timer(now, token)
+func (w *watch) TimerFired(now time.Duration, token uint64) {
+	w.Decider.TimerFired(now, token)
 	w.safely(func() { w.settle(now) })
 }
 
-func (w *watch) Leave(now, at time.Duration) { w.both(now, func(d Decider) { d.Leave(now, at) }) }
+func (w *watch) DrainBy(now, at time.Duration) { w.both(now, func(d Decider) { d.DrainBy(now, at) }) }
 
-func (w *watch) Probed(now time.Duration, r balance.Report) {
-	w.Decider.Probed(now, r)
+func (w *watch) HealthCheckDone(now time.Duration, r balance.HealthCheckResult) {
+	w.Decider.HealthCheckDone(now, r)
 	w.safely(func() {
 		if w.node.cfg.Watch.Probes { // under settings without probes no answer would have come
-			w.other.Probed(now, r)
+			w.other.HealthCheckDone(now, r)
 		}
 		w.settle(now)
 	})
 }
 
-func (w *watch) Peer(now time.Duration, from int, data []byte) {
-	w.Decider.Peer(now, from, data)
+func (w *watch) GossipReceived(now time.Duration, from int, data []byte) {
+	w.Decider.GossipReceived(now, from, data)
 	w.safely(func() {
 		if w.node.cfg.Watch.Peers {
-			w.other.Peer(now, from, data)
+			w.other.GossipReceived(now, from, data)
 		}
 		w.settle(now)
 	})
 }
 
-func (w *watch) List(now time.Duration, kind balance.ListKind, lines []balance.Backend) {
-	w.both(now, func(d Decider) { d.List(now, kind, slices.Clone(lines)) })
+func (w *watch) EndpointsUpdated(now time.Duration, kind balance.EndpointUpdateKind, lines []balance.Backend) {
+	w.both(now, func(d Decider) { d.EndpointsUpdated(now, kind, slices.Clone(lines)) })
 }
 
 // Here goes to what decides alone: the other shape's figures are its own.
-func (w *watch) Here(relays int) { w.both(w.node.now, func(d Decider) { d.Here(relays) }) }
+func (w *watch) SetActiveRelays(relays int) {
+	w.both(w.node.now, func(d Decider) { d.SetActiveRelays(relays) })
+}
 
-func (w *watch) Retune(s balance.Settings) {
-	w.Decider.Retune(s)
-	w.safely(func() { w.other.Retune(w.node.cfg.Watch.over(s)) })
+func (w *watch) UpdateSettings(s balance.Settings) {
+	w.Decider.UpdateSettings(s)
+	w.safely(func() { w.other.UpdateSettings(w.node.cfg.Watch.over(s)) })
 }
 
 // Memory, Recall and Beside are of what decides: watching begins anew with each process.
-func (w *watch) Memory() (m balance.Memory) {
+func (w *watch) Snapshot() (m balance.Snapshot) {
 	if r, ok := w.Decider.(remembers); ok {
-		m = r.Memory()
+		m = r.Snapshot()
 	}
 	return m
 }
 
-func (w *watch) Recall(now time.Duration, m balance.Memory) {
+func (w *watch) Restore(now time.Duration, m balance.Snapshot) {
 	if r, ok := w.Decider.(remembers); ok {
-		r.Recall(now, m)
+		r.Restore(now, m)
 	}
-	w.safely(func() { w.other.Recall(now, m) })
+	w.safely(func() { w.other.Restore(now, m) })
 }
 
-func (w *watch) Beside(now time.Duration, m balance.Memory) {
+func (w *watch) UpdateOtherProcess(now time.Duration, m balance.Snapshot) {
 	if r, ok := w.Decider.(remembers); ok {
-		r.Beside(now, m)
+		r.UpdateOtherProcess(now, m)
 	}
-	w.safely(func() { w.other.Beside(now, m) })
+	w.safely(func() { w.other.UpdateOtherProcess(now, m) })
 }
 
 // --- what both do ------------------------------------------------------------------
@@ -450,9 +452,9 @@
 	s.actions.Send(id, to, timeout)
 }
 
-func (s seen) Refuse(id uint64, after time.Duration) {
+func (s seen) Reject(id uint64, after time.Duration) {
 	s.decided(id, verdict{done: true}, true)
-	s.actions.Refuse(id, after)
+	s.actions.Reject(id, after)
 }
 
 func (s seen) Fail(id uint64) {
@@ -460,9 +462,9 @@
 	s.actions.Fail(id)
 }
 
-func (s seen) Move(id uint64) {
+func (s seen) Migrate(id uint64) {
 	s.asked(id, true)
-	s.actions.Move(id)
+	s.actions.Migrate(id)
 }
 
 // shadow is where the actions of the other half end.
@@ -471,14 +473,14 @@
 func (s shadow) Send(id uint64, to balance.BackendID, _ time.Duration) {
 	s.decided(id, verdict{done: true, sent: true, to: to}, false)
 }
-func (s shadow) Refuse(id uint64, _ time.Duration)   { s.decided(id, verdict{done: true}, false) }
-func (s shadow) Fail(id uint64)                      { s.decided(id, verdict{done: true}, false) }
-func (s shadow) Move(id uint64)                      { s.asked(id, false) }
-func (s shadow) After(token uint64, d time.Duration) { s.node.after(watchTimer, token, d) }
-func (shadow) Cancel(uint64, int)                    {}
-func (shadow) Probe(balance.BackendID)               {}
-func (shadow) Release(balance.BackendID)             {}
-func (shadow) Tell(int, []byte)                      {}
-func (shadow) Subscribe(bool)                        {}
-func (shadow) Fetch()                                {}
-func (shadow) Log(string)                            {}
+func (s shadow) Reject(id uint64, _ time.Duration)      { s.decided(id, verdict{done: true}, false) }
+func (s shadow) Fail(id uint64)                         { s.decided(id, verdict{done: true}, false) }
+func (s shadow) Migrate(id uint64)                      { s.asked(id, false) }
+func (s shadow) SetTimer(token uint64, d time.Duration) { s.node.after(watchTimer, token, d) }
+func (shadow) Cancel(uint64, int)                       {}
+func (shadow) CheckHealth(balance.BackendID)            {}
+func (shadow) ReleaseHealthCheck(balance.BackendID)     {}
+func (shadow) SendGossip(int, []byte)                   {}
+func (shadow) WatchEndpoints(bool)                      {}
+func (shadow) FetchEndpoints()                          {}
+func (shadow) Log(string)                               {}
--- a/internal/machine/watch_test.go
+++ b/internal/machine/watch_test.go
@@ -14,8 +14,8 @@
 
 // watched is a configuration with a shape to watch, which differs from the one in force as change says.
 func watched(change func(*Shape)) Config {
-	cfg := with([]string{"chat"}, []balance.Class{class(balance.Safe)}, 3)
-	cfg.Settings.PassThrough, cfg.Settings.TellsDelay = false, true
+	cfg := with([]string{"chat"}, []balance.Class{class(balance.Idempotent)}, 3)
+	cfg.Settings.PassThrough, cfg.Settings.ReportsMessageDelay = false, true
 	cfg.Known = []byte(strings.ReplaceAll(three, `"weight":1}]`, `"weight":6}]`))
 	s := cfg.Settings.Settings
 	s.Weights = balance.WeightsNominal
@@ -51,9 +51,9 @@
 					continue
 				}
 				did = append(did, fmt.Sprintf("%d %d to %s", step, id, o.To.Name))
-				out := balance.Outcome{ID: id, Attempt: n.flows[id].sent - 1, Backend: o.To.ID, Latency: 5 * time.Millisecond}
+				out := balance.AttemptResult{ID: id, Attempt: n.flows[id].sent - 1, Backend: o.To.ID, Latency: 5 * time.Millisecond}
 				if o.To.Name == "b" && id%3 == 0 {
-					out.Status = balance.Error
+					out.Status = balance.StatusError
 					n.Heard(now, id, Event{Kind: AttemptEnded, Outcome: out})
 				} else {
 					began[id] = true
@@ -65,12 +65,12 @@
 			n.Heard(now, seq, Event{Kind: Told, Load: 40})
 		}
 		for _, id := range h.probed {
-			n.Probed(now, balance.Report{Backend: id, Latency: time.Millisecond, Load: []float32{0.2}})
+			n.Probed(now, balance.HealthCheckResult{Backend: id, Latency: time.Millisecond, Load: []float32{0.2}})
 		}
 		h.probed = nil
 		for _, id := range h.moved {
 			did = append(did, fmt.Sprintf("%d %d moves", step, id))
-			out := balance.Outcome{ID: id, Attempt: n.flows[id].sent - 1, Status: balance.Cancelled, Closed: true}
+			out := balance.AttemptResult{ID: id, Attempt: n.flows[id].sent - 1, Status: balance.StatusCancelled, Closed: true}
 			n.Heard(now, id, Event{Kind: AttemptEnded, Outcome: out})
 		}
 		h.moved = nil
@@ -128,13 +128,13 @@
 		f.Counts[WatchRefused]+f.Counts[WatchAnother] == 0 {
 		t.Errorf("no probes: %+v", f)
 	}
-	really, other := n.watch.Memory().Servers, n.watch.other.Memory().Servers
+	really, other := n.watch.Snapshot().Backends, n.watch.other.Snapshot().Backends
 	if len(really) != 3 || len(other) != 3 {
 		t.Fatalf("%d and %d servers", len(really), len(other))
 	}
 	for i, s := range really {
-		if o := other[i]; o.ID != s.ID || o.Held != s.Held || s.Held == 0 {
-			t.Errorf("really open at %d: %v, in the other half's books %v", s.ID, s.Held, o.Held)
+		if o := other[i]; o.ID != s.ID || o.TrackedLoad != s.TrackedLoad || s.TrackedLoad == 0 {
+			t.Errorf("really open at %d: %v, in the other half's books %v", s.ID, s.TrackedLoad, o.TrackedLoad)
 		}
 	}
 }
@@ -185,8 +185,8 @@
 			}
 			for i := 0; b.Loop(); i++ {
 				id, now := uint64(i+1), time.Second+time.Duration(i)*time.Millisecond
-				n.balancer.Request(now, balance.Request{ID: id, Key: id, Left: time.Second, Timing: &balance.Timing{}})
-				n.balancer.Gone(now, id)
+				n.balancer.RequestArrived(now, balance.Request{ID: id, Key: id, TimeLeft: time.Second, RetryPolicy: &balance.RetryPolicy{}})
+				n.balancer.ClientClosed(now, id)
 			}
 		})
 	}
--- a/internal/mesa/codec_test.go
+++ b/internal/mesa/codec_test.go
@@ -89,12 +89,12 @@
 var statuses = map[balance.Status]struct {
 	word string
 	code uint16
-}{balance.OK: {"ok", 0}, balance.Error: {"error", 5}, balance.Full: {"full", 11}, balance.Timeout: {"timeout", 110},
-	balance.ConnectFailed: {"connect failed", 111}, balance.Reset: {"reset", 104}, balance.Cancelled: {"cancelled", 125}, balance.Moot: {"moot", 114}}
+}{balance.StatusOK: {"ok", 0}, balance.StatusError: {"error", 5}, balance.StatusOverloaded: {"full", 11}, balance.StatusTimeout: {"timeout", 110},
+	balance.StatusConnectFailed: {"connect failed", 111}, balance.StatusReset: {"reset", 104}, balance.StatusCancelled: {"cancelled", 125}, balance.StatusAbandoned: {"moot", 114}}
 
 func requestWords(r *balance.Request) string {
 	return fmt.Sprintf("id %x, class %d, tenant %d, key %x, left %v, load %v, group %x, repeat %v, mid-flow %v, back %v",
-		r.ID, r.Class, r.Tenant, r.Key, r.Left, r.Load, r.Group, r.Repeat, r.MidFlow, r.Back)
+		r.ID, r.Class, r.Tenant, r.Key, r.TimeLeft, r.ExpectedLoad, r.Group, r.ClientRetry, r.MidStream, r.Reconnecting)
 }
 
 // words says all that an event holds.
@@ -106,11 +106,11 @@
 	case Configure:
 		return fmt.Sprintf("configure: seed %x, settings %q", e.Seed, e.Info)
 	case View:
-		kind := map[balance.ListKind]string{balance.ListDelta: "delta", balance.ListFull: "full", balance.ListCached: "cached", balance.ListFailed: "failed"}
+		kind := map[balance.EndpointUpdateKind]string{balance.UpdateDelta: "delta", balance.UpdateFull: "full", balance.UpdateCached: "cached", balance.UpdateFailed: "failed"}
 		return fmt.Sprintf("view: %s, slot %d, version %d", kind[e.Kind], e.Slot, e.Version)
 	case Inventory:
 		s := fmt.Sprintf("inventory: slot %d", e.Slot)
-		state := map[balance.State]string{balance.StateGone: "gone", balance.StateReady: "ready", balance.StateDraining: "draining"}
+		state := map[balance.BackendState]string{balance.StateRemoved: "gone", balance.StateReady: "ready", balance.StateDraining: "draining"}
 		for _, b := range e.List {
 			s += fmt.Sprintf("; %x %s, zone %d, cell %d, weight %v, kind %d, ready at %v", uint64(b.ID), state[b.State], b.Zone, b.Cell, b.Weight, b.Kind, b.ReadyAt)
 		}
@@ -122,7 +122,7 @@
 	case Begun:
 		return fmt.Sprintf("begun: id %x, attempt %d, at %x, after %v", o.ID, o.Attempt, uint64(o.Backend), o.Latency)
 	case Note:
-		kind := map[balance.NoteKind]string{balance.NoteLoad: "load", balance.NoteDelay: "delay"}
+		kind := map[balance.LoadSignal]string{balance.SignalConnectionLoad: "load", balance.SignalMessageDelay: "delay"}
 		return fmt.Sprintf("note: id %x, attempt %d, at %x, %s %v", o.ID, o.Attempt, uint64(e.Backend), kind[e.NoteKind], e.Value)
 	case Settled:
 		return fmt.Sprintf("settled: id %x, attempt %d, at %x, %s after %v, closed %v, load %v", o.ID, o.Attempt, uint64(o.Backend),
@@ -170,10 +170,10 @@
 		u8(uint8(r.Class))
 		u32(uint32(r.Tenant))
 		u64(r.Key)
-		ms(r.Left)
-		f64(r.Load / 1000)
+		ms(r.TimeLeft)
+		f64(r.ExpectedLoad / 1000)
 		u64(r.Group)
-		u8(bit(r.Load > 0, 1) | bit(r.Repeat, 2) | bit(r.MidFlow, 8) | bit(r.Back, 16))
+		u8(bit(r.ExpectedLoad > 0, 1) | bit(r.ClientRetry, 2) | bit(r.MidStream, 8) | bit(r.Reconnecting, 16))
 	}
 	o, r := &e.Outcome, &e.Report
 	switch e.Code {
@@ -337,20 +337,20 @@
 // actions has every action with figures other than 0, of two instances that take turns.
 func actions(r *Reply) {
 	a, b := Writer{r, 3}, Writer{r, 0xfffffffe}
-	a.Subscribe(true)
-	a.Fetch()
+	a.WatchEndpoints(true)
+	a.FetchEndpoints()
 	a.Send(0x98b635d3a91c4, 0x0a124a071b5b, 80*time.Millisecond)
 	a.Cancel(0x98b635d3a91c4, 1)
-	a.Refuse(0x243eb0e6f2b19, 250*time.Millisecond)
+	a.Reject(0x243eb0e6f2b19, 250*time.Millisecond)
 	b.Fail(0x243eb0e6f2b19)
-	b.Move(0x243eb0e6f2b19)
-	b.Probe(0x0a9011f21b84)
-	b.Release(0x0a9011f21b84)
-	b.Tell(-1, []byte("hi 7"))
-	b.Tell(2, nil)
-	a.After(0x4d, 1500*time.Microsecond)
+	b.Migrate(0x243eb0e6f2b19)
+	b.CheckHealth(0x0a9011f21b84)
+	b.ReleaseHealthCheck(0x0a9011f21b84)
+	b.SendGossip(-1, []byte("hi 7"))
+	b.SendGossip(2, nil)
+	a.SetTimer(0x4d, 1500*time.Microsecond)
 	a.Log("two servers known")
-	a.Subscribe(false)
+	a.WatchEndpoints(false)
 	r.Fatal(9, "broken")
 	b.Log(strings.Repeat("x", maxText+1))
 }
@@ -382,33 +382,33 @@
 			to.Fatal(w.Instance, string(take(u16())))
 		case 30:
 			id := u64()
-			w.Refuse(id, wait())
+			w.Reject(id, wait())
 		case 50:
 			w.Log(string(take(u16())))
 		case 60:
-			w.Fetch()
+			w.FetchEndpoints()
 		case 70:
 			id, at := u64(), backend()
 			w.Send(id, at, wait())
 		case 80:
-			w.Release(backend())
+			w.ReleaseHealthCheck(backend())
 		case 90:
 			token := u64()
-			w.After(token, wait())
+			w.SetTimer(token, wait())
 		case 100:
-			w.Subscribe(take(1)[0] == 1)
+			w.WatchEndpoints(take(1)[0] == 1)
 		case 110:
-			w.Probe(backend())
+			w.CheckHealth(backend())
 		case 120:
 			peer := u16()
 			if peer == math.MaxUint16 {
 				peer = -1
 			}
-			w.Tell(peer, take(u16()))
+			w.SendGossip(peer, take(u16()))
 		case 130:
 			w.Fail(u64())
 		case 140:
-			w.Move(u64())
+			w.Migrate(u64())
 		default:
 			t.Fatalf("code %d", code)
 		}
--- a/internal/mesa/encode.go
+++ b/internal/mesa/encode.go
@@ -100,8 +100,8 @@
 	w.Reply.ms(timeout)
 }
 
-// Refuse is the final answer "rejected".
-func (w Writer) Refuse(id uint64, retryAfter time.Duration) {
+// Reject is the final answer "rejected".
+func (w Writer) Reject(id uint64, retryAfter time.Duration) {
 	w.Reply.record(w.Instance, codeRefuse)
 	w.Reply.u64(id)
 	w.Reply.ms(retryAfter)
@@ -120,26 +120,26 @@
 	w.Reply.u16(uint16(attempt))
 }
 
-// Probe tests a backend.
-func (w Writer) Probe(to balance.BackendID) {
+// CheckHealth tests a backend.
+func (w Writer) CheckHealth(to balance.BackendID) {
 	w.Reply.record(w.Instance, codeProbe)
 	w.Reply.backend(to)
 }
 
 // Release closes idle connections to a backend.
-func (w Writer) Release(to balance.BackendID) {
+func (w Writer) ReleaseHealthCheck(to balance.BackendID) {
 	w.Reply.record(w.Instance, codeRelease)
 	w.Reply.backend(to)
 }
 
-// Move asks a client to leave and come again.
-func (w Writer) Move(id uint64) {
+// Migrate asks a client to leave and come again.
+func (w Writer) Migrate(id uint64) {
 	w.Reply.record(w.Instance, codeMove)
 	w.Reply.u64(id)
 }
 
-// Tell sends a message to one relay or, below 0, to all.
-func (w Writer) Tell(peer int, data []byte) {
+// Gossip sends a message to one relay or, below 0, to all.
+func (w Writer) SendGossip(peer int, data []byte) {
 	w.Reply.record(w.Instance, codeTell)
 	if peer < 0 {
 		peer = math.MaxUint16
@@ -148,15 +148,15 @@
 	w.Reply.text(string(data))
 }
 
-// After asks for a timer.
-func (w Writer) After(token uint64, d time.Duration) {
+// SetTimer asks for a timer.
+func (w Writer) SetTimer(token uint64, d time.Duration) {
 	w.Reply.record(w.Instance, codeAfter)
 	w.Reply.u64(token)
 	w.Reply.ms(d)
 }
 
-// Subscribe starts or ends the subscription to list changes.
-func (w Writer) Subscribe(on bool) {
+// WatchEndpoints starts or ends the subscription to list changes.
+func (w Writer) WatchEndpoints(on bool) {
 	w.Reply.record(w.Instance, codeSubscribe)
 	var v uint8
 	if on {
@@ -165,8 +165,8 @@
 	w.Reply.b = append(w.Reply.b, v)
 }
 
-// Fetch asks for the whole list once.
-func (w Writer) Fetch() { w.Reply.record(w.Instance, codeFetch) }
+// FetchEndpoints asks for the whole list once.
+func (w Writer) FetchEndpoints() { w.Reply.record(w.Instance, codeFetch) }
 
 // Log adds a line to the report.
 func (w Writer) Log(text string) {
--- a/internal/mesa/mesa.go
+++ b/internal/mesa/mesa.go
@@ -49,17 +49,17 @@
 	Code     Code
 	Instance uint32 // About
 	Request  balance.Request
-	Outcome  balance.Outcome // Settled, Begun
-	Report   balance.Report
+	Outcome  balance.AttemptResult // Settled, Begun
+	Report   balance.HealthCheckResult
 	Backend  balance.BackendID // Resumed, Note
 	Token    uint64
 	Seed     uint64
 	Info     []byte
-	Kind     balance.ListKind
+	Kind     balance.EndpointUpdateKind
 	Slot     uint32
 	Version  uint64
 	List     []balance.Backend
-	NoteKind balance.NoteKind
+	NoteKind balance.LoadSignal
 	Value    float64
 	From     int
 	Data     []byte
@@ -140,12 +140,12 @@
 		e.Info = d.take(int(d.u32()))
 	case View:
 		k := d.u8()
-		if k > uint8(balance.ListFailed) {
+		if k > uint8(balance.UpdateFailed) {
 			d.fail("list scope %d", k)
 		}
-		e.Kind = balance.ListKind(k)
+		e.Kind = balance.EndpointUpdateKind(k)
 		e.Slot = d.u32()
-		if e.Kind != balance.ListFailed && e.Slot >= maxSlot {
+		if e.Kind != balance.UpdateFailed && e.Slot >= maxSlot {
 			d.fail("list slot %d", e.Slot)
 		}
 		e.Version = d.u64()
@@ -169,7 +169,7 @@
 		e.Outcome.ID = d.u64()
 		e.Outcome.Attempt = int(d.u16())
 		e.Backend = d.backend()
-		e.NoteKind = balance.NoteKind(d.u8())
+		e.NoteKind = balance.LoadSignal(d.u8())
 		e.Value = float64(math.Float32frombits(d.u32()))
 	case Settled:
 		e.Outcome.ID = d.u64()
@@ -264,24 +264,24 @@
 func (d *Decoder) status() balance.Status {
 	switch c := d.u16(); c {
 	case 0:
-		return balance.OK
+		return balance.StatusOK
 	case 5:
-		return balance.Error
+		return balance.StatusError
 	case 11:
-		return balance.Full
+		return balance.StatusOverloaded
 	case 110:
-		return balance.Timeout
+		return balance.StatusTimeout
 	case 111:
-		return balance.ConnectFailed
+		return balance.StatusConnectFailed
 	case 104:
-		return balance.Reset
+		return balance.StatusReset
 	case 125:
-		return balance.Cancelled
+		return balance.StatusCancelled
 	case 114:
-		return balance.Moot
+		return balance.StatusAbandoned
 	default:
 		d.fail("unknown outcome code %d", c)
-		return balance.Error
+		return balance.StatusError
 	}
 }
 
@@ -299,16 +299,16 @@
 	r.Class = int(d.u8())
 	r.Tenant = int(d.u32())
 	r.Key = d.u64()
-	r.Left = d.ms()
+	r.TimeLeft = d.ms()
 	hint := d.f64()
 	r.Group = d.u64()
 	flags := d.u8()
 	if flags&1 != 0 {
-		r.Load = hint * 1000 // the hint is milliseconds of work a second, notes are microseconds
+		r.ExpectedLoad = hint * 1000 // the hint is milliseconds of work a second, notes are microseconds
 	}
-	r.Repeat = flags&2 != 0
-	r.MidFlow = flags&8 != 0
-	r.Back = flags&16 != 0
+	r.ClientRetry = flags&2 != 0
+	r.MidStream = flags&8 != 0
+	r.Reconnecting = flags&16 != 0
 }
 
 func (d *Decoder) entries() []balance.Backend {
@@ -324,7 +324,7 @@
 		if s > uint8(balance.StateDraining) {
 			d.fail("unknown backend status %d", s)
 		}
-		b.State = balance.State(s)
+		b.State = balance.BackendState(s)
 		b.Zone = int(d.u16())
 		b.Cell = int(d.u16())
 		b.Weight = float64(math.Float32frombits(d.u32()))
--- a/internal/mesa/mesa_test.go
+++ b/internal/mesa/mesa_test.go
@@ -71,8 +71,8 @@
 		t.Fatalf("codes %v, want %v", codes, want)
 	}
 	r := got[1].Request
-	want := balance.Request{ID: 0x98b635d3a91c4, Key: 0x91f03b7c55d20a64, Left: 240 * time.Millisecond,
-		Load: 12000, Group: 0x2b8e6401d9f37c10}
+	want := balance.Request{ID: 0x98b635d3a91c4, Key: 0x91f03b7c55d20a64, TimeLeft: 240 * time.Millisecond,
+		ExpectedLoad: 12000, Group: 0x2b8e6401d9f37c10}
 	if r != want {
 		t.Errorf("call %+v, want %+v", r, want)
 	}
@@ -90,10 +90,10 @@
 			return e.Outcome.Latency == 9250*time.Microsecond && e.Outcome.Backend == 0x0a124a071b5b
 		}},
 		{"note", "0a 00098b635d3a91c4 0000 0a124a07 1b5b 01 3f000000", func(e Event) bool {
-			return e.NoteKind == balance.NoteLoad && e.Value == 0.5
+			return e.NoteKind == balance.SignalConnectionLoad && e.Value == 0.5
 		}},
 		{"settled", "6e 00098b635d3a91c4 0002 0a124a07 1b5b 006e 4032800000000000 01 01 3f000000", func(e Event) bool {
-			return e.Outcome.Status == balance.Timeout && e.Outcome.Closed && e.Outcome.Attempt == 2 &&
+			return e.Outcome.Status == balance.StatusTimeout && e.Outcome.Closed && e.Outcome.Attempt == 2 &&
 				len(e.Outcome.Load) == 1
 		}},
 		{"probed", "5a 0000 3ff6666666666666 0a9011f2 1b84 03 3f1eb8523f0000003ecccccd", func(e Event) bool {
@@ -102,11 +102,11 @@
 		{"datagram", "3c 00000002 0004 68692037", func(e Event) bool { return e.From == 2 && string(e.Data) == "hi 7" }},
 		{"exit", "64", func(e Event) bool { return e.Code == Exit }},
 		{"view", "32 02 00000000 0000000000000029", func(e Event) bool {
-			return e.Kind == balance.ListCached && e.Version == 41
+			return e.Kind == balance.UpdateCached && e.Version == 41
 		}},
 		{"resumed", "50 000243eb0e6f2b19 00 00000000 91f03b7c55d20a64 406e000000000000 4028000000000000 " +
 			"2b8e6401d9f37c10 18 0a9011f2 1b84", func(e Event) bool {
-			return e.Backend == 0x0a9011f21b84 && e.Request.MidFlow && e.Request.Back && e.Request.Load == 0
+			return e.Backend == 0x0a9011f21b84 && e.Request.MidStream && e.Request.Reconnecting && e.Request.ExpectedLoad == 0
 		}},
 		{"inventory", "46 00000000 00000002 01 0000 0000 3f800000 0a124a07 1b5b 0000 0000000000000000 " +
 			"02 0001 0000 3fc00000 0a9011f2 1b84 0003 40b7d40000000000", func(e Event) bool {
@@ -178,7 +178,7 @@
 	r.Reset()
 	a, b := Writer{&r, 3}, Writer{&r, 5}
 	a.Send(0x98b635d3a91c4, 0x0a124a071b5b, 80*time.Millisecond)
-	a.After(0x4d, 500*time.Millisecond)
+	a.SetTimer(0x4d, 500*time.Millisecond)
 	b.Log("two servers known")
 	want := unhex(t, `00000005 0000004e
 28 00000003
@@ -202,16 +202,16 @@
 	}{
 		{"cancel", "0a 00098b635d3a91c4 0001", func(w Writer) { w.Cancel(0x98b635d3a91c4, 1) }},
 		{"refuse", "1e 000243eb0e6f2b19 406f400000000000", func(w Writer) {
-			w.Refuse(0x243eb0e6f2b19, 250*time.Millisecond)
+			w.Reject(0x243eb0e6f2b19, 250*time.Millisecond)
 		}},
 		{"fail", "82 000243eb0e6f2b19", func(w Writer) { w.Fail(0x243eb0e6f2b19) }},
-		{"move", "8c 000243eb0e6f2b19", func(w Writer) { w.Move(0x243eb0e6f2b19) }},
-		{"probe", "6e 0a9011f2 1b84", func(w Writer) { w.Probe(0x0a9011f21b84) }},
-		{"release", "50 0a9011f2 1b84", func(w Writer) { w.Release(0x0a9011f21b84) }},
-		{"tell all", "78 ffff 0004 68692037", func(w Writer) { w.Tell(-1, []byte("hi 7")) }},
-		{"subscribe", "64 01", func(w Writer) { w.Subscribe(true) }},
-		{"unsubscribe", "64 00", func(w Writer) { w.Subscribe(false) }},
-		{"fetch", "3c", func(w Writer) { w.Fetch() }},
+		{"move", "8c 000243eb0e6f2b19", func(w Writer) { w.Migrate(0x243eb0e6f2b19) }},
+		{"probe", "6e 0a9011f2 1b84", func(w Writer) { w.CheckHealth(0x0a9011f21b84) }},
+		{"release", "50 0a9011f2 1b84", func(w Writer) { w.ReleaseHealthCheck(0x0a9011f21b84) }},
+		{"tell all", "78 ffff 0004 68692037", func(w Writer) { w.SendGossip(-1, []byte("hi 7")) }},
+		{"subscribe", "64 01", func(w Writer) { w.WatchEndpoints(true) }},
+		{"unsubscribe", "64 00", func(w Writer) { w.WatchEndpoints(false) }},
+		{"fetch", "3c", func(w Writer) { w.FetchEndpoints() }},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var r Reply
--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -72,7 +72,7 @@
 	}
 	cfg := config(d.Addr(), entry)
 	cfg.MemoryMB, cfg.Sockets = 0, 0
-	cfg.Settings.Probes, cfg.Settings.PassThrough, cfg.PeerListen = false, false, ""
+	cfg.Settings.HealthChecks, cfg.Settings.PassThrough, cfg.PeerListen = false, false, ""
 	r, err := New(cfg, zap.NewNop())
 	if err != nil {
 		b.Fatal(err)
--- a/internal/relay/crossings_test.go
+++ b/internal/relay/crossings_test.go
@@ -31,10 +31,10 @@
 // bare is a configuration without probes and peers on the given backends.
 func bare(discovery string, list ...standin.Entry) Config {
 	cfg := config(discovery, list...)
-	cfg.Settings.Probes, cfg.Settings.Peers, cfg.Settings.Report, cfg.Settings.FieldNames = false, false, nil, nil
+	cfg.Settings.HealthChecks, cfg.Settings.Gossip, cfg.Settings.ReportFields, cfg.Settings.FieldNames = false, false, nil, nil
 	cfg.PeerListen, cfg.Peers, cfg.Sockets = "", nil, 2048
 	cfg.MemoryMB = 192
-	cfg.Settings.Classes[0].OnTime, cfg.Settings.Classes[0].GiveUp = 40*time.Second, time.Minute // a machine that stalls ends nothing
+	cfg.Settings.Classes[0].LatencyObjective, cfg.Settings.Classes[0].ClientTimeout = 40*time.Second, time.Minute // a machine that stalls ends nothing
 	if len(list) == 0 {
 		cfg.Known = nil
 	}
@@ -80,7 +80,7 @@
 	t.Helper()
 	return in(r, func() bool {
 		b := r.node.Balancer().(*balance.Balancer)
-		if err := b.Books(); err != nil {
+		if err := b.CheckInvariants(); err != nil {
 			t.Error(err)
 		}
 		all, _ := b.Connections()
@@ -306,7 +306,7 @@
 			b := newScripted(t)
 			cfg := config("127.0.0.1:9", b.entry("s-0"))
 			cfg.Settings.DialTimeout = 20 * time.Second // a probe's answer is waited for as long as it takes
-			cfg.Settings.Classes[0].OnTime, cfg.Settings.Classes[0].GiveUp = time.Minute, time.Minute
+			cfg.Settings.Classes[0].LatencyObjective, cfg.Settings.Classes[0].ClientTimeout = time.Minute, time.Minute
 			r, _, _ := running(t, cfg)
 			c := opens(t, r, 1, "")
 			probe := b.accept()
@@ -468,12 +468,12 @@
 			b := newScripted(t)
 			cfg := bare("127.0.0.1:9", b.entry("s-0"), b.entry("s-1"), b.entry("s-2"))
 			table, err := route.New([]route.Route{{Name: "r", Match: route.Match{Class: route.Any, Tenant: route.Any, Zone: route.Any,
-				Protocol: route.Any}, Timing: balance.Timing{Backoff: 200 * time.Millisecond, Budget: 1}}})
+				Protocol: route.Any}, RetryPolicy: balance.RetryPolicy{BaseBackoff: 200 * time.Millisecond, RetryBudget: 1}}})
 			if err != nil {
 				t.Fatal(err)
 			}
 			cfg.Routes = table
-			cfg.Settings.Classes[0].GiveUp = 2 * time.Second // its timer is waited for
+			cfg.Settings.Classes[0].ClientTimeout = 2 * time.Second // its timer is waited for
 			r, _, _ := running(t, cfg)
 			servesNext(t, r, b, 9) // what a request earns
 			idle := in(r, r.node.Timers)
@@ -607,7 +607,7 @@
 				t.Parallel()
 				b := newScripted(t)
 				cfg := bare("127.0.0.1:9", b.entry("s-0"))
-				cfg.Settings.PassThrough, cfg.Settings.Classes[0].GiveUp = pass, patient
+				cfg.Settings.PassThrough, cfg.Settings.Classes[0].ClientTimeout = pass, patient
 				r, term, ended := running(t, cfg)
 				kill := min(patient, 3*time.Second) + 700*time.Millisecond
 				c := opens(t, r, 1, "")
@@ -646,7 +646,7 @@
 			addr, empty := full(t)
 			cfg := bare("127.0.0.1:9", standin.Entry{ID: "s-0", Addr: addr, Zone: "east", State: "ready", Weight: 1})
 			s := &cfg.Settings
-			s.PassThrough, s.DialTimeout, s.Classes[0].GiveUp, s.Classes[0].Effect = pass, 9*time.Second, 9*time.Second, balance.Unsafe
+			s.PassThrough, s.DialTimeout, s.Classes[0].ClientTimeout, s.Classes[0].Idempotency = pass, 9*time.Second, 9*time.Second, balance.NonIdempotent
 			r, term, ended := running(t, cfg)
 			c := opens(t, r, 1, "")
 			until(t, "its dial is out", r.holds(1))
@@ -679,7 +679,7 @@
 	}
 	t.Cleanup(b.Close)
 	cfg := bare("127.0.0.1:9", standin.Entry{ID: "s-0", Addr: b.Addr(), Zone: "east", State: "ready", Weight: 1})
-	cfg.Settings.PassThrough, cfg.Settings.Classes[0].GiveUp = false, 300*time.Millisecond
+	cfg.Settings.PassThrough, cfg.Settings.Classes[0].ClientTimeout = false, 300*time.Millisecond
 	r, term, ended := running(t, cfg)
 	var clients []*caller
 	for id := 1; len(clients) < 40; id++ {
@@ -718,7 +718,7 @@
 	t.Parallel()
 	b := newScripted(t)
 	cfg := bare("127.0.0.1:9", b.entry("s-0"))
-	cfg.Settings.PassThrough, cfg.Settings.Classes[0].GiveUp = false, 300*time.Millisecond
+	cfg.Settings.PassThrough, cfg.Settings.Classes[0].ClientTimeout = false, 300*time.Millisecond
 	r, term, _ := running(t, cfg)
 	c := opens(t, r, 1, "")
 	try := b.accept()
@@ -916,7 +916,7 @@
 		return in(r, func() bool {
 			for _, b := range r.node.Backends() {
 				if b.Name == id {
-					return r.node.Balancer().(*balance.Balancer).Avoids(r.now(), b.ID)
+					return r.node.Balancer().(*balance.Balancer).Unavailable(r.now(), b.ID)
 				}
 			}
 			return false
@@ -947,7 +947,7 @@
 				d := newAgent(t)
 				one, two := newScripted(t), newScripted(t)
 				cfg := bare(d.addr(), one.entry("s-0"), two.entry("s-1"))
-				cfg.Settings.ListOnRequest, cfg.Settings.AskEvery = request, time.Minute
+				cfg.Settings.PollEndpoints, cfg.Settings.PollInterval = request, time.Minute
 				r, _, _ := running(t, cfg)
 				if !request {
 					q := d.call()
@@ -1033,7 +1033,7 @@
 			until(t, "its dial is out", r.holds(1))
 			d.call().answers(change(2, "s-0", state))
 			until(t, "it is heard", func() bool {
-				return in(r, func() bool { listed, avoided := r.node.Balancer().Avoided(r.now()); return listed == avoided })
+				return in(r, func() bool { listed, avoided := r.node.Balancer().CountUnavailable(r.now()); return listed == avoided })
 			})
 			heard := make(chan string, 1)
 			go func() {
@@ -1080,7 +1080,7 @@
 		{"BUSY", func(c *taken) { c.asked("OPEN"); c.says("BUSY\r\n") }, false},
 		{"BUSY and then UP", func(c *taken) { c.asked("OPEN"); c.says("BUSY\r\nUP it\r\n") }, false},
 	} {
-		for _, effect := range []balance.Effect{balance.Safe, balance.Keyed, balance.Unsafe} {
+		for _, effect := range []balance.Idempotency{balance.Idempotent, balance.IdempotentWithKey, balance.NonIdempotent} {
 			t.Run(fmt.Sprint(tc.name, " ", effect), func(t *testing.T) {
 				t.Parallel()
 				one, two := newScripted(t), newScripted(t)
@@ -1090,8 +1090,8 @@
 				list := []standin.Entry{one.entry("s-0"), two.entry("s-1")}
 				list[1].Zone = "west"
 				cfg.Known = standin.List(1, list)
-				cfg.Settings.Classes[0].Effect, cfg.Settings.Classes[0].Scope = effect, balance.ScopeZone
-				cfg.Settings.Classes[0].Window, cfg.Settings.Classes[0].GiveUp = time.Minute, 9*time.Second
+				cfg.Settings.Classes[0].Idempotency, cfg.Settings.Classes[0].DedupScope = effect, balance.ScopeZone
+				cfg.Settings.Classes[0].DedupWindow, cfg.Settings.Classes[0].ClientTimeout = time.Minute, 9*time.Second
 				r, _, _ := running(t, cfg)
 				c := opens(t, r, 1, "")
 				conns := make(chan *taken, 4)
@@ -1118,7 +1118,7 @@
 				}
 				first := next()
 				tc.does(first)
-				if tc.ran && effect != balance.Safe {
+				if tc.ran && effect != balance.Idempotent {
 					c.hears("ERR")
 					c.ends()
 				} else {
@@ -1157,12 +1157,12 @@
 			p := r.probes
 			defer p.closeAll()
 			for range 2 {
-				done := make(chan balance.Report, 1)
+				done := make(chan balance.HealthCheckResult, 1)
 				go func() { done <- p.probe(a.To) }()
 				c := s.accept()
 				c.asked("STATS")
 				c.says("PONG x0=0.25\r\n" + tc.extra)
-				if rep := <-done; rep.Status != balance.OK || len(rep.Load) != 1 || rep.Load[0] != 0.25 {
+				if rep := <-done; rep.Status != balance.StatusOK || len(rep.Load) != 1 || rep.Load[0] != 0.25 {
 					t.Fatalf("%+v", rep)
 				}
 				if tc.end {
@@ -1187,8 +1187,8 @@
 	b := newScripted(t)
 	cfg := bare("127.0.0.1:9", b.entry("s-0"))
 	s := &cfg.Settings
-	s.TryLimit, s.DialTimeout, s.DrainGrace, s.IdleClose, s.RetryAfter, s.PassThrough = 1, 2*time.Second, 0, 3*time.Millisecond, false, false
-	s.Classes[0].GiveUp, s.Classes[0].OnTime, s.Classes[0].MessageAim, s.Classes[0].Effect = 300*time.Millisecond, 100*time.Millisecond, 0, balance.Unsafe
+	s.MaxAttempts, s.DialTimeout, s.DrainGrace, s.IdleClose, s.RetryAfter, s.PassThrough = 1, 2*time.Second, 0, 3*time.Millisecond, false, false
+	s.Classes[0].ClientTimeout, s.Classes[0].LatencyObjective, s.Classes[0].MessageLatencyObjective, s.Classes[0].Idempotency = 300*time.Millisecond, 100*time.Millisecond, 0, balance.NonIdempotent
 	r, _, _ := running(t, cfg)
 	servesNext(t, r, b, 1)
 	c := opens(t, r, 2, "")
--- a/internal/relay/peers.go
+++ b/internal/relay/peers.go
@@ -29,7 +29,7 @@
 
 func newPeers(cfg Config, r *Relay) *peers {
 	p := &peers{relay: r, out: make(chan datagram, 64), heard: make(chan struct{}, 1)}
-	if r.settings.Load().Peers {
+	if r.settings.Load().Gossip {
 		p.listen = cfg.PeerListen
 	}
 	return p
--- a/internal/relay/probes.go
+++ b/internal/relay/probes.go
@@ -64,11 +64,11 @@
 }
 
 // guarded stops a panic at this one probe, which then counts as failed.
-func (p *probes) guarded(b *machine.Backend) (rep balance.Report) {
+func (p *probes) guarded(b *machine.Backend) (rep balance.HealthCheckResult) {
 	defer func() {
 		if v := recover(); v != nil {
 			p.relay.log.Error("panic in a probe", zap.Any("panic", v), zap.ByteString("stack", debug.Stack()))
-			rep = balance.Report{Backend: b.ID, Status: balance.Error}
+			rep = balance.HealthCheckResult{Backend: b.ID, Status: balance.StatusError}
 		}
 	}()
 	return p.probe(b)
@@ -81,7 +81,7 @@
 	return take(p.relay.now())
 }
 
-func (p *probes) probe(b *machine.Backend) balance.Report {
+func (p *probes) probe(b *machine.Backend) balance.HealthCheckResult {
 	var pr *machine.Probe
 	step := p.locked(func(now time.Duration) (s machine.ProbeStep) {
 		pr, s = p.m.Begin(now, b)
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -23,12 +23,12 @@
 
 func config(discovery string, list ...standin.Entry) Config {
 	s := settings.Settings{ClassNames: []string{"chat"}, ZoneNames: []string{"east"}, KindNames: []string{"k"},
-		FieldNames: []string{"x0"}, IdleClose: 5 * time.Second, Settings: balance.Settings{Relays: 2,
-			Tick: 4 * time.Millisecond, Probes: true, Peers: true, RetryAfter: true, MaxRetryAfter: time.Second,
-			TryLimit: 4, DialTimeout: 250 * time.Millisecond, DrainGrace: 250 * time.Millisecond,
-			Report: []balance.Field{balance.FieldLoadShare}, PassThrough: true,
-			Classes: []balance.Class{{OnTime: 500 * time.Millisecond, GiveUp: time.Second,
-				MessageAim: 60 * time.Millisecond}}}}
+		FieldNames: []string{"x0"}, IdleClose: 5 * time.Second, Settings: balance.Settings{RelayCount: 2,
+			Tick: 4 * time.Millisecond, HealthChecks: true, Gossip: true, RetryAfter: true, MaxRetryAfter: time.Second,
+			MaxAttempts: 4, DialTimeout: 250 * time.Millisecond, DrainGrace: 250 * time.Millisecond,
+			ReportFields: []balance.ReportField{balance.FieldLoadShare}, PassThrough: true,
+			Classes: []balance.Class{{LatencyObjective: 500 * time.Millisecond, ClientTimeout: time.Second,
+				MessageLatencyObjective: 60 * time.Millisecond}}}}
 	return Config{Name: "n0", Listen: "127.0.0.1:0", Discovery: discovery, Seed: 1, MemoryMB: 64, Sockets: 256,
 		PeerListen: "127.0.0.1:0", Peers: []string{"127.0.0.1:9"}, Known: standin.List(1, list), Settings: s}
 }
@@ -117,7 +117,7 @@
 	fl := &flow{relay: r, m: f, orders: make(chan machine.Order, 1)}
 	r.opened(r.now(), fl)
 	if len(fl.orders) == 0 { // held until its backend has answered a probe
-		r.node.Probed(r.now(), balance.Report{Backend: probed(r), Load: []float32{0.1}})
+		r.node.Probed(r.now(), balance.HealthCheckResult{Backend: probed(r), Load: []float32{0.1}})
 	}
 	o := <-fl.orders
 	o.Until = r.now() + patience
@@ -140,9 +140,9 @@
 		want balance.Status
 		sent int
 	}{
-		{"ready", b.Addr(), patience, balance.OK, 1},
-		{"no time left", b.Addr(), 0, balance.ConnectFailed, 0},
-		{"nobody listens", dead(t), patience, balance.ConnectFailed, 0},
+		{"ready", b.Addr(), patience, balance.StatusOK, 1},
+		{"no time left", b.Addr(), 0, balance.StatusConnectFailed, 0},
+		{"nobody listens", dead(t), patience, balance.StatusConnectFailed, 0},
 	} {
 		was := len(b.Opens())
 		r, f, a := attempts(t, tc.addr, tc.left)
@@ -171,7 +171,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	go func() { <-seen; stop() }()
 	_, _, fail := r.attempt(ctx, waiting(t), a)
-	if got := f.Tried(r.now(), a, fail).Event.Outcome.Status; got != balance.Cancelled {
+	if got := f.Tried(r.now(), a, fail).Event.Outcome.Status; got != balance.StatusCancelled {
 		t.Errorf("%v: %v", got, fail)
 	}
 }
@@ -253,13 +253,13 @@
 	defer p.closeAll()
 	for range 2 {
 		rep := p.probe(b)
-		if rep.Status != balance.OK || len(rep.Load) != 1 || rep.Load[0] != 0.25 {
+		if rep.Status != balance.StatusOK || len(rep.Load) != 1 || rep.Load[0] != 0.25 {
 			t.Errorf("%+v", rep)
 		}
 		<-closed
 	}
 	_ = l.Close()
-	if rep := p.probe(b); rep.Status != balance.ConnectFailed {
+	if rep := p.probe(b); rep.Status != balance.StatusConnectFailed {
 		t.Errorf("nobody listens: %+v", rep)
 	}
 }
@@ -387,17 +387,17 @@
 	defer r.listener.Close()
 	p, to := newProbes(r, 1), r.node.Backends()
 	defer p.closeAll()
-	if rep := p.probe(to[0]); rep.Status != balance.OK || p.m.Connections() != 1 {
+	if rep := p.probe(to[0]); rep.Status != balance.StatusOK || p.m.Connections() != 1 {
 		t.Fatalf("%+v with %d connections", rep, p.m.Connections())
 	}
-	done := make(chan balance.Report, 1)
+	done := make(chan balance.HealthCheckResult, 1)
 	go func() { done <- p.probe(to[1]) }() // takes the kept one's place
 	<-accepted
-	if rep := p.probe(to[2]); rep.Status != balance.Moot {
+	if rep := p.probe(to[2]); rep.Status != balance.StatusAbandoned {
 		t.Errorf("%+v", rep)
 	}
 	close(hold)
-	if rep := <-done; rep.Status != balance.Reset || p.m.Connections() != 0 {
+	if rep := <-done; rep.Status != balance.StatusReset || p.m.Connections() != 0 {
 		t.Errorf("%+v with %d connections", rep, p.m.Connections())
 	}
 }
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -45,9 +45,9 @@
 
 // Route is one entry of a table.
 type Route struct {
-	Name   string
-	Match  Match
-	Timing balance.Timing
+	Name        string
+	Match       Match
+	RetryPolicy balance.RetryPolicy
 }
 
 // Table finds routes. It never changes, and the routes that it hands out stay what
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -113,9 +113,9 @@
 }
 
 func TestTablesOfTheSameRoutesAreEqual(t *testing.T) {
-	one, _ := New([]Route{{Name: "a", Match: Everything, Timing: balance.Timing{Attempts: 2}}})
-	two, _ := New([]Route{{Name: "a", Match: Everything, Timing: balance.Timing{Attempts: 2}}})
-	other, _ := New([]Route{{Name: "a", Match: Everything, Timing: balance.Timing{Total: time.Second}}})
+	one, _ := New([]Route{{Name: "a", Match: Everything, RetryPolicy: balance.RetryPolicy{MaxAttempts: 2}}})
+	two, _ := New([]Route{{Name: "a", Match: Everything, RetryPolicy: balance.RetryPolicy{MaxAttempts: 2}}})
+	other, _ := New([]Route{{Name: "a", Match: Everything, RetryPolicy: balance.RetryPolicy{RequestTimeout: time.Second}}})
 	if !one.Equal(two) || one.Equal(other) || one.Equal(nil) || !(*Table)(nil).Equal(nil) {
 		t.Error("tables are compared wrongly")
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -96,14 +96,14 @@
 }
 
 var (
-	effects = map[string]balance.Effect{"read_like": balance.Safe, "idempotency_key": balance.Keyed,
-		"non_idempotent": balance.Unsafe}
-	scopes  = map[string]balance.Scope{"all": balance.ScopeAll, "zone": balance.ScopeZone, "cell": balance.ScopeCell}
-	weights = map[string]balance.Weights{"off": balance.WeightsOff, "nominal": balance.WeightsNominal,
+	effects = map[string]balance.Idempotency{"read_like": balance.Idempotent, "idempotency_key": balance.IdempotentWithKey,
+		"non_idempotent": balance.NonIdempotent}
+	scopes  = map[string]balance.DedupScope{"all": balance.ScopeAll, "zone": balance.ScopeZone, "cell": balance.ScopeCell}
+	weights = map[string]balance.WeightMode{"off": balance.WeightsOff, "nominal": balance.WeightsNominal,
 		"rough": balance.WeightsRough, "live": balance.WeightsLive}
-	fields = map[string]balance.Field{"outstanding": balance.FieldInflight, "backlog": balance.FieldQueue,
+	fields = map[string]balance.ReportField{"outstanding": balance.FieldInflight, "backlog": balance.FieldQueue,
 		"utilization": balance.FieldUtilization, "errors_per_s": balance.FieldErrors,
-		"x0": balance.FieldLoadShare, "x1": balance.FieldPiledUp}
+		"x0": balance.FieldLoadShare, "x1": balance.FieldBacklog}
 )
 
 // Parse reads the settings object. Keys that are not known are skipped;
@@ -121,20 +121,20 @@
 	}
 	out := Settings{ZoneNames: in.Zones, KindNames: in.Kinds, IdleClose: Duration(in.Limits.IdleClose)}
 	s := balance.Settings{
-		Me: in.Me, Relays: in.Instances, Zone: in.Zone, Tick: Duration(in.Tick),
-		OverShareWorth: in.OverShare,
-		Groups:         in.Family.Groups, PassThrough: in.Family.Mode == "pass",
-		TellsLoad: in.Family.TellsLoad, TellsDelay: in.Family.TellsDelay, Park: Duration(in.Family.Park),
-		Probes: in.Limits.Probes, Peers: in.Limits.Peers, Cancel: in.Limits.Cancelling,
-		RetryAfter: in.Limits.RetryAfter, TryLimit: max(1, in.Limits.TryLimit),
+		RelayIndex: in.Me, RelayCount: in.Instances, Zone: in.Zone, Tick: Duration(in.Tick),
+		OverQuotaPriority: in.OverShare,
+		Groups:            in.Family.Groups, PassThrough: in.Family.Mode == "pass",
+		ReportsConnectionLoad: in.Family.TellsLoad, ReportsMessageDelay: in.Family.TellsDelay, ParkTime: Duration(in.Family.Park),
+		HealthChecks: in.Limits.Probes, Gossip: in.Limits.Peers, Cancellation: in.Limits.Cancelling,
+		RetryAfter: in.Limits.RetryAfter, MaxAttempts: max(1, in.Limits.TryLimit),
 		MaxRetryAfter: Duration(in.Limits.MaxRetryAfter), DialTimeout: Duration(in.Limits.DialTimeout),
-		ListOnRequest: in.Registry == "on_request", AskEvery: Duration(in.Rules.AskEvery),
+		PollEndpoints: in.Registry == "on_request", PollInterval: Duration(in.Rules.AskEvery),
 		AnswerSlack: Duration(in.Rules.AnswerSlack), DrainGrace: Duration(in.Rules.StopSending),
-		ColdFrom: in.Rules.ColdFrom, WarmUp: Duration(in.Rules.WarmUp),
-		FallMultiple: in.Rules.FallMultiple, FallSpan: Duration(in.Rules.FallMS),
+		SlowStartFloor: in.Rules.ColdFrom, SlowStartWindow: Duration(in.Rules.WarmUp),
+		OverloadMultiple: in.Rules.FallMultiple, OverloadWindow: Duration(in.Rules.FallMS),
 		Weights: weights[in.Weights],
-		Prices: balance.Prices{CrossZone: in.Prices.CrossZone, Waste: in.Prices.Waste, Probe: in.Prices.Probe,
-			Move: in.Prices.Moves, Peer: in.Prices.Peer, List: in.Prices.List, LateFail: in.Prices.LateFail},
+		Costs: balance.Costs{CrossZone: in.Prices.CrossZone, Waste: in.Prices.Waste, HealthCheck: in.Prices.Probe,
+			Migration: in.Prices.Moves, Gossip: in.Prices.Peer, List: in.Prices.List, LateFailure: in.Prices.LateFail},
 	}
 	for i, c := range in.Classes {
 		effect, ok := effects[c.Effect]
@@ -142,28 +142,28 @@
 			return Settings{}, fmt.Errorf("settings: class %d has unknown effect %q", i, c.Effect)
 		}
 		scope, ok := scopes[c.Scope]
-		if !ok && effect == balance.Keyed {
+		if !ok && effect == balance.IdempotentWithKey {
 			return Settings{}, fmt.Errorf("settings: class %d has unknown scope %q", i, c.Scope)
 		}
-		class := balance.Class{Name: NameOf(c.Name), OnTime: Duration(c.OnTime), GiveUp: Duration(c.GiveUp), Effect: effect,
-			Scope: scope, Window: Duration(c.Window), Worth: c.Worth}
+		class := balance.Class{NameHash: NameOf(c.Name), LatencyObjective: Duration(c.OnTime), ClientTimeout: Duration(c.GiveUp), Idempotency: effect,
+			DedupScope: scope, DedupWindow: Duration(c.Window), PriorityWeight: c.Worth}
 		if i < len(in.Family.MessageAim) {
-			class.MessageAim = Duration(in.Family.MessageAim[i])
+			class.MessageLatencyObjective = Duration(in.Family.MessageAim[i])
 		}
 		s.Classes = append(s.Classes, class)
 		out.ClassNames = append(out.ClassNames, c.Name)
 	}
 	for i, c := range in.Customers {
-		t := balance.Tenant{Share: c.Portion, QuotaPerS: c.Quota}
+		t := balance.Tenant{Share: c.Portion, RequestsPerSecond: c.Quota}
 		if i < len(in.Family.Quota) {
-			t.Connections = in.Family.Quota[i]
+			t.ConnectionQuota = in.Family.Quota[i]
 		}
 		s.Tenants = append(s.Tenants, t)
 		out.TenantNames = append(out.TenantNames, c.Name)
 	}
 	if in.Stats.How != "off" && (in.Limits.Probes || in.Stats.How != "on_probe") { // else none ever comes
 		for _, f := range in.Stats.Fields {
-			s.Report = append(s.Report, fields[f])
+			s.ReportFields = append(s.ReportFields, fields[f])
 		}
 		out.FieldNames = in.Stats.Fields
 	}
@@ -194,7 +194,7 @@
 			return fmt.Errorf("settings: class %q: give-up-ms %v is no time above 0 that can be meant", c.Name, c.GiveUp)
 		case !(c.OnTime > 0 && c.OnTime <= longestMS):
 			return fmt.Errorf("settings: class %q: on-time-ms %v is no time above 0 that can be meant", c.Name, c.OnTime)
-		case effects[c.Effect] == balance.Keyed && !(c.Window > 0 && c.Window <= longestMS):
+		case effects[c.Effect] == balance.IdempotentWithKey && !(c.Window > 0 && c.Window <= longestMS):
 			return fmt.Errorf("settings: class %q: dedup-window-ms %v is no time above 0 that can be meant", c.Name, c.Window)
 		}
 		names[c.Name] = true
@@ -219,7 +219,7 @@
 }
 
 // Field is the field of a load report that has a name; FieldOther if none has.
-func Field(name string) balance.Field { return fields[name] }
+func Field(name string) balance.ReportField { return fields[name] }
 
 // Duration turns milliseconds into a Duration. What is not a number becomes 0,
 // what is out of range the nearest end of a century or so.
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -20,10 +20,10 @@
 		t.Fatal(err)
 	}
 	c := s.Classes[0]
-	if c.Effect != balance.Keyed || c.Scope != balance.ScopeCell || c.MessageAim != 60*time.Millisecond ||
-		c.Window != 5*time.Second || !s.Groups || !s.PassThrough || s.Me != 1 || s.Relays != 2 ||
-		!s.ListOnRequest || s.Weights != balance.WeightsRough || s.FallSpan != 3*time.Second || len(s.Tenants) != 1 ||
-		len(s.Report) != 3 || s.Report[1] != balance.FieldLoadShare || s.Report[2] != balance.FieldOther {
+	if c.Idempotency != balance.IdempotentWithKey || c.DedupScope != balance.ScopeCell || c.MessageLatencyObjective != 60*time.Millisecond ||
+		c.DedupWindow != 5*time.Second || !s.Groups || !s.PassThrough || s.RelayIndex != 1 || s.RelayCount != 2 ||
+		!s.PollEndpoints || s.Weights != balance.WeightsRough || s.OverloadWindow != 3*time.Second || len(s.Tenants) != 1 ||
+		len(s.ReportFields) != 3 || s.ReportFields[1] != balance.FieldLoadShare || s.ReportFields[2] != balance.FieldOther {
 		t.Errorf("settings %+v", s)
 	}
 	if s.ClassNames[0] != "chat" || s.TenantNames[0] != "acme" || s.ZoneNames[1] != "west" || s.KindNames[0] != "k" ||
--- a/internal/world/backend.go
+++ b/internal/world/backend.go
@@ -237,15 +237,15 @@
 func (b *backend) push() (falls bool) {
 	now, set := b.w.now, &b.run.set
 	age := now - b.started
-	if b.started == 0 || age > set.WarmUp {
+	if b.started == 0 || age > set.SlowStartWindow {
 		return false
 	}
 	b.cold = append(b.cold, now)
-	for now-b.cold[0] > set.FallSpan {
+	for now-b.cold[0] > set.OverloadWindow {
 		b.cold = b.cold[1:]
 	}
-	does := set.ColdFrom + (1-set.ColdFrom)*age.Seconds()/set.WarmUp.Seconds()
-	if float64(len(b.cold)) <= set.FallMultiple*does*b.run.opens()*set.FallSpan.Seconds() {
+	does := set.SlowStartFloor + (1-set.SlowStartFloor)*age.Seconds()/set.SlowStartWindow.Seconds()
+	if float64(len(b.cold)) <= set.OverloadMultiple*does*b.run.opens()*set.OverloadWindow.Seconds() {
 		return false
 	}
 	b.run.count("cold backend fell over")
--- a/internal/world/faults.go
+++ b/internal/world/faults.go
@@ -50,7 +50,7 @@
 		if run.opt.Fleet != nil || len(run.relays[0].cfg.Settings.Classes) > len(run.set.Classes) { // one at a time
 			return nil
 		}
-		effect := []balance.Effect{balance.Safe, balance.Unsafe}[f.Who%2]
+		effect := []balance.Idempotency{balance.Idempotent, balance.NonIdempotent}[f.Who%2]
 		run.plain = false
 		run.retune(true, effect, 1+int(f.Much*4))
 		return func() {
--- a/internal/world/relay.go
+++ b/internal/world/relay.go
@@ -242,7 +242,7 @@
 func (r *relay) heardFrom(n machine.News) {
 	if n.Any {
 		deliver := func(now time.Duration) { r.node.Listed(now, n.Members, n.Kind) }
-		if r.run.broken(BreakLateDrain) && n.Kind != balance.ListFailed {
+		if r.run.broken(BreakLateDrain) && n.Kind != balance.UpdateFailed {
 			r.w.in(r.node.Settings().DrainGrace+110*time.Millisecond, r.alive(func() { r.post(deliver) }))
 		} else {
 			r.post(deliver)
@@ -591,7 +591,7 @@
 	if e.Kind == machine.Nothing {
 		return
 	}
-	if e.Kind == machine.AttemptEnded && e.Outcome.Status == balance.Cancelled && r.run.broken(BreakBooks) {
+	if e.Kind == machine.AttemptEnded && e.Outcome.Status == balance.StatusCancelled && r.run.broken(BreakBooks) {
 		e.Outcome.Attempt++ // the module does not know it
 	}
 	r.post(func(now time.Duration) { r.node.Heard(now, f.m.Seq, e) })
@@ -966,10 +966,10 @@
 			s.Classes = slices.Clone(s.Classes)
 			for i := range s.Classes {
 				if i >= len(r.run.set.Classes) { // it came with a reload
-					s.Classes[i].Effect = balance.Safe
+					s.Classes[i].Idempotency = balance.Idempotent
 				}
 			}
-			r.node.Balancer().Retune(s)
+			r.node.Balancer().UpdateSettings(s)
 		}
 		r.reloads++
 		if !r.run.broken(BreakCountReload) {
--- a/internal/world/run.go
+++ b/internal/world/run.go
@@ -32,13 +32,13 @@
 // Options say how a seed is played.
 type Options struct {
 	Seed    uint64
-	Length  time.Duration    // virtual; 0: a minute
-	Timings []balance.Timing // by class; nil: none has a timing of its own
-	Script  []Fault          // instead of the seed's own; nil: the seed's
-	Fleet   *Fleet           // a fleet as written, with modelled servers; nil: as the seed has it
-	Policy  string           // what decides instead of the module, by a name of package baseline; empty: the module
-	Break   Break            // tests only
-	Trace   io.Writer        // nil: none
+	Length  time.Duration         // virtual; 0: a minute
+	Timings []balance.RetryPolicy // by class; nil: none has a timing of its own
+	Script  []Fault               // instead of the seed's own; nil: the seed's
+	Fleet   *Fleet                // a fleet as written, with modelled servers; nil: as the seed has it
+	Policy  string                // what decides instead of the module, by a name of package baseline; empty: the module
+	Break   Break                 // tests only
+	Trace   io.Writer             // nil: none
 }
 
 // Fleet is an installation as a script writes it.
@@ -237,22 +237,22 @@
 	run.served = make([]int, len(run.classes))
 	s := settings.Settings{ClassNames: []string{"watch", "fetch", "submit"}, ZoneNames: zones, KindNames: []string{"k"},
 		FieldNames: []string{"x0"}, IdleClose: 5 * time.Second}
-	s.Settings = balance.Settings{Relays: 1, Tick: 4 * time.Millisecond, Probes: rng.IntN(8) != 0, Peers: rng.IntN(4) != 0,
-		Cancel: true, RetryAfter: rng.IntN(4) != 0, MaxRetryAfter: 1500 * time.Millisecond, TryLimit: 4,
+	s.Settings = balance.Settings{RelayCount: 1, Tick: 4 * time.Millisecond, HealthChecks: rng.IntN(8) != 0, Gossip: rng.IntN(4) != 0,
+		Cancellation: true, RetryAfter: rng.IntN(4) != 0, MaxRetryAfter: 1500 * time.Millisecond, MaxAttempts: 4,
 		DialTimeout: 250 * time.Millisecond, AnswerSlack: 16 * time.Millisecond, DrainGrace: 250 * time.Millisecond,
-		ColdFrom: 0.3, WarmUp: 8 * time.Second, FallMultiple: 2.5, FallSpan: 3 * time.Second,
-		Groups: rng.IntN(3) == 0, ListOnRequest: rng.IntN(4) == 0, AskEvery: 2 * time.Second,
-		Report: []balance.Field{balance.FieldLoadShare}, Weights: balance.WeightsNominal, TellsLoad: true, OverShareWorth: 1,
+		SlowStartFloor: 0.3, SlowStartWindow: 8 * time.Second, OverloadMultiple: 2.5, OverloadWindow: 3 * time.Second,
+		Groups: rng.IntN(3) == 0, PollEndpoints: rng.IntN(4) == 0, PollInterval: 2 * time.Second,
+		ReportFields: []balance.ReportField{balance.FieldLoadShare}, Weights: balance.WeightsNominal, ReportsConnectionLoad: true, OverQuotaPriority: 1,
 		Classes: []balance.Class{
-			{OnTime: 400 * time.Millisecond, GiveUp: 2 * time.Second, MessageAim: 60 * time.Millisecond, Effect: balance.Safe, Worth: 1},
-			{OnTime: 400 * time.Millisecond, GiveUp: 1800 * time.Millisecond, MessageAim: 60 * time.Millisecond,
-				Effect: balance.Keyed, Scope: balance.ScopeCell, Window: 3 * time.Second, Worth: 2},
-			{OnTime: 600 * time.Millisecond, GiveUp: 3 * time.Second, MessageAim: 60 * time.Millisecond, Effect: balance.Unsafe, Worth: 5}}}
+			{LatencyObjective: 400 * time.Millisecond, ClientTimeout: 2 * time.Second, MessageLatencyObjective: 60 * time.Millisecond, Idempotency: balance.Idempotent, PriorityWeight: 1},
+			{LatencyObjective: 400 * time.Millisecond, ClientTimeout: 1800 * time.Millisecond, MessageLatencyObjective: 60 * time.Millisecond,
+				Idempotency: balance.IdempotentWithKey, DedupScope: balance.ScopeCell, DedupWindow: 3 * time.Second, PriorityWeight: 2},
+			{LatencyObjective: 600 * time.Millisecond, ClientTimeout: 3 * time.Second, MessageLatencyObjective: 60 * time.Millisecond, Idempotency: balance.NonIdempotent, PriorityWeight: 5}}}
 	if f := run.opt.Fleet; f != nil { // a script's installation is the same whatever the seed
 		if f.Silent {
-			s.Report = nil
+			s.ReportFields = nil
 		}
-		s.Probes, s.Peers, s.RetryAfter, s.Groups, s.ListOnRequest = true, f.Peers, true, false, false
+		s.HealthChecks, s.Gossip, s.RetryAfter, s.Groups, s.PollEndpoints = true, f.Peers, true, false, false
 	}
 	run.set = s
 }
@@ -282,7 +282,7 @@
 	return checker.Rules{Classes: run.classRules(), Attempts: 4, Slack: s.AnswerSlack + allowed, Grace: s.DrainGrace + allowed, ToldBy: 6 * time.Second,
 		Held: time.Second + allowed, Silent: 7*time.Second + allowed, Left: 100 * time.Millisecond,
 		FirstLine: 2*time.Second + s.AnswerSlack + allowed,
-		ColdFrom:  s.ColdFrom, WarmUp: s.WarmUp, FallTimes: s.FallMultiple, FallSpan: s.FallSpan,
+		ColdFrom:  s.SlowStartFloor, WarmUp: s.SlowStartWindow, FallTimes: s.OverloadMultiple, FallSpan: s.OverloadWindow,
 		Opens: run.opens()}
 }
 
@@ -293,9 +293,9 @@
 		{Name: "fetch", GiveUp: 1800 * time.Millisecond, Effect: checker.Keyed, Cell: true, Window: 3 * time.Second},
 		{Name: "submit", GiveUp: 3 * time.Second, Effect: checker.Unsafe}}
 	for i := range classes {
-		classes[i].OnTime = s.Classes[i].OnTime
+		classes[i].OnTime = s.Classes[i].LatencyObjective
 		if i < len(run.opt.Timings) {
-			classes[i].Attempts, classes[i].Total = run.opt.Timings[i].Attempts, run.opt.Timings[i].Total
+			classes[i].Attempts, classes[i].Total = run.opt.Timings[i].MaxAttempts, run.opt.Timings[i].RequestTimeout
 		}
 	}
 	return classes
@@ -303,15 +303,15 @@
 
 // retune has all relays read settings with a class more, other effects of two of them and fewer attempts, or the first
 // ones again. Clients use the new class a while after it came, and no more a while before it goes.
-func (run *run) retune(on bool, effect balance.Effect, attempts int) {
+func (run *run) retune(on bool, effect balance.Idempotency, attempts int) {
 	classes, set := run.classRules(), run.set
 	if on {
-		effects := map[balance.Effect]int{balance.Safe: checker.Safe, balance.Unsafe: checker.Unsafe}
+		effects := map[balance.Idempotency]int{balance.Idempotent: checker.Safe, balance.NonIdempotent: checker.Unsafe}
 		set.ClassNames = append([]string{"extra"}, set.ClassNames...)
-		set.Classes = append([]balance.Class{{OnTime: 400 * time.Millisecond, GiveUp: 1500 * time.Millisecond,
-			MessageAim: 60 * time.Millisecond, Effect: effect, Worth: 3}}, set.Classes...)
-		set.Classes[1].Effect, set.Classes[3].Effect = balance.Unsafe, balance.Safe
-		set.TryLimit = attempts
+		set.Classes = append([]balance.Class{{LatencyObjective: 400 * time.Millisecond, ClientTimeout: 1500 * time.Millisecond,
+			MessageLatencyObjective: 60 * time.Millisecond, Idempotency: effect, PriorityWeight: 3}}, set.Classes...)
+		set.Classes[1].Idempotency, set.Classes[3].Idempotency = balance.NonIdempotent, balance.Idempotent
+		set.MaxAttempts = attempts
 		classes[0].Effect, classes[2].Effect = checker.Unsafe, checker.Safe
 		classes = append(classes, checker.Class{Name: "extra", GiveUp: 1500 * time.Millisecond, Effect: effects[effect],
 			OnTime: 400 * time.Millisecond})
@@ -319,12 +319,12 @@
 	run.count("settings changed")
 	for _, r := range run.relays {
 		s := set
-		s.Me, s.Relays, s.Zone = r.cfg.Settings.Me, r.cfg.Settings.Relays, r.cfg.Settings.Zone
+		s.RelayIndex, s.RelayCount, s.Zone = r.cfg.Settings.RelayIndex, r.cfg.Settings.RelayCount, r.cfg.Settings.Zone
 		r.cfg.Settings, r.cfg.Routes = s, run.routes()
 		if on && r.cfg.Routes != nil { // the file's classes stand in another order
 			r.cfg.Routes = r.cfg.Routes.Renumber([]int{1, 2, 3})
 		}
-		run.check.Retuned(r.number, classes, set.TryLimit)
+		run.check.Retuned(r.number, classes, set.MaxAttempts)
 		if r.up {
 			r.reload(r.cfg)
 		}
@@ -374,7 +374,7 @@
 		Sockets: sockets, PeersAll: peersAll, Settings: run.set, Management: "here"}
 	cfg.Routes = run.routes()
 	cfg.Decide = baseline.Named(run.opt.Policy, run.trueLoad)
-	cfg.Settings.Me, cfg.Settings.Relays, cfg.Settings.Zone = i, of, i%2
+	cfg.Settings.RelayIndex, cfg.Settings.RelayCount, cfg.Settings.Zone = i, of, i%2
 	for j := range of {
 		cfg.Peers = append(cfg.Peers, peerAddr(j).String())
 	}
@@ -392,7 +392,7 @@
 	for i, t := range run.opt.Timings {
 		m := route.Everything
 		m.Class = i
-		all = append(all, route.Route{Name: run.classes[i].name, Match: m, Timing: t})
+		all = append(all, route.Route{Name: run.classes[i].name, Match: m, RetryPolicy: t})
 	}
 	if all == nil {
 		return nil
@@ -680,7 +680,7 @@
 // books says what does not come out even in the module's books; a baseline's are not held to that.
 func books(n *machine.Node) error {
 	if b, ok := n.Balancer().(*balance.Balancer); ok {
-		return b.Books()
+		return b.CheckInvariants()
 	}
 	return nil
 }
--- a/internal/world/sabotage.go
+++ b/internal/world/sabotage.go
@@ -83,22 +83,22 @@
 	s := &cfg.Settings
 	switch r.run.opt.Break {
 	case BreakFifth:
-		s.TryLimit++
+		s.MaxAttempts++
 	case BreakUnsafe, BreakScope:
 		s.Classes = append([]balance.Class(nil), s.Classes...)
 		for i := range s.Classes {
 			c := &s.Classes[i]
-			if r.run.broken(BreakUnsafe) && c.Effect == balance.Unsafe {
-				c.Effect = balance.Safe
+			if r.run.broken(BreakUnsafe) && c.Idempotency == balance.NonIdempotent {
+				c.Idempotency = balance.Idempotent
 			}
 			if r.run.broken(BreakScope) {
-				c.Scope = balance.ScopeAll
+				c.DedupScope = balance.ScopeAll
 			}
 		}
 	case BreakTiming:
 		cfg.Routes = nil
 	case BreakCold:
-		s.WarmUp = 0
+		s.SlowStartWindow = 0
 	}
 	return cfg
 }
--- a/internal/world/timing_test.go
+++ b/internal/world/timing_test.go
@@ -63,9 +63,9 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			timing := balance.Timing{}
+			timing := balance.RetryPolicy{}
 			if r := cfg.Relay.Routes.Pick(q); r != nil {
-				timing = r.Timing
+				timing = r.RetryPolicy
 			}
 			opt.Timings = append(opt.Timings, timing)
 		}
@@ -80,9 +80,9 @@
 
 // The checker must see it where a relay does not keep to its timing.
 func TestATimingThatIsNotKeptIsCaught(t *testing.T) {
-	once := balance.Timing{Attempts: 1}
+	once := balance.RetryPolicy{MaxAttempts: 1}
 	for seed := uint64(0); seed < 40; seed++ {
-		for _, b := range Run(Options{Seed: seed, Break: BreakTiming, Timings: []balance.Timing{once, once, once}}).Broken {
+		for _, b := range Run(Options{Seed: seed, Break: BreakTiming, Timings: []balance.RetryPolicy{once, once, once}}).Broken {
 			if b.Rule == "attempt-limit" {
 				return
 			}
