--- a/cmd/aspenbarrow/commands.go
+++ b/cmd/aspenbarrow/commands.go
@@ -1,7 +1,3 @@
-// This file owns the command line: what each command reads and prints. Data goes to
-// standard output, errors to standard error. It must never serve by a file that is
-// unsound, nor change what aspenbarrow alone does.
-
 package main
 
 import (
--- a/cmd/aspenbarrow/descriptors_test.go
+++ b/cmd/aspenbarrow/descriptors_test.go
@@ -58,102 +58,137 @@
 // limit. Nobody who sends a whole OPEN is without an answer, discovery's return is heard within 6 s, no accept fails, and
 // SIGTERM and a smaller limit find it as usual.
 func TestIdleClientsMayFillTheDescriptorsWhileDiscoveryIsDown(t *testing.T) {
-	id := 0
+	ids := 0
 	for _, limit := range []int{64, 256, 1024} {
 		for _, known := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%d descriptors, a list %v", limit, known), func(t *testing.T) {
-				one, two := &standin.Backend{}, &standin.Backend{}
-				unused, list := backends(t, one, two)
-				unused.Close()
-				d := newSilence(t)
-				s := setup{discovery: d.addr, sockets: limit, memory: 64}
-				if known { // of one of the two; discovery will say that it is the other
-					s.known = list[:1]
-				}
-				p := start(t, s)
-				if err := unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: uint64(limit), Max: uint64(limit)}, nil); err != nil {
-					t.Fatal(err)
-				}
-				for range 3 * limit {
-					p.dial()
-				}
-				asks := func() *client {
-					id++
-					c := p.dial()
-					c.say(fmt.Sprintf("OPEN %016x %016x c=chat,d=20000", 1<<20+id, id))
-					return c
-				}
-				var asked []*client
-				for range limit {
-					asked = append(asked, asks())
-				}
-				for range limit {
-					p.dial()
-				}
-				if n := p.descriptors(); n > limit {
-					t.Errorf("%d descriptors of %d", n, limit)
-				}
-				back := time.Now()
-				d.returns(list[1])
-				if known {
-					for len(two.Opens()) == 0 {
-						c := asks()
-						if got, err := c.in.ReadString('\n'); err != nil {
-							t.Fatalf("an OPEN is without an answer: %q, %v", got, err)
-						}
-						_ = c.Close()
-						if time.Since(back) > patience {
-							t.Fatal("discovery's return is not heard of")
-						}
-					}
-				}
-				ups, busy := 0, 0
-				for i, c := range asked {
-					got, err := c.in.ReadString('\n')
-					switch {
-					case err != nil:
-						t.Fatalf("OPEN %d of %d is without an answer: %q, %v", i, limit, got, err)
-					case strings.HasPrefix(got, "UP"):
-						ups++
-					case strings.HasPrefix(got, "BUSY"):
-						busy++
-					default:
-						t.Errorf("heard %q", got)
-					}
-				}
-				if took := time.Since(back); took > 6*time.Second {
-					t.Errorf("discovery's return was heard of after %v", took)
-				}
-				if ups < limit/8 || ups+busy != limit {
-					t.Errorf("%d up, %d busy of %d", ups, busy, limit)
-				}
-				if n := p.descriptors(); n > limit {
-					t.Errorf("%d descriptors of %d", n, limit)
-				}
-				s.sockets = limit / 2
-				p.reload(s)
-				p.logs("configuration read again", 1)
-				for range limit {
-					p.dial()
-				}
-				c := asks()
-				if got, err := c.in.ReadString('\n'); err != nil || !strings.HasPrefix(got, "UP") && !strings.HasPrefix(got, "BUSY") {
-					t.Errorf("with half of the limit: heard %q, %v", got, err)
-				}
-				if err := p.cmd.Process.Signal(unix.SIGTERM); err != nil {
-					t.Fatal(err)
-				}
-				last := asks()
-				if got, err := last.in.ReadString('\n'); err != nil || !strings.HasPrefix(got, "UP") && !strings.HasPrefix(got, "BUSY") {
-					t.Errorf("after SIGTERM: heard %q, %v", got, err)
-				}
-				if err := p.ended(); err != nil {
-					t.Errorf("ended with %v", err)
-				}
-				if strings.Contains(p.log.String(), `"msg":"accept"`) || strings.Contains(p.log.String(), "too many open files") {
-					t.Error("descriptors ran out")
-				}
+				crowdedWhileDiscoveryIsDown(t, limit, known, &ids)
 			})
 		}
 	}
 }
+
+// crowdedWhileDiscoveryIsDown is the test at one limit of descriptors, with or without a list of backends from before.
+// Flow ids go on from ids.
+func crowdedWhileDiscoveryIsDown(t *testing.T, limit int, known bool, ids *int) {
+	one, two := &standin.Backend{}, &standin.Backend{}
+	unused, list := backends(t, one, two)
+	unused.Close()
+	d := newSilence(t)
+	s := setup{discovery: d.addr, sockets: limit, memory: 64}
+	if known { // of one of the two; discovery will say that it is the other
+		s.known = list[:1]
+	}
+	p := crowd{program: start(t, s), t: t, limit: limit, ids: ids}
+	if err := unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: uint64(limit), Max: uint64(limit)}, nil); err != nil {
+		t.Fatal(err)
+	}
+	p.idle(3 * limit)
+	var asked []*client
+	for range limit {
+		asked = append(asked, p.asks())
+	}
+	p.idle(limit)
+	p.staysWithinItsLimit()
+	back := time.Now()
+	d.returns(list[1])
+	if known {
+		p.asksUntilOpenAt(two, back)
+	}
+	p.answersAll(asked)
+	if took := time.Since(back); took > 6*time.Second {
+		t.Errorf("discovery's return was heard of after %v", took)
+	}
+	p.staysWithinItsLimit()
+	s.sockets = limit / 2
+	p.reload(s)
+	p.logs("configuration read again", 1)
+	p.idle(limit)
+	p.answers(p.asks(), "with half of the limit")
+	if err := p.cmd.Process.Signal(unix.SIGTERM); err != nil {
+		t.Fatal(err)
+	}
+	p.answers(p.asks(), "after SIGTERM")
+	if err := p.ended(); err != nil {
+		t.Errorf("ended with %v", err)
+	}
+	if strings.Contains(p.log.String(), `"msg":"accept"`) || strings.Contains(p.log.String(), "too many open files") {
+		t.Error("descriptors ran out")
+	}
+}
+
+// crowd is a program whose clients fill its descriptors.
+type crowd struct {
+	*program
+	t     *testing.T
+	limit int
+	ids   *int
+}
+
+// idle dials n clients that say nothing.
+func (p crowd) idle(n int) {
+	for range n {
+		p.dial()
+	}
+}
+
+// asks dials a client that sends a whole OPEN.
+func (p crowd) asks() *client {
+	*p.ids++
+	c := p.dial()
+	c.say(fmt.Sprintf("OPEN %016x %016x c=chat,d=20000", 1<<20+*p.ids, *p.ids))
+	return c
+}
+
+func (p crowd) staysWithinItsLimit() {
+	p.t.Helper()
+	if n := p.descriptors(); n > p.limit {
+		p.t.Errorf("%d descriptors of %d", n, p.limit)
+	}
+}
+
+// asksUntilOpenAt sends one OPEN after the other, each of which must be answered, until one reached the backend that
+// discovery told of at the time given.
+func (p crowd) asksUntilOpenAt(b *standin.Backend, told time.Time) {
+	p.t.Helper()
+	for len(b.Opens()) == 0 {
+		c := p.asks()
+		if got, err := c.in.ReadString('\n'); err != nil {
+			p.t.Fatalf("an OPEN is without an answer: %q, %v", got, err)
+		}
+		_ = c.Close()
+		if time.Since(told) > patience {
+			p.t.Fatal("discovery's return is not heard of")
+		}
+	}
+}
+
+// answersAll checks that each client hears UP or BUSY, and an eighth of them UP.
+func (p crowd) answersAll(asked []*client) {
+	p.t.Helper()
+	ups, busy := 0, 0
+	for i, c := range asked {
+		got, err := c.in.ReadString('\n')
+		switch {
+		case err != nil:
+			p.t.Fatalf("OPEN %d of %d is without an answer: %q, %v", i, p.limit, got, err)
+		case strings.HasPrefix(got, "UP"):
+			ups++
+		case strings.HasPrefix(got, "BUSY"):
+			busy++
+		default:
+			p.t.Errorf("heard %q", got)
+		}
+	}
+	if ups < p.limit/8 || ups+busy != p.limit {
+		p.t.Errorf("%d up, %d busy of %d", ups, busy, p.limit)
+	}
+}
+
+// answers checks that one client hears UP or BUSY.
+func (p crowd) answers(c *client, when string) {
+	p.t.Helper()
+	if got, err := c.in.ReadString('\n'); err != nil || !strings.HasPrefix(got, "UP") && !strings.HasPrefix(got, "BUSY") {
+		p.t.Errorf("%s: heard %q, %v", when, got, err)
+	}
+}
--- a/cmd/aspenbarrow/main.go
+++ b/cmd/aspenbarrow/main.go
@@ -1,6 +1,10 @@
-// Command aspenbarrow is one real relay. This file owns the process: logger,
-// run-time limits, signals and the exit code. It must never serve before the
-// configuration is known to be sound, nor decide anything about a connection.
+// Command aspenbarrow is the relay: it accepts clients' connections and relays
+// each of them to a backend of its choice. Further commands check and show a
+// configuration and ask a running relay about its fleet.
+//
+// Results go to standard output, errors and the log to standard error. The
+// configuration is validated in full before the relay serves. The exit code is 2
+// for a wrong command line or file, 1 for any other failure.
 package main
 
 import (
--- a/cmd/aspenbarrow/main_test.go
+++ b/cmd/aspenbarrow/main_test.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"bytes"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -371,7 +372,7 @@
 		_ = c.Close()
 		select {
 		case err := <-seen:
-			if reset != (err != io.EOF) {
+			if reset == errors.Is(err, io.EOF) {
 				t.Errorf("client reset %v, the backend saw %v", reset, err)
 			}
 		case <-time.After(patience):
@@ -771,7 +772,7 @@
 			}
 			p := launch(t, setup{discovery: "127.0.0.1:9", replace: r})
 			err := p.ended()
-			if exit, ok := err.(*exec.ExitError); !ok || exit.ExitCode() != 1 {
+			if exit := (*exec.ExitError)(nil); !errors.As(err, &exit) || exit.ExitCode() != 1 {
 				t.Errorf("exit: %v", err)
 			}
 			if !strings.HasPrefix(p.log.String(), "aspenbarrow: ") || strings.Contains(p.log.String(), "serving") {
@@ -874,7 +875,7 @@
 	t.Helper()
 	_ = c.SetReadDeadline(time.Now().Add(within))
 	got, err := c.in.ReadString('\n')
-	if ne, ok := err.(net.Error); ok && ne.Timeout() {
+	if ne := net.Error(nil); errors.As(err, &ne) && ne.Timeout() {
 		t.Errorf("neither an answer nor a close after %v", within)
 	} else if err == nil && got != "ERR\r\n" && !strings.HasPrefix(got, "BUSY") {
 		t.Errorf("heard %q", got)
@@ -955,7 +956,7 @@
 	for err == nil {
 		_, err = io.WriteString(c, strings.Repeat("PING\r\n", 1<<10))
 	}
-	if ne, ok := err.(net.Error); !ok || !ne.Timeout() {
+	if ne := net.Error(nil); !errors.As(err, &ne) || !ne.Timeout() {
 		t.Errorf("cut off with %v before it can have heard, not held up", err)
 	}
 	for range 16 {
--- a/cmd/aspenbarrow/members.go
+++ b/cmd/aspenbarrow/members.go
@@ -1,5 +1,3 @@
-// This file owns the command that asks a running relay who of its fleet is there. It must never change anything there.
-
 package main
 
 import (
--- a/cmd/aspenbarrow/upgrade_test.go
+++ b/cmd/aspenbarrow/upgrade_test.go
@@ -81,11 +81,11 @@
 // rush opens connections at an address one after the other, from so many clients, until it is stopped, and counts
 // those that were turned back unheard and those that had no good answer.
 type rush struct {
-	mu                   sync.Mutex
-	stop                 chan struct{}
-	clients              sync.WaitGroup
-	up, back, bad, moved int
-	first                error
+	mu            sync.Mutex
+	stop          chan struct{}
+	clients       sync.WaitGroup
+	up, back, bad int
+	first         error
 }
 
 func (l *rush) run(addr string, clients int) {
--- a/cmd/aspenlab/main.go
+++ b/cmd/aspenlab/main.go
@@ -1,5 +1,8 @@
-// Command aspenlab is the project's laboratory: seeded runs of the relay on a
-// virtual clock. It must never be needed by a relay that serves.
+// Command aspenlab runs the project's test systems: seeded worlds on a virtual
+// clock, rehearsals of bad days, experiments that compare policies, and a small
+// demonstration on loopback addresses. A relay in service does not need it.
+//
+// It exits with 1 when a command fails or a run breaks a rule.
 package main
 
 import (
--- a/cmd/aspenlab/rehearse.go
+++ b/cmd/aspenlab/rehearse.go
@@ -1,5 +1,3 @@
-// This file owns the commands that check and play rehearsals.
-
 package main
 
 import (
@@ -42,72 +40,85 @@
 		}}
 }
 
+// rehearseFlags are the flags of "aspenlab rehearse".
+type rehearseFlags struct {
+	seed                   uint64
+	seeds                  int
+	asJSON, processes      bool
+	program, against, keep string
+}
+
 func rehearseCommand() *cobra.Command {
-	var seed uint64
-	var seeds int
-	var asJSON, real bool
-	var program, against, keep string
+	f := &rehearseFlags{}
 	c := &cobra.Command{Use: "rehearse SCRIPT", Short: "Play a bad day on the virtual clock, or on real processes, and measure the service, second by second",
 		Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
 			s, err := readScript(args[0])
 			if err != nil {
 				return err
 			}
-			if faults := s.Playable(args[0], real); faults != nil {
+			if faults := s.Playable(args[0], f.processes); faults != nil {
 				return errors.Join(faults...)
 			}
-			if !real {
-				if program != "" || against != "" || seeds != 1 || keep != "" {
-					return errors.New("--relay, --against, --seeds and --out go with --real")
-				}
-				o := rehearsal.Play(s, seed)
-				return told(c, []rehearsal.Outcome{o}, s, asJSON)
-			}
-			if seeds < 1 {
-				return errors.New("--seeds is 1 at least")
-			}
-			ctx, stop := signal.NotifyContext(c.Context(), os.Interrupt, syscall.SIGTERM)
-			defer stop()
-			if program == "" {
-				dir, err := os.MkdirTemp("", "aspenlab")
-				if err != nil {
-					return err
-				}
-				defer os.RemoveAll(dir)
-				if program, err = fleet.Build(ctx, dir); err != nil {
-					return err
-				}
-			}
-			programs := []string{program}
-			if against != "" {
-				programs = append(programs, against)
-			}
-			if seed == 0 {
-				seed = s.Seed
-			}
-			outcomes, err := rehearsal.Alternate(ctx, s, programs, seed, seeds, func(o rehearsal.Outcome) {
-				fmt.Fprintln(c.ErrOrStderr(), o.Line())
-			})
-			if keep != "" {
-				if e := report.Write(keep, outcomes); e != nil {
-					err = errors.Join(err, e)
-				}
+			if f.processes {
+				return f.onProcesses(c, s)
 			}
-			if err != nil {
-				return err
+			if f.program != "" || f.against != "" || f.seeds != 1 || f.keep != "" {
+				return errors.New("--relay, --against, --seeds and --out go with --real")
 			}
-			return told(c, outcomes, s, asJSON)
+			o := rehearsal.Play(s, f.seed)
+			return told(c, []rehearsal.Outcome{o}, s, f.asJSON)
 		}}
-	c.Flags().Uint64Var(&seed, "seed", 0, "another seed than the script's")
-	c.Flags().BoolVar(&asJSON, "json", false, "as JSON")
-	c.Flags().BoolVar(&real, "real", false, "on processes of the relay's program, in real time")
-	c.Flags().StringVar(&program, "relay", "", "the relay's program; none: it is built from this source")
-	c.Flags().StringVar(&against, "against", "", "another program, played by turns with the first on the same seeds")
-	c.Flags().IntVar(&seeds, "seeds", 1, "how many seeds, from the first on")
-	c.Flags().StringVar(&keep, "out", "", "a folder for report.html, report.json and report.csv")
+	c.Flags().Uint64Var(&f.seed, "seed", 0, "another seed than the script's")
+	c.Flags().BoolVar(&f.asJSON, "json", false, "as JSON")
+	c.Flags().BoolVar(&f.processes, "real", false, "on processes of the relay's program, in real time")
+	c.Flags().StringVar(&f.program, "relay", "", "the relay's program; none: it is built from this source")
+	c.Flags().StringVar(&f.against, "against", "", "another program, played by turns with the first on the same seeds")
+	c.Flags().IntVar(&f.seeds, "seeds", 1, "how many seeds, from the first on")
+	c.Flags().StringVar(&f.keep, "out", "", "a folder for report.html, report.json and report.csv")
 	return c
 }
 
+// onProcesses plays the script on processes of one program or of two by turns, until it is done or interrupted. What
+// was played by then is written to the folder of --out also when a run failed.
+func (f *rehearseFlags) onProcesses(c *cobra.Command, s rehearsal.Script) error {
+	if f.seeds < 1 {
+		return errors.New("--seeds is 1 at least")
+	}
+	ctx, stop := signal.NotifyContext(c.Context(), os.Interrupt, syscall.SIGTERM)
+	defer stop()
+	program := f.program
+	if program == "" {
+		dir, err := os.MkdirTemp("", "aspenlab")
+		if err != nil {
+			return err
+		}
+		defer func() { _ = os.RemoveAll(dir) }() // in the system's folder for temporary files
+		if program, err = fleet.Build(ctx, dir); err != nil {
+			return err
+		}
+	}
+	programs := []string{program}
+	if f.against != "" {
+		programs = append(programs, f.against)
+	}
+	seed := f.seed
+	if seed == 0 {
+		seed = s.Seed
+	}
+	outcomes, err := rehearsal.Alternate(ctx, s, programs, seed, f.seeds, func(o rehearsal.Outcome) {
+		fmt.Fprintln(c.ErrOrStderr(), o.Line())
+	})
+	if f.keep != "" {
+		if e := report.Write(f.keep, outcomes); e != nil {
+			err = errors.Join(err, e)
+		}
+	}
+	if err != nil {
+		return err
+	}
+	return told(c, outcomes, s, f.asJSON)
+}
+
 // told prints outcomes and fails where a rule was broken.
 func told(c *cobra.Command, outcomes []rehearsal.Outcome, s rehearsal.Script, asJSON bool) (err error) {
 	out := c.OutOrStdout()
--- a/cmd/aspenlab/report.go
+++ b/cmd/aspenlab/report.go
@@ -1,5 +1,3 @@
-// This file owns the command that turns runs into a page.
-
 package main
 
 import (
@@ -11,6 +9,7 @@
 	"aspenbarrow/internal/report"
 )
 
+// reportCommand turns the outcomes that "aspenlab rehearse --json" printed into a page with plots.
 func reportCommand() *cobra.Command {
 	var dir string
 	c := &cobra.Command{Use: "report RUNS.json...", Short: "Write what rehearsals came to as one page with plots, as JSON and as CSV", Args: cobra.MinimumNArgs(1),
--- a/cmd/aspenlab/seeds.go
+++ b/cmd/aspenlab/seeds.go
@@ -1,6 +1,3 @@
-// This file owns the command that plays seeds. It must never say that all is well
-// when a seed failed or a kind of trouble never came up.
-
 package main
 
 import (
@@ -23,6 +20,7 @@
 	"aspenbarrow/internal/world"
 )
 
+// seedsFlags are the flags of "aspenlab seeds", and the options of a run that follow from them.
 type seedsFlags struct {
 	from            uint64
 	count, workers  int
@@ -36,8 +34,10 @@
 	opt             world.Options
 }
 
+// errFailed is the result of a command whose runs broke a rule.
 var errFailed = errors.New("a rule is broken")
 
+// seedsCommand plays seeds. It fails when a rule is broken and, with --complete, when a kind of trouble never came up.
 func seedsCommand() *cobra.Command {
 	f := &seedsFlags{}
 	c := &cobra.Command{Use: "seeds", Short: "Play the relay on a virtual clock, a world from each seed, and hold every rule",
@@ -109,7 +109,7 @@
 }
 
 // again plays one seed.
-func (f *seedsFlags) again(out io.Writer) error {
+func (f *seedsFlags) again(out io.Writer) (err error) {
 	opt := f.opt
 	opt.Seed = uint64(f.replay)
 	if f.shrink {
@@ -123,7 +123,11 @@
 	}
 	if f.trace {
 		w := bufio.NewWriter(out)
-		defer w.Flush()
+		defer func() {
+			if flushed := w.Flush(); err == nil {
+				err = flushed
+			}
+		}()
 		opt.Trace = w
 	}
 	res := world.Run(opt)
--- a/cmd/aspenlab/try.go
+++ b/cmd/aspenlab/try.go
@@ -1,5 +1,3 @@
-// This file owns the command that shows a relay at work on this machine.
-
 package main
 
 import (
@@ -14,6 +12,7 @@
 	"aspenbarrow/internal/tryout"
 )
 
+// tryCommand shows a relay at work on this machine.
 func tryCommand() *cobra.Command {
 	opt := tryout.Options{Config: example.Config}
 	c := &cobra.Command{Use: "try", Short: "Show a relay at work: placements, a drain, moves, all on loopback in one process",
--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -1,5 +1,7 @@
 // Command drill is the adapter between the decision module and the bench's
-// wire: batches of events on standard input, one reply each on standard output.
+// wire (package mesa): batches of events on standard input, one reply each on
+// standard output. It ends with 0 at the end of its input and with 1 on the first
+// frame that it cannot decode or answer.
 package main
 
 import (
