--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -1,9 +1,10 @@
-// Package baseline holds simple policies for the laboratory, which sets the module
-// against them: random, hashing alone, least connections, and one that sees the
-// true load of every backend, as the distance to the best.
+// Package baseline holds simple policies that experiments compare package balance
+// with: random choice, hashing alone, least connections, and an oracle that sees the
+// true load of every backend and so gives an upper bound.
 //
-// This file owns them. They keep the rules as far as a simple policy can (attempts,
-// effects, draining backends), and must never be what a relay serves by.
+// The policies limit attempts, do not repeat a request that may have had an effect,
+// and keep away from draining backends. They have no flow control, probing or
+// warm-up handling and are meant for the test systems only.
 package baseline
 
 import (
@@ -16,11 +17,12 @@
 	"aspenbarrow/internal/machine"
 )
 
-// Names are the policies there are.
+// Names returns the names that Named takes.
 func Names() []string { return []string{"random", "hash", "least", "oracle"} }
 
-// Named makes a policy's constructor; nil for the empty name. load tells the true
-// load of a backend, which only the oracle asks for.
+// Named returns a constructor of the policy with a name of Names, or nil for the
+// empty name. load returns the true load of a backend as a share of its capacity;
+// only the oracle calls it. The constructor panics if the name is unknown.
 func Named(name string, load func(balance.BackendID) float64) func(time.Duration, uint64, balance.Settings, balance.Actions) machine.Decider {
 	if name == "" {
 		return nil
@@ -55,6 +57,7 @@
 	return x ^ x>>31
 }
 
+// call is a request that has no final answer yet, or whose connection stands.
 type call struct {
 	balance.Request
 	until time.Duration
@@ -66,6 +69,7 @@
 	ran   bool
 }
 
+// policy is a machine.Decider that sends each request to the ready backend of least rank.
 type policy struct {
 	set   balance.Settings
 	do    balance.Actions
