--- a/internal/checker/checker.go
+++ b/internal/checker/checker.go
@@ -1,10 +1,12 @@
-// Package checker holds relays to their rules. It sees what an onlooker on the
-// wire would see: the bytes on the relays' sides of their connections, when and
-// how those end, and what discovery told whom. It shares no code with the relay
-// and reads the lines by itself.
+// Package checker verifies the relay's invariants from outside. It sees what an
+// observer on the network would see: the bytes on the relays' sides of their
+// connections, when and how those connections end, and what discovery told which
+// relay. It shares no code with the relay, parses the protocol lines by itself and
+// never queries a relay.
 //
-// This file owns the rules. It must never ask a relay anything, nor excuse what
-// it cannot explain by what it has seen.
+// A driver reports events to a Checker (RelayUp, Told, Client.Got, Backend.Wrote
+// and so on) and reads the violations from Checker.Broken. A Checker is not safe
+// for concurrent use. Times are offsets on the clock that is given to New.
 package checker
 
 import (
@@ -16,20 +18,20 @@
 	"time"
 )
 
-// Effects of a class.
+// Effects of a class: which of its requests may be sent again once an attempt may have run.
 const (
-	Safe = iota
-	Keyed
-	Unsafe
+	Safe   = iota // all, as often as attempts are allowed
+	Keyed         // within Class.Window, and within a cell if Class.Cell is set
+	Unsafe        // none
 )
 
 // Class is what a rule needs of a class of requests.
 type Class struct {
 	Name     string
-	GiveUp   time.Duration
-	Effect   int
-	Cell     bool // a keyed repeat is discarded within a cell only, else everywhere
-	Window   time.Duration
+	GiveUp   time.Duration // how long a client waits that names no patience of its own
+	Effect   int           // Safe, Keyed or Unsafe
+	Cell     bool          // a keyed repeat is discarded within a cell only, else everywhere
+	Window   time.Duration // in which a keyed request may be repeated
 	OnTime   time.Duration // set up within this counts as on time
 	Attempts int           // fewer than the installation's, by its timing; 0: not
 	Total    time.Duration // answered within this, by its timing; 0: its client's patience
@@ -38,7 +40,7 @@
 // Rules are the figures that are held.
 type Rules struct {
 	Classes   []Class
-	Attempts  int
+	Attempts  int           // at most, for one request
 	Slack     time.Duration // of the final answer, all allowances included
 	Grace     time.Duration // a drain's, all allowances included
 	ToldBy    time.Duration // what a backend's list has counts as told after this
@@ -46,9 +48,9 @@
 	Silent    time.Duration // a backend that brings nothing back
 	Left      time.Duration // nothing is begun for a client that left longer ago, allowances included
 	FirstLine time.Duration // who says nothing whole has an answer within this, allowances included
-	ColdFrom  float64
-	WarmUp    time.Duration
-	FallTimes float64
+	ColdFrom  float64       // the share of its capacity that a backend starts with
+	WarmUp    time.Duration // until it has all of it
+	FallTimes float64       // a cold backend may get so many times what it can do, within FallSpan
 	FallSpan  time.Duration
 	Opens     float64       // a second, what a warm backend can do
 	Onlooker  time.Duration // what one party did may be heard of so much later than what another did after it; 0: never
@@ -56,9 +58,9 @@
 
 // Broken is one rule broken.
 type Broken struct {
-	Rule string
-	At   time.Duration
-	Text string
+	Rule string        // such as "overlap"
+	At   time.Duration // since the checker was made
+	Text string        // what was seen
 }
 
 func (b Broken) String() string { return fmt.Sprintf("%s at %.6f: %s", b.Rule, b.At.Seconds(), b.Text) }
@@ -69,9 +71,9 @@
 	now      func() time.Duration
 	epoch    time.Duration
 	in       func(time.Duration, func())
-	Broken   []Broken
-	Counts   map[string]int
-	clients  []*Client // open ones
+	Broken   []Broken       // the first 20 violations
+	Counts   map[string]int // how often what came up, for reports
+	clients  []*Client      // open ones
 	back     []*Backend
 	requests map[string]*request
 	receipts map[string]*Backend
@@ -429,7 +431,6 @@
 	blocked    bool
 	blockedAt  time.Duration // when it last was
 	owed       []stamp       // the client's lines that the backend is still to get
-	lost       bool
 }
 
 type stamp struct {
@@ -568,37 +569,15 @@
 			c.fail("after-answer", "client %d got %q after its final answer", x.id, line)
 			return
 		case x.pings > 0 && (word == "PONG" || word == "ERR"): // ERR: no relay to be used yet, or too many
-			x.pings--
-			x.told = x.told || word == "ERR"
-			if word == "PONG" && c.relays[x.relay].drain != 0 && c.relays[x.relay].life == x.life {
-				c.fail("drained", "relay %d said yes to a probe though it is drained", x.relay)
-			}
+			x.probed(word)
 			return
 		}
 		x.answered, x.answeredAt = true, c.now()
 		x.counted(word)
 		c.Counts["answer "+word]++
-		if x.req != nil && c.now() > x.req.by && !c.slept(x.relay, x.came) {
-			c.fail("late-answer", "client %d got %q %v late", x.id, line, c.now()-x.req.by)
-		}
-		if r := x.req; r != nil && r.class != nil && (word == "UP" || word == "BYE") {
-			c.Counts["served "+r.class.Name]++
-			if c.now()-r.at <= r.class.OnTime {
-				c.Counts["on time "+r.class.Name]++
-			}
-		}
+		x.timely(word, line)
 		if word == "UP" {
-			pair := c.receipts[rest]
-			switch {
-			case pair == nil:
-				c.fail("made-up", "client %d got %q, which no backend said", x.id, line)
-				pair = &Backend{c: c, fake: true}
-			case pair.req == nil || pair.req.client != x:
-				c.fail("made-up", "client %d got %q, said to another", x.id, line)
-			case pair.client != nil:
-				c.fail("made-up", "client %d got %q, already given", x.id, line)
-			}
-			x.pair, pair.client = pair, x
+			x.join(line, rest)
 		}
 	})
 	if len(x.got.part) > 0 && x.pair != nil {
@@ -608,6 +587,49 @@
 	}
 }
 
+// probed takes in the answer to one of the client's probes.
+func (x *Client) probed(word string) {
+	c := x.c
+	x.pings--
+	x.told = x.told || word == "ERR"
+	if word == "PONG" && c.relays[x.relay].drain != 0 && c.relays[x.relay].life == x.life {
+		c.fail("drained", "relay %d said yes to a probe though it is drained", x.relay)
+	}
+}
+
+// timely holds a final answer to the time that its request had, and counts what was served, also on time.
+func (x *Client) timely(word, line string) {
+	c, r := x.c, x.req
+	if r == nil {
+		return
+	}
+	if c.now() > r.by && !c.slept(x.relay, x.came) {
+		c.fail("late-answer", "client %d got %q %v late", x.id, line, c.now()-r.by)
+	}
+	if r.class != nil && (word == "UP" || word == "BYE") {
+		c.Counts["served "+r.class.Name]++
+		if c.now()-r.at <= r.class.OnTime {
+			c.Counts["on time "+r.class.Name]++
+		}
+	}
+}
+
+// join pairs the client with the backend that said the rest of this UP, which must have been said to this client.
+func (x *Client) join(line, rest string) {
+	c := x.c
+	pair := c.receipts[rest]
+	switch {
+	case pair == nil:
+		c.fail("made-up", "client %d got %q, which no backend said", x.id, line)
+		pair = &Backend{c: c, fake: true}
+	case pair.req == nil || pair.req.client != x:
+		c.fail("made-up", "client %d got %q, said to another", x.id, line)
+	case pair.client != nil:
+		c.fail("made-up", "client %d got %q, already given", x.id, line)
+	}
+	x.pair, pair.client = pair, x
+}
+
 // WroteEnd hears that the relay has ended its side, or closed the connection.
 func (x *Client) WroteEnd(how int32) {
 	c := x.c
@@ -734,19 +756,25 @@
 	}
 	r.out = b
 	s := &c.backends[b.backend]
-	if r.ran != nil {
-		switch old := &c.backends[r.ran.backend]; {
-		case r.class.Effect == Unsafe:
-			c.fail("unsafe-repeat", "unsafe request %s was sent again though it may have run", r.id)
-		case r.class.Effect == Keyed && c.now()-r.ranAt > r.class.Window:
-			c.fail("keyed-repeat", "keyed request %s was sent again past its window", r.id)
-		case r.class.Effect == Keyed && r.class.Cell && old.cell != s.cell:
-			c.fail("keyed-repeat", "keyed request %s was sent again outside its scope", r.id)
-		}
-	}
+	c.repeatable(r, s)
 	c.cold(s, b.relay)
 }
 
+// repeatable holds one more attempt, at a backend, to what the class allows once an earlier one may have run.
+func (c *Checker) repeatable(r *request, s *backendState) {
+	if r.ran == nil {
+		return
+	}
+	switch old := &c.backends[r.ran.backend]; {
+	case r.class.Effect == Unsafe:
+		c.fail("unsafe-repeat", "unsafe request %s was sent again though it may have run", r.id)
+	case r.class.Effect == Keyed && c.now()-r.ranAt > r.class.Window:
+		c.fail("keyed-repeat", "keyed request %s was sent again past its window", r.id)
+	case r.class.Effect == Keyed && r.class.Cell && old.cell != s.cell:
+		c.fail("keyed-repeat", "keyed request %s was sent again outside its scope", r.id)
+	}
+}
+
 // cold takes in one more OPEN at a backend and holds it to what that can bear.
 func (c *Checker) cold(s *backendState, relay int) {
 	now := c.now()
@@ -919,11 +947,10 @@
 // Sweep looks for what should have happened by now.
 func (c *Checker) Sweep() {
 	for _, x := range c.clients {
-		p := x.pair
-		if p == nil || p.fake || !x.live() || x.blocked || c.now()-x.blockedAt < time.Second || c.slept(x.relay, c.now()-c.rules.Silent) {
+		if x.excused() {
 			continue
 		}
-		switch {
+		switch p := x.pair; {
 		case p.ended != 0 && c.now()-p.endedAt > c.rules.Held && x.ended == 0:
 			c.fail("held-line", "client %d was not told for a second that its backend has ended", x.id)
 		case x.ended != 0 && c.now()-x.endedAt > c.rules.Held && !p.done && !p.blocked:
@@ -939,7 +966,15 @@
 	}
 }
 
-// Close says how many connections of a relay's are still open, for the end of a run.
+// excused says whether nothing can be held against the client's connection now: no backend stands behind it, it has
+// ended, the client takes or lately took nothing, or the relay's process was stopped.
+func (x *Client) excused() bool {
+	c := x.c
+	return x.pair == nil || x.pair.fake || !x.live() || x.blocked || c.now()-x.blockedAt < time.Second ||
+		c.slept(x.relay, c.now()-c.rules.Silent)
+}
+
+// Open returns how many connections of a relay are still open, for the end of a run.
 func (c *Checker) Open(relay int) (n int) {
 	for _, x := range c.clients {
 		if x.relay == relay && x.live() {
