--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -1,10 +1,12 @@
-// Package emulator models servers of the fleet: cores that requests share, queues,
-// standing connections, cold starts, pauses, slowness and a dependency that all
-// share. It is told the time and says when it wants to be called next; drivers on
-// a virtual clock and on sockets are to use the same model.
+// Package emulator models the servers behind the relays: cores that requests share,
+// queues, standing connections, cold starts, pauses, slowness and a dependency that
+// several servers share (Pool). Servers that wait for a Pool get slower by queueing,
+// not by a factor.
 //
-// This file owns one server. It must never know a clock, a socket or a goroutine,
-// nor draw anything from randomness but its seed's.
+// The model has no clock, sockets or goroutines. Callers pass the time, which must
+// never go back, and ask with Next when to call again, so that the virtual clock of
+// package world and the sockets of package fleet drive the same code. All randomness
+// comes from the seed given to New.
 package emulator
 
 import (
@@ -16,27 +18,27 @@
 
 // Config is what a server is. Work is in seconds of one nominal core.
 type Config struct {
-	Cores       float64
-	Speed       float64 // of a core; 1: nominal
-	Queue       int     // requests worked on at once; over it the next is turned away
-	Backlog     int     // what the system holds for a process that pauses
-	GroupLoad   float64 // cores that each group takes of which a connection is here
-	ColdFrom    float64 // the share of its capacity that it starts with
-	WarmUp      time.Duration
-	Opens       float64 // requests a second that it can do when warm, for falling over; 0: it never does
-	FallTimes   float64
-	FallSpan    time.Duration
-	Memory      float64 // what connections may leak until it crashes, in connection-seconds; 0: none leaks
-	ReportEvery time.Duration
-	ReportStep  float64
+	Cores       float64       // how many; a request uses one at most
+	Speed       float64       // of a core; 1: nominal
+	Queue       int           // requests worked on at once; over it the next is turned away
+	Backlog     int           // what the system holds for a process that pauses
+	GroupLoad   float64       // cores that each group takes of which a connection is here
+	ColdFrom    float64       // the share of its capacity that it starts with
+	WarmUp      time.Duration // until it has all of it
+	Opens       float64       // requests a second that it can do when warm, for falling over; 0: it never does
+	FallTimes   float64       // a cold server falls over when it gets more than this many times what it can do
+	FallSpan    time.Duration // within this span
+	Memory      float64       // what connections may leak until it crashes, in connection-seconds; 0: none leaks
+	ReportEvery time.Duration // the least time between two reports of load
+	ReportStep  float64       // reports are rounded to multiples of this; 0: they are not
 	ReportNoise float64       // standard deviation, as a share
 	ReportLate  time.Duration // a report is told so long after it was made
 }
 
 // Job is one request being worked on.
 type Job struct {
-	ID   uint64
-	Work float64
+	ID   uint64  // the caller's; returned by Done
+	Work float64 // seconds of one nominal core
 }
 
 // Verdict is what becomes of a request that arrives.
--- a/internal/emulator/pool.go
+++ b/internal/emulator/pool.go
@@ -1,6 +1,3 @@
-// This file owns a dependency that servers share: places, and a line of those who
-// wait for one. Servers get slower by waiting here, not by a factor.
-
 package emulator
 
 import (
@@ -8,7 +5,9 @@
 	"time"
 )
 
-// Pool is a shared dependency. Its methods are called with times that never go back.
+// Pool is a dependency that servers share, such as a database: a number of places,
+// and a queue of those that wait for one. Its methods are called with times that
+// never go back.
 type Pool struct {
 	places int
 	slow   float64
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -1,8 +1,9 @@
-// Package measure says how evenly a fleet's connections lie on its backends, second by second, beside
-// what hashing alone and an even hand would have made of the same connections.
+// Package measure computes how evenly a fleet's connections are spread over its backends, second by second, and
+// compares that with what weighted rendezvous hashing alone, and a placement that sees every load at every moment,
+// would have made of the same connections.
 //
-// This file owns the log of connections and the figures. It must never look at a clock, nor count a
-// backend that is down, nor leave out a sample because it spoils a figure.
+// Loads are in cores, and figures in shares of a backend's capacity or of the mean, as the fields say. Backends that
+// are down are not counted. Times are offsets from the start of the run.
 package measure
 
 import (
@@ -27,12 +28,12 @@
 
 // Conn is one connection as its backend held it.
 type Conn struct {
-	Key     uint64
-	Relay   int
-	Backend int
+	Key     uint64        // that hashing goes by
+	Relay   int           // index
+	Backend int           // index
 	Load    float64       // cores that it takes
 	From    time.Duration // of the run
-	To      time.Duration
+	To      time.Duration // likewise; Log sets it
 }
 
 type machine struct {
@@ -108,19 +109,19 @@
 	HerdPart float64   `json:"herd_part"`    // that part, in connections
 	Loads    []float64 `json:"loads"`        // by backend; below 0: down
 	HerdHash float64   `json:"herd_hashing"` // what hashing alone makes of the same arrivals
-	Arrivals int       `json:"arrivals"`
+	Arrivals int       `json:"arrivals"`     // connections that began
 }
 
 // Summary is the run from a time on: medians of the samples, the worst of what must not happen.
 type Summary struct {
 	Spread
-	Mean     float64 `json:"mean"`
-	Hashing  float64 `json:"hashing"`
-	Even     float64 `json:"even"`
-	Ratio    float64 `json:"ratio"`  // the deviation over hashing's, median of the samples
-	Worst    float64 `json:"worst"`  // the largest deviation of a second
-	Lowest   float64 `json:"lowest"` // the least load of a backend in any second, over the mean
-	Idle     float64 `json:"idle_s"`
+	Mean     float64 `json:"mean"`         // load over capacity
+	Hashing  float64 `json:"hashing"`      // as of a Second
+	Even     float64 `json:"even"`         // as of a Second
+	Ratio    float64 `json:"ratio"`        // the deviation over hashing's, median of the samples
+	Worst    float64 `json:"worst"`        // the largest deviation of a second
+	Lowest   float64 `json:"lowest"`       // the least load of a backend in any second, over the mean
+	Idle     float64 `json:"idle_s"`       // backend-seconds under half of the mean, in all
 	Herd     float64 `json:"herd"`         // the worst
 	HerdHash float64 `json:"herd_hashing"` // what hashing makes of that second
 }
