--- a/internal/report/plots.go
+++ b/internal/report/plots.go
@@ -1,5 +1,3 @@
-// This file owns the plots. It must never scale two runs that stand over each other by different measures.
-
 package report
 
 import (
@@ -42,74 +40,103 @@
 	n      int
 }
 
-func plots(runs []*rehearsal.Outcome) (out []plotView, err error) {
-	add := func(title, note string, draw func() (template.HTML, error)) {
-		if err == nil {
-			var svg template.HTML
-			if svg, err = draw(); err == nil {
-				out = append(out, plotView{title, note, svg})
-			}
-		}
+// seriesOf makes the series of one run, the i-th that is drawn; false: the run has no such figures.
+type seriesOf func(o *rehearsal.Outcome, i int) (series, bool)
+
+// plots draws the runs. Runs that stand over each other share one scale.
+func plots(runs []*rehearsal.Outcome) ([]plotView, error) {
+	d := drawing{runs: runs}
+	d.heatMaps()
+	d.evenness()
+	d.lines("Service by second", "Worth of the clients whose lines come back in time over that of all who wanted a connection.", false,
+		func(o *rehearsal.Outcome, i int) (series, bool) {
+			return series{o, name(o), lineColours[i%len(lineColours)], false, func(s int) float64 {
+				if o.Seconds[s].Asked == 0 {
+					return 1
+				}
+				return o.Seconds[s].Served / o.Seconds[s].Asked
+			}, len(o.Seconds)}, true
+		})
+	d.lines("Herds", "The most new connections at one backend in half a second over its part of them; only where that part is eight or more.", true,
+		byEvenness("", false, nil, func(o *rehearsal.Outcome, s int) float64 { return o.Evenness[s].Herd }))
+	d.lines("Processor time of all relays", "Cores, by second.", true, func(o *rehearsal.Outcome, i int) (series, bool) {
+		return series{o, name(o), lineColours[i%len(lineColours)], false, func(s int) float64 { return o.Machine[s] }, len(o.Machine)}, o.Machine != nil
+	})
+	return d.out, d.err
+}
+
+// drawing collects the plots of some runs, up to the first that cannot be drawn.
+type drawing struct {
+	runs []*rehearsal.Outcome
+	out  []plotView
+	err  error
+}
+
+func (d *drawing) add(title, note string, draw func() (template.HTML, error)) {
+	if d.err != nil {
+		return
+	}
+	var svg template.HTML
+	if svg, d.err = draw(); d.err == nil {
+		d.out = append(d.out, plotView{title, note, svg})
 	}
+}
+
+// heatMaps adds a map of the load of every backend for each run, all on one scale.
+func (d *drawing) heatMaps() {
 	top := 0.0
-	for _, o := range runs {
+	for _, o := range d.runs {
 		for i := range o.Evenness {
 			for _, v := range o.Evenness[i].Loads {
 				top = max(top, v)
 			}
 		}
 	}
-	for _, o := range runs {
+	for _, o := range d.runs {
 		if len(o.Evenness) > 1 && len(o.Evenness[0].Loads) > 1 {
-			add("Load by backend: "+name(o), fmt.Sprintf("A row is a backend, a column a second; dark is empty, bright is full (the brightest is %.0f%% of capacity), white is down. "+
+			d.add("Load by backend: "+name(o), fmt.Sprintf("A row is a backend, a column a second; dark is empty, bright is full (the brightest is %.0f%% of capacity), white is down. "+
 				"Even load has rows of one colour.", 100*top), func() (template.HTML, error) { return heat(o, top) })
 		}
 	}
-	lines := func(title, note string, zero bool, of ...func(o *rehearsal.Outcome, i int) (series, bool)) {
-		var all []series
-		for i, o := range runs {
-			for _, f := range of {
-				if s, ok := f(o, i); ok && s.n > 1 {
-					all = append(all, s)
-				}
+}
+
+// evenness adds the plots of how far the load is from its mean.
+func (d *drawing) evenness() {
+	d.lines("Unevenness by second", "Deviation of the load over its mean; grey is hashing alone on the same connections. Lower is better.", true,
+		byEvenness("", false, nil, func(o *rehearsal.Outcome, s int) float64 { return o.Evenness[s].Deviation }),
+		byEvenness("hashing, ", true, hashColour, func(o *rehearsal.Outcome, s int) float64 { return o.Evenness[s].Hashing }))
+	d.lines("Emptiest and fullest backend", "Over the mean; 1 is the mean.", true,
+		byEvenness("fullest, ", false, nil, func(o *rehearsal.Outcome, s int) float64 { return o.Evenness[s].Most }),
+		byEvenness("emptiest, ", true, nil, func(o *rehearsal.Outcome, s int) float64 { return o.Evenness[s].Least }))
+}
+
+// lines adds one plot with the series of every run that has them; none if no run has two points.
+func (d *drawing) lines(title, note string, zero bool, of ...seriesOf) {
+	var all []series
+	for i, o := range d.runs {
+		for _, f := range of {
+			if s, ok := f(o, i); ok && s.n > 1 {
+				all = append(all, s)
 			}
 		}
-		if len(all) > 0 {
-			add(title, note, func() (template.HTML, error) { return curves(runs[0], all, zero) })
-		}
 	}
-	even := func(label string, dashed bool, c color.Color, f func(o *rehearsal.Outcome, s int) float64) func(*rehearsal.Outcome, int) (series, bool) {
-		return func(o *rehearsal.Outcome, i int) (series, bool) {
-			colour := c
-			if colour == nil {
-				colour = lineColours[i%len(lineColours)]
-			}
-			return series{o, label + name(o), colour, dashed, func(s int) float64 { return f(o, s) }, len(o.Evenness)}, true
+	if len(all) > 0 {
+		d.add(title, note, func() (template.HTML, error) { return curves(d.runs[0], all, zero) })
+	}
+}
+
+// byEvenness makes a series of a figure of each second's evenness, in the run's own colour if c is nil.
+func byEvenness(label string, dashed bool, c color.Color, f func(o *rehearsal.Outcome, s int) float64) seriesOf {
+	return func(o *rehearsal.Outcome, i int) (series, bool) {
+		colour := c
+		if colour == nil {
+			colour = lineColours[i%len(lineColours)]
 		}
+		return series{o, label + name(o), colour, dashed, func(s int) float64 { return f(o, s) }, len(o.Evenness)}, true
 	}
-	lines("Unevenness by second", "Deviation of the load over its mean; grey is hashing alone on the same connections. Lower is better.", true,
-		even("", false, nil, func(o *rehearsal.Outcome, s int) float64 { return o.Evenness[s].Deviation }),
-		even("hashing, ", true, hashColour, func(o *rehearsal.Outcome, s int) float64 { return o.Evenness[s].Hashing }))
-	lines("Emptiest and fullest backend", "Over the mean; 1 is the mean.", true,
-		even("fullest, ", false, nil, func(o *rehearsal.Outcome, s int) float64 { return o.Evenness[s].Most }),
-		even("emptiest, ", true, nil, func(o *rehearsal.Outcome, s int) float64 { return o.Evenness[s].Least }))
-	lines("Service by second", "Worth of the clients whose lines come back in time over that of all who wanted a connection.", false,
-		func(o *rehearsal.Outcome, i int) (series, bool) {
-			return series{o, name(o), lineColours[i%len(lineColours)], false, func(s int) float64 {
-				if o.Seconds[s].Asked == 0 {
-					return 1
-				}
-				return o.Seconds[s].Served / o.Seconds[s].Asked
-			}, len(o.Seconds)}, true
-		})
-	lines("Herds", "The most new connections at one backend in half a second over its part of them; only where that part is eight or more.", true,
-		even("", false, nil, func(o *rehearsal.Outcome, s int) float64 { return o.Evenness[s].Herd }))
-	lines("Processor time of all relays", "Cores, by second.", true, func(o *rehearsal.Outcome, i int) (series, bool) {
-		return series{o, name(o), lineColours[i%len(lineColours)], false, func(s int) float64 { return o.Machine[s] }, len(o.Machine)}, o.Machine != nil
-	})
-	return out, err
 }
 
+// grid is the load of a run by second and backend, as the heat map wants it.
 type grid struct{ o *rehearsal.Outcome }
 
 func (g grid) Dims() (c, r int) {
@@ -155,7 +182,7 @@
 		if err != nil {
 			return "", err
 		}
-		area.Color, area.LineStyle.Width = faultColour, 0
+		area.Color, area.Width = faultColour, 0
 		label, err := plotter.NewLabels(plotter.XYLabels{XYs: plotter.XYs{{X: f.Began.Seconds(), Y: most - (most-least)*0.06}}, Labels: []string{f.Kind}})
 		if err != nil {
 			return "", err
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -1,7 +1,7 @@
-// Package report writes what runs came to as one page that needs nothing beside it, and as JSON and CSV.
+// Package report writes the outcomes of rehearsals as one self-contained HTML page with plots, and as JSON and CSV.
 //
-// This file owns the page and the files. It must never draw what was not measured, nor leave out a run, a broken rule
-// or a fault.
+// The table of the page has every run; the plots are of the first run of each of the first two programs. Values that
+// were not measured are left out, not drawn as zero.
 package report
 
 import (
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// Read reads a report.json.
+// Read reads a report.json, or the one outcome that "aspenlab rehearse --json" prints. A file without a run is an error.
 func Read(path string) ([]rehearsal.Outcome, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -63,7 +63,7 @@
 	return outcomes, nil
 }
 
-// Table is a line for each second of each run.
+// Table returns the outcomes as CSV, with a header and a line for each second of each run.
 func Table(outcomes []rehearsal.Outcome) []byte {
 	var out bytes.Buffer
 	w := csv.NewWriter(&out)
@@ -123,7 +123,7 @@
 // settled is the second from which evenness is summed up.
 const settled = 10
 
-// Page is the whole page. The first run of each of the first two programs is drawn; the table has all.
+// Page returns the HTML page of one outcome or more. The first run of each of the first two programs is drawn; the table has all.
 func Page(outcomes []rehearsal.Outcome) ([]byte, error) {
 	first := &outcomes[0]
 	v := view{Script: first.Script}
--- a/internal/seeds/seeds.go
+++ b/internal/seeds/seeds.go
@@ -1,9 +1,8 @@
-// Package seeds plays many seeds of package world at once and says what they came
-// to: rules broken, how often each trouble and each pair of troubles came up, and
-// how one batch differs from an earlier one.
+// Package seeds runs batches of worlds (package world), one for each seed, on several
+// workers and sums them up: rules broken, how often each kind of fault and each pair
+// of overlapping faults came up, and how one batch differs from an earlier one.
 //
-// This file owns the batch. It must never let the number of workers or their order
-// show in what it reports.
+// A batch's results are the same for any number of workers; only Batch.Took differs.
 package seeds
 
 import (
@@ -24,27 +23,27 @@
 
 // Batch is what a batch of seeds came to.
 type Batch struct {
-	From    uint64         `json:"from"`
-	Count   int            `json:"count"`
+	From    uint64         `json:"from"`      // the first seed
+	Count   int            `json:"count"`     // how many, one after the other
 	Length  time.Duration  `json:"length_ns"` // virtual, of a run
-	Failing int            `json:"failing"`
-	Counts  map[string]int `json:"counts"`
-	Pairs   map[string]int `json:"pairs"`
-	Seeds   []Seed         `json:"seeds"`
-	Took    time.Duration  `json:"-"`
+	Failing int            `json:"failing"`   // seeds that broke a rule
+	Counts  map[string]int `json:"counts"`    // how often what came up in all
+	Pairs   map[string]int `json:"pairs"`     // how often two faults overlapped
+	Seeds   []Seed         `json:"seeds"`     // by seed
+	Took    time.Duration  `json:"-"`         // by the wall clock
 }
 
 // Seed is one of them, without what the batch adds up.
 type Seed struct {
 	Seed     uint64           `json:"seed"`
-	Worth    float64          `json:"worth"`
-	Answers  int              `json:"answers"`
-	Refused  int              `json:"refused"`
-	Failed   int              `json:"failed"`
-	Attempts int              `json:"attempts"`
-	Steps    int              `json:"steps"`
-	Broken   []string         `json:"broken,omitempty"`
-	Classes  map[string]Class `json:"classes"`
+	Worth    float64          `json:"worth"`            // as of world.Result
+	Answers  int              `json:"answers"`          // final answers, of which
+	Refused  int              `json:"refused"`          // BUSY
+	Failed   int              `json:"failed"`           // ERR
+	Attempts int              `json:"attempts"`         // at backends
+	Steps    int              `json:"steps"`            // events of the run
+	Broken   []string         `json:"broken,omitempty"` // rules
+	Classes  map[string]Class `json:"classes"`          // by name
 }
 
 // Class is what became of the requests of one class.
@@ -154,7 +153,7 @@
 		b.Count, b.Failing, answers, steps/1e6, b.Took.Seconds(), float64(b.Count)/b.Took.Seconds())
 }
 
-// Write keeps a batch for a later comparison; Read is the other way.
+// Write writes the batch to a file as JSON, for Read and Compare.
 func (b *Batch) Write(path string) error {
 	text, err := json.Marshal(b)
 	if err != nil {
@@ -163,7 +162,7 @@
 	return os.WriteFile(path, append(text, '\n'), 0o644)
 }
 
-// Read reads a batch that was kept.
+// Read reads a file that Write wrote.
 func Read(path string) (b Batch, err error) {
 	text, err := os.ReadFile(path)
 	if err == nil {
@@ -177,12 +176,13 @@
 
 // Difference is one measure of two batches, seed by seed.
 type Difference struct {
-	What        string
+	What        string  // the measure
 	Was, Is     float64 // means
 	Mean, Bound float64 // of the differences, and half of the 95% confidence interval
 }
 
-// Compare sets a batch against an earlier one on the seeds that both have.
+// Compare compares a batch with an earlier one on the seeds that both have. It is an error if their runs are not of
+// one length or if they have fewer than two seeds in common.
 func Compare(was, is Batch) ([]Difference, error) {
 	if was.Length != is.Length {
 		return nil, fmt.Errorf("runs of %v against runs of %v", was.Length, is.Length)
@@ -241,7 +241,7 @@
 	return fmt.Sprintf("%-20s %10.4f -> %10.4f  %+.4f ± %.4f", d.What, d.Was, d.Is, d.Mean, d.Bound)
 }
 
-// Script is a script of faults in one line each.
+// Script formats a script of faults, one to a line.
 func Script(script []world.Fault) string {
 	var b strings.Builder
 	for _, f := range script {
