--- a/internal/rehearsal/alternate.go
+++ b/internal/rehearsal/alternate.go
@@ -1,6 +1,3 @@
-// This file owns runs of several programs by turns on the same seeds, and how they are told apart. It must never set a
-// figure against one from another seed.
-
 package rehearsal
 
 import (
@@ -10,8 +7,9 @@
 	"slices"
 )
 
-// Alternate plays a script on processes of each program by turns, seed by seed. What was played before something
-// went wrong is returned as well.
+// Alternate plays a script on processes of each program by turns, on a number of seeds from the first on, so that
+// each seed is played with every program. each is called after each run. On an error the runs up to then, with the
+// one that failed if it has figures, are returned too.
 func Alternate(ctx context.Context, s Script, programs []string, seed uint64, seeds int, each func(Outcome)) (out []Outcome, err error) {
 	for k := range seeds {
 		for _, p := range programs {
@@ -36,7 +34,7 @@
 	return e.Herd, e.HerdHash
 }
 
-// Line tells a run in one line.
+// Line returns the run's figures in one line.
 func (o *Outcome) Line() string {
 	e := o.Even(settled)
 	herd, hashed := o.Herd()
@@ -70,7 +68,7 @@
 	{"rules broken", func(o *Outcome) float64 { return float64(len(o.Broken)) }},
 }
 
-// Compare writes medians and ranges by program.
+// Compare writes medians and ranges of the figures by program. All outcomes are of processes and one script.
 func Compare(out io.Writer, outcomes []Outcome) {
 	var programs []string
 	for i := range outcomes {
--- a/internal/rehearsal/experiment.go
+++ b/internal/rehearsal/experiment.go
@@ -1,6 +1,3 @@
-// This file owns experiments: scripts by seeds by policies, paired seed by seed. It
-// must never say more of a difference than its confidence interval allows.
-
 package rehearsal
 
 import (
@@ -11,12 +8,12 @@
 	"sync/atomic"
 )
 
-// Experiment is what is set against what.
+// Experiment compares policies on scripts, paired seed by seed.
 type Experiment struct {
 	Scripts  []Script
-	Seeds    int      // 1 to this
+	Seeds    int      // of each script: 1 to this
 	Policies []string // the first is what the others are set against; empty: the module
-	Workers  int
+	Workers  int      // runs at once
 }
 
 // Cell is one policy on one script.
@@ -31,7 +28,8 @@
 	Need   int     `json:"need"`      // seeds that would make a difference of 0.01 significant
 }
 
-// Run plays all of it on so many workers.
+// Run plays every script with every seed and policy on the virtual clock and returns a cell for each script and
+// policy, in their order. told, if it is not nil, is called after each run.
 func (e *Experiment) Run(told func(done, all int)) []Cell {
 	type task struct{ script, policy, seed int }
 	var tasks []task
@@ -71,6 +69,7 @@
 	return cells
 }
 
+// cell sums up one policy's runs of a script against the first policy's, which are of the same seeds.
 func cell(script, policy string, against, own []Outcome) Cell {
 	c := Cell{Script: script, Policy: policy}
 	if policy == "" {
@@ -90,12 +89,14 @@
 	if n > 1 {
 		deviation := math.Sqrt(max(0, (squares-sum*sum/n)/(n-1)))
 		c.Bound = 1.96 * deviation / math.Sqrt(n)
-		c.Need = int(math.Ceil(math.Pow(1.96*deviation/0.01, 2)))
+		part := 1.96 * deviation / 0.01
+		c.Need = int(math.Ceil(part * part))
 	}
 	return c
 }
 
-// Sentence says what may be said of a policy against the first.
+// Sentence says how a policy compares with the first: better or worse by so much, or, where the difference lies
+// within its 95% confidence interval, not to be told apart.
 func (c *Cell) Sentence(first string) string {
 	switch {
 	case math.Abs(c.Diff) <= c.Bound:
@@ -106,7 +107,7 @@
 	return fmt.Sprintf("worse than %s by %.4f", first, -c.Diff)
 }
 
-// Table writes the cells for a reader.
+// Table writes the cells as text.
 func Table(out io.Writer, cells []Cell) {
 	first, script := "", ""
 	for i := range cells {
--- a/internal/rehearsal/incidents.go
+++ b/internal/rehearsal/incidents.go
@@ -1,6 +1,3 @@
-// This file owns how a script's incidents become faults: groups, links, and the line of each. It must never let pass
-// what neither driver can play, nor guess which relays or servers were meant.
-
 package rehearsal
 
 import (
@@ -15,7 +12,7 @@
 	"aspenbarrow/internal/world"
 )
 
-// lineOf finds the lines on which a table's headers stand, in their order.
+// linesOf finds the lines on which a table's headers stand, in their order.
 func linesOf(text []byte, header string) (lines []int) {
 	n := 0
 	for line := range strings.Lines(string(text)) {
@@ -51,8 +48,12 @@
 	return out, nil
 }
 
+// group is the relays and backends of a name; nil: none are named.
 type group struct{ relays, backends []int }
 
+// faulter records what is wrong with one table of a script.
+type faulter func(format string, args ...any)
+
 // resolve turns the incidents into faults and says all that is wrong with them.
 func (s *Script) resolve(name string, text []byte) (faults []error) {
 	groups := map[string]group{}
@@ -64,71 +65,90 @@
 		if _, ok := groups[g.Name]; ok || g.Name == "" {
 			fault("a name of its own is wanted")
 		}
-		var out group
-		for _, part := range []struct {
-			key, text string
-			under     int
-			to        *[]int
-		}{{"relays", g.Relays, s.Fleet.Relays, &out.relays}, {"backends", g.Backends, s.Fleet.Backends, &out.backends}} {
-			if part.text == "" {
-				continue
-			}
-			v, err := numbers(part.text, part.under)
-			if err != nil {
-				fault("%s: %v", part.key, err)
-			}
-			*part.to = v
-		}
-		if out.relays == nil && out.backends == nil {
-			fault("neither relays nor backends")
-		}
-		groups[g.Name] = out
+		groups[g.Name] = s.group(g.Relays, g.Backends, fault)
 	}
 	lines = linesOf(text, "[[incident]]")
 	for i := range s.Incidents {
-		in := &s.Incidents[i]
-		fault := func(format string, args ...any) {
+		s.incident(&s.Incidents[i], nth(lines, i), groups, func(format string, args ...any) {
 			faults = append(faults, fmt.Errorf("%s:%d: incident[%d].%s", name, nth(lines, i), i, fmt.Sprintf(format, args...)))
+		})
+	}
+	return faults
+}
+
+// group reads the numbers of a group's relays and backends.
+func (s *Script) group(relays, backends string, fault faulter) (out group) {
+	for _, part := range []struct {
+		key, text string
+		under     int
+		to        *[]int
+	}{{"relays", relays, s.Fleet.Relays, &out.relays}, {"backends", backends, s.Fleet.Backends, &out.backends}} {
+		if part.text == "" {
+			continue
 		}
-		f := trouble.Fault{Kind: in.Kind, At: time.Duration(in.At), For: time.Duration(in.For), Who: in.Who, Much: in.Much, Line: nth(lines, i)}
-		if !slices.Contains(world.Scriptable(), in.Kind) && !slices.Contains(fleet.Kinds(), in.Kind) {
-			fault("kind: there is no %q; one of %s", in.Kind, strings.Join(Kinds(), ", "))
-		}
-		if in.At >= s.Length {
-			fault("at: %v is past the end, %v", time.Duration(in.At), time.Duration(s.Length))
-		} else if in.At+in.For > s.Length {
-			fault("for: it would end at %v, after the run's end at %v", time.Duration(in.At+in.For), time.Duration(s.Length))
-		}
-		if in.Much < 0 || in.Much > 1 || in.Who < 0 {
-			fault("much is from 0 to 1, who from 0")
-		}
-		if in.Kind == "shared dependency slow" && s.Shared.Places == 0 {
-			fault("kind: nothing is shared (shared.places)")
-		}
-		if in.Group != "" {
-			g, ok := groups[in.Group]
-			switch {
-			case !ok:
-				fault("group: there is none of the name %q", in.Group)
-			case strings.HasPrefix(in.Kind, "backends") || strings.HasPrefix(in.Kind, "zone"):
-				f.Hit = g.backends
-			default:
-				f.Hit = g.relays
-			}
-			if ok && f.Hit == nil {
-				fault("group: %q has none of those that are struck", in.Group)
-			}
-		}
-		if in.Kind == "link" {
-			f.Link = in.link(groups, fault)
-		} else if in.From != "" || in.To != "" || in.Cut || in.Hold || in.Loss+in.Double+in.Reorder != 0 || in.Delay+in.Jitter != 0 {
-			fault("kind: only a link has from, to, both, cut, hold, loss, double, reorder, delay and jitter")
+		v, err := numbers(part.text, part.under)
+		if err != nil {
+			fault("%s: %v", part.key, err)
 		}
-		in.fault = f
+		*part.to = v
 	}
-	return faults
+	if out.relays == nil && out.backends == nil {
+		fault("neither relays nor backends")
+	}
+	return out
+}
+
+// incident turns one incident into a fault.
+func (s *Script) incident(in *incident, line int, groups map[string]group, fault faulter) {
+	f := trouble.Fault{Kind: in.Kind, At: time.Duration(in.At), For: time.Duration(in.For), Who: in.Who, Much: in.Much, Line: line}
+	if !slices.Contains(world.Scriptable(), in.Kind) && !slices.Contains(fleet.Kinds(), in.Kind) {
+		fault("kind: there is no %q; one of %s", in.Kind, strings.Join(Kinds(), ", "))
+	}
+	if in.At >= s.Length {
+		fault("at: %v is past the end, %v", time.Duration(in.At), time.Duration(s.Length))
+	} else if in.At+in.For > s.Length {
+		fault("for: it would end at %v, after the run's end at %v", time.Duration(in.At+in.For), time.Duration(s.Length))
+	}
+	if in.Much < 0 || in.Much > 1 || in.Who < 0 {
+		fault("much is from 0 to 1, who from 0")
+	}
+	if in.Kind == "shared dependency slow" && s.Shared.Places == 0 {
+		fault("kind: nothing is shared (shared.places)")
+	}
+	if in.Group != "" {
+		f.Hit = in.hit(groups, fault)
+	}
+	if in.Kind == "link" {
+		f.Link = in.link(groups, fault)
+	} else if in.shapesLink() {
+		fault("kind: only a link has from, to, both, cut, hold, loss, double, reorder, delay and jitter")
+	}
+	in.fault = f
+}
+
+// hit finds which relays or backends of its group the incident strikes.
+func (in *incident) hit(groups map[string]group, fault faulter) (hit []int) {
+	g, ok := groups[in.Group]
+	switch {
+	case !ok:
+		fault("group: there is none of the name %q", in.Group)
+	case strings.HasPrefix(in.Kind, "backends") || strings.HasPrefix(in.Kind, "zone"):
+		hit = g.backends
+	default:
+		hit = g.relays
+	}
+	if ok && hit == nil {
+		fault("group: %q has none of those that are struck", in.Group)
+	}
+	return hit
+}
+
+// shapesLink says whether a key is set that only a link has.
+func (in *incident) shapesLink() bool {
+	return in.From != "" || in.To != "" || in.Cut || in.Hold || in.Loss+in.Double+in.Reorder != 0 || in.Delay+in.Jitter != 0
 }
 
+// nth is the line of the i-th table; 0: not known.
 func nth(lines []int, i int) int {
 	if i < len(lines) {
 		return lines[i]
@@ -136,7 +156,8 @@
 	return 0
 }
 
-func (in *incident) link(groups map[string]group, fault func(string, ...any)) *trouble.Link {
+// link reads what becomes of a way between parties, and which parties these are.
+func (in *incident) link(groups map[string]group, fault faulter) *trouble.Link {
 	l := &trouble.Link{Both: in.Both, Cut: in.Cut, Hold: in.Hold, Loss: in.Loss, Double: in.Double, Reorder: in.Reorder,
 		Delay: time.Duration(in.Delay), Jitter: time.Duration(in.Jitter)}
 	for _, end := range []struct {
@@ -178,14 +199,15 @@
 	return l
 }
 
-// Kinds names all kinds of incident, whatever plays them.
+// Kinds returns the names of all kinds of incident, of the virtual clock and of processes, sorted.
 func Kinds() []string {
 	all := append(world.Scriptable(), fleet.Kinds()...)
 	slices.Sort(all)
 	return slices.Compact(all)
 }
 
-// Playable says what of a script a driver can't do: the virtual clock, or processes.
+// Playable returns an error for each thing in the script that the chosen driver cannot do: processes on sockets, or
+// else the virtual clock. The errors begin with the script's name, as given, and the line.
 func (s *Script) Playable(name string, processes bool) (faults []error) {
 	for i := range s.Incidents {
 		f := &s.Incidents[i].fault
--- a/internal/rehearsal/rehearsal.go
+++ b/internal/rehearsal/rehearsal.go
@@ -1,8 +1,10 @@
-// Package rehearsal reads scripts of bad days, plays them on the virtual clock and
-// measures the service from the first second on.
+// Package rehearsal plays scripted incidents against an installation and measures the
+// service that its clients get, second by second from the first.
 //
-// This file owns the script and what is said of a run. It must never take a script
-// with anything in it that it does not know, or leave out a second of the measure.
+// A script is a TOML file that describes the installation and its incidents; unknown
+// keys are errors. It is played on the virtual clock (package world) or on processes
+// in real time (package fleet). Experiment compares policies on the virtual clock,
+// Alternate programs on processes, both on the same seeds.
 package rehearsal
 
 import (
@@ -84,6 +86,7 @@
 	Incidents []incident `toml:"incident"`
 }
 
+// incident is one table [[incident]] of a script.
 type incident struct {
 	Kind  string   `toml:"kind"`
 	At    duration `toml:"at"`
@@ -107,7 +110,8 @@
 	fault trouble.Fault // what it comes to, with groups resolved
 }
 
-// Parse reads a script. All that is wrong with it is told at once.
+// Parse reads a script. The error joins all that is wrong with it, each with the script's name and, where it is known,
+// the line.
 func Parse(name string, text []byte) (Script, error) {
 	var s Script
 	d := toml.NewDecoder(bytes.NewReader(text))
@@ -155,9 +159,7 @@
 			fault("server.sizes: %v, wanted is 0.01 to 100", v)
 		}
 	}
-	for _, err := range s.resolve(name, text) {
-		faults = append(faults, err)
-	}
+	faults = append(faults, s.resolve(name, text)...)
 	return s, errors.Join(faults...)
 }
 
@@ -203,27 +205,27 @@
 type Outcome struct {
 	Script   string             `json:"script"`
 	Seed     uint64             `json:"seed"`
-	Whole    float64            `json:"whole"`      // service over the whole run, 1 at best
-	WorstTen float64            `json:"worst_ten"`  // over the worst ten seconds in a row
-	WorstAt  int                `json:"worst_at_s"` // where these begin
-	Classes  map[string]float64 `json:"classes"`
-	Seconds  []world.Second     `json:"seconds"`
-	Evenness []measure.Second   `json:"evenness"`
-	Counts   map[string]int     `json:"counts"`
+	Whole    float64            `json:"whole"`             // service over the whole run, 1 at best
+	WorstTen float64            `json:"worst_ten"`         // over the worst ten seconds in a row
+	WorstAt  int                `json:"worst_at_s"`        // where these begin
+	Classes  map[string]float64 `json:"classes"`           // service by class; empty for processes
+	Seconds  []world.Second     `json:"seconds"`           // service by second
+	Evenness []measure.Second   `json:"evenness"`          // of the load, by second
+	Counts   map[string]int     `json:"counts"`            // how often what came up
 	Program  string             `json:"program,omitempty"` // processes': the relay's; empty: played on the virtual clock
 	Faults   []fleet.Effect     `json:"faults,omitempty"`  // processes': what each really did
-	Waits    *fleet.Waits       `json:"waits,omitempty"`
-	Rates    *fleet.Rates       `json:"rates,omitempty"`
-	Usage    *fleet.Usage       `json:"usage,omitempty"`
+	Waits    *fleet.Waits       `json:"waits,omitempty"`   // processes': of the clients for their answers
+	Rates    *fleet.Rates       `json:"rates,omitempty"`   // processes': of what the relays send beside the clients' lines
+	Usage    *fleet.Usage       `json:"usage,omitempty"`   // processes': of processor and memory
 	Machine  []float64          `json:"machine,omitempty"` // cores that all relays took, by second
-	Broken   []string           `json:"broken,omitempty"`
+	Broken   []string           `json:"broken,omitempty"`  // rules
 }
 
-// Play plays a script with a seed, its own if 0.
+// Play plays a script on the virtual clock with a seed, or with the script's own if seed is 0.
 func Play(s Script, seed uint64) Outcome { return PlayBy(s, seed, "") }
 
-// PlayBy plays a script with relays that decide by another policy than the module,
-// of those that package baseline names.
+// PlayBy is Play with relays that decide by a policy of baseline.Names instead of
+// package balance. An empty name is package balance.
 func PlayBy(s Script, seed uint64, policy string) Outcome {
 	if seed == 0 {
 		seed = s.Seed
@@ -265,7 +267,7 @@
 	}
 }
 
-// Even sums the evenness up from a second on.
+// Even sums up the evenness of the load from a second on.
 func (o *Outcome) Even(from int) measure.Summary { return measure.Summarise(o.Evenness, from) }
 
 // share is the service over some seconds: worth served over worth asked for.
@@ -280,8 +282,8 @@
 	return served / asked
 }
 
-// Report writes an outcome for a reader: the service of each second with the
-// incidents beside it, then the sums.
+// Report writes an outcome as text: the service of each second with the incidents of
+// the script beside it, then the sums. Errors of out are ignored.
 func (o *Outcome) Report(out io.Writer, s Script) {
 	fmt.Fprintf(out, "%s, seed %d\n", o.Script, o.Seed)
 	for i := range o.Seconds {
