--- a/internal/mesa/mesa.go
+++ b/internal/mesa/mesa.go
@@ -1,6 +1,8 @@
-// Package mesa is the codec of wire mesa-8412: pure decoding and encoding, no
-// policy. Frames are big-endian and unpadded; times on the wire are
-// milliseconds.
+// Package mesa is the codec of the wire protocol mesa-8412, by which a test bench
+// drives package balance: batches of events in, batches of actions out.
+//
+// Frames are big-endian and unpadded; times on the wire are milliseconds as 64-bit
+// floating-point numbers. Errors name the offset in the frame.
 package mesa
 
 import (
@@ -139,22 +141,9 @@
 		e.Seed = d.u64()
 		e.Info = d.take(int(d.u32()))
 	case View:
-		k := d.u8()
-		if k > uint8(balance.ListFailed) {
-			d.fail("list scope %d", k)
-		}
-		e.Kind = balance.ListKind(k)
-		e.Slot = d.u32()
-		if e.Kind != balance.ListFailed && e.Slot >= maxSlot {
-			d.fail("list slot %d", e.Slot)
-		}
-		e.Version = d.u64()
+		d.view(e)
 	case Inventory:
-		e.Slot = d.u32()
-		if e.Slot >= maxSlot {
-			d.fail("list slot %d", e.Slot)
-		}
-		e.List = d.entries()
+		d.inventory(e)
 	case Call:
 		d.request(&e.Request)
 	case Resumed:
@@ -166,28 +155,15 @@
 		e.Outcome.Backend = d.backend()
 		e.Outcome.Attempt = int(d.u16())
 	case Note:
-		e.Outcome.ID = d.u64()
-		e.Outcome.Attempt = int(d.u16())
-		e.Backend = d.backend()
-		e.NoteKind = balance.NoteKind(d.u8())
-		e.Value = float64(math.Float32frombits(d.u32()))
+		d.note(e)
 	case Settled:
-		e.Outcome.ID = d.u64()
-		e.Outcome.Attempt = int(d.u16())
-		e.Outcome.Backend = d.backend()
-		e.Outcome.Status = d.status()
-		e.Outcome.Latency = d.ms()
-		e.Outcome.Closed = d.u8() != 0
-		e.Outcome.Load = d.load(load)
+		d.settled(&e.Outcome, load)
 	case Dropped:
 		e.Outcome.ID = d.u64()
 	case Fired:
 		e.Token = d.u64()
 	case Probed:
-		e.Report.Status = d.status()
-		e.Report.Latency = d.ms()
-		e.Report.Backend = d.backend()
-		e.Report.Load = d.load(load)
+		d.report(&e.Report, load)
 	case Datagram:
 		e.From = int(d.u32())
 		e.Data = d.take(int(d.u16()))
@@ -311,6 +287,52 @@
 	r.Back = flags&16 != 0
 }
 
+func (d *Decoder) view(e *Event) {
+	k := d.u8()
+	if k > uint8(balance.ListFailed) {
+		d.fail("list scope %d", k)
+	}
+	e.Kind = balance.ListKind(k)
+	e.Slot = d.u32()
+	if e.Kind != balance.ListFailed && e.Slot >= maxSlot {
+		d.fail("list slot %d", e.Slot)
+	}
+	e.Version = d.u64()
+}
+
+func (d *Decoder) inventory(e *Event) {
+	e.Slot = d.u32()
+	if e.Slot >= maxSlot {
+		d.fail("list slot %d", e.Slot)
+	}
+	e.List = d.entries()
+}
+
+func (d *Decoder) note(e *Event) {
+	e.Outcome.ID = d.u64()
+	e.Outcome.Attempt = int(d.u16())
+	e.Backend = d.backend()
+	e.NoteKind = balance.NoteKind(d.u8())
+	e.Value = float64(math.Float32frombits(d.u32()))
+}
+
+func (d *Decoder) settled(o *balance.Outcome, load []float32) {
+	o.ID = d.u64()
+	o.Attempt = int(d.u16())
+	o.Backend = d.backend()
+	o.Status = d.status()
+	o.Latency = d.ms()
+	o.Closed = d.u8() != 0
+	o.Load = d.load(load)
+}
+
+func (d *Decoder) report(r *balance.Report, load []float32) {
+	r.Status = d.status()
+	r.Latency = d.ms()
+	r.Backend = d.backend()
+	r.Load = d.load(load)
+}
+
 func (d *Decoder) entries() []balance.Backend {
 	n := d.u32()
 	if d.err != nil || int64(n)*entrySize > int64(len(d.b)-d.at) {
--- a/internal/mesa/mesa_test.go
+++ b/internal/mesa/mesa_test.go
@@ -159,11 +159,11 @@
 			t.Fatalf("%x, %v", buf.Bytes(), err)
 		}
 	}
-	if err := ReadFrame(r, &buf); err != io.EOF {
+	if err := ReadFrame(r, &buf); !errors.Is(err, io.EOF) || errors.Unwrap(err) != nil { // io.EOF itself
 		t.Errorf("at the end: %v, want io.EOF", err)
 	}
 	for n := 1; n < len(whole); n++ {
-		if err := ReadFrame(bytes.NewReader(whole[:n]), &buf); !errors.Is(err, io.ErrUnexpectedEOF) || err == io.EOF {
+		if err := ReadFrame(bytes.NewReader(whole[:n]), &buf); !errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, io.EOF) {
 			t.Errorf("cut to %d bytes: %v", n, err)
 		}
 	}
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -1,6 +1,6 @@
-// Package standin holds toy backends and a toy discovery, for the tests and for
-// the example. They speak the published lines and no more: nothing here models
-// load, and no figure taken with them says anything of real machines.
+// Package standin holds fake backends and a fake discovery service, for tests and for
+// the example. They speak the published protocols and no more: nothing here models
+// load, and no figure taken with them says anything of real servers.
 package standin
 
 import (
@@ -156,16 +156,16 @@
 	}
 }
 
-// Entry is one backend in discovery's list.
+// Entry is one backend in discovery's list, with the JSON keys of the published form.
 type Entry struct {
 	ID      string  `json:"id"`
-	Addr    string  `json:"addr"`
+	Addr    string  `json:"addr"` // host:port
 	Zone    string  `json:"zone"`
 	Kind    string  `json:"kind"`
 	Cell    int     `json:"cell"`
-	State   string  `json:"state"`
-	Weight  float64 `json:"weight"`
-	Started int64   `json:"started_ms"`
+	State   string  `json:"state"`      // such as "ready" or "draining"
+	Weight  float64 `json:"weight"`     // nominal capacity
+	Started int64   `json:"started_ms"` // Unix time in milliseconds
 }
 
 // Discovery is a toy discovery. It always answers with the whole list.
--- a/internal/trouble/trouble.go
+++ b/internal/trouble/trouble.go
@@ -1,7 +1,5 @@
-// Package trouble is what goes wrong in a run: faults as data, between which parties, and when. The drivers of
-// package world (a virtual clock) and package fleet (processes on sockets) make them happen.
-//
-// This file owns what a fault is. It must never know how a driver brings one about.
+// Package trouble describes faults as data: what goes wrong in a run, between which parties, and when. The drivers of
+// package world (a virtual clock) and package fleet (processes on sockets) inject them.
 package trouble
 
 import (
@@ -19,7 +17,7 @@
 
 // Fault is one trouble of a run.
 type Fault struct {
-	Kind string        `json:"kind"`
+	Kind string        `json:"kind"`           // by the driver's name for it
 	At   time.Duration `json:"at_ns"`          // from the run's beginning
 	For  time.Duration `json:"for_ns"`         // how long
 	Who  int           `json:"who"`            // which relay or backend, modulo how many there are
@@ -29,10 +27,10 @@
 	Line int           `json:"line,omitempty"` // of the script; 0: not told
 }
 
-// Party is some of a kind.
+// Party is some or all parties of a kind.
 type Party struct {
-	Kind string `json:"kind"`
-	Who  []int  `json:"who,omitempty"` // nil: all
+	Kind string `json:"kind"`          // Relays, Backends, Discovery or Clients
+	Who  []int  `json:"who,omitempty"` // their numbers; nil: all
 }
 
 // Has says whether one of a kind is among them.
@@ -43,15 +41,15 @@
 // Link is what becomes of what passes from one party to another. On streams bytes stay in order and none is lost: a
 // cut holds them until it ends and lets no connection come up, a loss costs a retransmission.
 type Link struct {
-	From    Party         `json:"from"`
-	To      Party         `json:"to"`
-	Both    bool          `json:"both,omitempty"`    // and the other way
-	Cut     bool          `json:"cut,omitempty"`     // nothing passes
-	Hold    bool          `json:"hold,omitempty"`    // nothing passes until the end, then all at once
-	Loss    float64       `json:"loss,omitempty"`    // share of datagrams lost, or segments sent again
-	Double  float64       `json:"double,omitempty"`  // share of datagrams that arrive twice
-	Reorder float64       `json:"reorder,omitempty"` // share of datagrams that later ones overtake
-	Delay   time.Duration `json:"delay_ns,omitempty"`
+	From    Party         `json:"from"`                // who sends
+	To      Party         `json:"to"`                  // who receives
+	Both    bool          `json:"both,omitempty"`      // and the other way
+	Cut     bool          `json:"cut,omitempty"`       // nothing passes
+	Hold    bool          `json:"hold,omitempty"`      // nothing passes until the end, then all at once
+	Loss    float64       `json:"loss,omitempty"`      // share of datagrams lost, or segments sent again
+	Double  float64       `json:"double,omitempty"`    // share of datagrams that arrive twice
+	Reorder float64       `json:"reorder,omitempty"`   // share of datagrams that later ones overtake
+	Delay   time.Duration `json:"delay_ns,omitempty"`  // so much later
 	Jitter  time.Duration `json:"jitter_ns,omitempty"` // up to so much more
 }
 
--- a/internal/tryout/tryout.go
+++ b/internal/tryout/tryout.go
@@ -2,8 +2,8 @@
 // example's configuration, toy backends and a toy discovery, and a few clients,
 // all on loopback addresses and in one process.
 //
-// This file owns the course of it. It must never outlast its time, or say that
-// something happened which did not.
+// The demonstration prints what happens as it happens and lasts no longer than
+// Options.For. Stand-ins model no load, so its figures say nothing of real servers.
 package tryout
 
 import (
@@ -26,20 +26,23 @@
 	"aspenbarrow/internal/standin"
 )
 
-// Options say how long it takes and with how many.
+// Options are the size of the demonstration.
 type Options struct {
-	Config   string // TOML; its addresses are replaced by loopback ones with free ports
-	For      time.Duration
-	Backends int
-	Clients  int
+	Config   string        // TOML; its addresses are replaced by loopback ones with free ports
+	For      time.Duration // how long it takes, at most
+	Backends int           // how many
+	Clients  int           // how many at a time
 }
 
-// Seen is what came to pass.
+// Seen counts what came to pass.
 type Seen struct {
-	Placed, Moved, Drained int
-	After                  int // connections that a draining backend got after its drain was told
+	Placed  int // connections that got a backend
+	Moved   int // connections that were asked to come again
+	Drained int // backends that drained
+	After   int // connections that a draining backend got after its drain was told
 }
 
+// show is one demonstration as it goes.
 type show struct {
 	leaving bool // who is moved from now on has nowhere to come to
 	out     io.Writer
@@ -68,7 +71,9 @@
 	fmt.Fprintf(s.out, "%6.2f s  %s\n", time.Since(s.began).Seconds(), fmt.Sprintf(format, args...))
 }
 
-// Run plays it until its time is over or ctx is done.
+// Run plays the demonstration, writing what happens to out, until its time is over or
+// ctx is done. It returns an error if the configuration is faulty, a socket cannot be
+// opened or the relay ends with one.
 func Run(ctx context.Context, out io.Writer, opt Options) (Seen, error) {
 	ctx, cancel := context.WithTimeout(ctx, opt.For)
 	defer cancel()
