--- a/internal/world/backend.go
+++ b/internal/world/backend.go
@@ -1,7 +1,3 @@
-// This file owns the backends: stand-ins that speak the lines, take longer the
-// more they hold, start cold, drain, pause, fail and vanish. What they are
-// counts only here; nothing taken with them says anything of real machines.
-
 package world
 
 import (
@@ -17,11 +13,8 @@
 	"aspenbarrow/internal/measure"
 )
 
-const (
-	warmUp   = 8 * time.Second
-	coldFrom = 0.3
-)
-
+// backend is a server that speaks the protocol's lines, takes longer the more it holds,
+// starts cold, drains, pauses, fails and vanishes.
 type backend struct {
 	*box
 	run     *run
@@ -78,7 +71,7 @@
 }
 
 // drain takes no new work, sends its clients away after a while and ends.
-func (b *backend) drain(for_ time.Duration) {
+func (b *backend) drain(within time.Duration) {
 	if !b.up || b.state != "ready" {
 		return
 	}
@@ -86,7 +79,7 @@
 	b.run.log.Down(b.w.now-epoch, b.id) // it is to have none any more
 	b.run.catalog.publish(b.entry())
 	life := b.life
-	b.w.in(for_, func() {
+	b.w.in(within, func() {
 		if b.life == life {
 			b.die()
 		}
--- a/internal/world/client.go
+++ b/internal/world/client.go
@@ -1,7 +1,3 @@
-// This file owns the front and the clients: those that ask as they should, stay
-// for a while and come back, and those that do not. A front goes on sending to a
-// relay that has died until it notices.
-
 package world
 
 import (
@@ -14,7 +10,8 @@
 	"aspenbarrow/internal/machine"
 )
 
-// front deals connections out among the relays that it takes for good ones.
+// front deals connections out among the relays that it takes for good ones. It goes on
+// sending to a relay that has died until it notices.
 type front struct {
 	run  *run
 	good []bool
--- a/internal/world/discovery.go
+++ b/internal/world/discovery.go
@@ -1,7 +1,3 @@
-// This file owns discovery: the truth about the backends, and agents that learn of
-// it seconds late, each with versions of its own. An agent answers with what it
-// has learnt, or not at all. It must never tell anybody what it has not learnt.
-
 package world
 
 import (
@@ -12,6 +8,7 @@
 	"aspenbarrow/internal/machine"
 )
 
+// entry is one backend in discovery's list.
 type entry struct {
 	id      string
 	addr    string
@@ -23,6 +20,7 @@
 	rev     int           // counts what has been published
 }
 
+// catalog is the truth about the backends.
 type catalog struct {
 	run    *run
 	agents []*agent // two for each relay
@@ -30,6 +28,8 @@
 	rev    int
 }
 
+// agent is one of discovery's processes. It learns of the truth late, counts versions of
+// its own, and answers with what it has learnt or not at all.
 type agent struct {
 	c       *catalog
 	relay   int
--- a/internal/world/faults.go
+++ b/internal/world/faults.go
@@ -1,7 +1,3 @@
-// This file owns the script of faults: what can go wrong, how a seed draws one to
-// six of them that overlap, and how each comes and goes. A script is data, so one
-// that fails can be cut down. It must never leave a fault behind at a run's end.
-
 package world
 
 import (
@@ -12,9 +8,10 @@
 	"aspenbarrow/internal/trouble"
 )
 
-// Fault is one trouble of a run.
+// Fault is one fault of a run.
 type Fault = trouble.Fault
 
+// kind is a fault that can be injected. end, if there is one, takes back what is left of it; no fault outlasts a run.
 type kind struct {
 	name  string
 	begin func(run *run, f Fault) (end func())
--- a/internal/world/links.go
+++ b/internal/world/links.go
@@ -1,6 +1,3 @@
-// This file owns what a script's faults on ways do to what passes. It must never draw a chance while no such fault is in
-// force, so that every other run goes as it went, nor lose or reorder a stream's bytes.
-
 package world
 
 import (
@@ -15,6 +12,8 @@
 	reopening      = time.Second
 )
 
+// troubledLink is a link fault in force. While there is none no chance is drawn for it, so that runs without such
+// faults go as they would without this code. A stream's bytes are delayed, never lost or reordered.
 type troubledLink struct {
 	link  *trouble.Link
 	until time.Duration
--- a/internal/world/net.go
+++ b/internal/world/net.go
@@ -1,8 +1,3 @@
-// This file owns machines and the connections between them, as TCP has them:
-// bytes arrive in order, late and split anywhere; a side may end orderly, break
-// off, refuse, say nothing, or stop taking bytes. It must never deliver out of
-// order, twice, or past an end.
-
 package world
 
 import (
@@ -25,7 +20,9 @@
 	who    int
 }
 
-// end is one side of a connection.
+// end is one side of a connection, as TCP has them: bytes arrive in order, late and
+// split anywhere; a side may end orderly, break off, refuse, say nothing, or stop
+// taking bytes. Nothing is delivered out of order, twice, or past an end.
 type end struct {
 	w       *world
 	id      int
--- a/internal/world/relay.go
+++ b/internal/world/relay.go
@@ -1,7 +1,3 @@
-// This file drives a relay's machines in the world, as package relay does on
-// sockets: what there are goroutines are here events, and how long one waits for
-// another is the seed's. It must never decide anything that a machine decides.
-
 package world
 
 import (
@@ -23,6 +19,8 @@
 
 var errNotUp = errors.New("refused, or not up in time")
 
+// relay drives the machines of one relay, as package relay does on sockets. What there
+// are goroutines are events here, and how long one waits for another is the seed's.
 type relay struct {
 	*box
 	run      *run
--- a/internal/world/run.go
+++ b/internal/world/run.go
@@ -1,6 +1,3 @@
-// This file owns a run: what a seed's world holds, its course, its end and what is
-// reported of it. It must never call a run sound that has not been played to its end.
-
 package world
 
 import (
@@ -29,7 +26,7 @@
 	letGo   = 14 * time.Second // after its length a run has so long for everything to end
 )
 
-// Options say how a seed is played.
+// Options say how a seed is played. Only Seed has to be set.
 type Options struct {
 	Seed    uint64
 	Length  time.Duration    // virtual; 0: a minute
@@ -44,25 +41,25 @@
 // Fleet is an installation as a script writes it.
 type Fleet struct {
 	Relays, Backends, Clients int
-	Server                    emulator.Config
-	SetUpWork                 float64 // of a request, in seconds of a nominal core
-	LineWork                  float64 // of a line
-	ConnLoad                  float64 // cores that a standing connection takes
-	PoolPlaces                int     // of a dependency that all set-ups use; 0: none
-	PoolHold                  time.Duration
+	Server                    emulator.Config  // of each backend, but for Sizes
+	SetUpWork                 float64          // of a request, in seconds of a nominal core
+	LineWork                  float64          // of a line
+	ConnLoad                  float64          // cores that a standing connection takes
+	PoolPlaces                int              // of a dependency that all set-ups use; 0: none
+	PoolHold                  time.Duration    // how long a set-up has its place
 	Rush                      time.Duration    // the first clients come within this
 	Stay                      [2]time.Duration // how long one stays: anything between the two
 	Return                    time.Duration    // whose connection broke is back within this
 	HotKey                    float64          // share of the clients that have one key
 	HotRelay                  float64          // share of the clients that come through the first relay; 0: its part
 	LateShare                 float64          // share of the backends whose reports are late by LateBy as well
-	LateBy                    time.Duration
-	Sizes                     []float64     // of backends by turns, in parts of Server.Cores; nil: all the same
-	Weights                   bool          // the list gives them
-	Silent                    bool          // backends report nothing
-	Peers                     bool          // relays may send one another messages
-	Membership                bool          // relays find out who of them is there
-	ConnectTimeout            time.Duration // for a connection to a backend to come up, on processes; 0: 250 ms
+	LateBy                    time.Duration    // how late the reports of those of LateShare are
+	Sizes                     []float64        // of backends by turns, in parts of Server.Cores; nil: all the same
+	Weights                   bool             // the list gives them
+	Silent                    bool             // backends report nothing
+	Peers                     bool             // relays may send one another messages
+	Membership                bool             // relays find out who of them is there
+	ConnectTimeout            time.Duration    // for a connection to a backend to come up, on processes; 0: 250 ms
 }
 
 // Second is the service of one second, in worth.
@@ -77,27 +74,29 @@
 	Relays   int              `json:"relays"`
 	Backends int              `json:"backends"`
 	Clients  int              `json:"clients"`
-	Faults   []Fault          `json:"faults"`
-	Broken   []checker.Broken `json:"broken,omitempty"`
-	Counts   map[string]int   `json:"counts"`
-	Pairs    map[string]int   `json:"pairs,omitempty"`
-	Worth    float64          `json:"worth"`    // served, by the classes' worths
-	Asked    int              `json:"asked"`    // final answers
-	Refused  int              `json:"refused"`  // of them BUSY
-	Failed   int              `json:"failed"`   // and ERR
-	Attempts int              `json:"attempts"` // OPENs at backends
-	Steps    int              `json:"steps"`
-	Service  []Second         `json:"service,omitempty"`
-	ByClass  []Second         `json:"by_class,omitempty"`
-	Even     []measure.Second `json:"evenness,omitempty"`
+	Faults   []Fault          `json:"faults"`             // as they were played
+	Broken   []checker.Broken `json:"broken,omitempty"`   // rules
+	Counts   map[string]int   `json:"counts"`             // how often what came up
+	Pairs    map[string]int   `json:"pairs,omitempty"`    // how often two kinds of fault overlapped
+	Worth    float64          `json:"worth"`              // served, by the classes' worths
+	Asked    int              `json:"asked"`              // final answers
+	Refused  int              `json:"refused"`            // of them BUSY
+	Failed   int              `json:"failed"`             // and ERR
+	Attempts int              `json:"attempts"`           // OPENs at backends
+	Steps    int              `json:"steps"`              // events
+	Service  []Second         `json:"service,omitempty"`  // by second, of a Fleet
+	ByClass  []Second         `json:"by_class,omitempty"` // of a Fleet: sums of the run
+	Even     []measure.Second `json:"evenness,omitempty"` // by second, of a Fleet
 }
 
+// class is a class of requests as clients know it.
 type class struct {
 	name   string
 	giveUp time.Duration
 	worth  float64
 }
 
+// run is what a seed's world holds.
 type run struct {
 	w        *world
 	opt      Options
@@ -137,94 +136,130 @@
 
 func (run *run) backendAt(addr string) *backend { return run.byAddr[addr] }
 
-// Run plays one seed to its end.
+// Run plays one seed to its end and reports what came of it. It panics if the options
+// make no installation, such as timings that contradict one another.
 func Run(opt Options) Result {
 	if opt.Length == 0 {
 		opt.Length = time.Minute
 	}
 	w := newWorld(opt.Seed, opt.Trace)
-	rng := w.rng
 	run := &run{w: w, opt: opt, byAddr: map[string]*backend{}, counts: map[string]int{}, pairs: map[string]int{}, slow: 1}
 	run.settle()
-	w.window = 1 << (9 + rng.IntN(6))
-	nRelays, nBackends, nClients := 2+rng.IntN(6), 6+rng.IntN(27), 100+rng.IntN(41)
-	if f := opt.Fleet; f != nil {
-		nRelays, nBackends, nClients = f.Relays, f.Backends, f.Clients
-		run.turns = map[uint64]func(){}
-		if f.PoolPlaces > 0 {
-			run.pool = emulator.NewPool(f.PoolPlaces)
-		}
-		run.byClass = make([]Second, len(run.classes))
-		w.in(time.Second, run.measure)
-	}
-	run.regular = float64(nClients) / float64(nBackends)
+	w.window = 1 << (9 + w.rng.IntN(6))
+	n := run.size()
+	if opt.Fleet != nil {
+		run.model(opt.Fleet)
+	}
+	run.watch(n)
+	run.populate(n)
+	script := opt.Script
+	drawn := run.script() // drawn in any case: the rest of the run's chances come after it
+	if script == nil {
+		script = drawn
+	}
+	run.play(script)
+	run.releases(n.backends)
+	w.in(time.Second, run.sweep)
+	end := epoch + opt.Length
+	w.at(end, run.close)
+	for w.step(end + letGo) {
+	}
+	run.audit()
+	if w.trace != nil {
+		w.note("end after %d steps", w.steps)
+		_ = w.trace.Flush()
+	}
+	return run.result(n, script)
+}
+
+// size is how many there are of each party.
+type size struct{ relays, backends, clients int }
+
+// size draws the installation's size, which a script overrules.
+func (run *run) size() size {
+	rng := run.w.rng
+	n := size{relays: 2 + rng.IntN(6), backends: 6 + rng.IntN(27), clients: 100 + rng.IntN(41)}
+	if f := run.opt.Fleet; f != nil {
+		n = size{f.Relays, f.Backends, f.Clients}
+	}
+	return n
+}
+
+// model prepares what only a script's installation has: a shared dependency and the measure of the service.
+func (run *run) model(f *Fleet) {
+	run.turns = map[uint64]func(){}
+	if f.PoolPlaces > 0 {
+		run.pool = emulator.NewPool(f.PoolPlaces)
+	}
+	run.byClass = make([]Second, len(run.classes))
+	run.w.in(time.Second, run.measure)
+}
+
+// watch starts the checker.
+func (run *run) watch(n size) {
+	w := run.w
+	run.regular = float64(n.clients) / float64(n.backends)
 	rules := run.rules()
-	run.check = checker.New(rules, nRelays, func() time.Duration { return w.now }, func(d time.Duration, do func()) { w.in(d, do) })
+	run.check = checker.New(rules, n.relays, func() time.Duration { return w.now }, func(d time.Duration, do func()) { w.in(d, do) })
+}
+
+// populate brings all parties up: discovery and backends first, then relays, then the clients' first visits.
+func (run *run) populate(n size) {
+	w := run.w
 	run.catalog = &catalog{run: run}
 	run.outside = w.box("outside", "").of(trouble.Clients, 0)
 	run.outside.start()
-	for i := range nRelays {
+	for i := range n.relays {
 		for _, which := range []string{"a", "b"} {
 			run.catalog.agents = append(run.catalog.agents, &agent{c: run.catalog, relay: i,
 				address: fmt.Sprintf("10.2.%s.%d:8500", map[string]string{"a": "0", "b": "1"}[which], i)})
 		}
 	}
-	for range nBackends {
+	for range n.backends {
 		run.addBackend()
 	}
-	run.front = &front{run: run, good: make([]bool, nRelays)}
-	for i := range nRelays {
-		run.addRelay(i, nRelays)
+	run.front = &front{run: run, good: make([]bool, n.relays)}
+	for i := range n.relays {
+		run.addRelay(i, n.relays)
 	}
-	for range nClients {
+	for range n.clients {
 		rush := 2500 * time.Millisecond
-		if f := opt.Fleet; f != nil {
+		if f := run.opt.Fleet; f != nil {
 			rush = f.Rush
 		}
 		run.addClient().come(500*time.Millisecond + w.between(0, rush))
 	}
-	script := opt.Script
-	drawn := run.script() // drawn in any case: the rest of the run's chances come after it
-	if script == nil {
-		script = drawn
-	}
-	run.play(script)
+}
+
+// releases has up to three of the first backends released in an ordinary way, whatever else goes on.
+func (run *run) releases(backends int) {
+	w := run.w
 	releases := w.rng.IntN(4)
-	if opt.Fleet != nil {
+	if run.opt.Fleet != nil {
 		releases = 0 // a script says all that happens
 	}
-	for range releases { // an ordinary release, whatever else goes on
+	for range releases {
 		at, long := w.between(4*time.Second, 36*time.Second), w.between(6*time.Second, 14*time.Second)
-		b := run.backends[w.rng.IntN(nBackends)]
+		b := run.backends[w.rng.IntN(backends)]
 		w.in(at, func() { b.release(long, time.Second) })
 	}
-	var sweep func()
-	sweep = func() {
-		run.check.Sweep()
-		for _, r := range run.relays {
-			if n := len(r.ends); r.up && r.few && n > r.cfg.Sockets {
-				run.fail("descriptors", "%s holds %d sockets of %d", r.name, n, r.cfg.Sockets)
-			}
-			if r.up {
-				if err := books(r.node); err != nil {
-					run.fail("books", "%s: %v", r.name, err)
-				}
+}
+
+// sweep looks, every second, for what should have happened by now and for figures that do not come out even.
+func (run *run) sweep() {
+	run.check.Sweep()
+	for _, r := range run.relays {
+		if n := len(r.ends); r.up && r.few && n > r.cfg.Sockets {
+			run.fail("descriptors", "%s holds %d sockets of %d", r.name, n, r.cfg.Sockets)
+		}
+		if r.up {
+			if err := books(r.node); err != nil {
+				run.fail("books", "%s: %v", r.name, err)
 			}
-			run.figures(r)
 		}
-		w.in(time.Second, sweep)
-	}
-	w.in(time.Second, sweep)
-	end := epoch + opt.Length
-	w.at(end, run.close)
-	for w.step(end + letGo) {
-	}
-	run.audit()
-	if w.trace != nil {
-		w.note("end after %d steps", w.steps)
-		_ = w.trace.Flush()
+		run.figures(r)
 	}
-	return run.result(nRelays, nBackends, nClients, script)
+	run.w.in(time.Second, run.sweep)
 }
 
 // settle draws the settings of an installation.
@@ -716,8 +751,9 @@
 	}
 }
 
-func (run *run) result(relays, backends, clients int, script []Fault) Result {
-	res := Result{Seed: run.opt.Seed, Relays: relays, Backends: backends, Clients: clients, Faults: script,
+// result sums the run up.
+func (run *run) result(n size, script []Fault) Result {
+	res := Result{Seed: run.opt.Seed, Relays: n.relays, Backends: n.backends, Clients: n.clients, Faults: script,
 		Broken: run.check.Broken, Counts: run.counts, Pairs: run.pairs, Steps: run.w.steps}
 	res.Service, res.ByClass = run.service, run.byClass
 	if run.opt.Fleet != nil {
--- a/internal/world/sabotage.go
+++ b/internal/world/sabotage.go
@@ -1,7 +1,3 @@
-// This file breaks relays on purpose. A checker that has never caught anything
-// proves nothing, so each break must be caught by the rule that it breaks. No
-// break is ever set but by the tests.
-
 package world
 
 import (
@@ -9,7 +5,9 @@
 	"aspenbarrow/internal/machine"
 )
 
-// Break names one way to break every relay of a run.
+// Break names one way to break every relay of a run on purpose. A checker that has
+// never caught anything proves nothing, so tests check that each break is caught by
+// the rule that it breaks. Only tests set one.
 type Break string
 
 // The breaks.
--- a/internal/world/shrink.go
+++ b/internal/world/shrink.go
@@ -1,6 +1,3 @@
-// This file owns the cutting down of a script that fails: to the fewest faults,
-// and the shortest, with which the same rule is still broken.
-
 package world
 
 import (
@@ -8,9 +5,10 @@
 	"time"
 )
 
-// Shrink cuts the script of a failing run down. It returns what is left and the
-// rule that it breaks; no rule if the run breaks none. told, if any, hears of each
-// smaller script that still fails.
+// Shrink reduces the script of a failing run to the fewest and shortest faults with
+// which the same rule is still broken. It returns the script and the rule, or no rule
+// if the run breaks none. told, if it is not nil, is called with each smaller script
+// that still fails.
 func Shrink(opt Options, told func(script []Fault)) ([]Fault, string) {
 	opt.Trace = nil
 	first := Run(opt)
--- a/internal/world/trace_test.go
+++ b/internal/world/trace_test.go
@@ -16,8 +16,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.Close()
 	res := Run(Options{Seed: seed, Trace: f})
+	if err := f.Close(); err != nil {
+		t.Error(err)
+	}
 	for _, b := range res.Broken {
 		t.Log(b)
 	}
--- a/internal/world/world.go
+++ b/internal/world/world.go
@@ -1,10 +1,18 @@
-// Package world plays relays, backends, discovery, fronts and clients on a virtual
-// clock: one goroutine, a heap of events, and a seed that decides everything that
-// is left to chance. The relays are those that serve: the machines of package
-// machine under a driver of this package.
+// Package world simulates an installation on a virtual clock: relays, backends,
+// discovery, load-balancing fronts, clients and the network between them, with faults
+// injected. The relays run the code that serves, package machine, under a driver of
+// this package.
 //
-// This file owns the clock and the order of events. It must never look at the
-// system's clock, at a map's order, or at any randomness but the seed's.
+// A run is one goroutine and a heap of events. Its seed decides everything that is
+// left to chance, so the same Options give the same Result to the byte: nothing here
+// may read the system's clock, depend on the order of a map or draw from any other
+// source of randomness. What a run draws must not depend on whether it is traced.
+//
+// Package checker watches the bytes that pass and reports the rules that are broken.
+// Break makes relays break one on purpose, for tests of the checker; Shrink reduces a
+// failing script of faults. Backends either answer after drawn delays or, where
+// Options.Fleet is set, follow the model of package emulator. Their figures are those
+// of the model and say nothing of real servers.
 package world
 
 import (
@@ -18,6 +26,7 @@
 // epoch is when every run begins, in Unix time.
 const epoch = 1_700_000_000 * time.Second
 
+// world is the clock, the events to come and the network.
 type world struct {
 	now    time.Duration
 	queue  []occasion
@@ -40,6 +49,7 @@
 	lostSYN float64 // share of connections that nobody answers
 }
 
+// occasion is an event to come; seq keeps those of one time in the order in which they were arranged.
 type occasion struct {
 	at  time.Duration
 	seq uint64
