--- a/internal/machine/watch.go
+++ b/internal/machine/watch.go
@@ -117,6 +117,13 @@
 	compared    bool    // the moves were
 }
 
+// availabilityReporter is a Decider that tells which backends it sends nothing new to.
+type availabilityReporter interface {
+	Unavailable(now time.Duration, id balance.BackendID) bool
+}
+
+var _ availabilityReporter = (*balance.Balancer)(nil)
+
 // watch is a Decider that has one decide and another decide in vain.
 type watch struct {
 	Decider // what decides
@@ -249,11 +256,9 @@
 			}
 		}
 		w.moves = w.moves[:0]
-		if real, ok := w.Decider.(interface {
-			Avoids(time.Duration, balance.BackendID) bool
-		}); ok {
+		if real, ok := w.Decider.(availabilityReporter); ok {
 			for _, b := range w.node.named {
-				is, would := real.Avoids(now, b.ID), w.other.Unavailable(now, b.ID)
+				is, would := real.Unavailable(now, b.ID), w.other.Unavailable(now, b.ID)
 				if is == would {
 					delete(w.differs, b.ID)
 					continue
