--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"aspenbarrow/balance"
-	"aspenbarrow/internal/machine"
+	"aspenbarrow/internal/decision"
 )
 
 // Names returns the names that Named takes.
@@ -23,11 +23,11 @@
 // Named returns a constructor of the policy with a name of Names, or nil for the
 // empty name. load returns the true load of a backend as a share of its capacity;
 // only the oracle calls it. The constructor panics if the name is unknown.
-func Named(name string, load func(balance.BackendID) float64) func(time.Duration, uint64, balance.Settings, balance.Actions) machine.Decider {
+func Named(name string, load func(balance.BackendID) float64) func(time.Duration, uint64, balance.Settings, balance.Actions) decision.Decider {
 	if name == "" {
 		return nil
 	}
-	return func(_ time.Duration, seed uint64, s balance.Settings, do balance.Actions) machine.Decider {
+	return func(_ time.Duration, seed uint64, s balance.Settings, do balance.Actions) decision.Decider {
 		p := &policy{set: s, do: do, rng: rand.New(rand.NewPCG(seed, 0xba5e)), calls: map[uint64]*call{},
 			held: map[balance.BackendID]int{}, state: map[balance.BackendID]balance.BackendState{}}
 		switch name {
@@ -82,7 +82,7 @@
 	held  map[balance.BackendID]int
 }
 
-var _ machine.Decider = (*policy)(nil)
+var _ decision.Decider = (*policy)(nil)
 
 func (p *policy) RequestArrived(now time.Duration, r balance.Request) {
 	c := &call{Request: r, until: now + r.TimeLeft}
--- a/internal/baseline/baseline_test.go
+++ b/internal/baseline/baseline_test.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"aspenbarrow/balance"
-	"aspenbarrow/internal/machine"
+	"aspenbarrow/internal/decision"
 )
 
 type hand struct {
@@ -21,7 +21,7 @@
 func (h *hand) Fail(uint64)                                          { h.failed++ }
 func (h *hand) Migrate(id uint64)                                    { h.moved = append(h.moved, id) }
 
-func start(name string, load func(balance.BackendID) float64) (machine.Decider, *hand) {
+func start(name string, load func(balance.BackendID) float64) (decision.Decider, *hand) {
 	h := &hand{}
 	s := balance.Settings{MaxAttempts: 3, Tick: time.Millisecond, Classes: []balance.Class{{Idempotency: balance.Idempotent}, {Idempotency: balance.NonIdempotent}}}
 	p := Named(name, load)(0, 1, s, h)
--- a/internal/config/codec_test.go
+++ b/internal/config/codec_test.go
@@ -111,7 +111,7 @@
 	for i, x := range s.Tenants {
 		say(fmt.Sprintf("tenant %d %s", i, s.TenantNames[i]), x.Share, x.RequestsPerSecond, x.ConnectionQuota)
 	}
-	if w := r.Watch; w == nil {
+	if w := r.Shadow; w == nil {
 		say("watched", "no")
 	} else {
 		say("watched", w.Probes, w.Peers, w.Groups, w.RetryAfter, fieldsWritten(w.Report), weightsWords[w.Weights])
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -16,15 +16,16 @@
 	"time"
 
 	"aspenbarrow/balance"
-	"aspenbarrow/internal/machine"
+	"aspenbarrow/internal/controller"
 	"aspenbarrow/internal/membership"
 	"aspenbarrow/internal/route"
 	"aspenbarrow/internal/settings"
+	"aspenbarrow/internal/shadow"
 )
 
 // Config is what a relay is told.
 type Config struct {
-	Relay machine.Config
+	Relay controller.Config
 	Cores float64
 	Level string // the least that is logged; empty: info
 	file  *file  // what it was read from; nil: the platform's JSON
@@ -116,7 +117,7 @@
 	if string(in.Known) == "null" {
 		in.Known = nil
 	}
-	var shape *machine.Shape
+	var shape *shadow.Shape
 	if len(in.Watch) > 0 && string(in.Watch) != "null" {
 		w, err := settings.Parse(in.Watch)
 		if err != nil {
@@ -125,7 +126,7 @@
 		if w.Gossip && in.PeerListen == "" {
 			return Config{}, errors.New("watch: relays would tell one another, and peer_listen is missing")
 		}
-		shape = machine.ShapeOf(&w.Settings)
+		shape = shadow.ShapeOf(&w.Settings)
 	}
 	var members *membership.Settings
 	if m := in.Membership; m != nil {
@@ -144,9 +145,9 @@
 		}
 		members = &of
 	}
-	return Config{Cores: in.Limits.Cores, text: text, Relay: machine.Config{Membership: members, Name: in.Name, Listen: in.Listen, Discovery: in.Discovery,
+	return Config{Cores: in.Limits.Cores, text: text, Relay: controller.Config{Membership: members, Name: in.Name, Listen: in.Listen, Discovery: in.Discovery,
 		Seed: seed, MemoryMB: in.Limits.MemoryMB, Sockets: in.Limits.Sockets, PeerListen: in.PeerListen, Peers: in.Peers,
-		PeersAll: in.PeersAll, Known: in.Known, Settings: s, Management: in.Management, Watch: shape, Scratch: env("TMPDIR")}}, nil
+		PeersAll: in.PeersAll, Known: in.Known, Settings: s, Management: in.Management, Shadow: shape, Scratch: env("TMPDIR")}}, nil
 }
 
 // Parse reads a TOML text.
@@ -219,11 +220,11 @@
 	}
 	s := f.settings(r)
 	rules := route.Rules{Attempts: f.Rules.MaxAttempts, Cancel: f.Rules.Cancel, AnswerSlack: f.Rules.AnswerSlack}
-	c := Config{Cores: f.Limits.Cores, Level: f.Log.Level, Relay: machine.Config{Name: f.Relay.Name, Listen: f.Relay.Listen,
+	c := Config{Cores: f.Limits.Cores, Level: f.Log.Level, Relay: controller.Config{Name: f.Relay.Name, Listen: f.Relay.Listen,
 		Discovery: f.Discovery.Address, Seed: seed, MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets,
 		PeerListen: f.Peers.Listen, Peers: f.Peers.Addresses, PeersAll: f.Peers.All, Settings: s, Management: f.Relay.Management}}
 	c.Relay.Routes = f.routes(r, &s, rules)
-	c.Relay.Watch = f.shape(r)
+	c.Relay.Shadow = f.shape(r)
 	c.Relay.Membership = f.membership(r)
 	return c
 }
@@ -257,7 +258,7 @@
 }
 
 // shape is what is to be watched; nil: nothing.
-func (f *file) shape(r *reader) *machine.Shape {
+func (f *file) shape(r *reader) *shadow.Shape {
 	w := &f.Watch
 	if !w.On {
 		return nil
@@ -268,7 +269,7 @@
 	if len(w.Report) > 0 && !w.Probes {
 		r.fault("watch.report", "load reports come with answers to probes, and watch.probes says that there are none")
 	}
-	s := &machine.Shape{Probes: w.Probes, Peers: w.Peers, Groups: w.Groups, RetryAfter: w.RetryAfter, Weights: weights[w.Weights]}
+	s := &shadow.Shape{Probes: w.Probes, Peers: w.Peers, Groups: w.Groups, RetryAfter: w.RetryAfter, Weights: weights[w.Weights]}
 	if len(w.Report) > 0 && !slices.Equal(w.Report, f.Rules.Report) {
 		r.fault("watch.report", "reports come in the form of rules.report, %q: watch that or none", f.Rules.Report)
 	}
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -99,12 +99,12 @@
 // The shape to watch comes from both forms, is held to what can be, and is off unless it is given.
 func TestTheShapeToWatch(t *testing.T) {
 	parse := func(add string) (Config, error) { return Parse("w.toml", []byte(sound+add), none, false) }
-	if c, err := parse(""); err != nil || c.Relay.Watch != nil {
-		t.Fatalf("%v, %v", c.Relay.Watch, err)
+	if c, err := parse(""); err != nil || c.Relay.Shadow != nil {
+		t.Fatalf("%v, %v", c.Relay.Shadow, err)
 	}
 	c, err := parse("[watch]\non = true\nweights = \"rough\"\n")
-	if w := c.Relay.Watch; err != nil || w == nil || w.Probes || len(w.Report) > 0 || !w.RetryAfter || w.Weights != balance.WeightsRough {
-		t.Errorf("%+v, %v", c.Relay.Watch, err)
+	if w := c.Relay.Shadow; err != nil || w == nil || w.Probes || len(w.Report) > 0 || !w.RetryAfter || w.Weights != balance.WeightsRough {
+		t.Errorf("%+v, %v", c.Relay.Shadow, err)
 	}
 	for add, want := range map[string]string{
 		"[watch]\non = true\nreport = [\"x0\"]\n":                "w.toml:62:1: watch.report",
@@ -129,8 +129,8 @@
 		return Read(path, none, false)
 	}
 	settings := platform[strings.Index(platform, `"settings":`)+len(`"settings":`) : len(platform)-1]
-	if c, err := of(settings); err != nil || c.Relay.Watch == nil || c.Relay.Watch.Probes {
-		t.Errorf("%+v, %v", c.Relay.Watch, err)
+	if c, err := of(settings); err != nil || c.Relay.Shadow == nil || c.Relay.Shadow.Probes {
+		t.Errorf("%+v, %v", c.Relay.Shadow, err)
 	}
 	if _, err := of(strings.Replace(settings, `"limits":{`, `"limits":{"peers":true,`, 1)); err == nil || !strings.Contains(err.Error(), "peer_listen") {
 		t.Errorf("peers that nobody hears: %v", err)
--- a/internal/machine/machine_test.go
+++ b/internal/controller/controller_test.go
@@ -1,15 +1,13 @@
-package machine
+package controller
 
 import (
 	"bytes"
 	"container/heap"
-	"errors"
 	"fmt"
 	"go/ast"
 	"go/parser"
 	"go/token"
 	"io"
-	"math/rand/v2"
 	"net/netip"
 	"os"
 	"path/filepath"
@@ -22,14 +20,19 @@
 	"go.uber.org/zap"
 
 	"aspenbarrow/balance"
+	"aspenbarrow/internal/decision"
+	"aspenbarrow/internal/discovery"
+	"aspenbarrow/internal/session"
 	"aspenbarrow/internal/settings"
+	"aspenbarrow/internal/upstream"
 )
 
 // What runs under the seeds must be what serves: no machine may reach for a socket, a file, a clock, a
 // goroutine or randomness of its own, directly or through a package of this repository.
 func TestTheMachinesReachForNothing(t *testing.T) {
 	allowed := map[string]bool{"net/netip": true, "math/rand/v2": true}
-	for _, dir := range []string{".", "../../balance", "../route", "../settings", "../emulator"} {
+	for _, dir := range []string{".", "../protocol", "../discovery", "../session", "../upstream", "../handshake", "../healthcheck",
+		"../metrics", "../hotrestart", "../shadow", "../decision", "../../balance", "../membership", "../route", "../settings", "../emulator"} {
 		files, err := filepath.Glob(filepath.Join(dir, "*.go"))
 		if err != nil || len(files) == 0 {
 			t.Fatalf("%s: %d files, %v", dir, len(files), err)
@@ -71,17 +74,17 @@
 
 func TestDealStaysWithinDescriptors(t *testing.T) {
 	for i, sockets := range []int{8, 64, 256, 1024, 4096, 64, 256, 1024} {
-		s := Deal(sockets, 0, i > 4)
-		if used := 2*s.Flows + s.Guests + s.Probes + s.Calls + min(OwnSockets, sockets/4); used > sockets || s.Flows < 1 ||
-			s.Guests < 1 || s.Probes < 1 || i > 4 != (s.Calls > 0) {
+		s := AllocateDescriptors(sockets, 0, i > 4)
+		if used := 2*s.Sessions + s.Handshakes + s.HealthChecks + s.AdminConnections + min(ReservedDescriptors, sockets/4); used > sockets || s.Sessions < 1 ||
+			s.Handshakes < 1 || s.HealthChecks < 1 || i > 4 != (s.AdminConnections > 0) {
 			t.Errorf("%d descriptors: %+v", sockets, s)
 		}
-		if sockets >= 256 && 3*s.Flows < sockets { // clients may hold a third of them for requests
-			t.Errorf("%d descriptors: %d flows", sockets, s.Flows)
+		if sockets >= 256 && 3*s.Sessions < sockets { // clients may hold a third of them for requests
+			t.Errorf("%d descriptors: %d flows", sockets, s.Sessions)
 		}
 	}
-	if s := Deal(4096, 1, false); s.Flows != 10 {
-		t.Errorf("%d flows in a megabyte", s.Flows)
+	if s := AllocateDescriptors(4096, 1, false); s.Sessions != 10 {
+		t.Errorf("%d flows in a megabyte", s.Sessions)
 	}
 }
 
@@ -91,22 +94,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	own, err := filepath.Glob("*.go")
-	if err != nil {
-		t.Fatal(err)
-	}
-	drivers, err := filepath.Glob("../relay/*.go")
-	if err != nil {
-		t.Fatal(err)
-	}
-	second, err := filepath.Glob("../management/*.go")
-	if err != nil {
-		t.Fatal(err)
+	var sources []string
+	for _, dir := range []string{".", "../protocol", "../discovery", "../session", "../upstream", "../handshake", "../healthcheck",
+		"../metrics", "../hotrestart", "../shadow", "../decision", "../settings", "../relay", "../management"} {
+		files, err := filepath.Glob(filepath.Join(dir, "*.go"))
+		if err != nil || len(files) == 0 {
+			t.Fatalf("%s: %d files, %v", dir, len(files), err)
+		}
+		sources = append(sources, files...)
 	}
-	drivers = append(drivers, second...)
 	calls := regexp.MustCompile(`log\.(?:Info|Warn|Error)\(\s*"([^"]+)"`)
 	found := 0
-	for _, name := range append(own, drivers...) {
+	for _, name := range sources {
 		text, err := os.ReadFile(name)
 		if err != nil {
 			t.Fatal(err)
@@ -125,36 +124,38 @@
 
 // host takes notes of what a Node has done.
 type host struct {
-	orders  map[uint64][]Order
+	orders  map[uint64][]session.Command
 	probed  []balance.BackendID
 	bad     []error
 	told    []string
 	asked   []bool
 	follows []string
-	shares  []Shares
+	shares  []Limits
 	left    int
 	doors   int
 	moved   []uint64
 }
 
-func (h *host) Order(flow uint64, o Order)      { h.orders[flow] = append(h.orders[flow], o) }
-func (h *host) Ready()                          {}
-func (h *host) Settings(*settings.Settings)     {}
-func (h *host) Move(flow uint64)                { h.moved = append(h.moved, flow) }
-func (h *host) Bad(_ uint64, err error)         { h.bad = append(h.bad, err) }
-func (h *host) Probe(b *Backend)                { h.probed = append(h.probed, b.ID) }
-func (h *host) Release(balance.BackendID)       {}
-func (h *host) Datagram(to string, data []byte) { h.told = append(h.told, to+" "+string(data)) }
-func (h *host) Ask(watch bool)                  { h.asked = append(h.asked, watch) }
-func (h *host) Follow(address string)           { h.follows = append(h.follows, address) }
-func (h *host) Limits(s Shares)                 { h.shares = append(h.shares, s) }
-func (h *host) Door()                           { h.doors++ }
-func (h *host) Left()                           { h.left++ }
+func (h *host) SendCommand(flow uint64, o session.Command) {
+	h.orders[flow] = append(h.orders[flow], o)
+}
+func (h *host) ListReceived()                         {}
+func (h *host) SetSettings(*settings.Settings)        {}
+func (h *host) MigrateSession(flow uint64)            { h.moved = append(h.moved, flow) }
+func (h *host) ReportClientError(_ uint64, err error) { h.bad = append(h.bad, err) }
+func (h *host) StartHealthCheck(b *upstream.Backend)  { h.probed = append(h.probed, b.ID) }
+func (h *host) ReleaseHealthCheck(balance.BackendID)  {}
+func (h *host) SendDatagram(to string, data []byte)   { h.told = append(h.told, to+" "+string(data)) }
+func (h *host) RequestEndpoints(watch bool)           { h.asked = append(h.asked, watch) }
+func (h *host) SetDiscoveryAddress(address string)    { h.follows = append(h.follows, address) }
+func (h *host) SetLimits(s Limits)                    { h.shares = append(h.shares, s) }
+func (h *host) StopAccepting()                        { h.doors++ }
+func (h *host) Stopped()                              { h.left++ }
 
 // last is where a flow was sent last.
-func (h *host) last(flow uint64) *Backend {
+func (h *host) last(flow uint64) *upstream.Backend {
 	if o := h.orders[flow]; len(o) > 0 {
-		return o[len(o)-1].To
+		return o[len(o)-1].Backend
 	}
 	return nil
 }
@@ -177,24 +178,29 @@
 }
 
 // node starts a Node whose backends have all answered a probe, so that no request waits for one.
-func node(t *testing.T, cfg Config) (*Node, *host) {
+func node(t *testing.T, cfg Config) (*Controller, *host) {
+	t.Helper()
+	return loggedNode(t, cfg, zap.NewNop())
+}
+
+func loggedNode(t *testing.T, cfg Config, log *zap.Logger) (*Controller, *host) {
 	t.Helper()
-	h := &host{orders: map[uint64][]Order{}}
-	n, err := NewNode(time.Second, cfg, h, zap.NewNop())
+	h := &host{orders: map[uint64][]session.Command{}}
+	n, err := New(time.Second, cfg, h, log)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, name := range []string{"a", "b", "c"} {
-		n.Probed(time.Second, balance.HealthCheckResult{Backend: backendID(name), Load: []float32{0.1}})
+		n.HealthCheckDone(time.Second, balance.HealthCheckResult{Backend: discovery.BackendID(name), Load: []float32{0.1}})
 	}
 	return n, h
 }
 
 // greeted is a flow that has said a line.
-func greeted(t *testing.T, n *Node, seq uint64, line string) *Flow {
+func greeted(t *testing.T, n *Controller, seq uint64, line string) *session.Session {
 	t.Helper()
-	f := NewFlow(seq, n.Settings(), n.Ledger())
-	g, err := f.Hello(time.Second, []byte(line), true)
+	f := session.New(seq, n.Settings(), n.Metrics())
+	g, err := f.ReadHandshake(time.Second, []byte(line), true)
 	if err != nil || !g.Opened {
 		t.Fatalf("%+v, %v", g, err)
 	}
@@ -218,11 +224,11 @@
 func TestAPanicStopsAtItsEvent(t *testing.T) {
 	n, _ := node(t, testConfig())
 	ran := 0
-	n.run(time.Second, func() {
-		n.later = append(n.later, func() { ran++ })
+	n.deliver(time.Second, func() {
+		n.deferred = append(n.deferred, func() { ran++ })
 		panic("a fault of a decision")
 	})
-	n.run(time.Second, func() { ran++ })
+	n.deliver(time.Second, func() { ran++ })
 	if ran != 2 {
 		t.Errorf("%d of 2 events after the panic were delivered", ran)
 	}
@@ -234,8 +240,8 @@
 	notice := []byte{0, 0, 0, 0, 0, 0, 0, 1}
 	var heard []string
 	n.log = zap.New(logTo(func(msg string) { heard = append(heard, msg) }))
-	n.Datagram(time.Second, netip.MustParseAddrPort("127.0.0.1:9"), notice)
-	n.Datagram(time.Second, netip.MustParseAddrPort("[::ffff:127.0.0.1]:2"), notice)
+	n.DatagramReceived(time.Second, netip.MustParseAddrPort("127.0.0.1:9"), notice)
+	n.DatagramReceived(time.Second, netip.MustParseAddrPort("[::ffff:127.0.0.1]:2"), notice)
 	if !slices.Equal(heard, []string{"datagram of an unknown sender"}) {
 		t.Errorf("%v", heard)
 	}
@@ -250,7 +256,7 @@
 
 // noted is a Decider that keeps the notes it hears, and whether it was told by then to wait for late messages.
 type noted struct {
-	Decider
+	decision.Decider
 	notes *[]string
 	waits *bool
 }
@@ -276,23 +282,23 @@
 		cfg.Settings.ReportsConnectionLoad, cfg.Settings.ReportsMessageDelay = tc.load, tc.delay
 		var notes []string
 		var waits bool
-		cfg.Decide = func(now time.Duration, seed uint64, s balance.Settings, do balance.Actions) Decider {
+		cfg.Decide = func(now time.Duration, seed uint64, s balance.Settings, do balance.Actions) decision.Decider {
 			waits = s.ReportsMessageDelay
 			return noted{balance.New(now, seed, s, do), &notes, &waits}
 		}
-		n, _ := node(t, cfg)
+		n, h := node(t, cfg)
 		f := greeted(t, n, 1, "OPEN 0000000000000001 0000000000000007 c=chat,d=1000\r\n")
-		n.Opened(time.Second, f)
-		f.down.began = true // its UP is through
+		n.SessionOpened(time.Second, f)
+		f.AttemptDone(time.Second, f.Execute(time.Second, h.orders[1][0]).Attempt, nil) // its UP is through
 		reload := n.Config()
 		reload.Settings.MaxRetryAfter++
 		for _, told := range []bool{false, true} {
 			if told {
 				_, ev, err := f.FromBackend([]byte("LOAD 412.5\r\n"))
-				if err != nil || ev.Kind != Told {
+				if err != nil || ev.Kind != session.LoadReported {
 					t.Fatal(ev, err)
 				}
-				n.Heard(time.Second, 1, ev)
+				n.SessionEvent(time.Second, 1, ev)
 			}
 			for range 2 { // before a reload and after it, which must not change it
 				if want := told && tc.delay && !tc.load; waits != want {
@@ -322,27 +328,27 @@
 		for len(h.probed) > 0 {
 			b := h.probed[0]
 			h.probed = h.probed[1:]
-			n.Probed(now, balance.HealthCheckResult{Backend: b, Load: []float32{2}, Latency: time.Millisecond})
+			n.HealthCheckDone(now, balance.HealthCheckResult{Backend: b, Load: []float32{2}, Latency: time.Millisecond})
 		}
 	}
 	for id := uint64(1); id <= 24; id++ {
 		f := greeted(t, n, id, fmt.Sprintf("OPEN %016x %016x c=chat,d=1000\r\n", id, id))
-		n.Opened(now, f)
+		n.SessionOpened(now, f)
 		for range 12 {
 			full()
 			if len(h.orders[id]) > 0 {
 				break
 			}
 			now += 60 * time.Millisecond
-			n.Due(now)
+			n.FireTimers(now)
 		}
-		if o := h.orders[id]; len(o) > 0 && o[0].To != nil {
-			n.Heard(now, id, Event{Kind: Stood, Outcome: balance.AttemptResult{ID: id, Backend: o[0].To.ID}})
+		if o := h.orders[id]; len(o) > 0 && o[0].Backend != nil {
+			n.SessionEvent(now, id, session.Event{Kind: session.Established, Result: balance.AttemptResult{ID: id, Backend: o[0].Backend.ID}})
 		}
 	}
 	for range 12 {
 		now += time.Second
-		n.Due(now)
+		n.FireTimers(now)
 		full()
 	}
 	if len(h.moved) == 0 {
@@ -356,136 +362,41 @@
 		n, h := node(t, testConfig())
 		const key = "0000000000000007"
 		f := greeted(t, n, 1, "OPEN 0000000000000001 "+key+" c=chat,d=1000"+mid+"\r\n")
-		n.Opened(time.Second, f)
+		n.SessionOpened(time.Second, f)
 		first := h.last(1)
-		n.Opened(time.Second, greeted(t, n, 9, "OPEN 0000000000000009 "+key+" c=chat,d=1000\r\n"))
+		n.SessionOpened(time.Second, greeted(t, n, 9, "OPEN 0000000000000009 "+key+" c=chat,d=1000\r\n"))
 		if h.last(9) != first {
 			t.Fatal("two connections of one key are apart")
 		}
-		n.Heard(time.Second, 9, Event{Kind: AttemptEnded, Outcome: balance.AttemptResult{ID: 9, Backend: first.ID,
+		n.SessionEvent(time.Second, 9, session.Event{Kind: session.AttemptEnded, Result: balance.AttemptResult{ID: 9, Backend: first.ID,
 			Status: balance.StatusReset, Closed: true}})
-		do := f.Order(time.Second, h.orders[1][0])
-		n.Heard(time.Second+time.Millisecond, 1, f.Tried(time.Second, do.Try, do.Try.Broke(9, true, io.EOF, false)).Event)
+		do := f.Execute(time.Second, h.orders[1][0])
+		n.SessionEvent(time.Second+time.Millisecond, 1, f.AttemptDone(time.Second, do.Attempt, do.Attempt.ConnectionEnded(9, true, io.EOF, false)).Event)
 		// Another connection of that key goes where the first went, unless that backend is ejected.
-		n.Opened(time.Second+2*time.Millisecond, greeted(t, n, 2, "OPEN 0000000000000002 "+key+" c=chat,d=1000\r\n"))
+		n.SessionOpened(time.Second+2*time.Millisecond, greeted(t, n, 2, "OPEN 0000000000000002 "+key+" c=chat,d=1000\r\n"))
 		if (h.last(2) == first) != (mid != "") {
 			t.Errorf("%q: the backend is ejected: %v", mid, h.last(2) != first)
 		}
 	}
 }
 
-func TestAFullRelaySaysWhenToComeBackWhereItMay(t *testing.T) {
-	for _, may := range []bool{true, false} {
-		s := testConfig().Settings
-		s.RetryAfter = may
-		if got, want := BusyAnswer(HoldOff(&s)), map[bool]string{true: "BUSY 1000\r\n", false: "BUSY\r\n"}[may]; got != want {
-			t.Errorf("%q, want %q", got, want)
-		}
-	}
-}
-
-func TestAttemptsAreNotSentLateOrToADrainingBackend(t *testing.T) {
-	for _, tc := range []struct {
-		name   string
-		closed time.Duration // how long ago it was heard to drain; 0: it does not
-		left   time.Duration
-		cause  error
-	}{
-		{"ready", 0, time.Second, nil},
-		{"no time left", 0, 0, errLate},
-		{"drains, its grace not over", 60 * time.Millisecond, time.Second, nil},
-		{"drains", 200 * time.Millisecond, time.Second, errDrained},
-	} {
-		n, _ := node(t, testConfig())
-		b := n.named[0]
-		now := 10 * time.Second
-		if tc.closed > 0 {
-			b.set(now-tc.closed, balance.StateDraining)
-		}
-		f := greeted(t, n, 1, "OPEN 0000000000000001 0000000000000002 c=chat,d=1000\r\n")
-		head, fail := f.Order(now, Order{To: b, Until: now + tc.left}).Try.Dialled(now)
-		switch {
-		case tc.cause == nil && fail != nil, tc.cause != nil && !errors.Is(fail, tc.cause):
-			t.Errorf("%s: %v", tc.name, fail)
-		case tc.cause == nil && string(bytes.Join(head[:], nil)) != "OPEN 0000000000000001 0000000000000002 c=chat,d=1000\r\n":
-			t.Errorf("%s: %q", tc.name, head)
-		}
-	}
-}
-
-// What was true of the answer race on sockets holds step by step: one final answer, whatever comes after.
-func TestOneFinalAnswerHoweverOrdersAndAttemptsRace(t *testing.T) {
-	n, _ := node(t, testConfig())
-	const line = "OPEN 0000000000000001 0000000000000002 c=chat,d=1000\r\n"
-	for _, tc := range []struct {
-		name string
-		play func(f *Flow, a *Attempt) (answers int)
-	}{
-		{"refused, then UP", func(f *Flow, a *Attempt) (answers int) {
-			answers += count(f.Order(0, Order{Answer: "BUSY\r\n"}))
-			late := f.Tried(0, a, nil)
-			if !late.DropBack || late.Event.Outcome.Status != balance.StatusCancelled {
-				answers = -9
-			}
-			return answers + count(late)
-		}},
-		{"UP, then refused", func(f *Flow, a *Attempt) int {
-			return count(f.Tried(0, a, nil)) + count(f.Order(0, Order{Answer: "BUSY\r\n"}))
-		}},
-		{"BYE, then refused", func(f *Flow, a *Attempt) int {
-			_, fail := a.Answer([]byte("BYE\r\n"))
-			return count(f.Tried(0, a, fail)) + count(f.Order(0, Order{Answer: "BUSY\r\n"}))
-		}},
-		{"failed twice over", func(f *Flow, _ *Attempt) int {
-			return count(f.Order(0, Order{Answer: AnswerFailed})) + count(f.Order(0, Order{Answer: AnswerFailed}))
-		}},
-		{"spoke too early, then UP", func(f *Flow, a *Attempt) int { return count(f.Left(true)) + count(f.Tried(0, a, nil)) }},
-	} {
-		f := greeted(t, n, 1, line)
-		a := f.Order(time.Second, Order{To: n.named[0], Until: 2 * time.Second}).Try
-		if again := f.Order(time.Second, Order{To: n.named[1], Until: 2 * time.Second}); again.Try != nil {
-			t.Errorf("%s: a second attempt while the first is out", tc.name)
-		}
-		if _, fail := a.Dialled(time.Second); fail != nil {
-			t.Fatal(fail)
-		}
-		if got := tc.play(f, a); got != 1 {
-			t.Errorf("%s: %d final answers", tc.name, got)
-		}
-		if f.Waits() && !f.pending {
-			t.Errorf("%s: the flow still waits", tc.name)
-		}
-	}
-}
-
-// count is the number of final answers in what a driver is told to do.
-func count(d Do) (n int) {
-	if d.Answer != "" {
-		n++
-	}
-	if d.Stand {
-		n++
-	}
-	return n
-}
-
 func TestALeavingNodeWaitsForWhatIsOwed(t *testing.T) {
 	cfg := testConfig()
 	cfg.Settings.PassThrough = false
 	n, h := node(t, cfg)
 	f := greeted(t, n, 1, "OPEN 0000000000000001 0000000000000002 c=chat,d=1000\r\n")
-	n.Opened(time.Second, f)
-	n.Leave(time.Second)
+	n.SessionOpened(time.Second, f)
+	n.Shutdown(time.Second)
 	play := func(until time.Duration) {
-		for at, ok := n.Next(); ok && at <= until; at, ok = n.Next() {
-			n.Due(at)
+		for at, ok := n.NextTimer(); ok && at <= until; at, ok = n.NextTimer() {
+			n.FireTimers(at)
 		}
 	}
 	play(1700 * time.Millisecond)
 	if h.left != 0 {
 		t.Fatal("left while an answer is owed")
 	}
-	n.Closed(1700*time.Millisecond, 1)
+	n.SessionClosed(1700*time.Millisecond, 1)
 	play(1800 * time.Millisecond)
 	if h.left != 1 {
 		t.Errorf("left %d times", h.left)
@@ -493,22 +404,22 @@
 }
 
 // played runs a node's timers up to a time.
-func played(n *Node, until time.Duration) {
-	for at, ok := n.Next(); ok && at <= until; at, ok = n.Next() {
-		n.Due(at)
+func played(n *Controller, until time.Duration) {
+	for at, ok := n.NextTimer(); ok && at <= until; at, ok = n.NextTimer() {
+		n.FireTimers(at)
 	}
 }
 
 // standsAt brings a flow up at the only backend that its order names.
-func standsAt(t *testing.T, n *Node, h *host, seq uint64, now time.Duration) *Flow {
+func standsAt(t *testing.T, n *Controller, h *host, seq uint64, now time.Duration) *session.Session {
 	t.Helper()
 	f := greeted(t, n, seq, fmt.Sprintf("OPEN %016x %016x c=chat,d=1000\r\n", seq, seq))
-	n.Opened(now, f)
-	if len(h.orders[seq]) != 1 || h.orders[seq][0].To == nil {
+	n.SessionOpened(now, f)
+	if len(h.orders[seq]) != 1 || h.orders[seq][0].Backend == nil {
 		t.Fatalf("flow %d has orders %+v", seq, h.orders[seq])
 	}
-	do := f.Order(now, h.orders[seq][0])
-	n.Heard(now, seq, f.Tried(now, do.Try, nil).Event)
+	do := f.Execute(now, h.orders[seq][0])
+	n.SessionEvent(now, seq, f.AttemptDone(now, do.Attempt, nil).Event)
 	return f
 }
 
@@ -517,32 +428,32 @@
 func TestDrainsComeAndGo(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		calls func(n *Node, at func(time.Duration, bool))
+		calls func(n *Controller, at func(time.Duration, bool))
 		moved [2]int // at least, at most
 		ready bool
 	}{
-		{"called off before the front has heard", func(n *Node, at func(time.Duration, bool)) {
+		{"called off before the front has heard", func(n *Controller, at func(time.Duration, bool)) {
 			at(0, true)
 			at(100*time.Millisecond, false)
 		}, [2]int{0, 0}, true},
-		{"again and again", func(n *Node, at func(time.Duration, bool)) {
+		{"again and again", func(n *Controller, at func(time.Duration, bool)) {
 			for i := range 10 {
 				at(time.Duration(i)*100*time.Millisecond, i%2 == 0)
 			}
 		}, [2]int{0, 0}, true},
-		{"called off within its moves", func(n *Node, at func(time.Duration, bool)) {
+		{"called off within its moves", func(n *Controller, at func(time.Duration, bool)) {
 			at(0, true)
 			at(1500*time.Millisecond, false)
 		}, [2]int{5, 35}, true},
-		{"to its end", func(n *Node, at func(time.Duration, bool)) {
+		{"to its end", func(n *Controller, at func(time.Duration, bool)) {
 			at(0, true)
 			at(10*time.Millisecond, true)
 		}, [2]int{40, 40}, false},
-		{"SIGTERM in the same moment", func(n *Node, at func(time.Duration, bool)) {
+		{"SIGTERM in the same moment", func(n *Controller, at func(time.Duration, bool)) {
 			at(0, true)
-			n.Leave(time.Second)
+			n.Shutdown(time.Second)
 		}, [2]int{40, 40}, false},
-		{"SIGHUP in the same moment", func(n *Node, at func(time.Duration, bool)) {
+		{"SIGHUP in the same moment", func(n *Controller, at func(time.Duration, bool)) {
 			at(0, true)
 			next := n.Config()
 			next.Discovery, next.Settings.MaxAttempts = "d:9", 1
@@ -550,8 +461,8 @@
 				t.Error(err)
 			}
 		}, [2]int{40, 40}, false},
-		{"called off while it leaves", func(n *Node, at func(time.Duration, bool)) {
-			n.Leave(time.Second)
+		{"called off while it leaves", func(n *Controller, at func(time.Duration, bool)) {
+			n.Shutdown(time.Second)
 			at(0, true)
 			at(100*time.Millisecond, false)
 		}, [2]int{40, 40}, true},
@@ -559,7 +470,7 @@
 		cfg := testConfig()
 		cfg.Settings.PassThrough, cfg.Settings.HealthChecks = false, false
 		n, h := node(t, cfg)
-		flows := map[uint64]*Flow{}
+		flows := map[uint64]*session.Session{}
 		for seq := uint64(1); seq <= 40; seq++ {
 			flows[seq] = standsAt(t, n, h, seq, time.Second)
 		}
@@ -569,8 +480,8 @@
 				for _, seq := range h.moved {
 					if f := flows[seq]; f != nil {
 						delete(flows, seq)
-						n.Heard(now, seq, f.Closed(Verdict{Status: balance.StatusCancelled}))
-						n.Closed(now, seq)
+						n.SessionEvent(now, seq, f.Terminated(session.Termination{Status: balance.StatusCancelled}))
+						n.SessionClosed(now, seq)
 					}
 				}
 			}
@@ -578,7 +489,7 @@
 		c.calls(n, func(after time.Duration, on bool) {
 			ends(time.Second + after)
 			n.SetDrained(on)
-			n.Drain(time.Second + after)
+			n.ApplyDrain(time.Second + after)
 			if n.Ready() == on {
 				t.Errorf("%s: ready is %v once it is said to be drained: %v", c.name, n.Ready(), on)
 			}
@@ -596,12 +507,12 @@
 	cfg.Settings.PassThrough, cfg.Settings.HealthChecks = false, false
 	n, h := node(t, cfg)
 	f := greeted(t, n, 1, "OPEN 0000000000000001 0000000000000002 c=chat,d=4000\r\n")
-	n.Opened(time.Second, f)
+	n.SessionOpened(time.Second, f)
 	n.SetDrained(true)
-	n.Drain(time.Second)
+	n.ApplyDrain(time.Second)
 	played(n, 4500*time.Millisecond)
-	do := f.Order(time.Second, h.orders[1][0])
-	n.Heard(4500*time.Millisecond, 1, f.Tried(4500*time.Millisecond, do.Try, nil).Event)
+	do := f.Execute(time.Second, h.orders[1][0])
+	n.SessionEvent(4500*time.Millisecond, 1, f.AttemptDone(4500*time.Millisecond, do.Attempt, nil).Event)
 	played(n, 4700*time.Millisecond)
 	if !slices.Equal(h.moved, []uint64{1}) {
 		t.Errorf("moved %v", h.moved)
@@ -620,44 +531,8 @@
 	if err := n.Reload(time.Second, cfg, 128); err != nil {
 		t.Fatal(err)
 	}
-	if !slices.Equal(h.follows, []string{"d:2"}) || len(h.shares) != 1 || h.shares[0] != Deal(128, 64, false) ||
+	if !slices.Equal(h.follows, []string{"d:2"}) || len(h.shares) != 1 || h.shares[0] != AllocateDescriptors(128, 64, false) ||
 		n.Config().Name != "n0" || n.Config().Peers[0] != "127.0.0.1:7" {
 		t.Errorf("%+v, %+v", h, n.Config())
 	}
 }
-
-// Seed 284: a watch that the module asked for while a call was out that then failed was forgotten, and the
-// module never heard of a change again.
-func TestAWatchAskedForDuringAFailingCallIsMade(t *testing.T) {
-	s := testConfig().Settings
-	s.PollEndpoints = true
-	a := NewAgent("d:1", &s, false, rand.New(rand.NewPCG(1, 1)))
-	if _, ok := a.Next(); ok {
-		t.Fatal("a call that nobody asked for")
-	}
-	a.Want(true)
-	for range 4 {
-		if c, ok := a.Next(); !ok || !c.Whole {
-			t.Fatalf("%+v, %v", c, ok)
-		}
-		if n := a.Failed(false); n.Any || n.Pause <= 0 {
-			t.Fatalf("%+v", n)
-		}
-	}
-	if c, ok := a.Next(); !ok || !c.Whole {
-		t.Fatalf("%+v, %v", c, ok)
-	}
-	a.Want(true)
-	if n := a.Failed(false); n.Any || n.Pause <= 0 {
-		t.Fatalf("%+v", n)
-	}
-	if c, ok := a.Next(); !ok || !c.Whole {
-		t.Fatalf("%+v, %v", c, ok)
-	}
-	if _, err := a.Answered([]byte(three)); err != nil {
-		t.Fatal(err)
-	}
-	if c, ok := a.Next(); !ok || c.Whole {
-		t.Errorf("no watch goes on after the list: %+v, %v", c, ok)
-	}
-}
--- a/internal/machine/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -1,8 +1,9 @@
-package machine
+package controller
 
 import (
 	"bytes"
 	"encoding/json"
+	"flag"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -12,9 +13,15 @@
 	"go.uber.org/zap"
 
 	"aspenbarrow/balance"
+	"aspenbarrow/internal/decision"
+	"aspenbarrow/internal/discovery"
+	"aspenbarrow/internal/hotrestart"
 	"aspenbarrow/internal/membership"
+	"aspenbarrow/internal/session"
 )
 
+var update = flag.Bool("update", false, "write the golden files anew")
+
 // goldenAt is when the hot-restart document was written, and by whose clock it is read.
 const goldenAt = 1000 * time.Second
 
@@ -75,18 +82,18 @@
 }
 
 // heir is a Node that has taken over the golden hot-restart document.
-func heir(t *testing.T) *Node {
+func heir(t *testing.T) *Controller {
 	t.Helper()
 	cfg, joined := testConfig(), membership.Sound("f")
 	cfg.Known, cfg.Membership = nil, &joined
 	cfg.Settings.ClassNames = []string{"chat", "bulk"}
 	cfg.Settings.Classes = append(cfg.Settings.Classes, cfg.Settings.Classes[0])
-	n, err := NewNode(goldenAt, cfg, &host{orders: map[uint64][]Order{}}, zap.NewNop())
+	n, err := New(goldenAt, cfg, &host{orders: map[uint64][]session.Command{}}, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.Join(goldenAt)
-	if err := n.Inherit(goldenAt, goldenFile(t, "hot_restart.json")); err != nil {
+	n.JoinMembership(goldenAt)
+	if err := n.RestoreState(goldenAt, goldenFile(t, "hot_restart.json")); err != nil {
 		t.Fatal(err)
 	}
 	return n
@@ -96,7 +103,7 @@
 // or go. A key that is changed on purpose is changed in the file by hand, for -update writes only what is still read.
 func TestNode_HotRestartGolden(t *testing.T) {
 	text := goldenFile(t, "hot_restart.json")
-	var b bequest
+	var b hotrestart.Document
 	var plain any
 	if err := json.Unmarshal(text, &b); err != nil {
 		t.Fatal(err)
@@ -115,7 +122,7 @@
 	if len(n.Backends()) != 3 || !n.Drained() {
 		t.Errorf("%d backends, drained %v", len(n.Backends()), n.Drained())
 	}
-	wrote, err := n.Bequeath(goldenAt)
+	wrote, err := n.ExportState(goldenAt)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -127,16 +134,16 @@
 	n := heir(t)
 	for i, line := range []string{"c=chat,d=1000,at=a", "c=bulk,d=1000,at=a", "c=chat,d=1000,at=b"} {
 		seq := uint64(i + 1)
-		f := NewFlow(seq, n.Settings(), n.Ledger())
-		g, err := f.Hello(goldenAt, fmt.Appendf(nil, "OPEN %016x %016x %s\r\n", seq, seq, line), true)
+		f := session.New(seq, n.Settings(), n.Metrics())
+		g, err := f.ReadHandshake(goldenAt, fmt.Appendf(nil, "OPEN %016x %016x %s\r\n", seq, seq, line), true)
 		if err != nil || !g.Opened {
 			t.Fatalf("%+v, %v", g, err)
 		}
-		n.Opened(goldenAt, f)
+		n.SessionOpened(goldenAt, f)
 	}
-	n.Probed(goldenAt, balance.HealthCheckResult{Backend: backendID("b"), Load: []float32{0.5}, Latency: 3 * time.Millisecond})
-	n.Heard(goldenAt, 3, Event{Kind: Told, Load: 0.25})
-	wrote, err := n.Seen()
+	n.HealthCheckDone(goldenAt, balance.HealthCheckResult{Backend: discovery.BackendID("b"), Load: []float32{0.5}, Latency: 3 * time.Millisecond})
+	n.SessionEvent(goldenAt, 3, session.Event{Kind: session.LoadReported, Load: 0.25})
+	wrote, err := n.ExportLoad()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -151,10 +158,10 @@
 		t.Errorf("%v\n got %s\nwant %s", err, again, text)
 	}
 	next := heir(t)
-	if err := next.Beside(goldenAt, text); err != nil {
+	if err := next.ImportLoad(goldenAt, text); err != nil {
 		t.Fatal(err)
 	}
-	heard := next.balancer.(remembers).Snapshot()
+	heard := next.balancer.(decision.Snapshotter).Snapshot()
 	if len(heard.Backends) != 2 || len(m.Backends) != 2 {
 		t.Fatalf("%d servers, the file has %d", len(heard.Backends), len(m.Backends))
 	}
--- a/internal/machine/handover_test.go
+++ b/internal/controller/hotrestart_test.go
@@ -1,4 +1,4 @@
-package machine
+package controller
 
 import (
 	"strings"
@@ -9,7 +9,7 @@
 func TestABequestIsTakenWholeOrNotAtAll(t *testing.T) {
 	old, _ := node(t, testConfig())
 	old.SetDrained(true)
-	text, err := old.Bequeath(time.Second)
+	text, err := old.ExportState(time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -34,7 +34,7 @@
 		if c.from != "" && changed == good {
 			t.Fatalf("%s: %q is not in %s", c.name, c.from, good)
 		}
-		err := n.Inherit(time.Second+c.late, []byte(changed))
+		err := n.RestoreState(time.Second+c.late, []byte(changed))
 		if taken := len(n.Backends()) > 0; taken != c.taken || taken != (err == nil) || n.Drained() != c.taken {
 			t.Errorf("%s: %d backends, drained %v, %v", c.name, len(n.Backends()), n.Drained(), err)
 		}
@@ -44,10 +44,10 @@
 // Both processes together stay within the descriptors: what the old one holds the new one has not.
 func TestTheLimitsAreOnBothProcesses(t *testing.T) {
 	n, h := node(t, testConfig())
-	n.SetSockets(256)
-	n.Elsewhere(time.Second, 120)
-	n.Elsewhere(time.Second, 0)
-	if len(h.shares) != 2 || h.shares[0] != Deal(136, 64, false) || h.shares[1] != Deal(256, 64, false) {
+	n.SetDescriptors(256)
+	n.SetOtherProcessDescriptors(time.Second, 120)
+	n.SetOtherProcessDescriptors(time.Second, 0)
+	if len(h.shares) != 2 || h.shares[0] != AllocateDescriptors(136, 64, false) || h.shares[1] != AllocateDescriptors(256, 64, false) {
 		t.Errorf("%+v", h.shares)
 	}
 }
--- a/internal/machine/log_test.go
+++ b/internal/controller/log_test.go
@@ -1,4 +1,4 @@
-package machine
+package controller
 
 import "go.uber.org/zap/zapcore"
 
--- a/internal/machine/members_test.go
+++ b/internal/controller/membership_test.go
@@ -1,4 +1,4 @@
-package machine
+package controller
 
 import (
 	"net/netip"
@@ -7,12 +7,13 @@
 	"time"
 
 	"aspenbarrow/balance"
+	"aspenbarrow/internal/decision"
 	"aspenbarrow/internal/membership"
 )
 
 // counting is a Decider that notes how many relays it is told of and how many notices it gets.
 type counting struct {
-	Decider
+	decision.Decider
 	seen *seenByModule
 }
 
@@ -25,14 +26,14 @@
 func (d counting) GossipReceived(time.Duration, int, []byte) { d.seen.notices++ }
 
 // pair is two Nodes of a fleet of three that hear one another; the third was never started. pass has time go by.
-func pair(t *testing.T, on bool) (nodes [2]*Node, hosts [2]*host, seen [2]*seenByModule, pass func(until time.Duration)) {
+func pair(t *testing.T, on bool) (nodes [2]*Controller, hosts [2]*host, seen [2]*seenByModule, pass func(until time.Duration)) {
 	t.Helper()
 	peers := []string{"10.0.0.1:7946", "10.0.0.2:7946", "10.0.0.3:7946"}
 	for i := range nodes {
 		seen[i] = &seenByModule{}
 		cfg := testConfig()
 		cfg.Peers, cfg.Settings.RelayIndex, cfg.Settings.RelayCount, cfg.Settings.Gossip = peers, i, 3, true
-		cfg.Decide = func(now time.Duration, seed uint64, s balance.Settings, do balance.Actions) Decider {
+		cfg.Decide = func(now time.Duration, seed uint64, s balance.Settings, do balance.Actions) decision.Decider {
 			return counting{balance.New(now, seed, s, do), seen[i]}
 		}
 		if on {
@@ -40,19 +41,19 @@
 			cfg.Membership = &s
 		}
 		nodes[i], hosts[i] = node(t, cfg)
-		nodes[i].Join(time.Second)
+		nodes[i].JoinMembership(time.Second)
 	}
 	now := time.Second
 	return nodes, hosts, seen, func(until time.Duration) {
 		for ; now < until; now += 20 * time.Millisecond {
 			for i, n := range nodes {
-				n.Due(now)
+				n.FireTimers(now)
 				told := hosts[i].told
 				hosts[i].told = nil
 				for _, d := range told {
 					to, data, _ := strings.Cut(d, " ")
 					if to == peers[1-i] {
-						nodes[1-i].Datagram(now, netip.MustParseAddrPort(peers[i]), []byte(data))
+						nodes[1-i].DatagramReceived(now, netip.MustParseAddrPort(peers[i]), []byte(data))
 					}
 				}
 			}
@@ -66,22 +67,22 @@
 	if h := seen[0].here; len(h) == 0 || h[len(h)-1] != 2 || h[0] < 2 {
 		t.Errorf("the module was told of %v relays", h)
 	}
-	f := nodes[0].Ledger().Read().Members
-	if f == nil || f.Here != 2 || f.Members[1].State != "alive" || f.Members[2].State == "alive" {
+	f := nodes[0].Metrics().Snapshot().Membership
+	if f == nil || f.ActiveRelays != 2 || f.Members[1].State != "alive" || f.Members[2].State == "alive" {
 		t.Errorf("staff are told %+v", f)
 	}
 	from := netip.MustParseAddrPort("10.0.0.3:7946")
-	nodes[0].Datagram(8*time.Second, from, []byte("8 bytes."))
-	if n := nodes[0].book.strangers.Load(); n != 1 || seen[0].notices != 0 {
+	nodes[0].DatagramReceived(8*time.Second, from, []byte("8 bytes."))
+	if n := nodes[0].metrics.RejectedGossip.Load(); n != 1 || seen[0].notices != 0 {
 		t.Errorf("%d notices of relays that are not there were counted, %d taken", n, seen[0].notices)
 	}
-	nodes[0].Datagram(8*time.Second, netip.MustParseAddrPort("10.0.0.2:7946"), []byte("8 bytes."))
+	nodes[0].DatagramReceived(8*time.Second, netip.MustParseAddrPort("10.0.0.2:7946"), []byte("8 bytes."))
 	if seen[0].notices != 1 {
 		t.Error("a member's notice is not taken")
 	}
-	nodes[1].Leave(8 * time.Second)
+	nodes[1].Shutdown(8 * time.Second)
 	pass(9 * time.Second)
-	if st := nodes[0].members.State(1); st != membership.Left {
+	if st := nodes[0].membership.State(1); st != membership.Left {
 		t.Errorf("who has left is held %v", st)
 	}
 }
@@ -96,8 +97,8 @@
 		t.Fatal(err)
 	}
 	hosts[0].told = nil
-	nodes[0].Due(6 * time.Second)
-	if len(hosts[0].told) != 0 || nodes[0].members != nil || seen[0].here[len(seen[0].here)-1] != 0 {
+	nodes[0].FireTimers(6 * time.Second)
+	if len(hosts[0].told) != 0 || nodes[0].membership != nil || seen[0].here[len(seen[0].here)-1] != 0 {
 		t.Errorf("turned off: %d datagrams, the module was told of %v relays", len(hosts[0].told), seen[0].here)
 	}
 	cfg.Membership = on
@@ -105,15 +106,15 @@
 		t.Fatal(err)
 	}
 	pass(12 * time.Second)
-	if nodes[0].here != 2 || !nodes[1].members.Has(0) {
-		t.Errorf("turned on again: %d relays", nodes[0].here)
+	if nodes[0].activeRelays != 2 || !nodes[1].membership.Has(0) {
+		t.Errorf("turned on again: %d relays", nodes[0].activeRelays)
 	}
 }
 
 func TestWithoutMembershipNothingIsSaid(t *testing.T) {
 	nodes, hosts, seen, pass := pair(t, false)
 	pass(5 * time.Second)
-	if len(hosts[0].told) != 0 || len(seen[0].here) != 0 || nodes[0].Ledger().Read().Members != nil {
+	if len(hosts[0].told) != 0 || len(seen[0].here) != 0 || nodes[0].Metrics().Snapshot().Membership != nil {
 		t.Errorf("%d datagrams, told %v", len(hosts[0].told), seen[0].here)
 	}
 }
@@ -121,17 +122,17 @@
 func TestAnIncarnationIsHandedOver(t *testing.T) {
 	nodes, _, _, pass := pair(t, true)
 	pass(4 * time.Second)
-	text, err := nodes[0].Bequeath(4 * time.Second)
+	text, err := nodes[0].ExportState(4 * time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
 	next, _ := node(t, nodes[0].Config())
-	if err := next.Inherit(4*time.Second, text); err != nil {
+	if err := next.RestoreState(4*time.Second, text); err != nil {
 		t.Fatal(err)
 	}
 	nodes[0].SetReplaced(true)
-	next.Join(4 * time.Second)
-	if a, b := nodes[0].members.Incarnation(), next.members.Incarnation(); b <= a {
+	next.JoinMembership(4 * time.Second)
+	if a, b := nodes[0].membership.Incarnation(), next.membership.Incarnation(); b <= a {
 		t.Errorf("the next process begins at %d, the one before had %d", b, a)
 	}
 }
--- a/internal/machine/retune_test.go
+++ b/internal/controller/reload_test.go
@@ -1,4 +1,4 @@
-package machine
+package controller
 
 import (
 	"fmt"
@@ -7,7 +7,10 @@
 	"time"
 
 	"aspenbarrow/balance"
+	"aspenbarrow/internal/protocol"
 	"aspenbarrow/internal/route"
+	"aspenbarrow/internal/session"
+	"aspenbarrow/internal/settings"
 )
 
 // class makes a class with an effect.
@@ -23,25 +26,25 @@
 }
 
 // fails has the attempt that is out end so that it may have run, and returns what the flow is told then.
-func fails(n *Node, h *host, f *Flow, now time.Duration) Order {
+func fails(n *Controller, h *host, f *session.Session, now time.Duration) session.Command {
 	orders := h.orders[f.Seq]
-	do := f.Order(now, orders[len(orders)-1])
-	fail := &AttemptError{stage: answered, answer: failed, err: errNumber}
-	n.Heard(now, f.Seq, f.Tried(now, do.Try, fail).Event)
+	do := f.Execute(now, orders[len(orders)-1])
+	_, fail := do.Attempt.ReadAnswer([]byte("ERR\r\n"))
+	n.SessionEvent(now, f.Seq, f.AttemptDone(now, do.Attempt, fail).Event)
 	after := h.orders[f.Seq][len(orders):]
 	if len(after) != 1 {
-		return Order{}
+		return session.Command{}
 	}
 	if after[0].Answer != "" {
-		f.Order(now, after[0])
+		f.Execute(now, after[0])
 	}
 	return after[0]
 }
 
-func opensAs(t *testing.T, n *Node, seq uint64, name string) *Flow {
+func opensAs(t *testing.T, n *Controller, seq uint64, name string) *session.Session {
 	t.Helper()
 	f := greeted(t, n, seq, fmt.Sprintf("OPEN %016x %016x c=%s,d=1000\r\n", seq, seq, name))
-	n.Opened(time.Second, f)
+	n.SessionOpened(time.Second, f)
 	return f
 }
 
@@ -54,34 +57,34 @@
 		opensAs(t, n, seq, "look")
 	}
 	stands := func(seq uint64) { // or failures alone would space attempts out
-		n.Heard(time.Second, seq, Event{Kind: Stood, Outcome: balance.AttemptResult{ID: seq, Latency: time.Millisecond}})
+		n.SessionEvent(time.Second, seq, session.Event{Kind: session.Established, Result: balance.AttemptResult{ID: seq, Latency: time.Millisecond}})
 	}
 	look, act, gone := opensAs(t, n, 1, "look"), opensAs(t, n, 2, "act"), opensAs(t, n, 3, "look")
 	if err := n.Reload(time.Second, with(names, []balance.Class{class(balance.NonIdempotent), class(balance.Idempotent)}, 4), 256); err != nil {
 		t.Fatal(err)
 	}
-	if o := fails(n, h, look, time.Second); o.To == nil {
+	if o := fails(n, h, look, time.Second); o.Backend == nil {
 		t.Errorf("a safe request is not sent again: %+v", o)
 	}
-	if o := fails(n, h, act, time.Second); o.Answer != AnswerFailed {
+	if o := fails(n, h, act, time.Second); o.Answer != protocol.AnswerFailed {
 		t.Errorf("an unsafe request has %+v", o)
 	}
 	if err := n.Reload(time.Second, with(names[1:], []balance.Class{class(balance.Idempotent)}, 4), 256); err != nil {
 		t.Fatal(err)
 	}
 	stands(100)
-	if o := fails(n, h, gone, time.Second); o.To == nil {
+	if o := fails(n, h, gone, time.Second); o.Backend == nil {
 		t.Errorf("a request of a dropped class is not sent again: %+v", o)
 	}
-	if _, err := NewFlow(9, n.Settings(), n.Ledger()).Hello(time.Second, []byte("OPEN 0000000000000009 0000000000000009 c=look,d=1000\r\n"), true); err == nil {
+	if _, err := session.New(9, n.Settings(), n.Metrics()).ReadHandshake(time.Second, []byte("OPEN 0000000000000009 0000000000000009 c=look,d=1000\r\n"), true); err == nil {
 		t.Error("a dropped class is still taken")
 	}
 	stands(101)
-	if o := fails(n, h, opensAs(t, n, 10, "act"), time.Second); o.To == nil && o.Answer == AnswerFailed {
+	if o := fails(n, h, opensAs(t, n, 10, "act"), time.Second); o.Backend == nil && o.Answer == protocol.AnswerFailed {
 		t.Errorf("a request under the new rules, which may be repeated, has %+v", o)
 	}
 	var counted []string
-	for _, c := range n.Ledger().Read().Classes {
+	for _, c := range n.Metrics().Snapshot().Classes {
 		counted = append(counted, fmt.Sprint(c.Name, c.Error))
 	}
 	if !slices.Equal(counted, []string{"look0", "act1"}) {
@@ -97,16 +100,16 @@
 		opensAs(t, n, seq, "chat")
 	}
 	f := opensAs(t, n, 1, "chat")
-	if o := fails(n, h, f, time.Second); o.To == nil {
+	if o := fails(n, h, f, time.Second); o.Backend == nil {
 		t.Fatalf("%+v", o)
 	}
 	if err := n.Reload(time.Second, with(names, classes, 1), 256); err != nil {
 		t.Fatal(err)
 	}
-	if o := fails(n, h, f, time.Second); o.To == nil {
+	if o := fails(n, h, f, time.Second); o.Backend == nil {
 		t.Errorf("the third attempt is not made: %+v", o)
 	}
-	if o := fails(n, h, opensAs(t, n, 2, "chat"), time.Second); o.To != nil {
+	if o := fails(n, h, opensAs(t, n, 2, "chat"), time.Second); o.Backend != nil {
 		t.Error("a request under the new settings is sent twice")
 	}
 }
@@ -133,12 +136,12 @@
 		t.Error("the route of class b is not found by b's number")
 	}
 	var refused error
-	for i := 0; refused == nil && i < 2*mostClasses; i++ {
+	for i := 0; refused == nil && i < 2*settings.MaxClasses; i++ {
 		c := class(balance.Idempotent)
 		c.PriorityWeight = float64(i + 2)
 		refused = n.Reload(time.Second, with([]string{"a"}, []balance.Class{c}, 2), 256)
 	}
-	if refused == nil || len(n.Settings().Classes) > mostClasses {
+	if refused == nil || len(n.Settings().Classes) > settings.MaxClasses {
 		t.Errorf("%d classes, %v", len(n.Settings().Classes), refused)
 	}
 }
--- a/internal/management/golden_test.go
+++ b/internal/management/golden_test.go
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
-	"aspenbarrow/internal/machine"
 	"aspenbarrow/internal/membership"
+	"aspenbarrow/internal/metrics"
 )
 
 var update = flag.Bool("update", false, "write golden files")
@@ -27,17 +27,17 @@
 
 func (f *fixed) State() State  { return f.state }
 func (f *fixed) Drain(on bool) { f.told = fmt.Sprintf(" (Drain %v)", on) }
-func (f *fixed) Figures() machine.Figures {
-	out := machine.Figures{Classes: []machine.ClassFigures{{Name: "chat", Success: 812, Overload: 3, Error: 1}, {Name: "bulk", Success: 90, Overload: 31, Error: 11}},
+func (f *fixed) Figures() metrics.Snapshot {
+	out := metrics.Snapshot{Classes: []metrics.ClassCounts{{Name: "chat", Success: 812, Overload: 3, Error: 1}, {Name: "bulk", Success: 90, Overload: 31, Error: 11}},
 		Dispatches: 820, Concurrent: 14, Targets: 9, TargetsDisabled: 2, ReloadSuccess: 4, ReloadFailure: 5}
 	if f.quiet {
 		return out
 	}
-	out.Watch = &machine.WatchFigures{Compared: 700, Ended: true}
-	for i := range out.Watch.Counts {
-		out.Watch.Counts[i] = int64(101 + i)
+	out.Shadow = &metrics.ShadowSnapshot{Compared: 700, Failed: true}
+	for i := range out.Shadow.Counts {
+		out.Shadow.Counts[i] = int64(101 + i)
 	}
-	out.Members = &machine.MemberFigures{Here: 3, Health: 6, Strangers: 17,
+	out.Membership = &metrics.Membership{ActiveRelays: 3, Health: 6, RejectedGossip: 17,
 		Members: []membership.Member{
 			{Number: 0, Name: "n0", State: "alive", Since: 90 * time.Second, Incarnation: 21, Health: 6},
 			{Number: 1, Name: "n1", State: "suspect", Since: 1500 * time.Millisecond, By: 2, Incarnation: 22, RoundTrip: 730 * time.Microsecond, Health: 1, Twice: true},
--- a/internal/management/management.go
+++ b/internal/management/management.go
@@ -9,7 +9,7 @@
 	"fmt"
 	"strings"
 
-	"aspenbarrow/internal/machine"
+	"aspenbarrow/internal/metrics"
 )
 
 // State is how far a relay is in its life.
@@ -26,7 +26,7 @@
 // Relay is what the calls need of one. No method may wait.
 type Relay interface {
 	State() State
-	Figures() machine.Figures
+	Figures() metrics.Snapshot
 	Drain(on bool) // send clients away, or take them again; may be repeated
 }
 
@@ -61,9 +61,9 @@
 	case "STATS":
 		return stats(r.Figures(), eol)
 	case "WATCH":
-		return watching(r.Figures().Watch, eol)
+		return watching(r.Figures().Shadow, eol)
 	case "MEMBERS":
-		return members(r.Figures().Members, eol)
+		return members(r.Figures().Membership, eol)
 	case "":
 		return "FAILURE empty call" + eol
 	}
@@ -71,7 +71,7 @@
 }
 
 // stats writes all figures, one a line.
-func stats(f machine.Figures, eol string) string {
+func stats(f metrics.Snapshot, eol string) string {
 	var b strings.Builder
 	b.WriteString("SUCCESS" + eol)
 	line := func(name string, v int64) { fmt.Fprintf(&b, "%s=%d%s", name, v, eol) }
@@ -86,7 +86,7 @@
 	line("targets_disabled", f.TargetsDisabled)
 	line("reload_success", f.ReloadSuccess)
 	line("reload_failure", f.ReloadFailure)
-	if m := f.Members; m != nil {
+	if m := f.Membership; m != nil {
 		states := map[string]int64{}
 		for _, o := range m.Members {
 			states[o.State]++
@@ -94,9 +94,9 @@
 		for _, s := range []string{"joining", "alive", "suspect", "dead", "left"} {
 			line("members."+s, states[s])
 		}
-		line("members.here", int64(m.Here))
+		line("members.here", int64(m.ActiveRelays))
 		line("members.own_health", int64(m.Health))
-		line("members.strangers", m.Strangers)
+		line("members.strangers", m.RejectedGossip)
 		c := m.Counters
 		for _, v := range []struct {
 			name string
@@ -111,13 +111,13 @@
 }
 
 // members writes who of the relays is there, one a line, by their numbers.
-func members(f *machine.MemberFigures, eol string) string {
+func members(f *metrics.Membership, eol string) string {
 	if f == nil {
 		return "FAILURE nobody finds out who is there: the configuration has no membership, or it has just begun" + eol
 	}
 	var b strings.Builder
 	b.WriteString("SUCCESS" + eol)
-	fmt.Fprintf(&b, "here=%d of=%d own_health=%d%s", f.Here, len(f.Members), f.Health, eol)
+	fmt.Fprintf(&b, "here=%d of=%d own_health=%d%s", f.ActiveRelays, len(f.Members), f.Health, eol)
 	for _, m := range f.Members {
 		name := m.Name
 		if name == "" {
@@ -131,7 +131,7 @@
 }
 
 // watching writes what the settings of another shape would have decided otherwise, one kind a line.
-func watching(f *machine.WatchFigures, eol string) string {
+func watching(f *metrics.ShadowSnapshot, eol string) string {
 	if f == nil {
 		return "FAILURE nothing is watched: the configuration has no shape to watch" + eol
 	}
--- a/internal/management/management_test.go
+++ b/internal/management/management_test.go
@@ -11,7 +11,7 @@
 
 	"go.uber.org/zap"
 
-	"aspenbarrow/internal/machine"
+	"aspenbarrow/internal/metrics"
 )
 
 // fake is a relay in a state of choice.
@@ -27,8 +27,8 @@
 		f.drained.Store(1)
 	}
 }
-func (f *fake) Figures() machine.Figures {
-	return machine.Figures{Classes: []machine.ClassFigures{{Name: "chat", Success: 812, Overload: 3, Error: 1}}, Dispatches: 820,
+func (f *fake) Figures() metrics.Snapshot {
+	return metrics.Snapshot{Classes: []metrics.ClassCounts{{Name: "chat", Success: 812, Overload: 3, Error: 1}}, Dispatches: 820,
 		Concurrent: 14, Targets: 9, TargetsDisabled: 2, ReloadSuccess: 4, ReloadFailure: 5}
 }
 
--- a/internal/management/server.go
+++ b/internal/management/server.go
@@ -17,7 +17,7 @@
 
 	"go.uber.org/zap"
 
-	"aspenbarrow/internal/machine"
+	"aspenbarrow/internal/handshake"
 )
 
 const (
@@ -32,8 +32,8 @@
 	listener net.Listener
 	begun    time.Time
 	mu       sync.Mutex
-	callers  *machine.Lobby // with it used up the oldest gives way
-	left     chan struct{}  // somebody has gone
+	callers  *handshake.Pool // with it used up the oldest gives way
+	left     chan struct{}   // somebody has gone
 	all      sync.WaitGroup
 }
 
@@ -43,7 +43,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("second address: %w", err)
 	}
-	return &Server{relay: r, log: log, listener: l, begun: time.Now(), callers: machine.NewLobby(most),
+	return &Server{relay: r, log: log, listener: l, begun: time.Now(), callers: handshake.NewPool(most),
 		left: make(chan struct{}, 1)}, nil
 }
 
@@ -76,7 +76,7 @@
 func (s *Server) Close() {
 	_ = s.listener.Close()
 	s.mu.Lock()
-	for _, g := range s.callers.Empty() {
+	for _, g := range s.callers.RemoveAll() {
 		_ = g.Conn.(net.Conn).Close()
 	}
 	s.mu.Unlock()
@@ -91,10 +91,10 @@
 }
 
 // enter takes a caller in. It waits no longer than it takes the oldest to have been heard.
-func (s *Server) enter(conn net.Conn) *machine.Guest {
+func (s *Server) enter(conn net.Conn) *handshake.Connection {
 	for {
 		s.mu.Lock()
-		in, out, wait := s.callers.Enter(time.Since(s.begun), conn)
+		in, out, wait := s.callers.Add(time.Since(s.begun), conn)
 		s.mu.Unlock()
 		if out != nil {
 			_ = out.Conn.(net.Conn).Close()
@@ -113,13 +113,13 @@
 	}
 }
 
-func (s *Server) leave(g *machine.Guest, conn net.Conn) {
+func (s *Server) leave(g *handshake.Connection, conn net.Conn) {
 	if p := recover(); p != nil {
 		s.log.Error("panic at the second address", zap.Any("panic", p), zap.ByteString("stack", debug.Stack()))
 	}
 	_ = conn.Close()
 	s.mu.Lock()
-	s.callers.Leave(g)
+	s.callers.Remove(g)
 	s.mu.Unlock()
 	select {
 	case s.left <- struct{}{}:
@@ -160,7 +160,7 @@
 	// Closing over unread bytes would reset the connection and take the answer with it.
 	if c, ok := conn.(*net.TCPConn); ok {
 		_ = c.CloseWrite()
-		_ = c.SetReadDeadline(time.Now().Add(machine.Parting))
-		_, _ = io.CopyN(io.Discard, c, machine.MostReadOff)
+		_ = c.SetReadDeadline(time.Now().Add(handshake.LingerTimeout))
+		_, _ = io.CopyN(io.Discard, c, handshake.MaxLingerBytes)
 	}
 }
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -13,7 +13,8 @@
 	"syscall"
 	"time"
 
-	"aspenbarrow/internal/machine"
+	"aspenbarrow/internal/protocol"
+	"aspenbarrow/internal/session"
 )
 
 // line is a connection and the reader that holds its buffered bytes.
@@ -24,7 +25,7 @@
 
 // readers are pooled: an idle flow holds two. Their size leaves room to wait for
 // a byte beyond the longest line without moving the line.
-var readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, machine.MaxLine+256) }}
+var readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, protocol.MaxLineLength+256) }}
 
 func newLine(conn *net.TCPConn) *line {
 	r := readers.Get().(*bufio.Reader)
@@ -76,30 +77,30 @@
 
 // attempt sends the OPEN line of a client to a backend and waits for its first line. With
 // UP the returned line holds that answer as its first bytes, answer of them.
-func (r *Relay) attempt(ctx context.Context, client *line, a *machine.Attempt) (l *line, answer int, fail *machine.AttemptError) {
+func (r *Relay) attempt(ctx context.Context, client *line, a *session.Attempt) (l *line, answer int, fail *session.AttemptError) {
 	if client.over() {
-		return nil, 0, a.Failed(errOver, true)
+		return nil, 0, a.DialFailed(errOver, true)
 	}
-	ctx, cancel := context.WithDeadline(ctx, r.at(a.Until))
+	ctx, cancel := context.WithDeadline(ctx, r.at(a.Deadline))
 	defer cancel()
-	d := net.Dialer{Timeout: a.Dial, KeepAlive: -1}
-	c, err := d.DialContext(ctx, "tcp", a.To.Addr())
+	d := net.Dialer{Timeout: a.DialTimeout, KeepAlive: -1}
+	c, err := d.DialContext(ctx, "tcp", a.Backend.Address())
 	if err != nil {
-		return nil, 0, a.Failed(err, ctx.Err() == context.Canceled)
+		return nil, 0, a.DialFailed(err, ctx.Err() == context.Canceled)
 	}
 	l = newLine(c.(*net.TCPConn))
 	stop := context.AfterFunc(ctx, func() { _ = c.SetDeadline(time.Unix(1, 0)) })
 	if ctx.Err() == context.Canceled || client.over() { // it left, or was answered, while the dial was out
-		fail = a.Failed(errOver, true)
+		fail = a.DialFailed(errOver, true)
 	} else {
 		answer, fail = r.exchange(l, a)
 	}
 	if fail == nil && !stop() {
-		fail = a.Broke(0, true, context.Cause(ctx), true)
+		fail = a.ConnectionEnded(0, true, context.Cause(ctx), true)
 	}
 	if fail != nil {
 		if ctx.Err() == context.Canceled {
-			fail.GivenUp()
+			fail.Abandon()
 		}
 		_ = c.Close()
 		l.recycle()
@@ -109,22 +110,22 @@
 }
 
 // exchange writes the line and reads the answer on a connection that is up.
-func (r *Relay) exchange(l *line, a *machine.Attempt) (int, *machine.AttemptError) {
-	head, fail := a.Dialled(r.now())
+func (r *Relay) exchange(l *line, a *session.Attempt) (int, *session.AttemptError) {
+	head, fail := a.Connected(r.now())
 	if fail != nil {
 		return 0, fail
 	}
 	pieces := net.Buffers{head[0], head[1], head[2]}
 	if n, err := pieces.WriteTo(l.conn); err != nil {
-		return 0, a.Broke(int(n), false, err, false)
+		return 0, a.ConnectionEnded(int(n), false, err, false)
 	}
-	a.Sent()
+	a.RequestSent()
 	for seen := 0; ; {
 		b, err := l.more(seen)
 		if err != nil {
-			return 0, a.Broke(0, true, err, timedOut(err))
+			return 0, a.ConnectionEnded(0, true, err, timedOut(err))
 		}
-		if n, fail := a.Answer(b); n > 0 || fail != nil {
+		if n, fail := a.ReadAnswer(b); n > 0 || fail != nil {
 			return n, fail
 		}
 		seen = len(b)
--- a/internal/relay/crossings_test.go
+++ b/internal/relay/crossings_test.go
@@ -17,8 +17,8 @@
 	"golang.org/x/sys/unix"
 
 	"aspenbarrow/balance"
-	"aspenbarrow/internal/machine"
 	"aspenbarrow/internal/route"
+	"aspenbarrow/internal/session"
 	"aspenbarrow/internal/standin"
 )
 
@@ -84,7 +84,7 @@
 			t.Error(err)
 		}
 		all, _ := b.Connections()
-		return all == 0 && r.node.Flows() == 0 && r.flowing.Load() == 0
+		return all == 0 && r.node.Sessions() == 0 && r.flowing.Load() == 0
 	})
 }
 
@@ -290,7 +290,7 @@
 			r, _, _ := running(t, bare(d.addr()))
 			first := d.call()
 			c := opens(t, r, 1, "")
-			until(t, "it waits", func() bool { return in(r, r.node.Flows) == 1 })
+			until(t, "it waits", func() bool { return in(r, r.node.Sessions) == 1 })
 			leaves(t, r, c, way.how)
 			first.answers(standin.List(1, []standin.Entry{b.entry("s-0")}))
 			servesNext(t, r, b, 2)
@@ -326,13 +326,13 @@
 	b.answersOne(r)
 	for i := range 64 {
 		near, _ := pipe(t)
-		f := &flow{relay: r, client: newLine(near), m: machine.NewFlow(uint64(i+100), r.settings.Load(), r.node.Ledger()),
-			orders: make(chan machine.Order, 16), left: make(chan bool, 1), stands: make(chan struct{}), over: make(chan struct{})}
-		if g, err := f.m.Hello(r.now(), fmt.Appendf(nil, "OPEN %016x %016x c=chat,d=1000\r\n", i+100, i), true); err != nil || !g.Opened {
+		f := &flow{relay: r, client: newLine(near), m: session.New(uint64(i+100), r.settings.Load(), r.node.Metrics()),
+			orders: make(chan session.Command, 16), left: make(chan bool, 1), stands: make(chan struct{}), over: make(chan struct{})}
+		if g, err := f.m.ReadHandshake(r.now(), fmt.Appendf(nil, "OPEN %016x %016x c=chat,d=1000\r\n", i+100, i), true); err != nil || !g.Opened {
 			t.Fatalf("%+v, %v", g, err)
 		}
 		f.left <- false
-		f.orders <- machine.Order{To: a.To, Until: r.now() + patience}
+		f.orders <- session.Command{Backend: a.Backend, Deadline: r.now() + patience}
 		told := len(r.events)
 		if up := f.await(); up != nil {
 			t.Fatal("served a client that has left")
@@ -354,16 +354,16 @@
 			r, _, a := attempts(t, b.l.Addr().String(), patience)
 			b.answersOne(r)
 			near, far := pipe(t)
-			f := &flow{relay: r, client: newLine(near), m: machine.NewFlow(100, r.settings.Load(), r.node.Ledger()),
-				orders: make(chan machine.Order, 16), left: make(chan bool, 1), stands: make(chan struct{}), over: make(chan struct{})}
-			if g, err := f.m.Hello(r.now(), []byte("OPEN 0000000000000064 0000000000000001 c=chat,d=60000\r\n"), true); err != nil || !g.Opened {
+			f := &flow{relay: r, client: newLine(near), m: session.New(100, r.settings.Load(), r.node.Metrics()),
+				orders: make(chan session.Command, 16), left: make(chan bool, 1), stands: make(chan struct{}), over: make(chan struct{})}
+			if g, err := f.m.ReadHandshake(r.now(), []byte("OPEN 0000000000000064 0000000000000001 c=chat,d=60000\r\n"), true); err != nil || !g.Opened {
 				t.Fatalf("%+v, %v", g, err)
 			}
 			way.how(&caller{t: t, TCPConn: far})
 			until(t, "its end has come", f.client.over)
 			done := make(chan struct{})
 			go func() { defer close(done); f.await() }()
-			f.orders <- machine.Order{To: a.To, Until: r.now() + patience}
+			f.orders <- session.Command{Backend: a.Backend, Deadline: r.now() + patience}
 			_ = b.l.SetDeadline(time.Now().Add(2 * leavingTime))
 			if c, err := b.l.Accept(); err == nil {
 				t.Errorf("an attempt from %v was begun for a client that has left", c.RemoteAddr())
@@ -770,7 +770,7 @@
 	c := opens(t, r, 1, "") // nobody accepts yet
 	_ = r.listener.SetDeadline(time.Unix(1, 0))
 	go func() { _ = r.accept() }() // its time is over
-	r.post(r.node.Leave)
+	r.post(r.node.Shutdown)
 	try := b.accept()
 	try.asked("OPEN")
 	try.says("UP it\r\nBYE\r\n")
@@ -807,7 +807,7 @@
 	c := &caller{near.(*net.TCPConn), t, bufio.NewReader(near)}
 	_, _ = io.WriteString(c, "PING\r\nOPEN 0000000000000001 00000000")
 	c.hears("PONG")
-	r.post(r.node.Leave)
+	r.post(r.node.Shutdown)
 	<-r.left
 	_, _ = io.WriteString(c, "00000002 c=chat,d=60000\r\n")
 	c.hears("BUSY")
@@ -1158,7 +1158,7 @@
 			defer p.closeAll()
 			for range 2 {
 				done := make(chan balance.HealthCheckResult, 1)
-				go func() { done <- p.probe(a.To) }()
+				go func() { done <- p.probe(a.Backend) }()
 				c := s.accept()
 				c.asked("STATS")
 				c.says("PONG x0=0.25\r\n" + tc.extra)
--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -16,24 +16,24 @@
 
 	"go.uber.org/zap"
 
-	"aspenbarrow/internal/machine"
+	"aspenbarrow/internal/discovery"
 )
 
-// discovery keeps to one agent at a time; a reload may name another.
-type discovery struct {
+// discoveryLoop keeps to one agent at a time; a reload may name another.
+type discoveryLoop struct {
 	relay   *Relay
 	address string
 	calls   chan bool   // what the module asked for: true a watch, false the whole list once
 	moves   chan string // the address of a new agent; only the newest counts
 }
 
-func newDiscovery(address string, r *Relay) *discovery {
-	return &discovery{relay: r, address: address, calls: make(chan bool, 8), moves: make(chan string, 1)}
+func newDiscovery(address string, r *Relay) *discoveryLoop {
+	return &discoveryLoop{relay: r, address: address, calls: make(chan bool, 8), moves: make(chan string, 1)}
 }
 
 // ask is called by the loop and must not wait: a call too many is dropped, the
 // module asks again.
-func (d *discovery) ask(watch bool) {
+func (d *discoveryLoop) ask(watch bool) {
 	select {
 	case d.calls <- watch:
 	default:
@@ -41,7 +41,7 @@
 }
 
 // move names a new agent. It never waits; one that is not taken up yet is replaced.
-func (d *discovery) move(address string) {
+func (d *discoveryLoop) move(address string) {
 	for {
 		select {
 		case d.moves <- address:
@@ -58,15 +58,15 @@
 // run follows one agent after the other until ctx is done. The old one is left
 // at once, in the middle of a watch too: what it still says is no longer news,
 // and what the new one knows counts as told soon after its address was.
-func (d *discovery) run(ctx context.Context) {
+func (d *discoveryLoop) run(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(d.relay.seed, 0xd15c))
 	for moved := false; ; moved = true {
-		a := machine.NewAgent(d.address, d.relay.settings.Load(), moved, rng)
-		if v, ok := d.relay.node.Cached(); ok && !moved { // versions are an agent's own
-			a.Knows(v)
+		a := discovery.NewClient(d.address, d.relay.settings.Load(), moved, rng)
+		if v, ok := d.relay.node.CachedVersion(); ok && !moved { // versions are an agent's own
+			a.ResumeFrom(v)
 		}
 		t := &http.Transport{Proxy: nil, DisableCompression: true, MaxConnsPerHost: 2, MaxIdleConnsPerHost: 2,
-			DialContext: (&net.Dialer{Timeout: machine.Lagging}).DialContext}
+			DialContext: (&net.Dialer{Timeout: discovery.ResponseGrace}).DialContext}
 		follow, leave := context.WithCancel(ctx)
 		done := make(chan struct{})
 		go func() {
@@ -87,20 +87,20 @@
 }
 
 // follow makes the calls that the machine asks for.
-func (d *discovery) follow(ctx context.Context, a *machine.Agent, client *http.Client) {
+func (d *discoveryLoop) follow(ctx context.Context, a *discovery.Client, client *http.Client) {
 	for ctx.Err() == nil {
 		select {
 		case watch := <-d.calls:
-			a.Want(watch)
+			a.Schedule(watch)
 			continue
 		default:
 		}
-		call, ok := a.Next()
+		call, ok := a.NextRequest()
 		if !ok {
 			select {
 			case <-ctx.Done():
 			case watch := <-d.calls:
-				a.Want(watch)
+				a.Schedule(watch)
 			}
 			continue
 		}
@@ -108,21 +108,21 @@
 		if ctx.Err() != nil {
 			return
 		}
-		var news machine.News
+		var news discovery.Update
 		if err == nil {
-			news, err = a.Answered(body)
+			news, err = a.HandleResponse(body)
 		} else {
-			news = a.Failed(timedOut(err))
+			news = a.HandleFailure(timedOut(err))
 		}
 		if err != nil {
 			d.relay.log.Warn("discovery does not answer, the last list stays", zap.String("agent", a.Address),
-				zap.Bool("whole", call.Whole), zap.Error(err))
+				zap.Bool("whole", call.FullList), zap.Error(err))
 		}
-		if news.Any {
-			d.relay.post(func(now time.Duration) { d.relay.node.Listed(now, news.Members, news.Kind) })
+		if news.Changed {
+			d.relay.post(func(now time.Duration) { d.relay.node.EndpointsUpdated(now, news.Endpoints, news.Kind) })
 		}
-		if news.Pause > 0 {
-			pause := time.NewTimer(news.Pause)
+		if news.RetryDelay > 0 {
+			pause := time.NewTimer(news.RetryDelay)
 			select {
 			case <-ctx.Done():
 			case <-pause.C:
@@ -132,9 +132,9 @@
 	}
 }
 
-func get(ctx context.Context, client *http.Client, address string, call machine.Call) ([]byte, error) {
+func get(ctx context.Context, client *http.Client, address string, call discovery.Request) ([]byte, error) {
 	u := url.URL{Scheme: "http", Host: address, Path: call.Path, RawQuery: call.Query}
-	ctx, cancel := context.WithTimeout(ctx, call.Limit)
+	ctx, cancel := context.WithTimeout(ctx, call.Timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, u.String(), nil)
 	if err != nil {
@@ -145,7 +145,7 @@
 		return nil, err
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, machine.MaxBody))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, discovery.MaxBodyBytes))
 	if err == nil && resp.StatusCode != http.StatusOK {
 		err = fmt.Errorf("status %s", resp.Status)
 	}
--- a/internal/relay/flow.go
+++ b/internal/relay/flow.go
@@ -17,22 +17,24 @@
 
 	"go.uber.org/zap"
 
-	"aspenbarrow/internal/machine"
+	"aspenbarrow/internal/handshake"
+	"aspenbarrow/internal/protocol"
+	"aspenbarrow/internal/session"
 )
 
 type result struct {
-	attempt *machine.Attempt
+	attempt *session.Attempt
 	back    *line
 	answer  int // bytes of the UP line, first in back
-	fail    *machine.AttemptError
-	stood   machine.Event
+	fail    *session.AttemptError
+	stood   session.Event
 }
 
 type flow struct {
 	relay   *Relay
-	m       *machine.Flow
+	m       *session.Session
 	client  *line
-	orders  chan machine.Order
+	orders  chan session.Command
 	left    chan bool     // the client's end before UP; true: it went on before its answer
 	stands  chan struct{} // closed when UP goes out
 	over    chan struct{} // closed once the flow is at its end
@@ -44,7 +46,7 @@
 }
 
 // serve drives the connection from its first byte to its end.
-func (f *flow) serve(g *machine.Guest) {
+func (f *flow) serve(g *handshake.Connection) {
 	begun := false
 	defer f.relay.guests.Done()
 	defer func() {
@@ -56,9 +58,9 @@
 			}
 		}
 		close(f.over)
-		f.m.Gone()
+		f.m.Ended()
 		if begun {
-			_ = f.client.conn.SetReadDeadline(time.Now().Add(machine.Farewell))
+			_ = f.client.conn.SetReadDeadline(time.Now().Add(session.CloseTimeout))
 			f.readers.Wait()
 		}
 		_ = f.client.conn.Close()
@@ -73,13 +75,13 @@
 	switch {
 	case opened && f.relay.admit():
 		if begun = f.relay.lobby.leave(g); !begun { // it had to give way just now
-			f.m.TurnedAway()
+			f.m.Refused()
 			f.relay.flowing.Add(-1)
 			return
 		}
-		f.m.Taken()
+		f.m.Admitted()
 	case opened:
-		f.m.TurnedAway()
+		f.m.Refused()
 		f.relay.log.Warn("turned away: near the limit of descriptors or memory")
 		f.end(f.relay.busyLine())
 		f.relay.lobby.readOff(g)
@@ -88,7 +90,7 @@
 		return
 	default:
 		f.relay.bad(f.client.conn, err)
-		f.end(machine.AnswerFailed)
+		f.end(protocol.AnswerFailed)
 		f.relay.lobby.readOff(g)
 		return
 	}
@@ -107,22 +109,22 @@
 	for seen := 0; ; {
 		b, err := f.client.more(seen)
 		if err != nil {
-			return false, f.m.HelloEnded(endOf(err), seen)
+			return false, f.m.HandshakeEnded(endOf(err), seen)
 		}
-		f.m.Under(f.relay.settings.Load())
-		g, err := f.m.Hello(f.relay.now(), b, f.relay.node.Ready())
+		f.m.SetSettings(f.relay.settings.Load())
+		g, err := f.m.ReadHandshake(f.relay.now(), b, f.relay.node.Ready())
 		switch {
 		case err != nil:
 			return false, err
 		case g.Opened:
 			_ = f.client.conn.SetDeadline(time.Time{})
 			return true, nil
-		case g.Take == 0:
+		case g.Consumed == 0:
 			seen = len(b)
 			continue
 		}
 		seen = 0
-		f.client.take(g.Take)
+		f.client.take(g.Consumed)
 		if _, err := io.WriteString(f.client.conn, g.Reply); err != nil {
 			return false, nil
 		}
@@ -130,14 +132,14 @@
 }
 
 // endOf tells in which way a read ended.
-func endOf(err error) machine.End {
+func endOf(err error) session.EndKind {
 	switch {
 	case timedOut(err):
-		return machine.ByTime
+		return session.EndTimeout
 	case errors.Is(err, io.EOF):
-		return machine.ByFIN
+		return session.EndFIN
 	}
-	return machine.ByReset
+	return session.EndReset
 }
 
 // await feeds the loop's orders and the attempts' ends to the machine until the
@@ -150,9 +152,9 @@
 	gone := func(spoke bool) {
 		left = nil
 		f.relay.log.Debug("client left while it waited", zap.Bool("spoke", spoke))
-		f.carryOut(f.m.Left(spoke))
+		f.carryOut(f.m.ClientClosed(spoke))
 	}
-	for f.m.Waits() {
+	for f.m.AwaitsCommands() {
 		select { // of two that are ready one is taken by chance: nothing is begun for a client that has left
 		case spoke := <-left:
 			gone(spoke)
@@ -161,63 +163,63 @@
 		}
 		select {
 		case o := <-f.orders:
-			f.carryOut(f.m.Order(f.relay.now(), o))
+			f.carryOut(f.m.Execute(f.relay.now(), o))
 		case spoke := <-left:
 			gone(spoke)
 		case r := <-f.results:
-			if r.fail != nil && r.fail.Odd() {
+			if r.fail != nil && r.fail.UnknownAnswer() {
 				f.relay.log.Error("backend answered what the protocol does not know",
-					zap.String("backend", r.attempt.To.Name), zap.Error(r.fail))
+					zap.String("backend", r.attempt.Backend.Name), zap.Error(r.fail))
 			}
-			do := f.m.Tried(f.relay.now(), r.attempt, r.fail)
-			if do.Stand {
+			do := f.m.AttemptDone(f.relay.now(), r.attempt, r.fail)
+			if do.Establish {
 				r.stood = do.Event
 				return &r
 			}
-			if do.DropBack {
+			if do.CloseBackend {
 				_ = r.back.conn.Close()
 				r.back.recycle()
 			}
-			f.relay.log.Debug("attempt ended", zap.String("backend", r.attempt.To.Name), zap.Error(r.fail))
+			f.relay.log.Debug("attempt ended", zap.String("backend", r.attempt.Backend.Name), zap.Error(r.fail))
 			f.carryOut(do)
 		}
 	}
 	return nil
 }
 
-func (f *flow) carryOut(do machine.Do) {
-	if do.Cancel {
+func (f *flow) carryOut(do session.Actions) {
+	if do.CancelAttempt {
 		f.cancel()
 	}
-	if do.Bad != nil {
-		f.relay.bad(f.client.conn, do.Bad)
+	if do.ClientError != nil {
+		f.relay.bad(f.client.conn, do.ClientError)
 	}
 	if do.Answer != "" {
 		f.end(do.Answer)
 	}
-	if do.Try != nil {
+	if do.Attempt != nil {
 		ctx, stop := context.WithCancel(context.Background())
 		f.cancel = stop
-		go f.try(ctx, do.Try)
+		go f.try(ctx, do.Attempt)
 	}
 	f.tell(do.Event)
 }
 
 // tell has the loop hear an event.
-func (f *flow) tell(e machine.Event) {
-	if e.Kind != machine.Nothing {
+func (f *flow) tell(e session.Event) {
+	if e.Kind != session.NoEvent {
 		told := e // captured below: without a copy each line that tells nothing would cost memory
-		f.relay.post(func(now time.Duration) { f.relay.node.Heard(now, f.m.Seq, told) })
+		f.relay.post(func(now time.Duration) { f.relay.node.SessionEvent(now, f.m.Seq, told) })
 	}
 }
 
 // try runs one attempt.
-func (f *flow) try(ctx context.Context, a *machine.Attempt) {
+func (f *flow) try(ctx context.Context, a *session.Attempt) {
 	r := result{attempt: a}
 	defer func() {
 		if p := recover(); p != nil {
 			f.relay.log.Error("panic in an attempt", zap.Any("panic", p), zap.ByteString("stack", debug.Stack()))
-			r.fail = a.Broke(0, true, fmt.Errorf("panic: %v", p), false)
+			r.fail = a.ConnectionEnded(0, true, fmt.Errorf("panic: %v", p), false)
 		}
 		f.results <- r
 	}()
@@ -226,7 +228,7 @@
 		if r.fail == nil {
 			return
 		}
-		pause, ok := a.Again(f.relay.now(), r.fail)
+		pause, ok := a.RetryDelay(f.relay.now(), r.fail)
 		if !ok {
 			return
 		}
@@ -243,10 +245,10 @@
 // connection and take that last line with it.
 func (f *flow) end(last string) {
 	c := f.client.conn
-	_ = c.SetWriteDeadline(time.Now().Add(machine.Farewell))
+	_ = c.SetWriteDeadline(time.Now().Add(session.CloseTimeout))
 	_, _ = io.WriteString(c, last)
 	_ = c.CloseWrite()
-	_ = c.SetReadDeadline(time.Now().Add(machine.Farewell))
+	_ = c.SetReadDeadline(time.Now().Add(session.CloseTimeout))
 }
 
 // upstream reads the client: first only whether it leaves, then its lines, which
@@ -256,7 +258,7 @@
 	defer func() {
 		if p := recover(); p != nil {
 			f.relay.log.Error("panic in a flow", zap.Any("panic", p), zap.ByteString("stack", debug.Stack()))
-			f.hangUp(f.m.ClientEnded(machine.ByReset))
+			f.hangUp(f.m.ClientEnded(session.EndReset))
 		}
 	}()
 	head := f.m.Open.Len()
@@ -271,7 +273,7 @@
 		f.left <- err == nil
 		select {
 		case <-f.stands: // it was just being served: the end belongs to the backend as well
-			how := machine.ByReset
+			how := session.EndReset
 			if err != nil {
 				how = endOf(err)
 			}
@@ -290,7 +292,7 @@
 		n, err := f.m.FromClient(f.relay.now(), b)
 		if err != nil {
 			f.relay.bad(f.client.conn, err)
-			f.hangUp(f.m.ClientEnded(machine.ByReset))
+			f.hangUp(f.m.ClientEnded(session.EndReset))
 			return
 		}
 		if n == 0 {
@@ -298,9 +300,9 @@
 			continue
 		}
 		seen = 0
-		_ = f.back.SetWriteDeadline(time.Now().Add(machine.Silence))
+		_ = f.back.SetWriteDeadline(time.Now().Add(session.BackendSilenceTimeout))
 		if _, err := f.back.Write(b[:n]); timedOut(err) {
-			f.m.BackendStuck()
+			f.m.BackendBlocked()
 			_ = f.back.SetReadDeadline(time.Unix(1, 0))
 		}
 		f.client.take(n)
@@ -308,11 +310,11 @@
 }
 
 // hangUp ends what a client's end leaves to be ended.
-func (f *flow) hangUp(h machine.Hang) {
+func (f *flow) hangUp(h session.CloseMode) {
 	switch h {
-	case machine.HangFIN:
+	case session.CloseFIN:
 		_ = f.back.CloseWrite()
-	case machine.HangReset:
+	case session.CloseReset:
 		for _, c := range [2]*net.TCPConn{f.back, f.client.conn} {
 			_ = c.SetLinger(0)
 			_ = c.Close()
@@ -329,47 +331,47 @@
 	f.mu.Unlock()
 	close(f.stands) // before UP is out: the client's next line may be here as soon as it is
 	b, _ := back.in.R.Peek(r.answer)
-	_ = f.client.conn.SetWriteDeadline(time.Now().Add(machine.SlowReader))
+	_ = f.client.conn.SetWriteDeadline(time.Now().Add(session.ClientWriteTimeout))
 	_, err := f.client.conn.Write(b)
 	back.take(r.answer)
 	f.tell(r.stood)
-	var v machine.Verdict
+	var v session.Termination
 	if err == nil {
 		v = f.downstream(back)
 	} else {
 		v = f.deaf()
 	}
-	if v.Silent {
+	if v.BackendSilent {
 		f.relay.log.Warn("backend silent, client moved", zap.Stringer("backend", back.conn.RemoteAddr()))
 	}
 	switch {
-	case v.Client:
-		f.end(v.Last)
-	case v.Reset:
+	case v.CloseClient:
+		f.end(v.LastLine)
+	case v.ResetClient:
 		_ = f.client.conn.SetLinger(0)
 		_ = f.client.conn.Close()
 	}
-	f.tell(f.m.Closed(v))
+	f.tell(f.m.Terminated(v))
 	// The end is the backend's at once, while the client may need a while to take its last line.
 	_ = back.conn.Close()
-	_ = f.client.conn.SetReadDeadline(time.Now().Add(machine.Farewell))
+	_ = f.client.conn.SetReadDeadline(time.Now().Add(session.CloseTimeout))
 	f.readers.Wait()
 	back.recycle()
 }
 
 // downstream passes the backend's lines on. It stands between two lines whenever
 // it waits, so MOVE never falls into one.
-func (f *flow) downstream(back *line) machine.Verdict {
+func (f *flow) downstream(back *line) session.Termination {
 	client := f.client.conn
 	for seen := 0; ; {
 		// The deadline before the flag: whoever sets the flag cuts the wait short after it.
-		_ = back.conn.SetReadDeadline(time.Now().Add(machine.Glance))
-		if v, now := f.m.Between(); now {
+		_ = back.conn.SetReadDeadline(time.Now().Add(session.IdleCheckInterval))
+		if v, now := f.m.AtLineBoundary(); now {
 			return v
 		}
 		b, err := back.more(seen)
 		if timedOut(err) {
-			if v, over := f.m.Idle(f.relay.now()); over {
+			if v, over := f.m.CheckIdle(f.relay.now()); over {
 				return v
 			}
 			continue
@@ -380,7 +382,7 @@
 		n, told, err := f.m.FromBackend(b)
 		if err != nil {
 			f.relay.log.Warn("backend broke the protocol", zap.Error(err))
-			return f.m.BackendEnded(machine.ByReset)
+			return f.m.BackendEnded(session.EndReset)
 		}
 		if n == 0 {
 			seen = len(b)
@@ -388,7 +390,7 @@
 		}
 		seen = 0
 		f.tell(told)
-		_ = client.SetWriteDeadline(time.Now().Add(machine.SlowReader))
+		_ = client.SetWriteDeadline(time.Now().Add(session.ClientWriteTimeout))
 		if _, err := client.Write(b[:n]); err != nil {
 			return f.deaf()
 		}
@@ -397,15 +399,15 @@
 }
 
 // deaf ends a flow whose client takes nothing any more.
-func (f *flow) deaf() machine.Verdict {
-	v, h := f.m.ClientDeaf()
+func (f *flow) deaf() session.Termination {
+	v, h := f.m.ClientBlocked()
 	f.hangUp(h)
 	return v
 }
 
 // move is called by the loop: the client shall leave at the next line's end.
 func (f *flow) move() {
-	f.m.Move()
+	f.m.Migrate()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.back != nil {
--- a/internal/relay/golden_test.go
+++ b/internal/relay/golden_test.go
@@ -9,7 +9,7 @@
 	"strings"
 	"testing"
 
-	"aspenbarrow/internal/machine"
+	"aspenbarrow/internal/shadow"
 )
 
 var update = flag.Bool("update", false, "write golden files")
@@ -25,7 +25,7 @@
 	bare := managed(t)
 	until(t, "it serves", func() bool { return strings.HasPrefix(call(t, bare, "READY"), "SUCCESS") })
 	say(bare, "READY", "WATCH", "MEMBERS", "", "ready")
-	r := managedAs(t, "x0=0.1", func(cfg *Config) { cfg.Watch = machine.ShapeOf(&cfg.Settings.Settings) })
+	r := managedAs(t, "x0=0.1", func(cfg *Config) { cfg.Shadow = shadow.ShapeOf(&cfg.Settings.Settings) })
 	for i := range 5 {
 		upClient(t, r, i+1)
 	}
--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -26,7 +26,8 @@
 	"go.uber.org/zap"
 	"golang.org/x/sys/unix"
 
-	"aspenbarrow/internal/machine"
+	"aspenbarrow/internal/controller"
+	"aspenbarrow/internal/hotrestart"
 )
 
 const (
@@ -79,8 +80,8 @@
 			return string(line[:len(line)-1]), nil
 		case !errors.Is(err, bufio.ErrBufferFull):
 			return "", err
-		case len(line) > machine.MostBequest:
-			return "", fmt.Errorf("a line over %d bytes", machine.MostBequest)
+		case len(line) > hotrestart.MaxDocumentBytes:
+			return "", fmt.Errorf("a line over %d bytes", hotrestart.MaxDocumentBytes)
 		}
 	}
 }
@@ -208,7 +209,7 @@
 	switch {
 	case err != nil:
 		return nil, err
-	case string(head[:len(magic)]) != magic || size > machine.MostBequest || len(files) == 0:
+	case string(head[:len(magic)]) != magic || size > hotrestart.MaxDocumentBytes || len(files) == 0:
 		return nil, fmt.Errorf("the old process hands over what this one does not know: %q, %d bytes, %d sockets",
 			head[:len(magic)], size, len(files))
 	}
@@ -287,19 +288,19 @@
 			_ = g.conn.Close()
 			r.log.Info("the old process has ended")
 			r.post(func(now time.Duration) {
-				r.node.Elsewhere(now, 0)
-				_ = r.node.Beside(now, nil)
+				r.node.SetOtherProcessDescriptors(now, 0)
+				_ = r.node.ImportLoad(now, nil)
 			})
 			return
 		}
 		switch word, rest, _ := strings.Cut(line, " "); word {
 		case lineHeld:
 			if n, err := strconv.Atoi(rest); err == nil {
-				r.post(func(now time.Duration) { r.node.Elsewhere(now, n) })
+				r.post(func(now time.Duration) { r.node.SetOtherProcessDescriptors(now, n) })
 			}
 		case lineSeen:
 			r.post(func(now time.Duration) {
-				if err := r.node.Beside(now, []byte(rest)); err != nil {
+				if err := r.node.ImportLoad(now, []byte(rest)); err != nil {
 					r.log.Warn("what the old process sees cannot be read", zap.Error(err))
 				}
 			})
@@ -388,7 +389,7 @@
 	}
 	asked := make(chan will, 1)
 	go r.post(func(now time.Duration) {
-		text, err := r.node.Bequeath(now)
+		text, err := r.node.ExportState(now)
 		asked <- will{text, err}
 	})
 	var w will
@@ -486,7 +487,7 @@
 			last = n
 		}
 		go r.post(func(time.Duration) {
-			text, _ := r.node.Seen()
+			text, _ := r.node.ExportLoad()
 			asked <- text
 		})
 		select {
@@ -507,7 +508,7 @@
 
 // held is how many descriptors this process may have in use.
 func (r *Relay) held() int {
-	return 2*int(r.flowing.Load()) + r.lobby.guests() + machine.OwnSockets + int(r.spare.Load())
+	return 2*int(r.flowing.Load()) + r.lobby.guests() + controller.ReservedDescriptors + int(r.spare.Load())
 }
 
 // park has this process leave those who come to the next one, or take them again.
--- a/internal/relay/lobby.go
+++ b/internal/relay/lobby.go
@@ -9,30 +9,30 @@
 	"sync"
 	"time"
 
-	"aspenbarrow/internal/machine"
+	"aspenbarrow/internal/handshake"
 )
 
 type lobby struct {
 	mu      sync.Mutex
-	m       *machine.Lobby
+	m       *handshake.Pool
 	clock   func() time.Duration
 	goodbye []byte        // what one that gives way is told
 	freed   chan struct{} // somebody has left
 }
 
 func newLobby(room int, farewell string, clock func() time.Duration) *lobby {
-	return &lobby{m: machine.NewLobby(room), clock: clock, goodbye: []byte(farewell), freed: make(chan struct{}, 1)}
+	return &lobby{m: handshake.NewPool(room), clock: clock, goodbye: []byte(farewell), freed: make(chan struct{}, 1)}
 }
 
 // enter takes a connection in. It waits no longer than it takes the oldest to
 // have been heard.
-func (l *lobby) enter(conn *net.TCPConn) *machine.Guest {
+func (l *lobby) enter(conn *net.TCPConn) *handshake.Connection {
 	for {
 		l.mu.Lock()
-		in, out, wait := l.m.Enter(l.clock(), conn)
+		in, out, wait := l.m.Add(l.clock(), conn)
 		if out != nil {
 			c := out.Conn.(*net.TCPConn)
-			if out.Owed() {
+			if out.AwaitsAnswer() {
 				_, _ = c.Write(l.goodbye) // the first bytes on it, or after a PONG: this never waits
 			}
 			_ = c.Close()
@@ -53,10 +53,10 @@
 }
 
 // leave lets a guest go; false if it had to give way before.
-func (l *lobby) leave(g *machine.Guest) bool {
+func (l *lobby) leave(g *handshake.Connection) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.m.Leave(g) {
+	if !l.m.Remove(g) {
 		return false
 	}
 	select {
@@ -71,23 +71,23 @@
 // answer before it that the system still holds back for want of the client's
 // acknowledgements. Whoever never stops sending costs the core no more than so
 // many bytes: it is held up, looked at now and then, and cut off in the end.
-func (l *lobby) readOff(g *machine.Guest) {
+func (l *lobby) readOff(g *handshake.Connection) {
 	l.mu.Lock()
-	l.m.Told(g)
+	l.m.MarkAnswered(g)
 	l.mu.Unlock()
 	c := g.Conn.(*net.TCPConn)
-	end := time.Now().Add(machine.Parting)
+	end := time.Now().Add(handshake.LingerTimeout)
 	_ = c.SetReadDeadline(end)
-	_, err := io.CopyN(io.Discard, c, machine.MostReadOff)
+	_, err := io.CopyN(io.Discard, c, handshake.MaxLingerBytes)
 	for look := make([]byte, 512); err == nil && time.Now().Before(end); _, err = c.Read(look) {
-		time.Sleep(machine.Parting / 16)
+		time.Sleep(handshake.LingerTimeout / 16)
 	}
 }
 
 func (l *lobby) guests() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.m.Guests()
+	return l.m.Len()
 }
 
 // farewell changes what one that gives way is told.
@@ -108,10 +108,10 @@
 func (l *lobby) empty() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, g := range l.m.Empty() {
+	for _, g := range l.m.RemoveAll() {
 		c := g.Conn.(*net.TCPConn)
-		if g.Owed() {
-			_ = c.SetWriteDeadline(time.Now().Add(machine.Parting))
+		if g.AwaitsAnswer() {
+			_ = c.SetWriteDeadline(time.Now().Add(handshake.LingerTimeout))
 			_, _ = c.Write(l.goodbye)
 		}
 		_ = c.CloseWrite()
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -10,8 +10,10 @@
 	"go.uber.org/zap"
 
 	"aspenbarrow/balance"
-	"aspenbarrow/internal/machine"
+	"aspenbarrow/internal/controller"
+	"aspenbarrow/internal/session"
 	"aspenbarrow/internal/settings"
+	"aspenbarrow/internal/upstream"
 )
 
 // post hands an event to the loop. It may wait for the loop, never the reverse.
@@ -33,15 +35,15 @@
 	tick := time.NewTimer(time.Hour)
 	defer tick.Stop()
 	for {
-		r.node.Due(r.now())
-		if at, ok := r.node.Next(); ok {
+		r.node.FireTimers(r.now())
+		if at, ok := r.node.NextTimer(); ok {
 			tick.Reset(at - r.now())
 		}
 		select {
 		case e := <-r.events:
 			e(r.now())
 		case <-r.drains:
-			r.node.Drain(r.now())
+			r.node.ApplyDrain(r.now())
 		case <-tick.C:
 		case <-stop:
 			return
@@ -51,21 +53,21 @@
 
 func (r *Relay) opened(now time.Duration, f *flow) {
 	r.flows[f.m.Seq] = f
-	r.node.Opened(now, f.m)
+	r.node.SessionOpened(now, f.m)
 }
 
 func (r *Relay) closed(now time.Duration, f *flow) {
 	delete(r.flows, f.m.Seq)
-	r.node.Closed(now, f.m.Seq)
+	r.node.SessionClosed(now, f.m.Seq)
 }
 
 // host is what the Node has done.
 type host struct{ *Relay }
 
-var _ machine.Host = host{}
+var _ controller.Driver = host{}
 
-// Order hands an order to a flow; a flow that takes none any more is at its end.
-func (h host) Order(flow uint64, o machine.Order) {
+// SendCommand hands an order to a flow; a flow that takes none any more is at its end.
+func (h host) SendCommand(flow uint64, o session.Command) {
 	f := h.flows[flow]
 	if f == nil {
 		return
@@ -77,39 +79,39 @@
 	}
 }
 
-func (h host) Move(flow uint64) {
+func (h host) MigrateSession(flow uint64) {
 	if f := h.flows[flow]; f != nil {
 		f.move()
 	}
 }
 
-func (h host) Bad(flow uint64, err error) {
+func (h host) ReportClientError(flow uint64, err error) {
 	if f := h.flows[flow]; f != nil {
 		h.bad(f.client.conn, err)
 	}
 }
 
-func (h host) Probe(b *machine.Backend)        { h.probes.start(b) }
-func (h host) Release(id balance.BackendID)    { h.probes.release(id) }
-func (h host) Datagram(to string, data []byte) { h.peers.tell(to, data) }
-func (h host) Ask(watch bool)                  { h.discovery.ask(watch) }
-func (h host) Follow(address string)           { h.discovery.move(address) }
-func (h host) Ready()                          { close(h.listed) }
-func (h host) Door()                           { h.door.Do(func() { go h.shutDoor() }) }
-func (h host) Left()                           { close(h.left) }
+func (h host) StartHealthCheck(b *upstream.Backend)    { h.probes.start(b) }
+func (h host) ReleaseHealthCheck(id balance.BackendID) { h.probes.release(id) }
+func (h host) SendDatagram(to string, data []byte)     { h.peers.tell(to, data) }
+func (h host) RequestEndpoints(watch bool)             { h.discovery.ask(watch) }
+func (h host) SetDiscoveryAddress(address string)      { h.discovery.move(address) }
+func (h host) ListReceived()                           { close(h.listed) }
+func (h host) StopAccepting()                          { h.door.Do(func() { go h.shutDoor() }) }
+func (h host) Stopped()                                { close(h.left) }
 
-func (h host) Settings(s *settings.Settings) {
+func (h host) SetSettings(s *settings.Settings) {
 	h.settings.Store(s)
 	h.lobby.farewell(h.busyLine())
 	h.probes.under(s)
 }
 
-func (h host) Limits(s machine.Shares) {
-	h.room.Store(int64(s.Flows))
-	h.lobby.resize(s.Guests)
-	h.probes.resize(s.Probes)
-	h.spare.Store(int64(s.Probes + s.Calls))
+func (h host) SetLimits(s controller.Limits) {
+	h.room.Store(int64(s.Sessions))
+	h.lobby.resize(s.Handshakes)
+	h.probes.resize(s.HealthChecks)
+	h.spare.Store(int64(s.HealthChecks + s.AdminConnections))
 	if h.second != nil {
-		h.second.Resize(s.Calls)
+		h.second.Resize(s.AdminConnections)
 	}
 }
--- a/internal/relay/management_test.go
+++ b/internal/relay/management_test.go
@@ -12,7 +12,7 @@
 
 	"go.uber.org/zap"
 
-	"aspenbarrow/internal/machine"
+	"aspenbarrow/internal/shadow"
 	"aspenbarrow/internal/standin"
 )
 
@@ -205,7 +205,7 @@
 	if got := call(t, managed(t), "WATCH"); !strings.HasPrefix(got, "FAILURE nothing is watched") {
 		t.Errorf("%q", got)
 	}
-	same := func(cfg *Config) { cfg.Watch = machine.ShapeOf(&cfg.Settings.Settings) }
+	same := func(cfg *Config) { cfg.Shadow = shadow.ShapeOf(&cfg.Settings.Settings) }
 	r := managedAs(t, "x0=0.1", same)
 	for i := range 5 {
 		upClient(t, r, i+1)
@@ -215,7 +215,7 @@
 	if !strings.HasSuffix(got, "watch.fault=0\nEOT\n") || strings.Count(got, "=0\n") != strings.Count(got, "=")-1 {
 		t.Errorf("the same settings: %q", got)
 	}
-	r = managedAs(t, "x0=2.0", func(cfg *Config) { same(cfg); cfg.Watch.Probes, cfg.Watch.Report = false, nil })
+	r = managedAs(t, "x0=2.0", func(cfg *Config) { same(cfg); cfg.Shadow.Probes, cfg.Shadow.Report = false, nil })
 	c, err := net.Dial("tcp", r.Addr().String())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/relay/peers.go
+++ b/internal/relay/peers.go
@@ -11,7 +11,7 @@
 
 	"go.uber.org/zap"
 
-	"aspenbarrow/internal/machine"
+	"aspenbarrow/internal/controller"
 )
 
 type datagram struct {
@@ -114,7 +114,7 @@
 }
 
 func (p *peers) receive(ctx context.Context, conn net.PacketConn) {
-	buf := make([]byte, machine.MaxDatagram+1)
+	buf := make([]byte, controller.MaxDatagram+1)
 	for {
 		n, addr, err := conn.ReadFrom(buf)
 		if errors.Is(err, net.ErrClosed) {
@@ -129,10 +129,10 @@
 			continue
 		}
 		u, ok := addr.(*net.UDPAddr)
-		if err != nil || !ok || n > machine.MaxDatagram {
+		if err != nil || !ok || n > controller.MaxDatagram {
 			continue
 		}
 		from, data := u.AddrPort(), append([]byte(nil), buf[:n]...)
-		p.relay.post(func(now time.Duration) { p.relay.node.Datagram(now, from, data) })
+		p.relay.post(func(now time.Duration) { p.relay.node.DatagramReceived(now, from, data) })
 	}
 }
--- a/internal/relay/probes.go
+++ b/internal/relay/probes.go
@@ -18,14 +18,15 @@
 	"go.uber.org/zap"
 
 	"aspenbarrow/balance"
-	"aspenbarrow/internal/machine"
+	"aspenbarrow/internal/healthcheck"
 	"aspenbarrow/internal/settings"
+	"aspenbarrow/internal/upstream"
 )
 
 type probes struct {
 	relay *Relay
 	mu    sync.Mutex
-	m     *machine.Probes
+	m     *healthcheck.Checker
 }
 
 type probeConn struct {
@@ -50,21 +51,21 @@
 }
 
 func newProbes(r *Relay, atOnce int) *probes {
-	return &probes{relay: r, m: machine.NewProbes(r.settings.Load(), atOnce)}
+	return &probes{relay: r, m: healthcheck.New(r.settings.Load(), atOnce)}
 }
 
 // start probes a backend in the background; the module hears one answer.
-func (p *probes) start(b *machine.Backend) {
+func (p *probes) start(b *upstream.Backend) {
 	go func() {
 		rep := p.guarded(b)
 		p.relay.log.Debug("probed", zap.String("backend", b.Name), zap.Uint8("status", uint8(rep.Status)),
 			zap.Duration("latency", rep.Latency), zap.Float32s("load", rep.Load))
-		p.relay.post(func(now time.Duration) { p.relay.node.Probed(now, rep) })
+		p.relay.post(func(now time.Duration) { p.relay.node.HealthCheckDone(now, rep) })
 	}()
 }
 
 // guarded stops a panic at this one probe, which then counts as failed.
-func (p *probes) guarded(b *machine.Backend) (rep balance.HealthCheckResult) {
+func (p *probes) guarded(b *upstream.Backend) (rep balance.HealthCheckResult) {
 	defer func() {
 		if v := recover(); v != nil {
 			p.relay.log.Error("panic in a probe", zap.Any("panic", v), zap.ByteString("stack", debug.Stack()))
@@ -75,16 +76,16 @@
 }
 
 // locked takes one step of the machine.
-func (p *probes) locked(take func(now time.Duration) machine.ProbeStep) machine.ProbeStep {
+func (p *probes) locked(take func(now time.Duration) healthcheck.Step) healthcheck.Step {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return take(p.relay.now())
 }
 
-func (p *probes) probe(b *machine.Backend) balance.HealthCheckResult {
-	var pr *machine.Probe
-	step := p.locked(func(now time.Duration) (s machine.ProbeStep) {
-		pr, s = p.m.Begin(now, b)
+func (p *probes) probe(b *upstream.Backend) balance.HealthCheckResult {
+	var pr *healthcheck.Check
+	step := p.locked(func(now time.Duration) (s healthcheck.Step) {
+		pr, s = p.m.Start(now, b)
 		return s
 	})
 	for {
@@ -92,27 +93,27 @@
 			_ = c.(*probeConn).Close()
 		}
 		if k := step.Keep; k != nil {
-			time.AfterFunc(p.m.KeepFor(), func() { p.expire(k) })
+			time.AfterFunc(p.m.IdleTimeout(), func() { p.expire(k) })
 		}
 		switch {
 		case step.Done:
-			return pr.Report
+			return pr.Result
 		case step.Dial:
 			d := net.Dialer{Timeout: p.relay.settings.Load().DialTimeout, KeepAlive: -1}
-			conn, err := d.Dial("tcp", pr.Addr)
-			step = p.locked(func(now time.Duration) machine.ProbeStep {
+			conn, err := d.Dial("tcp", pr.Address)
+			step = p.locked(func(now time.Duration) healthcheck.Step {
 				if err != nil {
-					return pr.NoConn(now)
+					return pr.DialFailed(now)
 				}
-				return pr.Dialled(now, &probeConn{Conn: conn, text: textproto.NewReader(bufio.NewReader(conn))})
+				return pr.Connected(now, &probeConn{Conn: conn, text: textproto.NewReader(bufio.NewReader(conn))})
 			})
 		default:
-			answer, err := p.exchange(step.Ask.(*probeConn), p.relay.at(pr.Deadline))
-			step = p.locked(func(now time.Duration) machine.ProbeStep {
+			answer, err := p.exchange(step.Send.(*probeConn), p.relay.at(pr.Deadline))
+			step = p.locked(func(now time.Duration) healthcheck.Step {
 				if err != nil {
-					return pr.Broke(now, timedOut(err))
+					return pr.ConnectionEnded(now, timedOut(err))
 				}
-				return pr.Answered(now, answer)
+				return pr.ReadAnswer(now, answer)
 			})
 		}
 	}
@@ -130,16 +131,16 @@
 		return "", errSpent
 	}
 	c.used = true
-	if _, err := io.WriteString(c, p.m.Question()); err != nil {
+	if _, err := io.WriteString(c, p.m.RequestLine()); err != nil {
 		return "", err
 	}
 	return c.text.ReadLine()
 }
 
-func (p *probes) expire(k *machine.Kept) {
+func (p *probes) expire(k *healthcheck.IdleConnection) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.m.Expired(k) {
+	if p.m.ExpireIdle(k) {
 		_ = k.Conn.(*probeConn).Close()
 	}
 }
@@ -148,7 +149,7 @@
 func (p *probes) release(id balance.BackendID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if c := p.m.Drop(id); c != nil {
+	if c := p.m.DropIdle(id); c != nil {
 		_ = c.(*probeConn).Close()
 	}
 }
@@ -156,7 +157,7 @@
 func (p *probes) closeAll() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, c := range p.m.DropAll() {
+	for _, c := range p.m.DropAllIdle() {
 		_ = c.(*probeConn).Close()
 	}
 }
@@ -164,7 +165,7 @@
 func (p *probes) under(s *settings.Settings) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.m.Under(s)
+	p.m.SetSettings(s)
 }
 
 func (p *probes) resize(room int) {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,5 +1,5 @@
 // Package relay is the real relay: sockets, the system's clock and goroutines
-// under the machines of package machine.
+// under the packages controller, session, handshake, healthcheck and discovery.
 //
 // This file owns a relay's process-wide life: what it starts and stops and in
 // which order, the accepting of connections, and how many it takes. It must never
@@ -17,13 +17,17 @@
 
 	"go.uber.org/zap"
 
-	"aspenbarrow/internal/machine"
+	"aspenbarrow/internal/controller"
+	"aspenbarrow/internal/handshake"
 	"aspenbarrow/internal/management"
+	"aspenbarrow/internal/metrics"
+	"aspenbarrow/internal/protocol"
+	"aspenbarrow/internal/session"
 	"aspenbarrow/internal/settings"
 )
 
 // Config is what a relay is told at its start.
-type Config = machine.Config
+type Config = controller.Config
 
 // Relay is one running relay.
 type Relay struct {
@@ -42,7 +46,7 @@
 	lobby     *lobby
 	guests    sync.WaitGroup // connections from their being accepted to their end
 	seq       atomic.Uint64  // requests' ids
-	discovery *discovery
+	discovery *discoveryLoop
 	probes    *probes
 	peers     *peers
 	second    *management.Server // nil: there is no second address
@@ -58,7 +62,7 @@
 	spare     atomic.Int64  // descriptors of probes and of the second address
 
 	// The loop's own.
-	node  *machine.Node
+	node  *controller.Controller
 	flows map[uint64]*flow
 }
 
@@ -75,24 +79,24 @@
 		parked: make(chan struct{}, 1), shut: make(chan struct{})}
 	r.settings.Store(&s)
 	r.born = time.Duration(r.start.UnixNano())
-	shares := machine.Deal(descriptors(cfg.Sockets), cfg.MemoryMB, cfg.Management != "")
-	r.room.Store(int64(shares.Flows))
-	r.lobby = newLobby(shares.Guests, r.busyLine(), r.now)
+	shares := controller.AllocateDescriptors(descriptors(cfg.Sockets), cfg.MemoryMB, cfg.Management != "")
+	r.room.Store(int64(shares.Sessions))
+	r.lobby = newLobby(shares.Handshakes, r.busyLine(), r.now)
 	r.discovery = newDiscovery(cfg.Discovery, r)
-	r.probes = newProbes(r, shares.Probes)
+	r.probes = newProbes(r, shares.HealthChecks)
 	r.peers = newPeers(cfg, r)
 	var err error
-	if r.node, err = machine.NewNode(r.now(), cfg, host{r}, log); err != nil {
+	if r.node, err = controller.New(r.now(), cfg, host{r}, log); err != nil {
 		return nil, err
 	}
 	r.settings.Store(r.node.Settings())
-	r.node.SetSockets(descriptors(cfg.Sockets))
+	r.node.SetDescriptors(descriptors(cfg.Sockets))
 	if r.listener, err = r.listen(cfg); err != nil {
 		return nil, err
 	}
-	r.spare.Store(int64(shares.Probes + shares.Calls))
+	r.spare.Store(int64(shares.HealthChecks + shares.AdminConnections))
 	if cfg.Management != "" {
-		if r.second, err = management.Listen(cfg.Management, shares.Calls, staff{r}, log); err != nil {
+		if r.second, err = management.Listen(cfg.Management, shares.AdminConnections, staff{r}, log); err != nil {
 			_ = r.listener.Close()
 			return nil, err
 		}
@@ -103,7 +107,7 @@
 // listen opens the clients' address, or takes it over from the process before.
 func (r *Relay) listen(cfg Config) (*net.TCPListener, error) {
 	if r.legacy = inherit(&cfg, r.log); r.legacy != nil {
-		if err := r.node.Inherit(r.now(), r.legacy.memory); err != nil {
+		if err := r.node.RestoreState(r.now(), r.legacy.memory); err != nil {
 			r.log.Warn("nothing is taken over", zap.Error(err))
 		}
 		if c := r.legacy.peers; c != nil && r.peers.listen != "" {
@@ -147,10 +151,10 @@
 }
 
 // busyLine is how somebody is refused without the module: the relay is full, or leaves.
-func (r *Relay) busyLine() string { return machine.BusyAnswer(machine.HoldOff(r.settings.Load())) }
+func (r *Relay) busyLine() string { return protocol.BusyAnswer(session.RetryAfter(r.settings.Load())) }
 
 // Reloaded counts a file that was read again, taken or not.
-func (r *Relay) Reloaded(ok bool) { r.node.Ledger().Reloaded(ok) }
+func (r *Relay) Reloaded(ok bool) { r.node.Metrics().Reloaded(ok) }
 
 // Addr is where the relay listens.
 func (r *Relay) Addr() net.Addr { return r.listener.Addr() }
@@ -181,7 +185,7 @@
 	accepted := make(chan error, 1)
 	if turn {
 		r.peers.hear()
-		go r.post(r.node.Join)
+		go r.post(r.node.JoinMembership)
 		r.serving.Store(true)
 		go func() { accepted <- r.accept() }()
 		if r.legacy != nil {
@@ -208,7 +212,7 @@
 			_ = r.listener.SetDeadline(time.Unix(1, 0))
 			_ = r.legacy.conn.Close()
 		}
-		r.post(r.node.Leave)
+		r.post(r.node.Shutdown)
 		<-r.left
 	case err = <-accepted:
 	}
@@ -257,7 +261,7 @@
 // lastOnes ends what is left: who waits in the queue, unless it is lost, and whoever has not said an OPEN, is told BUSY.
 func (r *Relay) lastOnes(queue bool) {
 	if queue {
-		host{r}.Door()
+		host{r}.StopAccepting()
 		<-r.shut
 	}
 	_ = r.listener.Close()
@@ -319,12 +323,12 @@
 
 // take has a connection served.
 func (r *Relay) take(conn *net.TCPConn) {
-	_ = conn.SetDeadline(time.Now().Add(machine.FirstLine))
-	f := &flow{relay: r, client: newLine(conn), m: machine.NewFlow(r.seq.Add(1), r.settings.Load(), r.node.Ledger()),
-		orders: make(chan machine.Order, 16), left: make(chan bool, 1), stands: make(chan struct{}),
+	_ = conn.SetDeadline(time.Now().Add(handshake.HandshakeTimeout))
+	f := &flow{relay: r, client: newLine(conn), m: session.New(r.seq.Add(1), r.settings.Load(), r.node.Metrics()),
+		orders: make(chan session.Command, 16), left: make(chan bool, 1), stands: make(chan struct{}),
 		over: make(chan struct{})}
 	g := r.lobby.enter(conn)
-	f.m.Entered(g)
+	f.m.Accepted(g)
 	r.guests.Add(1)
 	go f.serve(g)
 }
@@ -351,7 +355,7 @@
 
 func (s staff) State() management.State {
 	switch n := s.node; {
-	case n.Leaving():
+	case n.ShuttingDown():
 		return management.Leaving
 	case n.Drained():
 		return management.Drained
@@ -361,7 +365,7 @@
 	return management.Starting
 }
 
-func (s staff) Figures() machine.Figures { return s.node.Ledger().Read() }
+func (s staff) Figures() metrics.Snapshot { return s.node.Metrics().Snapshot() }
 
 func (s staff) Drain(on bool) {
 	s.drain(on)
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -14,7 +14,9 @@
 	"go.uber.org/zap"
 
 	"aspenbarrow/balance"
-	"aspenbarrow/internal/machine"
+	"aspenbarrow/internal/controller"
+	"aspenbarrow/internal/handshake"
+	"aspenbarrow/internal/session"
 	"aspenbarrow/internal/settings"
 	"aspenbarrow/internal/standin"
 )
@@ -101,7 +103,7 @@
 }
 
 // attempts prepares an attempt of a client's at an address and a relay to make it.
-func attempts(t *testing.T, addr string, patience time.Duration) (*Relay, *machine.Flow, *machine.Attempt) {
+func attempts(t *testing.T, addr string, patience time.Duration) (*Relay, *session.Session, *session.Attempt) {
 	t.Helper()
 	cfg := config("127.0.0.1:9", standin.Entry{ID: "s", Addr: addr, Zone: "east", State: "ready", Weight: 1})
 	r, err := New(cfg, zap.NewNop())
@@ -109,19 +111,19 @@
 		t.Fatal(err)
 	}
 	_ = r.listener.Close()
-	f := machine.NewFlow(1, r.settings.Load(), r.node.Ledger())
-	g, err := f.Hello(r.now(), []byte("OPEN 0000000000000001 0000000000000002 c=chat,d=1000\r\n"), true)
+	f := session.New(1, r.settings.Load(), r.node.Metrics())
+	g, err := f.ReadHandshake(r.now(), []byte("OPEN 0000000000000001 0000000000000002 c=chat,d=1000\r\n"), true)
 	if err != nil || !g.Opened {
 		t.Fatalf("%+v, %v", g, err)
 	}
-	fl := &flow{relay: r, m: f, orders: make(chan machine.Order, 1)}
+	fl := &flow{relay: r, m: f, orders: make(chan session.Command, 1)}
 	r.opened(r.now(), fl)
 	if len(fl.orders) == 0 { // held until its backend has answered a probe
-		r.node.Probed(r.now(), balance.HealthCheckResult{Backend: probed(r), Load: []float32{0.1}})
+		r.node.HealthCheckDone(r.now(), balance.HealthCheckResult{Backend: probed(r), Load: []float32{0.1}})
 	}
 	o := <-fl.orders
-	o.Until = r.now() + patience
-	return r, f, f.Order(r.now(), o).Try
+	o.Deadline = r.now() + patience
+	return r, f, f.Execute(r.now(), o).Attempt
 }
 
 // probed is the one backend of a relay's list.
@@ -154,7 +156,7 @@
 			}
 			_ = l.conn.Close()
 		}
-		if got := f.Tried(r.now(), a, fail).Event.Outcome.Status; got != tc.want || len(b.Opens())-was != tc.sent {
+		if got := f.AttemptDone(r.now(), a, fail).Event.Result.Status; got != tc.want || len(b.Opens())-was != tc.sent {
 			t.Errorf("%s: %v (%v), %d sent", tc.name, got, fail, len(b.Opens())-was)
 		}
 	}
@@ -171,7 +173,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	go func() { <-seen; stop() }()
 	_, _, fail := r.attempt(ctx, waiting(t), a)
-	if got := f.Tried(r.now(), a, fail).Event.Outcome.Status; got != balance.StatusCancelled {
+	if got := f.AttemptDone(r.now(), a, fail).Event.Result.Status; got != balance.StatusCancelled {
 		t.Errorf("%v: %v", got, fail)
 	}
 }
@@ -201,7 +203,7 @@
 		t.Fatal(err)
 	}
 	r.peers.hear()
-	for _, size := range []int{5, machine.MaxDatagram + 1, 5} { // the one that is too long is dropped
+	for _, size := range []int{5, controller.MaxDatagram + 1, 5} { // the one that is too long is dropped
 		if _, err := known.WriteTo(make([]byte, size), at); err != nil {
 			t.Fatal(err)
 		}
@@ -249,7 +251,7 @@
 		}
 	}()
 	r, _, a := attempts(t, l.Addr().String(), patience)
-	p, b := r.probes, a.To
+	p, b := r.probes, a.Backend
 	defer p.closeAll()
 	for range 2 {
 		rep := p.probe(b)
@@ -299,7 +301,7 @@
 
 func TestTheOldestOfACrowdGivesWay(t *testing.T) {
 	l := newLobby(2, "BUSY 1000\r\n", clock())
-	var guests []*machine.Guest
+	var guests []*handshake.Connection
 	var ends []*net.TCPConn
 	for range 4 {
 		near, far := pipe(t)
@@ -346,7 +348,7 @@
 	}()
 	began := time.Now()
 	l.readOff(g)
-	if took := time.Since(began); took > machine.Parting+time.Second {
+	if took := time.Since(began); took > handshake.LingerTimeout+time.Second {
 		t.Errorf("read off for %v", took)
 	}
 }
--- a/internal/machine/retune.go
+++ b/internal/settings/merge.go
@@ -1,24 +1,18 @@
-// This file owns how settings that a reload brings become those in force: which of them
-// a running relay takes, and which number a class has. It must never change settings that
-// anything was taken under, nor give a number to another class.
-
-package machine
+package settings
 
 import (
 	"fmt"
 	"reflect"
 	"slices"
-
-	"aspenbarrow/internal/settings"
 )
 
-// mostClasses bounds the classes of one process, dropped and changed ones included.
-const mostClasses = 1 << 10
+// MaxClasses bounds the classes of one process, dropped and changed ones included.
+const MaxClasses = 1 << 10
 
-// lasting has those settings that a relay is born with and that wait for a restart take
+// keepRestartOnly has those settings that a relay is born with and that wait for a restart take
 // their value from the ones in force: its place among the relays, the names and forms by which
 // lists, reports and lines are read, and what it does with packets.
-func lasting(s, was *settings.Settings) settings.Settings {
+func keepRestartOnly(s, was *Settings) Settings {
 	o := *s
 	o.RelayIndex, o.RelayCount, o.Zone, o.Tick = was.RelayIndex, was.RelayCount, was.Zone, was.Tick
 	o.ZoneNames, o.KindNames, o.FieldNames, o.ReportFields = was.ZoneNames, was.KindNames, was.FieldNames, was.ReportFields
@@ -28,18 +22,18 @@
 	return o
 }
 
-// sameLasting says whether nothing waits for a restart.
-func sameLasting(s, was *settings.Settings) bool {
-	return reflect.DeepEqual(*s, lasting(s, was))
+// SameRestartOnly says whether nothing waits for a restart.
+func SameRestartOnly(s, was *Settings) bool {
+	return reflect.DeepEqual(*s, keepRestartOnly(s, was))
 }
 
-// merged is what new settings come to beside those in force: the settings, the names of all
+// Merge is what new settings come to beside those in force: the settings, the names of all
 // classes by their numbers, and the number of each class of the new settings. A class that
 // is as it was keeps its number, a dropped one keeps it for those who came under it, and one
 // that has changed is another: so a number says for good by which rules a request goes.
-func (n *Node) merged(s settings.Settings) (out settings.Settings, names []string, numbers []int, err error) {
-	out = lasting(&s, n.set)
-	out.Classes, names = slices.Clone(n.set.Classes), slices.Clone(n.names)
+func Merge(inForce *Settings, inForceNames []string, s Settings) (out Settings, names []string, numbers []int, err error) {
+	out = keepRestartOnly(&s, inForce)
+	out.Classes, names = slices.Clone(inForce.Classes), slices.Clone(inForceNames)
 	out.ClassNames = make([]string, len(names))
 	for i := range out.Classes {
 		out.Classes[i].Retired = true
@@ -59,8 +53,8 @@
 		out.Classes[number].Retired, out.ClassNames[number] = false, name
 		numbers = append(numbers, number)
 	}
-	if len(names) > mostClasses {
-		err = fmt.Errorf("%d classes since the start, dropped and changed ones included, over %d: restart the relay", len(names), mostClasses)
+	if len(names) > MaxClasses {
+		err = fmt.Errorf("%d classes since the start, dropped and changed ones included, over %d: restart the relay", len(names), MaxClasses)
 	}
 	return out, names, numbers, err
 }
--- a/internal/world/backend.go
+++ b/internal/world/backend.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"aspenbarrow/internal/emulator"
-	"aspenbarrow/internal/machine"
 	"aspenbarrow/internal/measure"
+	"aspenbarrow/internal/session"
 )
 
 const (
@@ -254,11 +254,11 @@
 }
 
 func (b *backend) accepted(e *end) {
-	s := &session{b: b, e: e}
+	s := &backendSession{b: b, e: e}
 	e.wake = s.heard
 }
 
-type session struct {
+type backendSession struct {
 	b       *backend
 	e       *end
 	stands  bool
@@ -269,7 +269,7 @@
 	key     uint64 // the client's
 }
 
-func (s *session) heard() {
+func (s *backendSession) heard() {
 	for !s.busy && !s.b.deaf {
 		i := bytes.IndexByte(s.e.in, '\n')
 		if i < 0 {
@@ -279,13 +279,13 @@
 		s.e.take(i + 1)
 		s.line(line)
 	}
-	if s.e.got != machine.NoEnd && !s.busy {
+	if s.e.got != session.NoEnd && !s.busy {
 		s.gone()
 		s.e.close()
 	}
 }
 
-func (s *session) gone() {
+func (s *backendSession) gone() {
 	if s.counted {
 		s.counted = false
 		s.b.conns--
@@ -297,9 +297,9 @@
 	}
 }
 
-func (s *session) say(line string) { s.e.write([]byte(line+"\r\n"), func(bool) {}) }
+func (s *backendSession) say(line string) { s.e.write([]byte(line+"\r\n"), func(bool) {}) }
 
-func (s *session) line(line string) {
+func (s *backendSession) line(line string) {
 	b := s.b
 	switch {
 	case s.stands:
@@ -341,14 +341,14 @@
 }
 
 // open works on a request: longer the more the machine holds.
-func (s *session) open() {
+func (s *backendSession) open() {
 	b := s.b
 	if b.model != nil {
 		s.busy = true
 		b.works(b.run.opt.Fleet.SetUpWork*(0.5+b.w.rng.Float64()), func(full bool) {
 			s.busy = false
 			switch {
-			case s.e.got != machine.NoEnd || s.e.dead:
+			case s.e.got != session.NoEnd || s.e.dead:
 				s.heard()
 			case full || b.state != "ready":
 				s.say("BUSY")
@@ -372,7 +372,7 @@
 	crowd := 1 + float64(b.conns)/(2*b.run.fair())
 	b.does(time.Duration(float64(b.service)*crowd), func() {
 		s.busy = false
-		if s.e.got != machine.NoEnd || s.e.dead {
+		if s.e.got != session.NoEnd || s.e.dead {
 			s.heard()
 			return
 		}
@@ -381,7 +381,7 @@
 }
 
 // answers says what becomes of a request that has been worked on.
-func (s *session) answers() {
+func (s *backendSession) answers() {
 	b := s.b
 	rng := b.w.rng
 	ends := true
@@ -418,7 +418,7 @@
 }
 
 // lives ends some connections from the backend's side.
-func (s *session) lives() {
+func (s *backendSession) lives() {
 	b := s.b
 	if b.w.rng.IntN(12) != 0 {
 		return
--- a/internal/world/client.go
+++ b/internal/world/client.go
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"aspenbarrow/internal/machine"
+	"aspenbarrow/internal/session"
 )
 
 // front deals connections out among the relays that it takes for good ones.
@@ -52,7 +52,7 @@
 		}
 		over := false
 		e.wake = func() {
-			if over || !bytes.Contains(e.in, []byte("\n")) && e.got == machine.NoEnd {
+			if over || !bytes.Contains(e.in, []byte("\n")) && e.got == session.NoEnd {
 				return
 			}
 			over = true
@@ -257,7 +257,7 @@
 			return
 		}
 	}
-	if e.got != machine.NoEnd {
+	if e.got != session.NoEnd {
 		if c.up {
 			c.run.count("connection lost")
 			c.back = true
@@ -351,7 +351,7 @@
 		}
 		e.wake = func() {
 			e.take(len(e.in))
-			if e.got != machine.NoEnd {
+			if e.got != session.NoEnd {
 				e.close()
 			}
 		}
--- a/internal/world/discovery.go
+++ b/internal/world/discovery.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"aspenbarrow/internal/machine"
+	"aspenbarrow/internal/discovery"
 )
 
 type entry struct {
@@ -118,13 +118,13 @@
 }
 
 // ask takes in a call. The answer comes with what is to be done when it arrives.
-func (a *agent) ask(c machine.Call, answer func(body []byte, tell func())) {
+func (a *agent) ask(c discovery.Request, answer func(body []byte, tell func())) {
 	w := a.c.run.w
 	w.in(w.delay()/4+w.agentWay(a.relay), func() {
 		if a.out {
 			return // silent; the caller gives up by itself
 		}
-		if c.Whole {
+		if c.FullList {
 			a.reply(0, true, answer)
 			return
 		}
--- a/internal/world/net.go
+++ b/internal/world/net.go
@@ -8,7 +8,7 @@
 import (
 	"time"
 
-	"aspenbarrow/internal/machine"
+	"aspenbarrow/internal/session"
 )
 
 // box is one machine with one process on it.
@@ -32,11 +32,11 @@
 	box     *box
 	life    int
 	peer    *end
-	in      []byte      // arrived, not taken yet
-	base    []byte      // where in begins, to be used again
-	got     machine.End // how the other side ended, once that has arrived
-	wake    func()      // called when something has arrived
-	tap     tap         // who watches; nil: nobody
+	in      []byte          // arrived, not taken yet
+	base    []byte          // where in begins, to be used again
+	got     session.EndKind // how the other side ended, once that has arrived
+	wake    func()          // called when something has arrived
+	tap     tap             // who watches; nil: nobody
 	arrive  time.Duration
 	unread  int // bytes of ours that the other side has not taken
 	waiting []*pendingWrite
@@ -53,11 +53,11 @@
 
 // tap sees what passes on the relay's side of a connection, in bytes.
 type tap interface {
-	Got(b []byte)             // from the other side
-	GotEnd(how machine.End)   //
-	Wrote(b []byte)           // by the relay
-	WroteEnd(how machine.End) //
-	Blocked(on bool)          // the other side takes nothing
+	Got(b []byte)                 // from the other side
+	GotEnd(how session.EndKind)   //
+	Wrote(b []byte)               // by the relay
+	WroteEnd(how session.EndKind) //
+	Blocked(on bool)              // the other side takes nothing
 }
 
 func (w *world) box(name, addr string) *box { return &box{w: w, name: name, addr: addr} }
@@ -174,7 +174,7 @@
 // write sends bytes. While the other side takes none the call waits; done hears
 // of it (at once, mostly). The pending write may be called off.
 func (e *end) write(b []byte, done func(ok bool)) *pendingWrite {
-	if e.dead || e.fin || e.got == machine.ByReset {
+	if e.dead || e.fin || e.got == session.EndReset {
 		done(false)
 		return nil
 	}
@@ -218,7 +218,7 @@
 		e.refuse()
 		return
 	}
-	if e.got == machine.ByReset {
+	if e.got == session.EndReset {
 		return // what was under way when the connection broke is lost
 	}
 	if e.tap != nil {
@@ -240,9 +240,9 @@
 		return
 	}
 	e.dirty = true
-	e.send(func(to *end) { to.gotEnd(machine.ByReset) })
+	e.send(func(to *end) { to.gotEnd(session.EndReset) })
 	if !e.dead {
-		e.gotEnd(machine.ByReset)
+		e.gotEnd(session.EndReset)
 	}
 }
 
@@ -282,8 +282,8 @@
 }
 
 // gotEnd hears that the other side has ended.
-func (e *end) gotEnd(how machine.End) {
-	if e.got == machine.ByReset || e.got != machine.NoEnd && how == machine.ByFIN {
+func (e *end) gotEnd(how session.EndKind) {
+	if e.got == session.EndReset || e.got != session.NoEnd && how == session.EndFIN {
 		return
 	}
 	e.got = how
@@ -293,7 +293,7 @@
 	if e.tap != nil {
 		e.tap.GotEnd(how)
 	}
-	if how == machine.ByReset {
+	if how == session.EndReset {
 		e.in = nil
 		e.failWrites()
 	}
@@ -312,15 +312,15 @@
 
 // closeWrite ends our side after all that was written.
 func (e *end) closeWrite() {
-	if e.dead || e.fin || e.got == machine.ByReset {
+	if e.dead || e.fin || e.got == session.EndReset {
 		return
 	}
 	e.fin = true
-	e.ended(machine.ByFIN)
-	e.send(func(to *end) { to.gotEnd(machine.ByFIN) })
+	e.ended(session.EndFIN)
+	e.send(func(to *end) { to.gotEnd(session.EndFIN) })
 }
 
-func (e *end) ended(how machine.End) {
+func (e *end) ended(how session.EndKind) {
 	if e.w.trace != nil {
 		e.w.note("%s %d> end %d", e.box.name, e.id, how)
 	}
@@ -336,12 +336,12 @@
 	}
 	e.dead = true
 	e.drop()
-	e.ended(machine.ByReset)
+	e.ended(session.EndReset)
 	e.in, e.wake = nil, nil
 	e.waiting = nil
 	e.send(func(to *end) {
 		if !to.dead {
-			to.gotEnd(machine.ByReset)
+			to.gotEnd(session.EndReset)
 		}
 	})
 }
@@ -359,7 +359,7 @@
 	e.dead = true
 	e.drop()
 	if e.tap != nil {
-		e.tap.WroteEnd(machine.ByTime) // no reader any more
+		e.tap.WroteEnd(session.EndTimeout) // no reader any more
 	}
 	e.wake, e.waiting = nil, nil
 }
--- a/internal/world/relay.go
+++ b/internal/world/relay.go
@@ -16,9 +16,15 @@
 	"go.uber.org/zap"
 
 	"aspenbarrow/balance"
-	"aspenbarrow/internal/machine"
+	"aspenbarrow/internal/controller"
+	"aspenbarrow/internal/discovery"
+	"aspenbarrow/internal/handshake"
+	"aspenbarrow/internal/healthcheck"
+	"aspenbarrow/internal/protocol"
+	"aspenbarrow/internal/session"
 	"aspenbarrow/internal/settings"
 	"aspenbarrow/internal/trouble"
+	"aspenbarrow/internal/upstream"
 )
 
 var errNotUp = errors.New("refused, or not up in time")
@@ -27,10 +33,10 @@
 	*box
 	run      *run
 	number   int
-	cfg      machine.Config
-	node     *machine.Node
-	lobby    *machine.Lobby
-	probes   *machine.Probes
+	cfg      controller.Config
+	node     *controller.Controller
+	lobby    *handshake.Pool
+	probes   *healthcheck.Checker
 	room     int
 	flowing  int
 	seq      uint64
@@ -39,7 +45,7 @@
 	postAt   time.Duration
 	timerAt  time.Duration
 	follows  int // counts the agents followed
-	agent    *machine.Agent
+	agent    *discovery.Client
 	talking  bool // a call to the agent is out, or the pause after one
 	leaving  bool
 	few      bool    // it has few descriptors from the start
@@ -60,15 +66,15 @@
 	r.reloads, r.refusals = 0, 0
 	r.process = r.run.check.Process(r.number)
 	r.postAt, r.timerAt, r.agent = w.now, 0, nil
-	shares := machine.Deal(r.cfg.Sockets, r.cfg.MemoryMB, r.cfg.Management != "")
-	r.room = shares.Flows
-	r.lobby = machine.NewLobby(shares.Guests)
-	node, err := machine.NewNode(w.now, r.sabotaged(r.cfg), r, zap.NewNop())
+	shares := controller.AllocateDescriptors(r.cfg.Sockets, r.cfg.MemoryMB, r.cfg.Management != "")
+	r.room = shares.Sessions
+	r.lobby = handshake.NewPool(shares.Handshakes)
+	node, err := controller.New(w.now, r.sabotaged(r.cfg), r, zap.NewNop())
 	if err != nil {
 		panic(fmt.Sprintf("a relay does not start: %v", err))
 	}
 	r.node = node
-	r.probes = machine.NewProbes(node.Settings(), shares.Probes)
+	r.probes = healthcheck.New(node.Settings(), shares.HealthChecks)
 	r.follow(r.cfg.Discovery, false)
 	r.tick()
 	if w.trace != nil {
@@ -99,7 +105,7 @@
 
 // tick has the Node's next timer fire.
 func (r *relay) tick() {
-	at, ok := r.node.Next()
+	at, ok := r.node.NextTimer()
 	if !ok || r.timerAt > r.w.now && r.timerAt <= at {
 		return
 	}
@@ -109,16 +115,16 @@
 		if r.timerAt == at {
 			r.timerAt = 0
 		}
-		r.node.Due(r.w.now)
+		r.node.FireTimers(r.w.now)
 		r.tick()
 	}))
 }
 
 // --- what the Node has done ------------------------------------------------------
 
-var _ machine.Host = (*relay)(nil)
+var _ controller.Driver = (*relay)(nil)
 
-func (r *relay) Order(seq uint64, o machine.Order) {
+func (r *relay) SendCommand(seq uint64, o session.Command) {
 	f := r.flows[seq]
 	if f == nil {
 		return
@@ -127,52 +133,52 @@
 	r.w.at(f.orderAt, r.alive(func() { f.order(o) }))
 }
 
-func (r *relay) Move(seq uint64) {
+func (r *relay) MigrateSession(seq uint64) {
 	if r.run.broken(BreakDrain) && r.node.Drained() {
 		return
 	}
 	if f := r.flows[seq]; f != nil {
-		f.m.Move()
+		f.m.Migrate()
 		r.soon(f.moved)
 	}
 }
 
-func (r *relay) Bad(uint64, error) {}
-func (r *relay) Ready()            {}
+func (r *relay) ReportClientError(uint64, error) {}
+func (r *relay) ListReceived()                   {}
 
-func (r *relay) Settings(s *settings.Settings) { r.probes.Under(s) }
+func (r *relay) SetSettings(s *settings.Settings) { r.probes.SetSettings(s) }
 
-func (r *relay) Release(id balance.BackendID) {
-	if c := r.probes.Drop(id); c != nil {
+func (r *relay) ReleaseHealthCheck(id balance.BackendID) {
+	if c := r.probes.DropIdle(id); c != nil {
 		c.(*end).close()
 	}
 }
 
-func (r *relay) Datagram(to string, data []byte) { r.run.datagram(r, to, data) }
-func (r *relay) Follow(address string) {
+func (r *relay) SendDatagram(to string, data []byte) { r.run.datagram(r, to, data) }
+func (r *relay) SetDiscoveryAddress(address string) {
 	if r.run.broken(BreakOldWatch) {
 		return
 	}
 	r.soon(func() { r.follow(address, true) })
 }
 
-func (r *relay) Limits(s machine.Shares) {
-	r.room = s.Flows
-	r.lobby.Resize(s.Guests)
-	r.probes.Resize(s.Probes)
+func (r *relay) SetLimits(s controller.Limits) {
+	r.room = s.Sessions
+	r.lobby.Resize(s.Handshakes)
+	r.probes.Resize(s.HealthChecks)
 }
 
-// Door changes nothing here: who comes before the end is served, and the end waits for it.
-func (r *relay) Door() {}
+// StopAccepting changes nothing here: who comes before the end is served, and the end waits for it.
+func (r *relay) StopAccepting() {}
 
-func (r *relay) Left() {
+func (r *relay) Stopped() {
 	if r.w.trace != nil {
 		r.w.note("%s left", r.name)
 	}
-	for _, g := range r.lobby.Empty() {
+	for _, g := range r.lobby.RemoveAll() {
 		c := g.Conn.(*end)
-		if g.Owed() {
-			c.write([]byte(machine.BusyAnswer(machine.HoldOff(r.node.Settings()))), func(bool) {})
+		if g.AwaitsAnswer() {
+			c.write([]byte(protocol.BusyAnswer(session.RetryAfter(r.node.Settings()))), func(bool) {})
 		}
 		c.closeWrite()
 	}
@@ -188,9 +194,9 @@
 
 // --- discovery -------------------------------------------------------------------
 
-func (r *relay) Ask(watch bool) {
+func (r *relay) RequestEndpoints(watch bool) {
 	r.soon(func() {
-		r.agent.Want(watch)
+		r.agent.Schedule(watch)
 		r.call()
 	})
 }
@@ -198,9 +204,9 @@
 func (r *relay) follow(address string, moved bool) {
 	r.follows++
 	rng := rand.New(rand.NewPCG(r.cfg.Seed, 0xd15c))
-	r.agent = machine.NewAgent(address, r.node.Settings(), moved, rng)
-	if v, ok := r.node.Cached(); ok && !moved {
-		r.agent.Knows(v)
+	r.agent = discovery.NewClient(address, r.node.Settings(), moved, rng)
+	if v, ok := r.node.CachedVersion(); ok && !moved {
+		r.agent.ResumeFrom(v)
 	}
 	r.talking = false
 	r.call()
@@ -211,7 +217,7 @@
 	if r.talking {
 		return
 	}
-	c, ok := r.agent.Next()
+	c, ok := r.agent.NextRequest()
 	if !ok {
 		return
 	}
@@ -225,11 +231,11 @@
 			}
 		}
 	}
-	failed := current(func() { r.heardFrom(r.agent.Failed(true)) })
-	r.w.in(c.Limit, failed)
+	failed := current(func() { r.heardFrom(r.agent.HandleFailure(true)) })
+	r.w.in(c.Timeout, failed)
 	r.run.catalog.agent(r.agent.Address).ask(c, func(body []byte, tell func()) {
 		r.w.in(r.w.delay()/4, current(func() {
-			news, err := r.agent.Answered(body)
+			news, err := r.agent.HandleResponse(body)
 			if err != nil {
 				panic(fmt.Sprintf("a body cannot be read: %v", err))
 			}
@@ -239,9 +245,9 @@
 	})
 }
 
-func (r *relay) heardFrom(n machine.News) {
-	if n.Any {
-		deliver := func(now time.Duration) { r.node.Listed(now, n.Members, n.Kind) }
+func (r *relay) heardFrom(n discovery.Update) {
+	if n.Changed {
+		deliver := func(now time.Duration) { r.node.EndpointsUpdated(now, n.Endpoints, n.Kind) }
 		if r.run.broken(BreakLateDrain) && n.Kind != balance.UpdateFailed {
 			r.w.in(r.node.Settings().DrainGrace+110*time.Millisecond, r.alive(func() { r.post(deliver) }))
 		} else {
@@ -249,7 +255,7 @@
 		}
 	}
 	follows := r.follows
-	r.w.in(n.Pause, r.alive(func() {
+	r.w.in(n.RetryDelay, r.alive(func() {
 		if r.follows == follows {
 			r.talking = false
 			r.call()
@@ -259,45 +265,45 @@
 
 // --- probes ----------------------------------------------------------------------
 
-func (r *relay) Probe(b *machine.Backend) {
+func (r *relay) StartHealthCheck(b *upstream.Backend) {
 	r.soon(func() {
-		p, step := r.probes.Begin(r.w.now, b)
+		p, step := r.probes.Start(r.w.now, b)
 		r.probing(p, step)
 	})
 }
 
-func (r *relay) probing(p *machine.Probe, step machine.ProbeStep) {
+func (r *relay) probing(p *healthcheck.Check, step healthcheck.Step) {
 	for _, c := range step.Close {
 		c.(*end).close()
 	}
 	if k := step.Keep; k != nil {
 		e := k.Conn.(*end)
 		e.wake = nil
-		r.w.in(r.probes.KeepFor(), r.alive(func() {
-			if r.probes.Expired(k) {
+		r.w.in(r.probes.IdleTimeout(), r.alive(func() {
+			if r.probes.ExpireIdle(k) {
 				e.close()
 			}
 		}))
 	}
 	switch {
 	case step.Done:
-		r.post(func(now time.Duration) { r.node.Probed(now, p.Report) })
+		r.post(func(now time.Duration) { r.node.HealthCheckDone(now, p.Result) })
 	case step.Dial:
-		r.dialBackend(p.Addr, r.node.Settings().DialTimeout, func(e *end) {
+		r.dialBackend(p.Address, r.node.Settings().DialTimeout, func(e *end) {
 			if e == nil {
-				r.probing(p, p.NoConn(r.w.now))
+				r.probing(p, p.DialFailed(r.w.now))
 				return
 			}
-			r.probing(p, p.Dialled(r.w.now, e))
+			r.probing(p, p.Connected(r.w.now, e))
 		})
 	default:
-		r.ask(p, step.Ask.(*end))
+		r.ask(p, step.Send.(*end))
 	}
 }
 
-func (r *relay) ask(p *machine.Probe, e *end) {
+func (r *relay) ask(p *healthcheck.Check, e *end) {
 	over := false
-	finish := func(next func(now time.Duration) machine.ProbeStep) {
+	finish := func(next func(now time.Duration) healthcheck.Step) {
 		if !over {
 			over = true
 			e.wake = nil
@@ -308,15 +314,15 @@
 		if i := bytes.IndexByte(e.in, '\n'); i >= 0 {
 			answer := string(bytes.TrimRight(e.in[:i], "\r\n"))
 			e.take(i + 1)
-			finish(func(now time.Duration) machine.ProbeStep { return p.Answered(now, answer) })
-		} else if e.got != machine.NoEnd {
-			finish(func(now time.Duration) machine.ProbeStep { return p.Broke(now, false) })
+			finish(func(now time.Duration) healthcheck.Step { return p.ReadAnswer(now, answer) })
+		} else if e.got != session.NoEnd {
+			finish(func(now time.Duration) healthcheck.Step { return p.ConnectionEnded(now, false) })
 		}
 	}
 	r.w.at(max(p.Deadline, r.w.now), r.alive(func() {
-		finish(func(now time.Duration) machine.ProbeStep { return p.Broke(now, true) })
+		finish(func(now time.Duration) healthcheck.Step { return p.ConnectionEnded(now, true) })
 	}))
-	e.write([]byte(r.probes.Question()), func(bool) {})
+	e.write([]byte(r.probes.RequestLine()), func(bool) {})
 	e.woken()
 }
 
@@ -349,11 +355,11 @@
 func (r *relay) admitNext() {
 	for len(r.queue) > 0 {
 		e := r.queue[0]
-		in, out, wait := r.lobby.Enter(r.w.now, e)
+		in, out, wait := r.lobby.Add(r.w.now, e)
 		if out != nil {
 			c := out.Conn.(*end)
-			if out.Owed() {
-				c.write([]byte(machine.BusyAnswer(machine.HoldOff(r.node.Settings()))), func(bool) {})
+			if out.AwaitsAnswer() {
+				c.write([]byte(protocol.BusyAnswer(session.RetryAfter(r.node.Settings()))), func(bool) {})
 			}
 			c.close()
 		}
@@ -366,12 +372,12 @@
 		}
 		r.queue = r.queue[1:]
 		r.seq++
-		f := &flow{r: r, m: machine.NewFlow(r.seq, r.node.Settings(), r.node.Ledger()), c: e, g: in}
-		f.m.Entered(in)
+		f := &flow{r: r, m: session.New(r.seq, r.node.Settings(), r.node.Metrics()), c: e, g: in}
+		f.m.Accepted(in)
 		e.wake = f.hello
-		r.w.in(machine.FirstLine, r.alive(func() {
+		r.w.in(handshake.HandshakeTimeout, r.alive(func() {
 			if f.state == greeting {
-				f.reject(f.m.HelloEnded(machine.ByTime, len(f.c.in)))
+				f.reject(f.m.HandshakeEnded(session.EndTimeout, len(f.c.in)))
 			}
 		}))
 		r.soon(f.hello)
@@ -390,9 +396,9 @@
 
 type flow struct {
 	r        *relay
-	m        *machine.Flow
+	m        *session.Session
 	c        *end
-	g        *machine.Guest
+	g        *handshake.Connection
 	state    int
 	orderAt  time.Duration
 	left     bool
@@ -415,13 +421,13 @@
 			switch {
 			case f.c.dead: // it had to give way
 				f.state = closed
-			case f.c.got != machine.NoEnd:
-				f.reject(f.m.HelloEnded(f.c.got, seen))
+			case f.c.got != session.NoEnd:
+				f.reject(f.m.HandshakeEnded(f.c.got, seen))
 			}
 			return
 		}
-		f.m.Under(f.r.node.Settings())
-		g, err := f.m.Hello(f.r.w.now, f.c.in, f.r.node.Ready() || f.r.run.broken(BreakYes))
+		f.m.SetSettings(f.r.node.Settings())
+		g, err := f.m.ReadHandshake(f.r.w.now, f.c.in, f.r.node.Ready() || f.r.run.broken(BreakYes))
 		switch {
 		case err != nil:
 			f.reject(err)
@@ -429,11 +435,11 @@
 		case g.Opened:
 			f.opened()
 			return
-		case g.Take == 0:
+		case g.Consumed == 0:
 			seen = len(f.c.in)
 			continue
 		}
-		f.c.take(g.Take)
+		f.c.take(g.Consumed)
 		f.c.write([]byte(g.Reply), func(bool) {})
 	}
 }
@@ -444,45 +450,45 @@
 	if err == nil {
 		f.state = closed
 		f.c.close()
-		f.r.lobby.Leave(f.g)
+		f.r.lobby.Remove(f.g)
 		return
 	}
-	f.turnAway(machine.AnswerFailed)
+	f.turnAway(protocol.AnswerFailed)
 }
 
 func (f *flow) turnAway(answer string) {
 	f.state = readOff
 	f.answer(answer)
-	f.r.lobby.Told(f.g)
+	f.r.lobby.MarkAnswered(f.g)
 	done := func() {
 		if f.state == readOff {
 			f.state = closed
 			f.c.close()
-			f.r.lobby.Leave(f.g)
+			f.r.lobby.Remove(f.g)
 		}
 	}
 	f.c.wake = func() {
-		if f.off < machine.MostReadOff {
+		if f.off < handshake.MaxLingerBytes {
 			f.off += len(f.c.in)
 			f.c.take(len(f.c.in))
 		}
-		if f.c.got != machine.NoEnd { // whoever never stops is held up until the time is over
+		if f.c.got != session.NoEnd { // whoever never stops is held up until the time is over
 			done()
 		}
 	}
-	f.r.w.in(machine.Parting, f.r.alive(done))
+	f.r.w.in(handshake.LingerTimeout, f.r.alive(done))
 	f.c.woken()
 }
 
 // answer sends the client's last line and ends our side.
 func (f *flow) answer(last string) {
-	if f.r.run.broken(BreakLostAnswer) && last == machine.AnswerFailed {
+	if f.r.run.broken(BreakLostAnswer) && last == protocol.AnswerFailed {
 		last = ""
 	}
 	if f.r.run.broken(BreakLateAnswer) && f.state == waiting {
 		late := f.r.node.Settings().AnswerSlack + 110*time.Millisecond
 		f.late = true
-		f.r.w.in(f.m.Came+f.m.Patience()+late-f.r.w.now, f.r.alive(func() {
+		f.r.w.in(f.m.ArrivedAt+f.m.Timeout()+late-f.r.w.now, f.r.alive(func() {
 			f.say(last)
 			f.wind()
 		}))
@@ -506,23 +512,23 @@
 	r := f.r
 	if r.flowing >= r.room {
 		if !r.run.broken(BreakCountLobby) {
-			f.m.TurnedAway()
+			f.m.Refused()
 		}
-		f.turnAway(machine.BusyAnswer(machine.HoldOff(r.node.Settings())))
+		f.turnAway(protocol.BusyAnswer(session.RetryAfter(r.node.Settings())))
 		return
 	}
-	if !r.lobby.Leave(f.g) {
-		f.m.TurnedAway()
+	if !r.lobby.Remove(f.g) {
+		f.m.Refused()
 		f.state = closed
 		return
 	}
 	r.flowing++
-	f.m.Taken()
+	f.m.Admitted()
 	f.state = waiting
 	f.c.wake = f.waits
 	r.post(func(now time.Duration) {
 		r.flows[f.m.Seq] = f
-		r.node.Opened(now, f.m)
+		r.node.SessionOpened(now, f.m)
 	})
 	f.waits()
 }
@@ -530,7 +536,7 @@
 // waits looks whether the client leaves or goes on before its answer.
 func (f *flow) waits() {
 	head := f.m.Open.Len()
-	if f.left || f.state != waiting || len(f.c.in) <= head && f.c.got == machine.NoEnd {
+	if f.left || f.state != waiting || len(f.c.in) <= head && f.c.got == session.NoEnd {
 		return
 	}
 	f.left = true
@@ -542,59 +548,59 @@
 	soon(func() {
 		switch {
 		case f.state == waiting:
-			f.carryOut(f.m.Left(spoke))
+			f.carryOut(f.m.ClientClosed(spoke))
 			if f.r.run.broken(BreakCountGone) {
-				f.m.Taken()
+				f.m.Admitted()
 			}
 		case f.state == standing && spoke:
-			f.hang(f.m.ClientEnded(machine.ByReset))
+			f.hang(f.m.ClientEnded(session.EndReset))
 		case f.state == standing:
 			f.hang(f.m.ClientEnded(f.c.got))
 		}
 	})
 }
 
-func (f *flow) order(o machine.Order) {
+func (f *flow) order(o session.Command) {
 	if f.state != waiting {
 		return
 	}
-	if f.r.run.broken(BreakOverlap) && o.To != nil && f.try == nil {
-		f.carryOut(f.m.Order(f.r.w.now, o))
+	if f.r.run.broken(BreakOverlap) && o.Backend != nil && f.try == nil {
+		f.carryOut(f.m.Execute(f.r.w.now, o))
 		if f.try != nil {
 			second := &try{f: f, a: f.try.a}
 			second.begin()
 		}
 		return
 	}
-	f.carryOut(f.m.Order(f.r.w.now, o))
+	f.carryOut(f.m.Execute(f.r.w.now, o))
 }
 
-func (f *flow) carryOut(do machine.Do) {
-	if do.Cancel && f.try != nil {
+func (f *flow) carryOut(do session.Actions) {
+	if do.CancelAttempt && f.try != nil {
 		f.try.cancel()
 	}
 	if do.Answer != "" {
 		f.answer(do.Answer)
 	}
-	if do.Try != nil {
-		f.try = &try{f: f, a: do.Try}
+	if do.Attempt != nil {
+		f.try = &try{f: f, a: do.Attempt}
 		f.try.begin()
 	}
 	f.tell(do.Event)
-	if f.state == waiting && !f.m.Waits() && !f.late {
+	if f.state == waiting && !f.m.AwaitsCommands() && !f.late {
 		f.wind()
 	}
 }
 
-func (f *flow) tell(e machine.Event) {
+func (f *flow) tell(e session.Event) {
 	r := f.r
-	if e.Kind == machine.Nothing {
+	if e.Kind == session.NoEvent {
 		return
 	}
-	if e.Kind == machine.AttemptEnded && e.Outcome.Status == balance.StatusCancelled && r.run.broken(BreakBooks) {
-		e.Outcome.Attempt++ // the module does not know it
+	if e.Kind == session.AttemptEnded && e.Result.Status == balance.StatusCancelled && r.run.broken(BreakBooks) {
+		e.Result.Attempt++ // the module does not know it
 	}
-	r.post(func(now time.Duration) { r.node.Heard(now, f.m.Seq, e) })
+	r.post(func(now time.Duration) { r.node.SessionEvent(now, f.m.Seq, e) })
 }
 
 // wind waits for the client's end, for a while.
@@ -611,17 +617,17 @@
 			}
 			r.post(func(now time.Duration) {
 				delete(r.flows, f.m.Seq)
-				r.node.Closed(now, f.m.Seq)
+				r.node.SessionClosed(now, f.m.Seq)
 			})
 		}
 	}
 	f.c.wake = func() {
 		f.c.take(len(f.c.in))
-		if f.c.got != machine.NoEnd {
+		if f.c.got != session.NoEnd {
 			done()
 		}
 	}
-	f.r.w.in(machine.Farewell, f.r.alive(done))
+	f.r.w.in(session.CloseTimeout, f.r.alive(done))
 	if f.c.dead {
 		done()
 		return
@@ -632,7 +638,7 @@
 // try is one attempt on its way.
 type try struct {
 	f      *flow
-	a      *machine.Attempt
+	a      *session.Attempt
 	e      *end
 	up     []byte // the UP line
 	asking bool
@@ -642,7 +648,7 @@
 func (t *try) begin() {
 	r := t.f.r
 	t.asking, t.e = false, nil
-	r.dialBackend(t.a.To.Addr(), min(t.a.Dial, t.a.Until-r.w.now), func(e *end) {
+	r.dialBackend(t.a.Backend.Address(), min(t.a.DialTimeout, t.a.Deadline-r.w.now), func(e *end) {
 		switch {
 		case t.over:
 			if e != nil {
@@ -650,11 +656,11 @@
 			}
 			return
 		case e == nil:
-			t.finish(t.a.Failed(errNotUp, false))
+			t.finish(t.a.DialFailed(errNotUp, false))
 			return
 		}
 		t.e = e
-		head, fail := t.a.Dialled(r.w.now)
+		head, fail := t.a.Connected(r.w.now)
 		if fail != nil {
 			t.finish(fail)
 			return
@@ -662,18 +668,18 @@
 		ok := false
 		e.write(bytes.Join(head[:], nil), func(sent bool) { ok = sent })
 		if !ok {
-			t.finish(t.a.Broke(0, false, errNotUp, false))
+			t.finish(t.a.ConnectionEnded(0, false, errNotUp, false))
 			return
 		}
 		t.asking = true
 		lost := r.run.broken(BreakCountAttempt) && r.w.rng.IntN(50) == 0 || r.run.broken(BreakCountLeaving) && r.leaving
 		if !lost {
-			t.a.Sent()
+			t.a.RequestSent()
 		}
 		e.wake = t.heard
-		r.w.at(t.a.Until, r.alive(func() {
+		r.w.at(t.a.Deadline, r.alive(func() {
 			if t.e == e && t.asking {
-				t.finish(t.a.Broke(0, true, errNotUp, true))
+				t.finish(t.a.ConnectionEnded(0, true, errNotUp, true))
 			}
 		}))
 		t.heard()
@@ -685,7 +691,7 @@
 		return
 	}
 	if len(t.e.in) > 0 {
-		n, fail := t.a.Answer(t.e.in)
+		n, fail := t.a.ReadAnswer(t.e.in)
 		if n > 0 || fail != nil {
 			t.up = slices.Clone(t.e.in[:n]) // read: a reset takes only what is not
 			t.e.take(n)
@@ -693,8 +699,8 @@
 			return
 		}
 	}
-	if t.e.got != machine.NoEnd {
-		t.finish(t.a.Broke(0, true, errNotUp, false))
+	if t.e.got != session.NoEnd {
+		t.finish(t.a.ConnectionEnded(0, true, errNotUp, false))
 	}
 }
 
@@ -703,15 +709,15 @@
 	if t.over {
 		return
 	}
-	fail := t.a.Failed(errNotUp, true)
+	fail := t.a.DialFailed(errNotUp, true)
 	if t.asking {
-		fail = t.a.Broke(0, true, errNotUp, false)
-		fail.GivenUp()
+		fail = t.a.ConnectionEnded(0, true, errNotUp, false)
+		fail.Abandon()
 	}
 	t.finish(fail)
 }
 
-func (t *try) finish(fail *machine.AttemptError) {
+func (t *try) finish(fail *session.AttemptError) {
 	r := t.f.r
 	if t.over {
 		return
@@ -724,7 +730,7 @@
 			}
 			t.e = nil
 		}
-		if pause, ok := t.a.Again(r.w.now, fail); ok {
+		if pause, ok := t.a.RetryDelay(r.w.now, fail); ok {
 			r.w.in(pause, r.alive(func() {
 				if !t.over {
 					t.begin()
@@ -740,7 +746,7 @@
 	r.soon(func() { t.f.tried(t, fail) })
 }
 
-func (f *flow) tried(t *try, fail *machine.AttemptError) {
+func (f *flow) tried(t *try, fail *session.AttemptError) {
 	if t != f.try || f.state != waiting {
 		if t.e != nil {
 			t.e.close()
@@ -748,11 +754,11 @@
 		return
 	}
 	f.try = nil
-	do := f.m.Tried(f.r.w.now, t.a, fail)
-	if do.DropBack {
+	do := f.m.AttemptDone(f.r.w.now, t.a, fail)
+	if do.CloseBackend {
 		t.e.close()
 	}
-	if !do.Stand {
+	if !do.Establish {
 		f.carryOut(do)
 		return
 	}
@@ -780,7 +786,7 @@
 			n, err := f.m.FromClient(f.r.w.now, b)
 			if err != nil {
 				f.left = true
-				f.hang(f.m.ClientEnded(machine.ByReset))
+				f.hang(f.m.ClientEnded(session.EndReset))
 				return
 			}
 			if n > 0 {
@@ -795,10 +801,10 @@
 					}
 				})
 				if p != nil {
-					f.r.w.in(machine.Silence, f.r.alive(func() {
+					f.r.w.in(session.BackendSilenceTimeout, f.r.alive(func() {
 						if f.upBusy && !p.off {
 							p.off = true
-							f.m.BackendStuck()
+							f.m.BackendBlocked()
 							f.glance()
 						}
 					}))
@@ -806,7 +812,7 @@
 				continue
 			}
 		}
-		if f.c.got != machine.NoEnd {
+		if f.c.got != session.NoEnd {
 			f.left = true
 			f.hang(f.m.ClientEnded(f.c.got))
 		}
@@ -814,15 +820,15 @@
 	}
 }
 
-func (f *flow) hang(h machine.Hang) {
+func (f *flow) hang(h session.CloseMode) {
 	switch h {
-	case machine.HangFIN:
+	case session.CloseFIN:
 		f.back.closeWrite()
 		f.glance()
-	case machine.HangReset:
+	case session.CloseReset:
 		f.back.reset()
 		f.c.reset()
-		f.over(f.m.BackendEnded(machine.ByReset))
+		f.over(f.m.BackendEnded(session.EndReset))
 	}
 }
 
@@ -832,18 +838,18 @@
 		return
 	}
 	f.glancing = true
-	f.r.w.in(machine.Glance, f.r.alive(func() {
+	f.r.w.in(session.IdleCheckInterval, f.r.alive(func() {
 		f.glancing = false
 		if f.state != standing {
 			return
 		}
 		if !f.downBusy {
-			if v, over := f.m.Idle(f.r.w.now); over {
+			if v, over := f.m.CheckIdle(f.r.w.now); over {
 				f.over(v)
 				return
 			}
 		}
-		if f.downBusy || !f.m.Quiet() {
+		if f.downBusy || !f.m.Idle() {
 			f.glance()
 		}
 	}))
@@ -859,9 +865,9 @@
 
 func (f *flow) down() {
 	for f.state == standing && !f.downBusy {
-		if v, now := f.m.Between(); now && !f.inLine {
+		if v, now := f.m.AtLineBoundary(); now && !f.inLine {
 			if f.r.run.broken(BreakCutOff) {
-				v.Last = ""
+				v.LastLine = ""
 			}
 			f.over(v)
 			return
@@ -870,7 +876,7 @@
 		if len(b) > 0 {
 			n, told, err := f.m.FromBackend(b)
 			if err != nil {
-				f.over(f.m.BackendEnded(machine.ByReset))
+				f.over(f.m.BackendEnded(session.EndReset))
 				return
 			}
 			if n > 0 {
@@ -884,7 +890,7 @@
 				continue
 			}
 		}
-		if f.back.got != machine.NoEnd {
+		if f.back.got != session.NoEnd {
 			f.over(f.m.BackendEnded(f.back.got))
 		}
 		return
@@ -900,7 +906,7 @@
 	if f.inLine {
 		f.c.write(f.back.in[:n/2], func(bool) {})
 		f.back.take(n / 2)
-		v, _ := f.m.Between()
+		v, _ := f.m.AtLineBoundary()
 		f.over(v)
 		return
 	}
@@ -920,7 +926,7 @@
 		}
 	})
 	if p != nil {
-		f.r.w.in(machine.SlowReader, f.r.alive(func() {
+		f.r.w.in(session.ClientWriteTimeout, f.r.alive(func() {
 			if f.downBusy && !p.off {
 				p.off = true
 				f.downBusy = false
@@ -931,32 +937,32 @@
 }
 
 func (f *flow) deaf() {
-	v, h := f.m.ClientDeaf()
-	if h == machine.HangReset {
+	v, h := f.m.ClientBlocked()
+	if h == session.CloseReset {
 		f.back.reset()
 		f.c.reset()
 	}
 	f.over(v)
 }
 
-func (f *flow) over(v machine.Verdict) {
+func (f *flow) over(v session.Termination) {
 	if f.state != standing {
 		return
 	}
 	f.state = ending
 	switch {
-	case v.Client:
-		f.say(v.Last)
-	case v.Reset:
+	case v.CloseClient:
+		f.say(v.LastLine)
+	case v.ResetClient:
 		f.c.reset()
 	}
-	f.tell(f.m.Closed(v))
+	f.tell(f.m.Terminated(v))
 	f.back.close()
 	f.wind()
 }
 
 // reload has the running process read a new configuration.
-func (r *relay) reload(cfg machine.Config) {
+func (r *relay) reload(cfg controller.Config) {
 	r.post(func(now time.Duration) {
 		if err := r.node.Reload(now, r.sabotaged(cfg), cfg.Sockets); err != nil {
 			panic(fmt.Sprintf("a sound configuration is not taken: %v", err))
@@ -973,7 +979,7 @@
 		}
 		r.reloads++
 		if !r.run.broken(BreakCountReload) {
-			r.node.Ledger().Reloaded(true)
+			r.node.Metrics().Reloaded(true)
 		}
 	})
 }
@@ -988,7 +994,7 @@
 	}
 	run.count("relay upgraded")
 	w := run.w
-	text, err := r.node.Bequeath(w.now)
+	text, err := r.node.ExportState(w.now)
 	if err != nil {
 		panic(fmt.Sprintf("a relay has nothing to hand over: %v", err))
 	}
@@ -999,10 +1005,10 @@
 	}
 	run.check.Upgraded(r.number)
 	n.boot()
-	if err := n.node.Inherit(w.now, text); err != nil {
+	if err := n.node.RestoreState(w.now, text); err != nil {
 		panic(fmt.Sprintf("what a relay hands over is not taken: %v", err))
 	}
-	n.node.SetSockets(n.cfg.Sockets)
+	n.node.SetDescriptors(n.cfg.Sockets)
 	run.relays[r.number], r.heir = n, n
 	r.node.SetReplaced(true)
 	r.tell()
@@ -1013,7 +1019,7 @@
 			r.succeeded()
 			return
 		}
-		r.post(r.node.Leave)
+		r.post(r.node.Shutdown)
 		w.in(3700*time.Millisecond, r.alive(func() {
 			r.kill()
 			r.succeeded()
@@ -1024,14 +1030,14 @@
 // tell has the next process hear what this one holds and sees.
 func (r *relay) tell() {
 	n := r.heir
-	text, err := r.node.Seen()
+	text, err := r.node.ExportLoad()
 	if err != nil {
 		panic(err)
 	}
-	held := min(len(r.ends)+machine.OwnSockets, r.cfg.Sockets-machine.OwnSockets)
+	held := min(len(r.ends)+controller.ReservedDescriptors, r.cfg.Sockets-controller.ReservedDescriptors)
 	n.post(func(now time.Duration) {
-		n.node.Elsewhere(now, held)
-		_ = n.node.Beside(now, text)
+		n.node.SetOtherProcessDescriptors(now, held)
+		_ = n.node.ImportLoad(now, text)
 	})
 	r.w.in(100*time.Millisecond, r.alive(r.tell))
 }
@@ -1042,8 +1048,8 @@
 	n.old = nil
 	if n.up {
 		n.post(func(now time.Duration) {
-			n.node.Elsewhere(now, 0)
-			_ = n.node.Beside(now, nil)
+			n.node.SetOtherProcessDescriptors(now, 0)
+			_ = n.node.ImportLoad(now, nil)
 		})
 	}
 }
@@ -1080,7 +1086,7 @@
 			run.count("datagram")
 			w.in(late+w.between(time.Millisecond, 40*time.Millisecond), func() {
 				if r.up {
-					r.post(func(now time.Duration) { r.node.Datagram(now, peerAddr(from.number), slices.Clone(data)) })
+					r.post(func(now time.Duration) { r.node.DatagramReceived(now, peerAddr(from.number), slices.Clone(data)) })
 				}
 			})
 		}
--- a/internal/world/run.go
+++ b/internal/world/run.go
@@ -13,10 +13,12 @@
 	"aspenbarrow/balance"
 	"aspenbarrow/internal/baseline"
 	"aspenbarrow/internal/checker"
+	"aspenbarrow/internal/controller"
+	"aspenbarrow/internal/discovery"
 	"aspenbarrow/internal/emulator"
-	"aspenbarrow/internal/machine"
 	"aspenbarrow/internal/measure"
 	"aspenbarrow/internal/route"
+	"aspenbarrow/internal/session"
 	"aspenbarrow/internal/settings"
 	"aspenbarrow/internal/trouble"
 )
@@ -261,7 +263,7 @@
 // network could know it.
 func (run *run) trueLoad(id balance.BackendID) float64 {
 	for _, b := range run.backends {
-		if machine.IDOf(b.name) != id {
+		if discovery.BackendID(b.name) != id {
 			continue
 		}
 		if !b.up || b.paused {
@@ -370,7 +372,7 @@
 }
 
 func (run *run) addRelay(i, of int) {
-	cfg := machine.Config{Name: fmt.Sprintf("n%d", i), Discovery: fmt.Sprintf("10.2.0.%d:8500", i), MemoryMB: memory,
+	cfg := controller.Config{Name: fmt.Sprintf("n%d", i), Discovery: fmt.Sprintf("10.2.0.%d:8500", i), MemoryMB: memory,
 		Sockets: sockets, PeersAll: peersAll, Settings: run.set, Management: "here"}
 	cfg.Routes = run.routes()
 	cfg.Decide = baseline.Named(run.opt.Policy, run.trueLoad)
@@ -471,7 +473,7 @@
 	}
 	r.leaving = true
 	run.count("relay leaves")
-	r.post(r.node.Leave)
+	r.post(r.node.Shutdown)
 	life := r.life
 	var look func()
 	look = func() {
@@ -528,7 +530,7 @@
 	if o := r.old; o != nil && o.up { // what is told to one process is told to both
 		o.node.SetDrained(on)
 		o.soon(func() {
-			o.node.Drain(run.w.now)
+			o.node.ApplyDrain(run.w.now)
 			o.tick()
 		})
 	}
@@ -541,7 +543,7 @@
 	run.check.Drained(r.number, on && !r.leaving)
 	r.node.SetDrained(on)
 	r.soon(func() {
-		r.node.Drain(run.w.now)
+		r.node.ApplyDrain(run.w.now)
 		r.tick()
 	})
 }
@@ -646,7 +648,7 @@
 	if !r.up {
 		return
 	}
-	f, seen := r.node.Ledger().Read(), run.check.Seen(r.number)
+	f, seen := r.node.Metrics().Snapshot(), run.check.Seen(r.number)
 	spare := seen.Loose
 	within := func(what string, told int64, counted int) {
 		over := int(told) - counted
@@ -678,7 +680,7 @@
 }
 
 // books says what does not come out even in the module's books; a baseline's are not held to that.
-func books(n *machine.Node) error {
+func books(n *controller.Controller) error {
 	if b, ok := n.Balancer().(*balance.Balancer); ok {
 		return b.CheckInvariants()
 	}
@@ -691,12 +693,12 @@
 		if !r.up {
 			continue
 		}
-		for _, c := range r.probes.DropAll() {
+		for _, c := range r.probes.DropAllIdle() {
 			c.(*end).close()
 		}
 		fail := func(rule, format string, args ...any) { run.fail(rule, r.name+": "+format, args...) }
-		if n := r.node.Flows(); n != 0 || r.flowing != 0 || r.lobby.Guests() != 0 || len(r.flows) != 0 {
-			fail("leak", "%d flows in the books, %d counted, %d driven, %d guests", n, r.flowing, len(r.flows), r.lobby.Guests())
+		if n := r.node.Sessions(); n != 0 || r.flowing != 0 || r.lobby.Len() != 0 || len(r.flows) != 0 {
+			fail("leak", "%d flows in the books, %d counted, %d driven, %d guests", n, r.flowing, len(r.flows), r.lobby.Len())
 		}
 		if n := run.check.Open(r.number); n != 0 {
 			fail("leak", "%d connections are open", n)
@@ -710,7 +712,7 @@
 		if n := r.node.Timers(); n > 2 { // the module's upkeep and the figures
 			fail("leak", "%d timers", n)
 		}
-		if n := r.node.Ledger().Read().Concurrent; n != 0 {
+		if n := r.node.Metrics().Snapshot().Concurrent; n != 0 {
 			fail("figures", "%d connections are reported when none is left", n)
 		}
 	}
@@ -740,10 +742,10 @@
 // The taps turn the network's words into the checker's own.
 type clientTap struct{ *checker.Client }
 
-func (t clientTap) GotEnd(how machine.End)   { t.Client.GotEnd(int32(how)) }
-func (t clientTap) WroteEnd(how machine.End) { t.Client.WroteEnd(int32(how)) }
+func (t clientTap) GotEnd(how session.EndKind)   { t.Client.GotEnd(int32(how)) }
+func (t clientTap) WroteEnd(how session.EndKind) { t.Client.WroteEnd(int32(how)) }
 
 type backendTap struct{ *checker.Backend }
 
-func (t backendTap) GotEnd(how machine.End)   { t.Backend.GotEnd(int32(how)) }
-func (t backendTap) WroteEnd(how machine.End) { t.Backend.WroteEnd(int32(how)) }
+func (t backendTap) GotEnd(how session.EndKind)   { t.Backend.GotEnd(int32(how)) }
+func (t backendTap) WroteEnd(how session.EndKind) { t.Backend.WroteEnd(int32(how)) }
--- a/internal/world/sabotage.go
+++ b/internal/world/sabotage.go
@@ -6,7 +6,7 @@
 
 import (
 	"aspenbarrow/balance"
-	"aspenbarrow/internal/machine"
+	"aspenbarrow/internal/controller"
 )
 
 // Break names one way to break every relay of a run.
@@ -79,7 +79,7 @@
 func (run *run) broken(b Break) bool { return run.opt.Break == b }
 
 // sabotaged is the configuration as a broken relay reads it.
-func (r *relay) sabotaged(cfg machine.Config) machine.Config {
+func (r *relay) sabotaged(cfg controller.Config) controller.Config {
 	s := &cfg.Settings
 	switch r.run.opt.Break {
 	case BreakFifth:
