--- a/internal/world/backend.go
+++ b/internal/world/backend.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"aspenbarrow/internal/emulator"
-	"aspenbarrow/internal/machine"
 	"aspenbarrow/internal/measure"
+	"aspenbarrow/internal/session"
 )
 
 // backend is a server that speaks the protocol's lines, takes longer the more it holds,
@@ -247,11 +247,11 @@
 }
 
 func (b *backend) accepted(e *end) {
-	s := &session{b: b, e: e}
+	s := &backendSession{b: b, e: e}
 	e.wake = s.heard
 }
 
-type session struct {
+type backendSession struct {
 	b       *backend
 	e       *end
 	stands  bool
@@ -262,7 +262,7 @@
 	key     uint64 // the client's
 }
 
-func (s *session) heard() {
+func (s *backendSession) heard() {
 	for !s.busy && !s.b.deaf {
 		i := bytes.IndexByte(s.e.in, '\n')
 		if i < 0 {
@@ -272,13 +272,13 @@
 		s.e.take(i + 1)
 		s.line(line)
 	}
-	if s.e.got != machine.NoEnd && !s.busy {
+	if s.e.got != session.NoEnd && !s.busy {
 		s.gone()
 		s.e.close()
 	}
 }
 
-func (s *session) gone() {
+func (s *backendSession) gone() {
 	if s.counted {
 		s.counted = false
 		s.b.conns--
@@ -290,9 +290,9 @@
 	}
 }
 
-func (s *session) say(line string) { s.e.write([]byte(line+"\r\n"), func(bool) {}) }
+func (s *backendSession) say(line string) { s.e.write([]byte(line+"\r\n"), func(bool) {}) }
 
-func (s *session) line(line string) {
+func (s *backendSession) line(line string) {
 	b := s.b
 	switch {
 	case s.stands:
@@ -334,14 +334,14 @@
 }
 
 // open works on a request: longer the more the machine holds.
-func (s *session) open() {
+func (s *backendSession) open() {
 	b := s.b
 	if b.model != nil {
 		s.busy = true
 		b.works(b.run.opt.Fleet.SetUpWork*(0.5+b.w.rng.Float64()), func(full bool) {
 			s.busy = false
 			switch {
-			case s.e.got != machine.NoEnd || s.e.dead:
+			case s.e.got != session.NoEnd || s.e.dead:
 				s.heard()
 			case full || b.state != "ready":
 				s.say("BUSY")
@@ -365,7 +365,7 @@
 	crowd := 1 + float64(b.conns)/(2*b.run.fair())
 	b.does(time.Duration(float64(b.service)*crowd), func() {
 		s.busy = false
-		if s.e.got != machine.NoEnd || s.e.dead {
+		if s.e.got != session.NoEnd || s.e.dead {
 			s.heard()
 			return
 		}
@@ -374,7 +374,7 @@
 }
 
 // answers says what becomes of a request that has been worked on.
-func (s *session) answers() {
+func (s *backendSession) answers() {
 	b := s.b
 	rng := b.w.rng
 	ends := true
@@ -411,7 +411,7 @@
 }
 
 // lives ends some connections from the backend's side.
-func (s *session) lives() {
+func (s *backendSession) lives() {
 	b := s.b
 	if b.w.rng.IntN(12) != 0 {
 		return
