--- a/internal/fleet/addresses.go
+++ b/internal/fleet/addresses.go
@@ -1,6 +1,3 @@
-// This file owns the rig's addresses: each pair of parties has one of its own in 127.0.0.0/8, so that one wildcard
-// socket of a kind serves all pairs and still knows who speaks to whom. It must never give two pairs one address.
-
 package fleet
 
 import (
@@ -31,6 +28,8 @@
 	addressBytes = 16 // bits within a net's second byte
 )
 
+// address is the n-th address of a net. Each pair of parties has one of its own in 127.0.0.0/8, so that one wildcard
+// socket of a kind serves all pairs and still knows who speaks to whom.
 func address(net, n int) netip.Addr {
 	return netip.AddrFrom4([4]byte{127, byte(net + n>>addressBytes), byte(n >> 8), byte(n)})
 }
--- a/internal/fleet/backends.go
+++ b/internal/fleet/backends.go
@@ -1,7 +1,3 @@
-// This file owns the backends: the emulator's model of a server, driven in real time on sockets. One wildcard socket
-// takes all connections; the address that was dialled tells the relay and the backend. It must never answer for a
-// backend that is down, nor hold work back or hurry it beyond what the model says.
-
 package fleet
 
 import (
@@ -24,6 +20,8 @@
 	"aspenbarrow/internal/trouble"
 )
 
+// backend drives the emulator's model of a server in real time on sockets. One wildcard socket takes all connections;
+// the address that was dialled tells the relay and the backend.
 type backend struct {
 	rig      *rig
 	number   int
@@ -128,10 +126,10 @@
 }
 
 func (f *failures) turn(at time.Duration) {
-	switch second := at.Truncate(time.Second); {
-	case second == f.second:
+	switch second := at.Truncate(time.Second); second {
+	case f.second:
 		return
-	case second == f.second+time.Second:
+	case f.second + time.Second:
 		f.second, f.last, f.now = second, f.now, 0
 	default:
 		f.second, f.last, f.now = second, 0, 0
@@ -206,10 +204,10 @@
 }
 
 // drain takes no new work, and ends after a while.
-func (b *backend) drain(for_ time.Duration) {
+func (b *backend) drain(within time.Duration) {
 	b.rig.logged(func(l *measure.Log) { l.Down(b.rig.since(), b.number) })
 	b.publish("draining")
-	b.rig.in(for_, b.die)
+	b.rig.in(within, b.die)
 }
 
 // serve takes connections until the listener is closed.
@@ -231,6 +229,7 @@
 	}
 }
 
+// session is one connection with a relay.
 type session struct {
 	b       *backend
 	wire    *wire
--- a/internal/fleet/clients.go
+++ b/internal/fleet/clients.go
@@ -1,6 +1,3 @@
-// This file owns the clients and the front. Clients come by an open loop: who comes, when, with which key and for how
-// long is drawn before, whatever the relays do. It must never have a client wait for its turn to wish for something.
-
 package fleet
 
 import (
@@ -32,7 +29,6 @@
 	mu   sync.Mutex
 	good []bool
 	life []int // counts changes, so that what was noticed late does not undo what is newer
-	n    int
 }
 
 func newFront(r *rig) *front {
@@ -99,6 +95,8 @@
 	seed  uint64
 }
 
+// clients come by an open loop: who comes, when, with which key and for how long is drawn before, whatever the relays
+// do, and no client waits for its turn.
 type clients struct {
 	rig    *rig
 	ctx    context.Context
@@ -193,6 +191,7 @@
 	return s
 }
 
+// client is a visit that takes place.
 type client struct {
 	visit
 	rig    *rig
@@ -234,46 +233,82 @@
 // connect tries once, stays as long as it holds, and says how long to wait before the next.
 func (c *client) connect(ctx context.Context, wished *time.Time) (pause time.Duration) {
 	r := c.rig
-	soon := func() time.Duration {
-		if c.tries++; c.tries > mostTries {
-			c.tries = 0
-			return c.between(time.Second, 4*time.Second)
-		}
-		return c.between(30*time.Millisecond, 300*time.Millisecond)
-	}
 	n := r.front.pick(c.rng)
 	if n < 0 {
 		return 500 * time.Millisecond
 	}
-	us, relay := party{trouble.Clients, n}, party{trouble.Relays, n}
-	late, ok := r.ways.opens(us, relay)
+	conn, pause := c.dial(ctx, n)
+	if conn == nil {
+		return pause
+	}
+	id := r.ids.Add(1)
+	var watch *checker.Client
+	r.checked(func() { watch = r.check.Client(int(id), n, r.check.Process(n)) })
+	w := newWire(r, conn, party{trouble.Relays, n}, party{trouble.Clients, n}, watch)
+	said, read := hear(w)
+	defer c.part(w, said, read)
+	w.say(c.request(id))
+	select {
+	case answer, ok := <-said:
+		if !ok {
+			r.count("connection ended without an answer")
+			return c.soon()
+		}
+		return c.answered(ctx, answer, w, said, wished)
+	case <-time.After(classes[c.class].giveUp + Allowance):
+		r.count("client gave up")
+		return c.soon()
+	case <-ctx.Done():
+		return 0
+	}
+}
+
+// soon counts a try that came to nothing and says how long to wait: a while longer after a few in quick succession.
+func (c *client) soon() time.Duration {
+	if c.tries++; c.tries > mostTries {
+		c.tries = 0
+		return c.between(time.Second, 4*time.Second)
+	}
+	return c.between(30*time.Millisecond, 300*time.Millisecond)
+}
+
+// dial opens a connection to a relay, across whatever faults there are on the way. Without one it says how long to
+// wait before the next try.
+func (c *client) dial(ctx context.Context, n int) (conn *net.TCPConn, pause time.Duration) {
+	r := c.rig
+	late, ok := r.ways.opens(party{trouble.Clients, n}, party{trouble.Relays, n})
 	if !ok {
 		wait(ctx, time.Second)
-		return soon()
+		return nil, c.soon()
 	}
 	if late > 0 && !wait(ctx, late) {
-		return 0
+		return nil, 0
 	}
-	conn, err := net.DialTimeout("tcp", r.ports.relayAddr(n), 2*time.Second)
+	up, err := net.DialTimeout("tcp", r.ports.relayAddr(n), 2*time.Second)
 	if err != nil {
 		r.count("client not let in")
-		return soon()
+		return nil, c.soon()
 	}
-	id := r.ids.Add(1)
-	var watch *checker.Client
-	r.checked(func() { watch = r.check.Client(int(id), n, r.check.Process(n)) })
-	w := newWire(r, conn.(*net.TCPConn), relay, us, watch)
-	name := fmt.Sprintf("%016x", id*0x9e3779b97f4a7c15+r.opt.Seed)
-	patience := classes[c.class].giveUp
-	line := fmt.Sprintf("OPEN %s %016x c=%s,d=%d", name, c.key, classes[c.class].name, patience.Milliseconds())
+	return up.(*net.TCPConn), 0
+}
+
+// request is the line that asks for a connection.
+func (c *client) request(id uint64) string {
+	name := fmt.Sprintf("%016x", id*0x9e3779b97f4a7c15+c.rig.opt.Seed)
+	class := classes[c.class]
+	line := fmt.Sprintf("OPEN %s %016x c=%s,d=%d", name, c.key, class.name, class.giveUp.Milliseconds())
 	if c.tries > 0 {
 		line += ",r=1"
 	}
 	if c.back {
 		line += ",again=1"
 	}
-	said := make(chan string, 64)
-	read := make(chan struct{})
+	return line
+}
+
+// hear listens to a connection. said has the lines that come and is closed at its end, then read is too.
+func hear(w *wire) (said chan string, read chan struct{}) {
+	said, read = make(chan string, 64), make(chan struct{})
 	go func() {
 		defer close(read)
 		defer close(said)
@@ -287,33 +322,27 @@
 			})
 		})
 	}()
-	defer func() {
-		c.rig.clients.wg.Add(1) // this visit still counts there
+	return said, read
+}
+
+// part ends a connection in the background.
+func (c *client) part(w *wire, said <-chan string, read <-chan struct{}) {
+	c.rig.clients.wg.Add(1) // this visit still counts there
+	go func() {
+		defer c.rig.clients.wg.Done()
 		go func() {
-			defer c.rig.clients.wg.Done()
-			go func() {
-				for range said { // nobody listens to what comes now
-				}
-			}()
-			w.part(read)
+			for range said { // nobody listens to what comes now
+			}
 		}()
+		w.part(read)
 	}()
-	w.say(line)
-	answer, ok := "", false
-	select {
-	case answer, ok = <-said:
-	case <-time.After(patience + Allowance):
-		r.count("client gave up")
-		return soon()
-	case <-ctx.Done():
-		return 0
-	}
-	word, rest, _ := strings.Cut(answer, " ")
-	switch {
-	case !ok:
-		r.count("connection ended without an answer")
-		return soon()
-	case word == "UP":
+}
+
+// answered takes in the answer to a request, stays if it is UP, and says how long to wait before the next try.
+func (c *client) answered(ctx context.Context, answer string, w *wire, said <-chan string, wished *time.Time) (pause time.Duration) {
+	r := c.rig
+	switch word, rest, _ := strings.Cut(answer, " "); word {
+	case "UP":
 		r.count("served")
 		r.waited(time.Since(*wished))
 		c.tries, c.back = 0, false
@@ -323,7 +352,7 @@
 		pause = c.stay(ctx, w, said)
 		*wished = time.Now()
 		return pause
-	case word == "BUSY":
+	case "BUSY":
 		r.count("refused")
 		c.tries++
 		if v, err := strconv.Atoi(rest); err == nil {
@@ -333,7 +362,7 @@
 	}
 	r.count("failed")
 	r.count("failed " + classes[c.class].name)
-	return soon()
+	return c.soon()
 }
 
 // stay says a line every two seconds until the visit or the connection ends.
--- a/internal/fleet/discovery.go
+++ b/internal/fleet/discovery.go
@@ -1,6 +1,3 @@
-// This file owns discovery: an agent for each relay, which has learnt what it has learnt, late or not at all, and tells
-// that. It must never tell a relay what its agent has not learnt.
-
 package fleet
 
 import (
@@ -31,6 +28,7 @@
 	since   int // the agent's version that brought it
 }
 
+// agent is one relay's discovery service. It tells what it has learnt, late or not at all.
 type agent struct {
 	mu      sync.Mutex
 	relay   int
@@ -41,6 +39,7 @@
 	strange bool // learns nothing any more
 }
 
+// catalog is the truth about the backends, and the server behind which all agents stand.
 type catalog struct {
 	rig    *rig
 	agents []*agent
--- a/internal/fleet/faults.go
+++ b/internal/fleet/faults.go
@@ -1,6 +1,3 @@
-// This file owns how faults come about on processes and sockets. It must never begin one without writing down that it
-// began, what it did and when it was over.
-
 package fleet
 
 import (
@@ -13,7 +10,7 @@
 	"aspenbarrow/internal/trouble"
 )
 
-// kind begins a fault and may return what ends it.
+// kind begins a fault, writes down what it did and may return what ends it.
 type kind func(r *rig, f *trouble.Fault, did *deeds) (end func())
 
 // kinds are all that processes can play.
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,8 +1,10 @@
-// Package fleet is the rig: hundreds of processes of the program on loopback addresses, with discovery, modelled
-// backends and clients around them in real time, and faults on every way between two parties and in every process.
+// Package fleet runs hundreds of processes of the relay's program on loopback addresses, in real time, with a discovery
+// service, modelled backends (package emulator) and clients around them, and injects faults on every way between two
+// parties and in every process.
 //
-// This file owns a run: what is started in which order, its clock, its books and its end. It must never leave a process
-// behind, call a run sound in which a fault did nothing, or excuse a relay by anything but what the rig did to it.
+// Package checker watches the relays' side of every connection; Result.Broken has the rules that were broken. No
+// process outlives the rig, even if it is killed: the system ends them with the thread that started them. A run in
+// which a fault did nothing is an error, since it shows nothing. Linux only.
 package fleet
 
 import (
@@ -38,14 +40,16 @@
 const Allowance = 500 * time.Millisecond
 
 // Options say what is run.
+//
+// Program, Length and Fleet's numbers of parties have to be set.
 type Options struct {
-	Program string // the relay's, built already
-	Seed    uint64
-	Length  time.Duration
-	Fleet   world.Fleet
-	Script  []trouble.Fault
-	Look    func(v *View) // called now and then while the run takes its course; nil: nobody looks
-	Keep    string        // a folder for the relays' files; empty: a temporary one that is removed
+	Program string          // the relay's, built already
+	Seed    uint64          // of what clients draw and of what faults strike
+	Length  time.Duration   // once all relays are ready
+	Fleet   world.Fleet     // the installation
+	Script  []trouble.Fault // what goes wrong
+	Look    func(v *View)   // called now and then while the run takes its course; nil: nobody looks
+	Keep    string          // a folder for the relays' files; empty: a temporary one that is removed
 }
 
 // Result is what a run came to.
@@ -53,11 +57,11 @@
 	Program  string           `json:"program"`
 	Seed     uint64           `json:"seed"`
 	Ready    time.Duration    `json:"ready_ns"` // until all relays took clients
-	Service  []world.Second   `json:"service"`
-	Evenness []measure.Second `json:"evenness"`
+	Service  []world.Second   `json:"service"`  // by second
+	Evenness []measure.Second `json:"evenness"` // of the load, by second
 	Faults   []Effect         `json:"faults"`
-	Broken   []string         `json:"broken,omitempty"`
-	Counts   map[string]int   `json:"counts"`
+	Broken   []string         `json:"broken,omitempty"` // rules
+	Counts   map[string]int   `json:"counts"`           // how often what came up
 	Waits    Waits            `json:"waits"`
 	Rates    Rates            `json:"rates"`
 	Usage    Usage            `json:"usage"`
@@ -68,9 +72,9 @@
 // Effect is what a fault really did.
 type Effect struct {
 	trouble.Fault
-	Began time.Duration  `json:"began_ns"`
-	Ended time.Duration  `json:"ended_ns"`
-	Did   map[string]int `json:"did"`
+	Began time.Duration  `json:"began_ns"` // since the run began
+	Ended time.Duration  `json:"ended_ns"` // likewise
+	Did   map[string]int `json:"did"`      // how often what; empty: nothing
 }
 
 // Waits are the times from a client's wish for a connection to its UP, in milliseconds.
@@ -82,7 +86,7 @@
 	Max   float64 `json:"max_ms"`
 }
 
-// Rates are sums and peaks of what passes.
+// Rates are means over the run, and peaks, of what relays send beside clients' lines.
 type Rates struct {
 	Probes       float64 `json:"probes_per_s"` // of all relays
 	ProbesOne    int     `json:"probes_at_one_backend_in_a_second"`
@@ -93,14 +97,15 @@
 	Calls        float64 `json:"discovery_calls_per_s"`
 }
 
-// Usage is of a relay's process that ran to the end.
+// Usage is the medians and maxima over those relays' processes that ran from beginning to end.
 type Usage struct {
 	CPUMedian float64 `json:"cpu_share_median"` // of a core
 	CPUMost   float64 `json:"cpu_share_most"`
-	MemMedian int64   `json:"memory_bytes_median"`
+	MemMedian int64   `json:"memory_bytes_median"` // resident, the high-water mark
 	MemMost   int64   `json:"memory_bytes_most"`
 }
 
+// relay is one relay and its present process.
 type relay struct {
 	number int
 	dir    string
@@ -109,6 +114,7 @@
 	down   bool // killed, or to be started late
 }
 
+// rig is a run: what is started, its clock and its books.
 type rig struct {
 	opt      Options
 	ctx      context.Context
@@ -254,7 +260,7 @@
 	return strings.Split(strings.TrimSpace(string(text)), "\n"), err
 }
 
-// Check says what of a script this rig can't do.
+// Check returns an error if processes cannot play a fault of this kind.
 func Check(f *trouble.Fault) error {
 	if _, ok := kinds[f.Kind]; !ok {
 		return fmt.Errorf("processes can't play %q", f.Kind)
@@ -265,60 +271,19 @@
 // Run plays a script on processes. It returns once all that it started has ended. A run whose faults did nothing, or
 // which the rig could not play, is an error.
 func Run(ctx context.Context, opt Options) (res Result, err error) {
-	f := &opt.Fleet
-	if f.Relays < 1 || f.Relays > maxRelays || f.Backends < 1 || f.Backends > maxBackends {
-		return res, fmt.Errorf("%d relays and %d backends: 1 to %d and 1 to %d can be played", f.Relays, f.Backends, maxRelays, maxBackends)
-	}
-	if err := fits(f.Relays, f.Clients); err != nil {
+	if opt, err = playable(opt); err != nil {
 		return res, err
 	}
-	program, err := filepath.Abs(opt.Program)
-	if err != nil {
-		return res, err
-	}
-	if info, err := os.Stat(program); err != nil {
-		return res, fmt.Errorf("the relay's program: %w", err)
-	} else if info.IsDir() || info.Mode()&0o111 == 0 {
-		return res, fmt.Errorf("the relay's program: %s cannot be executed", opt.Program)
-	}
-	opt.Program = program
-	for i := range opt.Script {
-		if err := Check(&opt.Script[i]); err != nil {
-			return res, err
-		}
-	}
-	r := &rig{opt: opt, start: time.Now(), ways: newWays(opt.Seed), counts: map[string]int{}, out: map[string]*session{},
-		dice: rand.New(rand.NewPCG(opt.Seed, 0xf1ee7)), errs: make(chan error, 16),
-		hist: hdrhistogram.New(1, 60_000_000, 3)}
-	r.epoch = time.Duration(r.start.UnixNano())
-	r.ctx, r.cancel = context.WithCancel(ctx)
+	r := newRig(ctx, opt)
 	defer r.cancel()
-	r.dir = opt.Keep
 	if r.dir == "" {
 		if r.dir, err = os.MkdirTemp("", "fleet"); err != nil {
 			return res, err
 		}
-		defer os.RemoveAll(r.dir)
+		defer func() { _ = os.RemoveAll(r.dir) }() // in the system's folder for temporary files
 	}
 	r.nursery = newNursery()
-	defer func() {
-		r.checked(func() {
-			for i := range r.relays {
-				r.check.RelayDown(i)
-			}
-		})
-		r.cancel()
-		r.nursery.close()
-		r.ports.giveBack()
-		for _, b := range r.backends {
-			b.stop(false)
-			for _, end := range []func(){b.wall, b.free} {
-				if end != nil {
-					end()
-				}
-			}
-		}
-	}()
+	defer r.shutDown()
 	if err := r.build(); err != nil {
 		return res, err
 	}
@@ -337,14 +302,77 @@
 	if ctx.Err() != nil {
 		return res, ctx.Err()
 	}
-	for i := range res.Faults {
-		if len(res.Faults[i].Did) == 0 {
-			err = errors.Join(err, fmt.Errorf("%s: the fault %q at %v did nothing", where(&res.Faults[i].Fault), res.Faults[i].Kind, res.Faults[i].At))
+	return res, idle(res.Faults)
+}
+
+// playable checks that the rig can play what is asked, and makes the path of the program absolute.
+func playable(opt Options) (Options, error) {
+	f := &opt.Fleet
+	if f.Relays < 1 || f.Relays > maxRelays || f.Backends < 1 || f.Backends > maxBackends {
+		return opt, fmt.Errorf("%d relays and %d backends: 1 to %d and 1 to %d can be played", f.Relays, f.Backends, maxRelays, maxBackends)
+	}
+	if err := fits(f.Relays, f.Clients); err != nil {
+		return opt, err
+	}
+	program, err := filepath.Abs(opt.Program)
+	if err != nil {
+		return opt, err
+	}
+	if info, err := os.Stat(program); err != nil {
+		return opt, fmt.Errorf("the relay's program: %w", err)
+	} else if info.IsDir() || info.Mode()&0o111 == 0 {
+		return opt, fmt.Errorf("the relay's program: %s cannot be executed", opt.Program)
+	}
+	opt.Program = program
+	for i := range opt.Script {
+		if err := Check(&opt.Script[i]); err != nil {
+			return opt, err
+		}
+	}
+	return opt, nil
+}
+
+// newRig is a rig that has started nothing yet.
+func newRig(ctx context.Context, opt Options) *rig {
+	r := &rig{opt: opt, start: time.Now(), ways: newWays(opt.Seed), counts: map[string]int{}, out: map[string]*session{},
+		dice: rand.New(rand.NewPCG(opt.Seed, 0xf1ee7)), errs: make(chan error, 16),
+		hist: hdrhistogram.New(1, 60_000_000, 3), dir: opt.Keep}
+	r.epoch = time.Duration(r.start.UnixNano())
+	r.ctx, r.cancel = context.WithCancel(ctx)
+	return r
+}
+
+// shutDown ends all that was started. What relays do from here on is not held against them.
+func (r *rig) shutDown() {
+	r.checked(func() {
+		for i := range r.relays {
+			r.check.RelayDown(i)
+		}
+	})
+	r.cancel()
+	r.nursery.close()
+	r.ports.giveBack()
+	for _, b := range r.backends {
+		b.stop(false)
+		for _, end := range []func(){b.wall, b.free} {
+			if end != nil {
+				end()
+			}
+		}
+	}
+}
+
+// idle is an error that names the faults that did nothing; nil: each did something.
+func idle(faults []Effect) (err error) {
+	for i := range faults {
+		if f := &faults[i]; len(f.Did) == 0 {
+			err = errors.Join(err, fmt.Errorf("%s: the fault %q at %v did nothing", where(&f.Fault), f.Kind, f.At))
 		}
 	}
-	return res, err
+	return err
 }
 
+// where names the line of a script for a message.
 func where(f *trouble.Fault) string {
 	if f.Line == 0 {
 		return "script"
@@ -607,38 +635,57 @@
 	over := time.NewTimer(r.opt.Length)
 	defer over.Stop()
 	if r.opt.Look != nil {
-		looked := make(chan struct{})
-		go func() {
-			defer close(looked)
-			for wait(r.ctx, 100*time.Millisecond) && r.since() < r.opt.Length {
-				r.opt.Look(&View{r})
-			}
-		}()
-		defer func() { <-looked }()
+		defer r.look()()
+	}
+	if err := r.course(res, sweep.C, over.C); err != nil {
+		return err
+	}
+	length := r.since()
+	after := r.usages()
+	for _, end := range ends {
+		end()
 	}
+	r.clients.stop()
+	r.sumUp(res, length)
+	res.Usage = usageOf(before, after, length)
+	return nil
+}
+
+// look has somebody look at the run while it takes its course; what it returns waits for the last look to end.
+func (r *rig) look() (ended func()) {
+	looked := make(chan struct{})
+	go func() {
+		defer close(looked)
+		for wait(r.ctx, 100*time.Millisecond) && r.since() < r.opt.Length {
+			r.opt.Look(&View{r})
+		}
+	}()
+	return func() { <-looked }
+}
+
+// course measures second by second until the run is over, cancelled or in trouble of the rig's own.
+func (r *rig) course(res *Result, sweep, over <-chan time.Time) error {
 	last := r.total()
-	for done := false; !done; {
+	for {
 		select {
-		case <-sweep.C:
+		case <-sweep:
 			r.checked(r.check.Sweep)
 			res.Service = append(res.Service, r.clients.measure())
 			now := r.total()
 			res.Machine = append(res.Machine, (now - last).Seconds())
 			last = now
-		case <-over.C:
-			done = true
+		case <-over:
+			return nil
 		case <-r.ctx.Done():
 			return r.ctx.Err()
 		case err := <-r.errs:
 			return err
 		}
 	}
-	length := r.since()
-	after := r.usages()
-	for _, end := range ends {
-		end()
-	}
-	r.clients.stop()
+}
+
+// sumUp writes the books of a run of a length into its result.
+func (r *rig) sumUp(res *Result, length time.Duration) {
 	r.mu.Lock()
 	res.Faults = slices.Clone(r.effects)
 	res.Counts, res.Attempts = r.counts, r.attempts
@@ -655,8 +702,6 @@
 		}
 	})
 	res.Rates = r.tally.rates(length)
-	res.Usage = usageOf(before, after, length)
-	return nil
 }
 
 // usages are what relays' processes have used; nil for one that doesn't run.
@@ -682,6 +727,7 @@
 	return sum
 }
 
+// usageOf sums up what the processes used that ran from beginning to end.
 func usageOf(before, after map[*process]usage, length time.Duration) (u Usage) {
 	var cpu []float64
 	var mem []int64
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -35,7 +35,7 @@
 		fmt.Fprintln(os.Stderr, err)
 		return 1
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }() // in the system's folder for temporary files
 	if program, err = Build(context.Background(), dir); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 1
--- a/internal/fleet/links.go
+++ b/internal/fleet/links.go
@@ -1,6 +1,3 @@
-// This file owns the ways between parties: what of a fault in force meets what passes, and what that really did.
-// It must never lose or reorder a stream's bytes, nor hold anything longer than its fault says.
-
 package fleet
 
 import (
@@ -37,10 +34,6 @@
 	lost, doubled, delayed, held, refused, struck atomic.Int64
 }
 
-func (d *deeds) total() int64 {
-	return d.lost.Load() + d.doubled.Load() + d.delayed.Load() + d.held.Load() + d.refused.Load() + d.struck.Load()
-}
-
 func (d *deeds) counts() map[string]int {
 	out := map[string]int{}
 	for name, v := range map[string]int64{"datagrams lost": d.lost.Load(), "datagrams doubled": d.doubled.Load(),
@@ -52,7 +45,8 @@
 	return out
 }
 
-// ways are all links. It is safe for concurrent use.
+// ways are all links between parties with the faults in force on them. Bytes of a stream are delayed, never lost or
+// reordered, and nothing is held longer than its fault lasts. It is safe for concurrent use.
 type ways struct {
 	mu    sync.RWMutex
 	now   []*active
--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -1,6 +1,3 @@
-// This file owns the datagrams between relays: one wildcard socket takes all of them and sends each on from the address
-// by which its receiver knows the sender. It must never send one to anybody but the relay it was for.
-
 package fleet
 
 import (
@@ -20,6 +17,8 @@
 	_ = unix.BindToDevice(int(fd), "lo")
 }
 
+// post passes the datagrams between relays on: one wildcard socket takes all of them and sends each from the address
+// by which its receiver knows the sender.
 type post struct {
 	rig  *rig
 	conn *ipv4.PacketConn
--- a/internal/fleet/processes.go
+++ b/internal/fleet/processes.go
@@ -1,6 +1,3 @@
-// This file owns the relays' processes: their files, their start, what is done to them, and that none of them outlives
-// the rig. It must never signal a process that this rig did not start, nor look for one by name.
-
 package fleet
 
 import (
@@ -26,7 +23,7 @@
 // readyWithin is how long all relays together have to be ready.
 const readyWithin = 20 * time.Second
 
-// process is one life of a relay's process.
+// process is one life of a relay's process. Only processes that the nursery started are ever signalled.
 type process struct {
 	cmd    *exec.Cmd
 	number int
@@ -64,7 +61,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // the process has a descriptor of its own
 	p.cmd = exec.Command(program)
 	p.cmd.Dir, p.cmd.Env, p.cmd.Stdout, p.cmd.Stderr = dir, env, f, f
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
--- a/internal/fleet/settings.go
+++ b/internal/fleet/settings.go
@@ -1,6 +1,3 @@
-// This file owns what relays are told of the installation, and what the checker holds them to. The two must never say
-// different things.
-
 package fleet
 
 import (
@@ -11,6 +8,7 @@
 	"aspenbarrow/internal/world"
 )
 
+// class is a class of requests: settingsOf tells relays of it, rulesOf the checker.
 type class struct {
 	name    string
 	giveUp  time.Duration
--- a/internal/fleet/tally.go
+++ b/internal/fleet/tally.go
@@ -1,6 +1,3 @@
-// This file owns what is counted by second and party: probes, handshakes, datagrams, calls. It must never make anybody
-// wait for a counter.
-
 package fleet
 
 import (
@@ -38,6 +35,7 @@
 	}
 }
 
+// tally counts by second and party. Nobody waits for a counter.
 type tally struct {
 	rig         *rig
 	probes      *perSecond // by backend
--- a/internal/fleet/wire.go
+++ b/internal/fleet/wire.go
@@ -1,6 +1,3 @@
-// This file owns a connection at the rig's end: its bytes pass the ways in both directions, and the checker hears of
-// them where the relay would: of what it wrote when it comes, of what it gets when it goes. It must never change a byte.
-
 package fleet
 
 import (
@@ -37,7 +34,8 @@
 	then chan struct{} // only this is closed: all before it is out
 }
 
-// wire is one connection with a relay.
+// wire is one connection with a relay. Its bytes pass the ways unchanged in both directions. The checker hears of them
+// where the relay would: of what the relay wrote when it comes, of what the relay gets when it goes.
 type wire struct {
 	rig    *rig
 	conn   *net.TCPConn
