--- a/internal/config/codec_test.go
+++ b/internal/config/codec_test.go
@@ -119,7 +119,7 @@
 	if m := r.Membership; m == nil {
 		say("membership", "no")
 	} else {
-		say("membership", m.Fleet, m.Period, m.Fan, m.Indirect, m.Suspicion, m.Forget)
+		say("membership", m.Fleet, m.ProtocolPeriod, m.ProbesPerPeriod, m.IndirectProbes, m.MinSuspicionTimeout, m.ForgetAfter)
 	}
 	for class := range s.Classes {
 		for tenant := range max(1, len(s.Tenants)) {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -129,14 +129,14 @@
 	}
 	var members *membership.Settings
 	if m := in.Membership; m != nil {
-		of := membership.Sound(m.Fleet)
+		of := membership.DefaultSettings(m.Fleet)
 		if m.PeriodMS > 0 {
-			of.Period = settings.Duration(m.PeriodMS)
+			of.ProtocolPeriod = settings.Duration(m.PeriodMS)
 		}
 		if m.SuspicionMS > 0 {
-			of.Suspicion = settings.Duration(m.SuspicionMS)
+			of.MinSuspicionTimeout = settings.Duration(m.SuspicionMS)
 		}
-		if fs := of.Faults(); len(fs) > 0 {
+		if fs := of.Validate(); len(fs) > 0 {
 			return Config{}, fmt.Errorf("membership: %s: %s", fs[0].Key, fs[0].Reason)
 		}
 		if !s.Gossip || in.PeerListen == "" || len(in.Peers) <= s.RelayIndex {
@@ -249,8 +249,8 @@
 		len(f.Peers.Addresses) > 0 && !slices.Contains(f.Peers.Addresses, f.Peers.Listen) {
 		r.fault("peers.listen", "%q is not in peers.addresses: with membership.on the others would not know this relay", f.Peers.Listen)
 	}
-	s := membership.Settings{Fleet: m.Fleet, Period: m.Period, Fan: m.Fan, Indirect: m.Indirect, Suspicion: m.Suspicion, Forget: m.Forget}
-	for _, e := range s.Faults() {
+	s := membership.Settings{Fleet: m.Fleet, ProtocolPeriod: m.Period, ProbesPerPeriod: m.Fan, IndirectProbes: m.Indirect, MinSuspicionTimeout: m.Suspicion, ForgetAfter: m.Forget}
+	for _, e := range s.Validate() {
 		r.fault("membership."+e.Key, "%s", e.Reason)
 	}
 	return &s
--- a/internal/machine/golden_test.go
+++ b/internal/machine/golden_test.go
@@ -77,7 +77,7 @@
 // heir is a Node that has taken over the golden hot-restart document.
 func heir(t *testing.T) *Node {
 	t.Helper()
-	cfg, joined := testConfig(), membership.Sound("f")
+	cfg, joined := testConfig(), membership.DefaultSettings("f")
 	cfg.Known, cfg.Membership = nil, &joined
 	cfg.Settings.ClassNames = []string{"chat", "bulk"}
 	cfg.Settings.Classes = append(cfg.Settings.Classes, cfg.Settings.Classes[0])
--- a/internal/machine/members.go
+++ b/internal/machine/members.go
@@ -42,8 +42,8 @@
 	} else {
 		n.after(memberTimer, 0, 0)
 	}
-	n.members = membership.New(n.now, cfg.Seed, *cfg.Membership, membership.Self{Number: n.set.RelayIndex, Name: cfg.Name,
-		Start: uint64(n.born / time.Millisecond), Incarnation: n.handed}, len(cfg.Peers))
+	n.members = membership.New(n.now, cfg.Seed, *cfg.Membership, membership.LocalNode{Index: n.set.RelayIndex, Name: cfg.Name,
+		StartMillis: uint64(n.born / time.Millisecond), PreviousIncarnation: n.handed}, len(cfg.Peers))
 }
 
 func (n *Node) memberTick() {
@@ -55,14 +55,14 @@
 		return
 	}
 	n.passOn(n.members.Tick(n.now))
-	if here := n.members.Here(); here != n.here {
+	if here := n.members.ActiveCount(); here != n.here {
 		n.hear(here)
 	}
 	if n.now-n.viewed >= viewEvery {
 		n.viewed = n.now
 		n.book.members(n.members, n.now)
 	}
-	n.after(memberTimer, 0, max(0, n.members.Next()-n.now))
+	n.after(memberTimer, 0, max(0, n.members.NextTick()-n.now))
 }
 
 // hear tells the module how many relays there are; 0: nobody knows any more.
@@ -72,7 +72,7 @@
 	n.balancer.SetActiveRelays(here)
 }
 
-func (n *Node) passOn(out []membership.Out) {
+func (n *Node) passOn(out []membership.Packet) {
 	for _, o := range out {
 		if o.To < len(n.cfg.Peers) {
 			n.host.Datagram(n.cfg.Peers[o.To], o.Data)
@@ -83,11 +83,11 @@
 // fromMember takes in a datagram of a relay in the list. It returns false for an older version's notice of a slow
 // server, which is taken from who is there alone.
 func (n *Node) fromMember(now time.Duration, from int, data []byte) bool {
-	if membership.Ours(data) {
-		n.run(now, func() { n.passOn(n.members.Datagram(n.now, from, data)) })
+	if membership.IsMessage(data) {
+		n.run(now, func() { n.passOn(n.members.HandlePacket(n.now, from, data)) })
 		return true
 	}
-	if n.members.Has(from) {
+	if n.members.IsActive(from) {
 		return false
 	}
 	n.book.strangers.Add(1)
@@ -112,10 +112,10 @@
 	Health    int
 	Strangers int64 // notices that were not taken
 	Members   []membership.Member
-	Counters  membership.Counters
+	Counters  membership.Stats
 }
 
 // members publishes the view.
-func (l *Ledger) members(m *membership.Machine, now time.Duration) {
-	l.view.Store(&MemberFigures{Here: m.Here(), Health: m.Health(), Strangers: l.strangers.Load(), Members: m.Members(now), Counters: m.Count})
+func (l *Ledger) members(m *membership.Memberlist, now time.Duration) {
+	l.view.Store(&MemberFigures{Here: m.ActiveCount(), Health: m.Health(), Strangers: l.strangers.Load(), Members: m.Members(now), Counters: m.Stats()})
 }
--- a/internal/machine/members_test.go
+++ b/internal/machine/members_test.go
@@ -36,7 +36,7 @@
 			return counting{balance.New(now, seed, s, do), seen[i]}
 		}
 		if on {
-			s := membership.Sound("f")
+			s := membership.DefaultSettings("f")
 			cfg.Membership = &s
 		}
 		nodes[i], hosts[i] = node(t, cfg)
@@ -105,7 +105,7 @@
 		t.Fatal(err)
 	}
 	pass(12 * time.Second)
-	if nodes[0].here != 2 || !nodes[1].members.Has(0) {
+	if nodes[0].here != 2 || !nodes[1].members.IsActive(0) {
 		t.Errorf("turned on again: %d relays", nodes[0].here)
 	}
 }
--- a/internal/machine/node.go
+++ b/internal/machine/node.go
@@ -150,11 +150,11 @@
 	log        *zap.Logger
 	host       Host
 	balancer   Decider
-	watch      *watch              // nil: nothing is watched
-	members    *membership.Machine // nil: nobody finds out who is there
-	here       int                 // relays that are there, as the module was told
-	viewed     time.Duration       // when staff's view of them was made
-	handed     uint64              // an incarnation that the process before this one had
+	watch      *watch                 // nil: nothing is watched
+	members    *membership.Memberlist // nil: nobody finds out who is there
+	here       int                    // relays that are there, as the module was told
+	viewed     time.Duration          // when staff's view of them was made
+	handed     uint64                 // an incarnation that the process before this one had
 	born       time.Duration
 	now        time.Duration
 	flows      map[uint64]*call
--- a/internal/management/golden_test.go
+++ b/internal/management/golden_test.go
@@ -39,14 +39,14 @@
 	}
 	out.Members = &machine.MemberFigures{Here: 3, Health: 6, Strangers: 17,
 		Members: []membership.Member{
-			{Number: 0, Name: "n0", State: "alive", Since: 90 * time.Second, Incarnation: 21, Health: 6},
-			{Number: 1, Name: "n1", State: "suspect", Since: 1500 * time.Millisecond, By: 2, Incarnation: 22, RoundTrip: 730 * time.Microsecond, Health: 1, Twice: true},
-			{Number: 2, Name: "n2", State: "alive", Since: time.Minute, By: 2, Incarnation: 23, RoundTrip: 2 * time.Millisecond},
-			{Number: 3, Name: "n3", State: "dead", Since: time.Hour, By: 1, Incarnation: 24},
-			{Number: 4, Name: "n4", State: "left", Since: 2 * time.Hour, By: 4, Incarnation: 25},
-			{Number: 5, State: "joining", By: 5}},
-		Counters: membership.Counters{Probes: 201, Failed: 202, Asked: 203, Refuted: 204, Suspected: 205, Died: 206, Returned: 207,
-			Overslept: 208, Sent: 209, SentBytes: 210, Heard: 211, Bad: 212, Foreign: 213, Absurd: 214}}
+			{Index: 0, Name: "n0", State: "alive", Since: 90 * time.Second, Incarnation: 21, Health: 6},
+			{Index: 1, Name: "n1", State: "suspect", Since: 1500 * time.Millisecond, ReportedBy: 2, Incarnation: 22, RoundTrip: 730 * time.Microsecond, Health: 1, DuplicateName: true},
+			{Index: 2, Name: "n2", State: "alive", Since: time.Minute, ReportedBy: 2, Incarnation: 23, RoundTrip: 2 * time.Millisecond},
+			{Index: 3, Name: "n3", State: "dead", Since: time.Hour, ReportedBy: 1, Incarnation: 24},
+			{Index: 4, Name: "n4", State: "left", Since: 2 * time.Hour, ReportedBy: 4, Incarnation: 25},
+			{Index: 5, State: "joining", ReportedBy: 5}},
+		Counters: membership.Stats{Probes: 201, FailedProbes: 202, IndirectProbes: 203, Refutations: 204, Suspicions: 205, Deaths: 206, Recoveries: 207,
+			Stalls: 208, PacketsSent: 209, BytesSent: 210, PacketsReceived: 211, MalformedPackets: 212, ForeignPackets: 213, RejectedIncarnations: 214}}
 	return out
 }
 
--- a/internal/management/management.go
+++ b/internal/management/management.go
@@ -101,8 +101,8 @@
 		for _, v := range []struct {
 			name string
 			v    uint64
-		}{{"probes", c.Probes}, {"probes_failed", c.Failed}, {"suspected", c.Suspected}, {"died", c.Died}, {"returned", c.Returned}, {"refuted", c.Refuted},
-			{"overslept", c.Overslept}, {"sent", c.Sent}, {"sent_bytes", c.SentBytes}, {"heard", c.Heard}, {"bad", c.Bad}, {"foreign", c.Foreign}, {"absurd", c.Absurd}} {
+		}{{"probes", c.Probes}, {"probes_failed", c.FailedProbes}, {"suspected", c.Suspicions}, {"died", c.Deaths}, {"returned", c.Recoveries}, {"refuted", c.Refutations},
+			{"overslept", c.Stalls}, {"sent", c.PacketsSent}, {"sent_bytes", c.BytesSent}, {"heard", c.PacketsReceived}, {"bad", c.MalformedPackets}, {"foreign", c.ForeignPackets}, {"absurd", c.RejectedIncarnations}} {
 			line("members."+v.name, int64(v.v))
 		}
 	}
@@ -123,8 +123,8 @@
 		if name == "" {
 			name = "-"
 		}
-		fmt.Fprintf(&b, "member=%d name=%s state=%s since_ms=%d by=%d incarnation=%d round_trip_us=%d health=%d twice=%t%s", m.Number, name, m.State,
-			m.Since.Milliseconds(), m.By, m.Incarnation, m.RoundTrip.Microseconds(), m.Health, m.Twice, eol)
+		fmt.Fprintf(&b, "member=%d name=%s state=%s since_ms=%d by=%d incarnation=%d round_trip_us=%d health=%d twice=%t%s", m.Index, name, m.State,
+			m.Since.Milliseconds(), m.ReportedBy, m.Incarnation, m.RoundTrip.Microseconds(), m.Health, m.DuplicateName, eol)
 	}
 	b.WriteString("EOT" + eol)
 	return b.String()
--- a/internal/membership/figures_test.go
+++ b/internal/membership/figures_test.go
@@ -21,7 +21,7 @@
 			seeds = 2
 		}
 		for seed := range uint64(seeds) {
-			s := newSim(n, seed+1, Sound("f"))
+			s := newSim(n, seed+1, DefaultSettings("f"))
 			s.startAll()
 			d, ok := s.until(30*time.Second, s.oneView)
 			first = append(first, d)
@@ -31,12 +31,12 @@
 			s.run(20 * time.Second)
 			before := uint64(0)
 			for _, nd := range s.nodes {
-				before += nd.m.Count.SentBytes
+				before += nd.m.stats.BytesSent
 			}
 			s.run(10 * time.Second)
 			after := uint64(0)
 			for _, nd := range s.nodes {
-				after += nd.m.Count.SentBytes
+				after += nd.m.stats.BytesSent
 			}
 			bytes = float64(after-before) / 10 / float64(n)
 			s.kill(3)
@@ -49,7 +49,7 @@
 		slices.Sort(all)
 		fmt.Printf("%d relays: one view %v to %v; dead to 99%% median %v worst %v, to all %v worst %v; %.0f bytes/s a relay\n", n,
 			first[0], first[len(first)-1], most[len(most)/2], most[len(most)-1], all[len(all)/2], all[len(all)-1], bytes)
-		s := newSim(n, 7, Sound("f"))
+		s := newSim(n, 7, DefaultSettings("f"))
 		s.startAll()
 		s.run(10 * time.Second)
 		s.cut = func(a, b int) bool { return (a < n/2) != (b < n/2) }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -34,37 +34,37 @@
 
 // Settings say how a fleet finds out who is there. All of a fleet's relays have the same.
 type Settings struct {
-	Fleet     string
-	Period    time.Duration // a relay probes Fan members in it
-	Fan       int
-	Indirect  int           // asks so many others to probe who doesn't answer
-	Suspicion time.Duration // the least time from a suspicion to a death
-	Forget    time.Duration // a dead member is asked for now and then until this is over
+	Fleet               string
+	ProtocolPeriod      time.Duration // a relay probes Fan members in it
+	ProbesPerPeriod     int
+	IndirectProbes      int           // asks so many others to probe who doesn't answer
+	MinSuspicionTimeout time.Duration // the least time from a suspicion to a death
+	ForgetAfter         time.Duration // a dead member is asked for now and then until this is over
 
 	plain bool // tests only: without Lifeguard's extensions and the judge's own try
 }
 
 // Sound are usual settings.
-func Sound(fleet string) Settings {
-	return Settings{Fleet: fleet, Period: time.Second, Fan: 3, Indirect: 3, Suspicion: 700 * time.Millisecond, Forget: 10 * time.Minute}
+func DefaultSettings(fleet string) Settings {
+	return Settings{Fleet: fleet, ProtocolPeriod: time.Second, ProbesPerPeriod: 3, IndirectProbes: 3, MinSuspicionTimeout: 700 * time.Millisecond, ForgetAfter: 10 * time.Minute}
 }
 
 // Fault is one thing wrong with settings, by its key in files.
-type Fault struct{ Key, Reason string }
+type SettingError struct{ Key, Reason string }
 
 // Faults says all that is wrong with settings.
-func (s *Settings) Faults() (out []Fault) {
+func (s *Settings) Validate() (out []SettingError) {
 	bad := func(wrong bool, key, reason string) {
 		if wrong {
-			out = append(out, Fault{key, reason})
+			out = append(out, SettingError{key, reason})
 		}
 	}
 	bad(s.Fleet == "" || len(s.Fleet) > maxName, "fleet", fmt.Sprintf("a name of 1 to %d bytes is wanted", maxName))
-	bad(s.Period < 100*time.Millisecond || s.Period > time.Minute, "period", fmt.Sprintf("%v, wanted is 100ms to 1m", s.Period))
-	bad(s.Fan < 1 || s.Fan > beatsAPeriod, "fan-out", fmt.Sprintf("%d, wanted is 1 to %d", s.Fan, beatsAPeriod))
-	bad(s.Indirect < 0 || s.Indirect > 16, "indirect", fmt.Sprintf("%d, wanted is 0 to 16", s.Indirect))
-	bad(s.Suspicion < s.Period/2 || s.Suspicion > 100*s.Period, "suspicion", fmt.Sprintf("%v does not go with membership.period, %v: half of it to a hundred times", s.Suspicion, s.Period))
-	bad(s.Forget < 10*s.Period, "forget", fmt.Sprintf("%v is under ten times membership.period, %v", s.Forget, s.Period))
+	bad(s.ProtocolPeriod < 100*time.Millisecond || s.ProtocolPeriod > time.Minute, "period", fmt.Sprintf("%v, wanted is 100ms to 1m", s.ProtocolPeriod))
+	bad(s.ProbesPerPeriod < 1 || s.ProbesPerPeriod > beatsAPeriod, "fan-out", fmt.Sprintf("%d, wanted is 1 to %d", s.ProbesPerPeriod, beatsAPeriod))
+	bad(s.IndirectProbes < 0 || s.IndirectProbes > 16, "indirect", fmt.Sprintf("%d, wanted is 0 to 16", s.IndirectProbes))
+	bad(s.MinSuspicionTimeout < s.ProtocolPeriod/2 || s.MinSuspicionTimeout > 100*s.ProtocolPeriod, "suspicion", fmt.Sprintf("%v does not go with membership.period, %v: half of it to a hundred times", s.MinSuspicionTimeout, s.ProtocolPeriod))
+	bad(s.ForgetAfter < 10*s.ProtocolPeriod, "forget", fmt.Sprintf("%v is under ten times membership.period, %v", s.ForgetAfter, s.ProtocolPeriod))
 	return out
 }
 
@@ -87,36 +87,36 @@
 )
 
 // Out is a datagram to send.
-type Out struct {
+type Packet struct {
 	To   int
 	Data []byte
 }
 
 // Self is who this relay is.
-type Self struct {
-	Number      int    // in the list of peers
-	Name        string // of the relay
-	Start       uint64 // of its process, Unix time in milliseconds
-	Incarnation uint64 // handed over by the process before; 0: none
+type LocalNode struct {
+	Index               int    // in the list of peers
+	Name                string // of the relay
+	StartMillis         uint64 // of its process, Unix time in milliseconds
+	PreviousIncarnation uint64 // handed over by the process before; 0: none
 }
 
 // Counters count since the start.
-type Counters struct {
-	Probes, Failed, Asked, Refuted, Suspected, Died, Returned, Overslept uint64
-	Sent, SentBytes, Heard, Bad, Foreign, Absurd                         uint64
+type Stats struct {
+	Probes, FailedProbes, IndirectProbes, Refutations, Suspicions, Deaths, Recoveries, Stalls       uint64
+	PacketsSent, BytesSent, PacketsReceived, MalformedPackets, ForeignPackets, RejectedIncarnations uint64
 }
 
 // Member is what staff are told of one.
 type Member struct {
-	Number      int           `json:"number"`
-	Name        string        `json:"name,omitempty"`
-	State       string        `json:"state"`
-	Incarnation uint64        `json:"incarnation"`
-	Since       time.Duration `json:"since_ns"`
-	By          int           `json:"by"` // by whose word; its own number: its own
-	RoundTrip   time.Duration `json:"round_trip_ns,omitempty"`
-	Health      int           `json:"health"`          // as it says itself; 0 is best
-	Twice       bool          `json:"twice,omitempty"` // two processes speak under its name
+	Index         int           `json:"number"`
+	Name          string        `json:"name,omitempty"`
+	State         string        `json:"state"`
+	Incarnation   uint64        `json:"incarnation"`
+	Since         time.Duration `json:"since_ns"`
+	ReportedBy    int           `json:"by"` // by whose word; its own number: its own
+	RoundTrip     time.Duration `json:"round_trip_ns,omitempty"`
+	Health        int           `json:"health"`          // as it says itself; 0 is best
+	DuplicateName bool          `json:"twice,omitempty"` // two processes speak under its name
 }
 
 type member struct {
@@ -167,53 +167,53 @@
 }
 
 // Machine is one relay's view. Its methods are called one at a time, with times that never go back.
-type Machine struct {
-	set     Settings
-	self    Self
-	rng     *rand.Rand
-	members []member
-	now     time.Duration
-	beat    time.Duration // when the next beat is due
-	beats   int
-	order   []int // who is probed next
-	next    int
-	walk    int
-	probes  []probe
-	helps   []helped
-	doubted []int // members with a doubt
-	queue   []int // members whose news is passed on
-	seq     uint64
-	health  int
-	srtt    time.Duration
-	rttvar  time.Duration
-	leaving bool
-	out     []Out
-	Count   Counters
+type Memberlist struct {
+	set         Settings
+	self        LocalNode
+	rng         *rand.Rand
+	members     []member
+	now         time.Duration
+	beat        time.Duration // when the next beat is due
+	beats       int
+	order       []int // who is probed next
+	nextInOrder int
+	walk        int
+	probes      []probe
+	helps       []helped
+	doubted     []int // members with a doubt
+	queue       []int // members whose news is passed on
+	seq         uint64
+	health      int
+	srtt        time.Duration
+	rttvar      time.Duration
+	leaving     bool
+	out         []Packet
+	stats       Stats
 }
 
 // New starts a relay's view of a fleet of so many.
-func New(now time.Duration, seed uint64, set Settings, self Self, members int) *Machine {
-	m := &Machine{set: set, self: self, rng: rand.New(rand.NewPCG(seed, 0x3e3b)), members: make([]member, members), now: now}
+func New(now time.Duration, seed uint64, set Settings, self LocalNode, members int) *Memberlist {
+	m := &Memberlist{set: set, self: self, rng: rand.New(rand.NewPCG(seed, 0x3e3b)), members: make([]member, members), now: now}
 	m.beat = now + time.Duration(m.rng.Int64N(int64(m.step())))
-	me := &m.members[self.Number]
-	me.state, me.incarnation, me.since, me.by, me.name, me.start = Alive, max(self.Start, self.Incarnation+1), now, self.Number, self.Name, self.Start
-	m.news(self.Number)
+	me := &m.members[self.Index]
+	me.state, me.incarnation, me.since, me.by, me.name, me.start = Alive, max(self.StartMillis, self.PreviousIncarnation+1), now, self.Index, self.Name, self.StartMillis
+	m.news(self.Index)
 	return m
 }
 
-func (m *Machine) step() time.Duration { return m.set.Period / beatsAPeriod }
+func (m *Memberlist) step() time.Duration { return m.set.ProtocolPeriod / beatsAPeriod }
 
 // Next is when Tick wants to be called.
-func (m *Machine) Next() time.Duration { return m.beat }
+func (m *Memberlist) NextTick() time.Duration { return m.beat }
 
 // Incarnation is this relay's own, for a next process.
-func (m *Machine) Incarnation() uint64 { return m.members[m.self.Number].incarnation }
+func (m *Memberlist) Incarnation() uint64 { return m.members[m.self.Index].incarnation }
 
 // Health is this relay's own: 0 at best, 8 at worst. It slows what it says of others.
-func (m *Machine) Health() int { return m.health }
+func (m *Memberlist) Health() int { return m.health }
 
 // Tick does what is due.
-func (m *Machine) Tick(now time.Duration) []Out {
+func (m *Memberlist) Tick(now time.Duration) []Packet {
 	m.wake(now)
 	if m.leaving {
 		m.beat = now + m.step()
@@ -223,7 +223,7 @@
 		m.beat += m.step()
 		m.beats++
 		m.judge()
-		if m.beats%max(1, beatsAPeriod/max(1, m.set.Fan)) == 0 {
+		if m.beats%max(1, beatsAPeriod/max(1, m.set.ProbesPerPeriod)) == 0 {
 			m.probeNext()
 		}
 		if m.beats%beatsAPeriod == 0 {
@@ -235,10 +235,10 @@
 }
 
 // wake takes in the time. A process that was stopped has heard nobody meanwhile: what it waited for says nothing.
-func (m *Machine) wake(now time.Duration) {
+func (m *Memberlist) wake(now time.Duration) {
 	m.now = now
 	if slept := now - m.beat; slept > overslept && !m.set.plain {
-		m.Count.Overslept++
+		m.stats.Stalls++
 		m.beat = now
 		m.probes, m.helps = m.probes[:0], m.helps[:0]
 		m.health = min(worstHealth, m.health+worstHealth/2)
@@ -256,7 +256,7 @@
 }
 
 // waits is how long an answer is waited for: as TCP reckons it, longer while this relay hears badly.
-func (m *Machine) waits() time.Duration {
+func (m *Memberlist) waits() time.Duration {
 	w := leastWait
 	if m.srtt > 0 && !m.set.plain {
 		w = m.srtt + 4*m.rttvar
@@ -268,7 +268,7 @@
 	return w * time.Duration(4+m.health) / 4
 }
 
-func (m *Machine) took(d time.Duration) {
+func (m *Memberlist) took(d time.Duration) {
 	if m.srtt == 0 {
 		m.srtt, m.rttvar = d, d/2
 		return
@@ -280,27 +280,27 @@
 // --- probing ----------------------------------------------------------------------
 
 // probeNext probes the next member of a round that takes in all, in an order of its own each time.
-func (m *Machine) probeNext() {
+func (m *Memberlist) probeNext() {
 	for range len(m.members) {
-		if m.next >= len(m.order) {
+		if m.nextInOrder >= len(m.order) {
 			m.order = m.order[:0]
 			for i := range m.members {
-				if i != m.self.Number {
+				if i != m.self.Index {
 					m.order = append(m.order, i)
 				}
 			}
 			m.rng.Shuffle(len(m.order), func(a, b int) { m.order[a], m.order[b] = m.order[b], m.order[a] })
-			if m.next = 0; len(m.order) == 0 {
+			if m.nextInOrder = 0; len(m.order) == 0 {
 				return
 			}
 		}
-		i := m.order[m.next]
-		m.next++
+		i := m.order[m.nextInOrder]
+		m.nextInOrder++
 		if s := m.members[i].state; s == Alive || s == Suspect || s == Joining && m.beats > beatsAPeriod*3 {
 			if slices.ContainsFunc(m.probes, func(p probe) bool { return p.target == i }) {
 				continue
 			}
-			m.Count.Probes++
+			m.stats.Probes++
 			m.probes = append(m.probes, probe{target: i, seq: m.ping(i), sent: m.now, due: m.now + m.waits()})
 			return
 		}
@@ -308,9 +308,9 @@
 }
 
 // reach asks for one member that is held dead, or was never heard of: cuts heal, and who was slow comes back.
-func (m *Machine) reach() {
+func (m *Memberlist) reach() {
 	i := m.some(func(o *member) bool {
-		return o.state == Joining || o.state == Dead && m.now-o.since < m.set.Forget
+		return o.state == Joining || o.state == Dead && m.now-o.since < m.set.ForgetAfter
 	})
 	if i >= 0 {
 		m.ping(i)
@@ -318,24 +318,24 @@
 }
 
 // some draws a member that passes; below 0: none was found in a few draws or at all.
-func (m *Machine) some(pass func(o *member) bool) int {
+func (m *Memberlist) some(pass func(o *member) bool) int {
 	n := len(m.members)
 	for at, k := m.rng.IntN(n), 0; k < n; k++ {
-		if i := (at + k) % n; i != m.self.Number && pass(&m.members[i]) {
+		if i := (at + k) % n; i != m.self.Index && pass(&m.members[i]) {
 			return i
 		}
 	}
 	return -1
 }
 
-func (m *Machine) ping(to int) uint64 {
+func (m *Memberlist) ping(to int) uint64 {
 	m.seq++
 	m.send(to, message{kind: kindPing, seq: m.seq})
 	return m.seq
 }
 
 // judge goes through what is waited for.
-func (m *Machine) judge() {
+func (m *Memberlist) judge() {
 	m.helps = slices.DeleteFunc(m.helps, func(h helped) bool {
 		if h.due > m.now {
 			return false
@@ -362,12 +362,12 @@
 }
 
 // ask has others probe who has not answered, and tries once more itself.
-func (m *Machine) ask(p *probe) {
+func (m *Memberlist) ask(p *probe) {
 	p.asked, p.due = true, m.now+3*m.waits()
 	m.send(p.target, message{kind: kindPing, seq: p.seq})
-	for range m.set.Indirect {
+	for range m.set.IndirectProbes {
 		if i := m.some(func(o *member) bool { return o.state == Alive && o != &m.members[p.target] }); i >= 0 {
-			m.Count.Asked++
+			m.stats.IndirectProbes++
 			p.wanted++
 			m.send(i, message{kind: kindAsk, seq: p.seq, target: p.target + 1})
 		}
@@ -376,45 +376,45 @@
 
 // failed is the end of a probe that nobody answered. Helpers that have not even said that they got nothing hint at
 // this relay's own trouble.
-func (m *Machine) failed(p *probe) {
-	m.Count.Failed++
+func (m *Memberlist) failed(p *probe) {
+	m.stats.FailedProbes++
 	if !m.set.plain && p.nacks < p.wanted {
 		m.ail(1)
 	}
 	o := &m.members[p.target]
 	switch {
 	case o.state == Alive:
-		m.suspect(p.target, m.self.Number, o.incarnation)
+		m.suspect(p.target, m.self.Index, o.incarnation)
 	case o.state == Suspect && o.doubt != nil:
-		m.share(p.target, m.self.Number)
+		m.share(p.target, m.self.Index)
 	}
 }
 
-func (m *Machine) ail(by int) { m.health = min(worstHealth, max(0, m.health+by)) }
+func (m *Memberlist) ail(by int) { m.health = min(worstHealth, max(0, m.health+by)) }
 
 // --- doubt ------------------------------------------------------------------------
 
 // suspect holds a member for suspect by somebody's word.
-func (m *Machine) suspect(i, by int, incarnation uint64) {
+func (m *Memberlist) suspect(i, by int, incarnation uint64) {
 	o := &m.members[i]
 	o.state, o.incarnation, o.since, o.by = Suspect, incarnation, m.now, by
-	m.Count.Suspected++
+	m.stats.Suspicions++
 	m.news(i)
 	m.begin(i, by, entry{i, Suspect, incarnation})
 	m.send(i, message{kind: kindNews}) // it hears of it from here at once
 }
 
-func (m *Machine) begin(i, by int, claim entry) {
+func (m *Memberlist) begin(i, by int, claim entry) {
 	o := &m.members[i]
 	if o.doubt == nil {
 		m.doubted = append(m.doubted, i)
-		least := m.set.Suspicion
+		least := m.set.MinSuspicionTimeout
 		if !m.set.plain {
 			least = least * time.Duration(2+m.health) / 2
 		}
 		could := 0
 		for k := range m.members {
-			if s := m.members[k].state; k != i && k != m.self.Number && (s == Alive || s == Suspect) && could < sharers-1 {
+			if s := m.members[k].state; k != i && k != m.self.Index && (s == Alive || s == Suspect) && could < sharers-1 {
 				could++
 			}
 		}
@@ -428,7 +428,7 @@
 }
 
 // share counts one more that doubts; each brings the end nearer.
-func (m *Machine) share(i, by int) {
+func (m *Memberlist) share(i, by int) {
 	d := m.members[i].doubt
 	if d == nil || slices.Contains(d.by[:d.shared], by+1) || d.shared == len(d.by) {
 		return
@@ -447,7 +447,7 @@
 }
 
 // doubts moves a doubt on: at its end this relay tries itself, some times, before it holds anybody dead.
-func (m *Machine) doubts(i int) {
+func (m *Memberlist) doubts(i int) {
 	o := &m.members[i]
 	d := o.doubt
 	switch {
@@ -455,7 +455,7 @@
 	case !m.set.plain && o.heard > d.began && o.heard+3*m.waits() > m.now: // heard meanwhile, though its word has not come
 		m.resolved(i)
 		if o.state == Suspect {
-			o.state, o.since, o.by = Alive, m.now, m.self.Number
+			o.state, o.since, o.by = Alive, m.now, m.self.Index
 		}
 	case !m.set.plain && d.tries < ownTries:
 		d.tries++
@@ -464,12 +464,12 @@
 	default:
 		m.resolved(i)
 		o.state, o.since, o.incarnation = Dead, m.now, max(o.incarnation, d.claim.incarnation)
-		m.Count.Died++
+		m.stats.Deaths++
 		m.news(i)
 	}
 }
 
-func (m *Machine) resolved(i int) {
+func (m *Memberlist) resolved(i int) {
 	m.members[i].doubt = nil
 	if k := slices.Index(m.doubted, i); k >= 0 {
 		m.doubted = slices.Delete(m.doubted, k, k+1)
@@ -479,20 +479,20 @@
 // --- what is heard ------------------------------------------------------------------
 
 // Datagram takes in what came from a member's address.
-func (m *Machine) Datagram(now time.Duration, from int, data []byte) []Out {
+func (m *Memberlist) HandlePacket(now time.Duration, from int, data []byte) []Packet {
 	m.wake(now)
 	in, err := decode(data, len(m.members))
 	switch {
-	case err != nil || from < 0 || from >= len(m.members) || from == m.self.Number:
-		m.Count.Bad++
+	case err != nil || from < 0 || from >= len(m.members) || from == m.self.Index:
+		m.stats.MalformedPackets++
 		return m.flush()
 	case in.fleet != m.set.Fleet:
-		m.Count.Foreign++
+		m.stats.ForeignPackets++
 		return m.flush()
 	case m.leaving:
 		return m.flush()
 	}
-	m.Count.Heard++
+	m.stats.PacketsReceived++
 	m.hears(from, &in)
 	for _, e := range in.entries {
 		m.told(from, e)
@@ -501,7 +501,7 @@
 	case kindPing:
 		m.send(from, message{kind: kindAck, seq: in.seq})
 	case kindAsk:
-		if in.target > 0 && in.target-1 != m.self.Number && len(m.helps) < mostHelping {
+		if in.target > 0 && in.target-1 != m.self.Index && len(m.helps) < mostHelping {
 			m.helps = append(m.helps, helped{from, in.seq, m.ping(in.target - 1), m.now + m.waits()})
 		}
 	case kindAck:
@@ -517,11 +517,11 @@
 }
 
 // hears takes in the sender itself: it is there, whatever others say.
-func (m *Machine) hears(from int, in *message) {
+func (m *Memberlist) hears(from int, in *message) {
 	o := &m.members[from]
 	o.heard, o.health = m.now, in.health
 	if o.start != 0 && in.start != o.start {
-		if in.start == o.other && m.now-o.otherAt < 10*m.set.Period { // both are heard by turns
+		if in.start == o.other && m.now-o.otherAt < 10*m.set.ProtocolPeriod { // both are heard by turns
 			o.otherAt = m.now
 		} else {
 			o.other, o.otherAt = o.start, m.now
@@ -529,7 +529,7 @@
 	}
 	o.start, o.name = in.start, in.name
 	if absurd(o, in.incarnation) {
-		m.Count.Absurd++
+		m.stats.RejectedIncarnations++
 		return
 	}
 	switch {
@@ -545,10 +545,10 @@
 	return incarnation > max(o.incarnation+mostClaimed, mostTimes)
 }
 
-func (m *Machine) revive(i int, incarnation uint64, by int) {
+func (m *Memberlist) revive(i int, incarnation uint64, by int) {
 	o := &m.members[i]
 	if o.state == Dead {
-		m.Count.Returned++
+		m.stats.Recoveries++
 	}
 	m.resolved(i)
 	if o.state != Alive {
@@ -559,14 +559,14 @@
 }
 
 // told takes in what a member says of another.
-func (m *Machine) told(by int, e entry) {
+func (m *Memberlist) told(by int, e entry) {
 	o := &m.members[e.member]
-	if e.member == m.self.Number {
+	if e.member == m.self.Index {
 		m.refute(e)
 		return
 	}
 	if absurd(o, e.incarnation) {
-		m.Count.Absurd++
+		m.stats.RejectedIncarnations++
 		return
 	}
 	newer := e.incarnation > o.incarnation
@@ -579,7 +579,7 @@
 			m.revive(e.member, e.incarnation, by)
 		}
 	case Left:
-		if by != e.member && !newer && m.now-o.heard < m.set.Period && o.heard > 0 { // it was just heard
+		if by != e.member && !newer && m.now-o.heard < m.set.ProtocolPeriod && o.heard > 0 { // it was just heard
 			return
 		}
 		m.resolved(e.member)
@@ -599,7 +599,7 @@
 		if m.set.plain {
 			m.resolved(e.member)
 			o.state, o.incarnation, o.since, o.by = Dead, e.incarnation, m.now, by
-			m.Count.Died++
+			m.stats.Deaths++
 			m.news(e.member)
 			return
 		}
@@ -609,21 +609,21 @@
 }
 
 // refute answers what is said of this relay itself.
-func (m *Machine) refute(e entry) {
-	me := &m.members[m.self.Number]
+func (m *Memberlist) refute(e entry) {
+	me := &m.members[m.self.Index]
 	if e.incarnation < me.incarnation || e.state == Alive && e.incarnation == me.incarnation || m.leaving {
 		return
 	}
 	if absurd(me, e.incarnation) {
-		m.Count.Absurd++
+		m.stats.RejectedIncarnations++
 		return
 	}
 	me.incarnation = e.incarnation + 1
 	if e.state == Suspect || e.state == Dead {
-		m.Count.Refuted++
+		m.stats.Refutations++
 		m.ail(1)
 	}
-	m.news(m.self.Number)
+	m.news(m.self.Index)
 	for range urgent {
 		if i := m.some(func(o *member) bool { return o.state == Alive || o.state == Suspect }); i >= 0 {
 			m.send(i, message{kind: kindNews})
@@ -631,7 +631,7 @@
 	}
 }
 
-func (m *Machine) answered(from int, seq uint64) {
+func (m *Memberlist) answered(from int, seq uint64) {
 	for k, h := range m.helps {
 		if h.seq == seq {
 			m.send(h.for_, message{kind: kindAck, seq: h.forSeq})
@@ -660,7 +660,7 @@
 // --- passing on ---------------------------------------------------------------------
 
 // news has something of a member passed on, first of all.
-func (m *Machine) news(i int) {
+func (m *Memberlist) news(i int) {
 	o := &m.members[i]
 	o.left = uint8(min(250, retransmit*bits.Len(uint(len(m.members)))))
 	if o.queued {
@@ -670,15 +670,15 @@
 	m.queue = slices.Insert(m.queue, 0, i)
 }
 
-func (m *Machine) entryOf(i int) entry {
+func (m *Memberlist) entryOf(i int) entry {
 	o := &m.members[i]
 	return entry{i, o.state, o.incarnation}
 }
 
 // send adds a datagram with what there is to pass on. Who is doubted hears of that first.
-func (m *Machine) send(to int, msg message) {
-	me := &m.members[m.self.Number]
-	msg.fleet, msg.name, msg.start, msg.incarnation, msg.health = m.set.Fleet, m.self.Name, m.self.Start, me.incarnation, m.health
+func (m *Memberlist) send(to int, msg message) {
+	me := &m.members[m.self.Index]
+	msg.fleet, msg.name, msg.start, msg.incarnation, msg.health = m.set.Fleet, m.self.Name, m.self.StartMillis, me.incarnation, m.health
 	o := &m.members[to]
 	own := 0
 	switch {
@@ -713,13 +713,13 @@
 			p.queued, p.left = false, 0
 		}
 	}
-	m.Count.Sent++
-	m.Count.SentBytes += uint64(len(data))
-	m.out = append(m.out, Out{to, data})
+	m.stats.PacketsSent++
+	m.stats.BytesSent += uint64(len(data))
+	m.out = append(m.out, Packet{to, data})
 }
 
 // spread sends news alone while there is more than the probes carry: in a rush a fleet has as much to tell as it has relays.
-func (m *Machine) spread() {
+func (m *Memberlist) spread() {
 	most := 0
 	switch n := len(m.queue); {
 	case n > 300:
@@ -742,11 +742,11 @@
 }
 
 // Leave has the others know that this relay leaves of its own will. Nothing of it is heard or judged after.
-func (m *Machine) Leave(now time.Duration) []Out {
+func (m *Memberlist) Leave(now time.Duration) []Packet {
 	m.wake(now)
-	me := &m.members[m.self.Number]
+	me := &m.members[m.self.Index]
 	me.state = Left
-	m.news(m.self.Number)
+	m.news(m.self.Index)
 	for range 2 * urgent {
 		if i := m.some(func(o *member) bool { return o.state == Alive || o.state == Suspect }); i >= 0 {
 			m.send(i, message{kind: kindNews})
@@ -756,7 +756,7 @@
 	return m.flush()
 }
 
-func (m *Machine) flush() []Out {
+func (m *Memberlist) flush() []Packet {
 	out := m.out
 	m.out = nil
 	return out
@@ -766,7 +766,7 @@
 
 // Here is how many relays are there, for who shares something with them. It errs to the careful side: while this relay
 // hears less than half of those that have not left, the others may be alive and unheard, and all count.
-func (m *Machine) Here() int {
+func (m *Memberlist) ActiveCount() int {
 	there, gone := 0, 0
 	for i := range m.members {
 		switch m.members[i].state {
@@ -783,22 +783,25 @@
 }
 
 // Has says whether a member is there, as far as this relay knows.
-func (m *Machine) Has(i int) bool {
+func (m *Memberlist) IsActive(i int) bool {
 	return i >= 0 && i < len(m.members) && (m.members[i].state == Alive || m.members[i].state == Suspect)
 }
 
 // Members is the whole view, in the order of the list of peers.
-func (m *Machine) Members(now time.Duration) []Member {
+func (m *Memberlist) Members(now time.Duration) []Member {
 	out := make([]Member, len(m.members))
 	for i := range m.members {
 		o := &m.members[i]
-		out[i] = Member{Number: i, Name: o.name, State: o.state.String(), Incarnation: o.incarnation, Since: now - o.since, By: o.by,
-			RoundTrip: o.rtt, Health: o.health, Twice: o.other != 0 && now-o.otherAt < 10*m.set.Period && o.state != Left}
+		out[i] = Member{Index: i, Name: o.name, State: o.state.String(), Incarnation: o.incarnation, Since: now - o.since, ReportedBy: o.by,
+			RoundTrip: o.rtt, Health: o.health, DuplicateName: o.other != 0 && now-o.otherAt < 10*m.set.ProtocolPeriod && o.state != Left}
 	}
-	out[m.self.Number].Health = m.health
-	slices.SortStableFunc(out, func(a, b Member) int { return cmp.Compare(a.Number, b.Number) })
+	out[m.self.Index].Health = m.health
+	slices.SortStableFunc(out, func(a, b Member) int { return cmp.Compare(a.Index, b.Index) })
 	return out
 }
 
 // State is what is held of a member.
-func (m *Machine) State(i int) State { return m.members[i].state }
+func (m *Memberlist) State(i int) State { return m.members[i].state }
+
+// Stats returns a copy of the counters.
+func (m *Memberlist) Stats() Stats { return m.stats }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -15,7 +15,7 @@
 
 // plain is SWIM without Lifeguard's extensions and without a judge's own try.
 func plain() Settings {
-	set := Sound("f")
+	set := DefaultSettings("f")
 	set.plain = true
 	return set
 }
@@ -31,7 +31,7 @@
 func TestAKilledRelayIsFoundOut(t *testing.T) {
 	for _, n := range []int{2, 12, 80} {
 		for seed := range uint64(5) {
-			s := newSim(n, seed+1, Sound("f"))
+			s := newSim(n, seed+1, DefaultSettings("f"))
 			s.startAll()
 			if d, ok := s.until(5*time.Second, s.oneView); !ok {
 				t.Fatalf("%d relays, seed %d: no one view after %v", n, seed, d)
@@ -55,7 +55,7 @@
 	seeds, each := long()
 	false_ := map[bool]int{}
 	for _, without := range []bool{false, true} {
-		set := Sound("f")
+		set := DefaultSettings("f")
 		set.plain = without
 		for seed := range uint64(seeds) {
 			s := newSim(12, seed+1, set)
@@ -80,7 +80,7 @@
 func TestPausesCondemnNobody(t *testing.T) {
 	seeds, each := long()
 	for _, without := range []bool{false, true} {
-		set := Sound("f")
+		set := DefaultSettings("f")
 		set.plain = without
 		wrong, late, worst := 0, 0, time.Duration(0)
 		for seed := range uint64(seeds) {
@@ -115,7 +115,7 @@
 
 func TestLongStopsAndReturns(t *testing.T) {
 	for _, d := range []time.Duration{3 * time.Second, 8 * time.Second, 60 * time.Second} {
-		s := newSim(30, uint64(d), Sound("f"))
+		s := newSim(30, uint64(d), DefaultSettings("f"))
 		s.startAll()
 		s.run(5 * time.Second)
 		condemned := 0
@@ -149,7 +149,7 @@
 		check func(t *testing.T, s *sim)
 	}{
 		{"two halves", func(a, b int) bool { return half(a) != half(b) }, func(t *testing.T, s *sim) {
-			if n := s.nodes[3].m.Here(); n != 30 {
+			if n := s.nodes[3].m.ActiveCount(); n != 30 {
 				t.Errorf("half of the fleet takes the room of 30 for that of %d", n)
 			}
 			if s.nodes[3].m.State(20) != Dead || s.nodes[3].m.State(7) != Alive {
@@ -162,7 +162,7 @@
 			}
 		}},
 		{"one hears nobody", func(a, b int) bool { return b == 4 }, func(t *testing.T, s *sim) {
-			if n := s.nodes[4].m.Here(); n != 30 {
+			if n := s.nodes[4].m.ActiveCount(); n != 30 {
 				t.Errorf("who hears nobody shares with %d", n)
 			}
 			for i := range s.nodes {
@@ -181,7 +181,7 @@
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			s := newSim(30, 5, Sound("f"))
+			s := newSim(30, 5, DefaultSettings("f"))
 			s.startAll()
 			s.run(6 * time.Second)
 			s.onDeath = func(at, of int) {
@@ -219,7 +219,7 @@
 		{"its clock and all else lost", func(s *sim) uint64 { return 1 }, 8 * time.Second},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			s := newSim(20, 11, Sound("f"))
+			s := newSim(20, 11, DefaultSettings("f"))
 			s.startAll()
 			s.run(6 * time.Second)
 			s.kill(2)
@@ -240,7 +240,7 @@
 
 // A relay that leaves is no death; its next process goes on from the incarnation that it is handed.
 func TestLeavingAndUpgrading(t *testing.T) {
-	s := newSim(20, 3, Sound("f"))
+	s := newSim(20, 3, DefaultSettings("f"))
 	s.startAll()
 	s.run(6 * time.Second)
 	deaths := 0
@@ -250,8 +250,8 @@
 	s.run(300 * time.Millisecond)
 	s.kill(7)
 	s.run(3 * time.Second)
-	if n, h := s.hold(7, Left); n != h || s.nodes[0].m.Here() != 19 {
-		t.Errorf("%d of %d know that it left; %d share the room", n, h, s.nodes[0].m.Here())
+	if n, h := s.hold(7, Left); n != h || s.nodes[0].m.ActiveCount() != 19 {
+		t.Errorf("%d of %d know that it left; %d share the room", n, h, s.nodes[0].m.ActiveCount())
 	}
 	s.clockOf = func(int) uint64 { return 5 }
 	s.handed = func(int) uint64 { return handed }
@@ -265,7 +265,7 @@
 }
 
 func TestHalfOfTheFleetDies(t *testing.T) {
-	s := newSim(40, 3, Sound("f"))
+	s := newSim(40, 3, DefaultSettings("f"))
 	s.startAll()
 	s.run(6 * time.Second)
 	for i := range 20 {
@@ -291,30 +291,30 @@
 }
 
 func TestOneAndNeverStarted(t *testing.T) {
-	one := newSim(1, 1, Sound("f"))
+	one := newSim(1, 1, DefaultSettings("f"))
 	one.startAll()
 	one.run(time.Minute)
-	if one.nodes[0].m.Here() != 1 || one.nodes[0].m.Count.Sent > 0 {
-		t.Errorf("a fleet of one: %d here, %d sent", one.nodes[0].m.Here(), one.nodes[0].m.Count.Sent)
+	if one.nodes[0].m.ActiveCount() != 1 || one.nodes[0].m.stats.PacketsSent > 0 {
+		t.Errorf("a fleet of one: %d here, %d sent", one.nodes[0].m.ActiveCount(), one.nodes[0].m.stats.PacketsSent)
 	}
-	s := newSim(10, 1, Sound("f"))
+	s := newSim(10, 1, DefaultSettings("f"))
 	for i := range 7 {
 		s.start(i)
 	}
 	s.run(20 * time.Second)
 	for i := range 7 {
 		m := s.nodes[i].m
-		if n := m.Here(); n != 7 || m.State(9) == Alive || m.Has(8) {
+		if n := m.ActiveCount(); n != 7 || m.State(9) == Alive || m.IsActive(8) {
 			t.Errorf("relay %d: %d here, the one never started is %v", i, n, m.State(9))
 		}
 	}
 }
 
 func TestTwoProcessesOfOneName(t *testing.T) {
-	s := newSim(6, 1, Sound("f"))
+	s := newSim(6, 1, DefaultSettings("f"))
 	s.startAll()
 	s.run(5 * time.Second)
-	twin := New(s.now, 77, s.set, Self{Number: 2, Name: "n", Start: uint64(s.now/time.Millisecond) + 5}, 6)
+	twin := New(s.now, 77, s.set, LocalNode{Index: 2, Name: "n", StartMillis: uint64(s.now/time.Millisecond) + 5}, 6)
 	for range 60 { // it speaks from the same address, and hears nothing
 		s.run(100 * time.Millisecond)
 		for _, o := range twin.Tick(s.now) {
@@ -323,10 +323,10 @@
 	}
 	told := 0
 	for i, nd := range s.nodes {
-		if i != 2 && nd.m.Members(s.now)[2].Twice {
+		if i != 2 && nd.m.Members(s.now)[2].DuplicateName {
 			told++
 		}
-		if i != 2 && !nd.m.Has(2) {
+		if i != 2 && !nd.m.IsActive(2) {
 			t.Errorf("relay %d takes it for gone", i)
 		}
 	}
@@ -337,7 +337,7 @@
 
 // What is foreign, torn, replayed or absurd changes nothing and is counted.
 func TestHostileDatagrams(t *testing.T) {
-	s := newSim(8, 1, Sound("f"))
+	s := newSim(8, 1, DefaultSettings("f"))
 	var kept [][]byte
 	s.spoil = func(d []byte) []byte {
 		if len(kept) < 3000 {
@@ -353,29 +353,29 @@
 		d, _ := (&message{fleet: "f", name: "n", start: 1, incarnation: inc, kind: kind, seq: 1, entries: e}).encode()
 		return d
 	}
-	before := m.Count
+	before := m.stats
 	good := lie(kindNews, m.members[3].incarnation, entry{2, Alive, m.members[2].incarnation})
 	for n := range len(good) {
-		m.Datagram(s.now, 3, good[:n])
+		m.HandlePacket(s.now, 3, good[:n])
 	}
 	foreign, _ := (&message{fleet: "g", name: "n", incarnation: 9, kind: kindPing}).encode()
-	m.Datagram(s.now, 3, foreign)
-	m.Datagram(s.now, -1, good)
-	m.Datagram(s.now, 8, good)
-	m.Datagram(s.now, 0, good)
-	m.Datagram(s.now, 3, lie(kindNews, m.members[3].incarnation, entry{2, Dead, 1 << 62}))
-	m.Datagram(s.now, 3, lie(kindNews, 1<<63))
-	if m.Count.Foreign != before.Foreign+1 || m.Count.Bad < before.Bad+uint64(len(good)) || m.Count.Absurd != before.Absurd+2 {
-		t.Errorf("%+v", m.Count)
+	m.HandlePacket(s.now, 3, foreign)
+	m.HandlePacket(s.now, -1, good)
+	m.HandlePacket(s.now, 8, good)
+	m.HandlePacket(s.now, 0, good)
+	m.HandlePacket(s.now, 3, lie(kindNews, m.members[3].incarnation, entry{2, Dead, 1 << 62}))
+	m.HandlePacket(s.now, 3, lie(kindNews, 1<<63))
+	if m.stats.ForeignPackets != before.ForeignPackets+1 || m.stats.MalformedPackets < before.MalformedPackets+uint64(len(good)) || m.stats.RejectedIncarnations != before.RejectedIncarnations+2 {
+		t.Errorf("%+v", m.stats)
 	}
 	own := m.Incarnation()
-	m.Datagram(s.now, 3, lie(kindNews, m.members[3].incarnation, entry{0, Dead, 1 << 62}))
+	m.HandlePacket(s.now, 3, lie(kindNews, m.members[3].incarnation, entry{0, Dead, 1 << 62}))
 	if m.Incarnation() != own {
 		t.Error("an absurd claim of itself is answered")
 	}
 	for range 3 { // all that was ever said once more
 		for k, d := range kept {
-			s.send(k%8, s.nodes[k%8].m.Datagram(s.now, (k+1)%8, d))
+			s.send(k%8, s.nodes[k%8].m.HandlePacket(s.now, (k+1)%8, d))
 		}
 		s.run(3 * time.Second)
 	}
@@ -388,7 +388,7 @@
 		for i := range s.nodes {
 			for j := range s.nodes {
 				if i != 3 && i != j && j != 3 {
-					s.send(i, s.nodes[i].m.Datagram(s.now, 3, lie(kindNews, s.nodes[i].m.members[3].incarnation, entry{j, Dead, s.nodes[i].m.members[j].incarnation})))
+					s.send(i, s.nodes[i].m.HandlePacket(s.now, 3, lie(kindNews, s.nodes[i].m.members[3].incarnation, entry{j, Dead, s.nodes[i].m.members[j].incarnation})))
 				}
 			}
 		}
@@ -397,17 +397,17 @@
 }
 
 func TestSizesAndCost(t *testing.T) {
-	s := newSim(80, 1, Sound("a-fleet-with-a-name-of-32-bytes.."[:maxName]))
+	s := newSim(80, 1, DefaultSettings("a-fleet-with-a-name-of-32-bytes.."[:maxName]))
 	s.startAll()
 	s.run(10 * time.Second)
 	before := uint64(0)
 	for _, nd := range s.nodes {
-		before += nd.m.Count.SentBytes
+		before += nd.m.stats.BytesSent
 	}
 	s.run(20 * time.Second)
 	after := uint64(0)
 	for _, nd := range s.nodes {
-		after += nd.m.Count.SentBytes
+		after += nd.m.stats.BytesSent
 		if n := len(nd.m.probes) + len(nd.m.helps) + len(nd.m.doubted); n > 16 {
 			t.Errorf("%d things are waited for at rest", n)
 		}
@@ -415,7 +415,7 @@
 	if each := float64(after-before) / 20 / 80; each > 2048 {
 		t.Errorf("%.0f bytes a second and relay at rest", each)
 	}
-	if s.longest > MaxDatagram {
+	if s.longest > MaxPacketSize {
 		t.Errorf("a datagram of %d bytes", s.longest)
 	}
 }
@@ -431,9 +431,9 @@
 		}
 		again, n := m.encode()
 		back, err := decode(again, 5)
-		if len(again) > MaxDatagram || err != nil || fmt.Sprint(back.entries) != fmt.Sprint(m.entries[:n]) && n > 0 {
+		if len(again) > MaxPacketSize || err != nil || fmt.Sprint(back.entries) != fmt.Sprint(m.entries[:n]) && n > 0 {
 			t.Errorf("%v, %+v, %+v", err, m, back)
 		}
-		New(0, 1, Sound("f"), Self{Number: 1, Name: "n"}, 5).Datagram(0, 2, data)
+		New(0, 1, DefaultSettings("f"), LocalNode{Index: 1, Name: "n"}, 5).HandlePacket(0, 2, data)
 	})
 }
--- a/internal/membership/sim_test.go
+++ b/internal/membership/sim_test.go
@@ -28,7 +28,7 @@
 }
 
 type node struct {
-	m      *Machine
+	m      *Memberlist
 	life   int
 	up     bool
 	paused bool
@@ -90,9 +90,9 @@
 	if s.clockOf != nil {
 		start = s.clockOf(i)
 	}
-	self := Self{Number: i, Name: "n", Start: start}
+	self := LocalNode{Index: i, Name: "n", StartMillis: start}
 	if s.handed != nil {
-		self.Incarnation = s.handed(i)
+		self.PreviousIncarnation = s.handed(i)
 	}
 	nd.m = New(s.now, s.rng.Uint64(), s.set, self, len(s.nodes))
 	s.tick(i, nd.life)
@@ -100,7 +100,7 @@
 
 func (s *sim) tick(i, life int) {
 	nd := s.nodes[i]
-	s.in(max(0, nd.m.Next()-s.now), func() {
+	s.in(max(0, nd.m.NextTick()-s.now), func() {
 		if nd.life != life || !nd.up {
 			return
 		}
@@ -128,7 +128,7 @@
 		}
 		nd.paused = false
 		for _, a := range nd.inbox {
-			s.send(i, nd.m.Datagram(s.now, a.from, a.data))
+			s.send(i, nd.m.HandlePacket(s.now, a.from, a.data))
 		}
 		nd.inbox = nil
 		s.look(i)
@@ -136,7 +136,7 @@
 	})
 }
 
-func (s *sim) send(from int, out []Out) {
+func (s *sim) send(from int, out []Packet) {
 	for _, o := range out {
 		s.longest = max(s.longest, len(o.Data))
 		if s.cut != nil && s.cut(from, o.To) {
@@ -170,7 +170,7 @@
 		}
 		return
 	}
-	s.send(to, nd.m.Datagram(s.now, from, data))
+	s.send(to, nd.m.HandlePacket(s.now, from, data))
 	s.look(to)
 }
 
--- a/internal/membership/wire.go
+++ b/internal/membership/wire.go
@@ -11,7 +11,7 @@
 )
 
 // MaxDatagram is the most bytes of one.
-const MaxDatagram = 256
+const MaxPacketSize = 256
 
 const (
 	lead    = 0xb5 // of every datagram here
@@ -64,7 +64,7 @@
 
 // head is the datagram without its entries.
 func (m *message) head() []byte {
-	b := append(make([]byte, 0, MaxDatagram), lead)
+	b := append(make([]byte, 0, MaxPacketSize), lead)
 	num := func(field protowire.Number, v uint64) {
 		b = protowire.AppendTag(b, field, protowire.VarintType)
 		b = protowire.AppendVarint(b, v)
@@ -92,7 +92,7 @@
 // encode makes the datagram with as many entries as fit, in their order, and says how many those are.
 func (m *message) encode() (data []byte, fitted int) {
 	b := m.head()
-	room := MaxDatagram - len(b) - 3 // of the entries' tag and length
+	room := MaxPacketSize - len(b) - 3 // of the entries' tag and length
 	var list []byte
 	for _, e := range m.entries {
 		next := protowire.AppendVarint(list, uint64(e.member)<<3|uint64(e.state))
@@ -116,11 +116,11 @@
 var errNone = errors.New("no datagram of this kind")
 
 // Ours says whether a datagram is one of these rather than an older version's notice.
-func Ours(data []byte) bool { return len(data) > 0 && len(data) != notice && data[0] == lead }
+func IsMessage(data []byte) bool { return len(data) > 0 && len(data) != notice && data[0] == lead }
 
 // decode reads a datagram. members is how many there can be.
 func decode(data []byte, members int) (m message, err error) {
-	if !Ours(data) || len(data) > MaxDatagram {
+	if !IsMessage(data) || len(data) > MaxPacketSize {
 		return m, errNone
 	}
 	seen := uint64(0)
