--- a/internal/membership/codec_test.go
+++ b/internal/membership/codec_test.go
@@ -48,25 +48,25 @@
 
 var goldenKinds = []struct {
 	name string
-	kind int
-}{{"ping", kindPing}, {"ack", kindAck}, {"ask", kindAsk}, {"nack", kindNack}, {"news", kindNews}}
+	kind messageKind
+}{{"ping", kindPing}, {"ack", kindAck}, {"ask", kindPingReq}, {"nack", kindNack}, {"news", kindGossip}}
 
 // goldenMessages are all kinds with all fields, with none that may be left out, and an overfull one.
 func goldenMessages() (names []string, all []message) {
 	add := func(name string, m message) { names, all = append(names, name), append(all, m) }
-	updates := []entry{{0, Alive, 1}, {1, Suspect, 1700000000123}, {17, Dead, 1<<63 + 5}, {4999, Left, 0}, {128, Alive, 127}}
+	updates := []memberUpdate{{0, Alive, 1}, {1, Suspect, 1700000000123}, {17, Dead, 1<<63 + 5}, {4999, Left, 0}, {128, Alive, 127}}
 	for _, k := range goldenKinds {
 		add(k.name+" bare", message{fleet: "f", name: "n", kind: k.kind})
-		add(k.name+" full", message{fleet: "fleet-golden", name: "relay-7", start: 1700000000000, incarnation: 1700000000001,
-			kind: k.kind, seq: 1<<40 + 3, target: 300, health: 5, entries: updates})
+		add(k.name+" full", message{fleet: "fleet-golden", name: "relay-7", startMillis: 1700000000000, incarnation: 1700000000001,
+			kind: k.kind, sequence: 1<<40 + 3, target: 300, health: 5, updates: updates})
 	}
 	for _, s := range []State{Alive, Suspect, Dead, Left} {
-		add("one "+s.String(), message{fleet: "fleet", name: "r", start: 1, incarnation: 2, kind: kindNews, seq: 3, entries: []entry{{3, s, 9}}})
+		add("one "+s.String(), message{fleet: "fleet", name: "r", startMillis: 1, incarnation: 2, kind: kindGossip, sequence: 3, updates: []memberUpdate{{3, s, 9}}})
 	}
-	over := message{fleet: strings.Repeat("f", maxName), name: strings.Repeat("n", maxName), start: 1<<64 - 1, incarnation: 1<<64 - 1,
-		kind: kindPing, seq: 1<<64 - 1, target: goldenMembers, health: worstHealth}
+	over := message{fleet: strings.Repeat("f", maxNameLength), name: strings.Repeat("n", maxNameLength), startMillis: 1<<64 - 1, incarnation: 1<<64 - 1,
+		kind: kindPing, sequence: 1<<64 - 1, target: goldenMembers, health: maxHealthScore}
 	for i := range 200 {
-		over.entries = append(over.entries, entry{i, Alive, uint64(1700000000000 + i)})
+		over.updates = append(over.updates, memberUpdate{i, Alive, uint64(1700000000000 + i)})
 	}
 	add("overfull", over)
 	return names, all
@@ -78,10 +78,10 @@
 	names, all := goldenMessages()
 	for i, m := range all {
 		data, fitted := m.encode()
-		fmt.Fprintf(&out, "%s: %d of %d updates\n%x\n", names[i], fitted, len(m.entries), data)
+		fmt.Fprintf(&out, "%s: %d of %d updates\n%x\n", names[i], fitted, len(m.updates), data)
 		whole := 0
 		for n := range data {
-			if _, err := decode(data[:n], goldenMembers); err == nil {
+			if _, err := decodeMessage(data[:n], goldenMembers); err == nil {
 				whole++
 				fmt.Fprintf(&out, "taken when cut to %d of %d\n", n, len(data))
 			}
@@ -103,16 +103,16 @@
 		if at == len(all) {
 			t.Fatal("more datagrams than messages")
 		}
-		m, err := decode(data, goldenMembers)
+		m, err := decodeMessage(data, goldenMembers)
 		if err != nil {
 			t.Fatalf("%s: %v", names[at], err)
 		}
 		want := all[at]
-		want.entries = want.entries[:min(len(want.entries), len(m.entries))]
+		want.updates = want.updates[:min(len(want.updates), len(m.updates))]
 		if !reflect.DeepEqual(m, want) {
 			t.Errorf("%s: read as %+v, was %+v", names[at], m, want)
 		}
-		if again, fitted := m.encode(); !slices.Equal(again, data) || fitted != len(m.entries) {
+		if again, fitted := m.encode(); !slices.Equal(again, data) || fitted != len(m.updates) {
 			t.Errorf("%s: written again %x, was %x", names[at], again, data)
 		}
 		at++
@@ -161,7 +161,7 @@
 		if err != nil {
 			t.Fatalf("%s: %v", tc.name, err)
 		}
-		m, err := decode(data, goldenMembers)
+		m, err := decodeMessage(data, goldenMembers)
 		if err == nil {
 			again, _ := m.encode()
 			fmt.Fprintf(&out, "%s\n%x\ntaken, as %x\n", tc.name, data, again)
--- /dev/null
+++ b/internal/membership/gossip.go
@@ -0,0 +1,154 @@
+package membership
+
+import (
+	"math/bits"
+	"slices"
+)
+
+const (
+	// retransmitFactor times the logarithm of the fleet's size is how often an update is sent (SWIM's lambda).
+	retransmitFactor = 3
+
+	// maxTransmissions bounds that, so that the count fits a byte.
+	maxTransmissions = 250
+
+	// maxQueuedUpdates is how many queued updates are tried for a datagram: more than fit into one.
+	maxQueuedUpdates = 24
+
+	// tableSegment is how many members' states a ping carries while there is no news, so that views that differ for
+	// whatever reason converge.
+	tableSegment = 6
+)
+
+// gossipBursts says how many datagrams with nothing but updates are sent in a tick, by how many updates wait. Probes
+// carry few: when many members start or fail at once there is as much to tell as there are members.
+var gossipBursts = []struct{ moreThan, packets int }{{300, 8}, {100, 4}, {12, 2}, {0, 1}}
+
+// gossipQueue holds the members whose state is still to be told to others, and how often.
+type gossipQueue struct {
+	pending   []int   // members; those sent least often come first
+	remaining []uint8 // transmissions left, by member; 0: not in pending
+	cursor    int     // last member that went out as part of a table segment
+}
+
+// newGossipQueue returns an empty queue.
+func newGossipQueue(members int) gossipQueue {
+	return gossipQueue{remaining: make([]uint8, members)}
+}
+
+// push puts a member whose state has changed at the front of the queue.
+func (q *gossipQueue) push(i int) {
+	if q.remaining[i] > 0 {
+		k := slices.Index(q.pending, i)
+		q.pending = slices.Delete(q.pending, k, k+1)
+	}
+	q.remaining[i] = uint8(min(maxTransmissions, retransmitFactor*bits.Len(uint(len(q.remaining)))))
+	q.pending = slices.Insert(q.pending, 0, i)
+}
+
+// transmitted records that the first n members of the queue were sent, and moves those that are to be sent again to its
+// end.
+func (q *gossipQueue) transmitted(n int) {
+	sent := slices.Clone(q.pending[:n])
+	q.pending = slices.Delete(q.pending, 0, n)
+	for _, i := range sent {
+		q.remaining[i]--
+		if q.remaining[i] > 0 {
+			q.pending = append(q.pending, i)
+		}
+	}
+}
+
+// nextOfTable returns the next member of the walk over the whole table.
+func (q *gossipQueue) nextOfTable() int {
+	q.cursor = (q.cursor + 1) % len(q.remaining)
+	return q.cursor
+}
+
+// send adds a datagram to the outbox, with as many updates piggybacked as fit.
+func (m *Memberlist) send(to int, msg message) {
+	m.stampSender(&msg)
+	if u, ok := m.updateForRecipient(to); ok {
+		msg.updates = append(msg.updates, u)
+	}
+	aboutRecipient := len(msg.updates)
+	for _, i := range m.gossip.pending[:min(len(m.gossip.pending), maxQueuedUpdates)] {
+		msg.updates = append(msg.updates, m.members.update(i))
+	}
+	lastQueued := len(msg.updates)
+	if msg.kind == kindPing && len(m.gossip.pending) == 0 {
+		m.addTableSegment(&msg)
+	}
+	data, fitted := msg.encode()
+	m.gossip.transmitted(max(0, min(fitted, lastQueued)-aboutRecipient))
+	m.stats.PacketsSent++
+	m.stats.BytesSent += uint64(len(data))
+	m.outbox = append(m.outbox, Packet{to, data})
+}
+
+// stampSender sets what a message says of this relay.
+func (m *Memberlist) stampSender(msg *message) {
+	msg.fleet = m.settings.Fleet
+	msg.name = m.local.Name
+	msg.startMillis = m.local.StartMillis
+	msg.incarnation = m.Incarnation()
+	msg.health = m.health.score
+}
+
+// updateForRecipient returns what is believed of a datagram's recipient, if it is anything that it should refute. It
+// goes before all other updates.
+func (m *Memberlist) updateForRecipient(to int) (memberUpdate, bool) {
+	if s := m.suspicions.byMember[to]; s != nil {
+		return s.claim, true
+	}
+	switch m.members.records[to].state {
+	case Suspect, Dead, Left:
+		return m.members.update(to), true
+	default:
+		return memberUpdate{}, false
+	}
+}
+
+// addTableSegment adds the states of the next members of the walk over the table.
+func (m *Memberlist) addTableSegment(msg *message) {
+	for range min(tableSegment, len(m.members.records)) {
+		if i := m.gossip.nextOfTable(); m.members.records[i].state != Joining {
+			msg.updates = append(msg.updates, m.members.update(i))
+		}
+	}
+}
+
+// gossipPending sends updates in datagrams of their own while there are more than probes carry.
+func (m *Memberlist) gossipPending() {
+	for range burstSize(len(m.gossip.pending)) {
+		if len(m.gossip.pending) == 0 {
+			return
+		}
+		i := m.members.random(m.rng, func(i int) bool {
+			r := &m.members.records[i]
+			return r.active() || r.state == Joining
+		})
+		if i != noMember {
+			m.send(i, message{kind: kindGossip})
+		}
+	}
+}
+
+// burstSize returns how many datagrams of updates alone are worth sending in a tick.
+func burstSize(pending int) int {
+	for _, b := range gossipBursts {
+		if pending > b.moreThan {
+			return b.packets
+		}
+	}
+	return 0
+}
+
+// gossipToActive sends the newest updates to some active members at once.
+func (m *Memberlist) gossipToActive(packets int) {
+	for range packets {
+		if i := m.members.randomActive(m.rng); i != noMember {
+			m.send(i, message{kind: kindGossip})
+		}
+	}
+}
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -16,7 +16,7 @@
 // plain is SWIM without Lifeguard's extensions and without a judge's own try.
 func plain() Settings {
 	set := DefaultSettings("f")
-	set.plain = true
+	set.plainSWIM = true
 	return set
 }
 
@@ -56,7 +56,7 @@
 	false_ := map[bool]int{}
 	for _, without := range []bool{false, true} {
 		set := DefaultSettings("f")
-		set.plain = without
+		set.plainSWIM = without
 		for seed := range uint64(seeds) {
 			s := newSim(12, seed+1, set)
 			harsh(s)
@@ -81,7 +81,7 @@
 	seeds, each := long()
 	for _, without := range []bool{false, true} {
 		set := DefaultSettings("f")
-		set.plain = without
+		set.plainSWIM = without
 		wrong, late, worst := 0, 0, time.Duration(0)
 		for seed := range uint64(seeds) {
 			s := newSim(20, seed+1, set)
@@ -349,12 +349,12 @@
 	s.run(8 * time.Second)
 	s.spoil = nil
 	m := s.nodes[0].m
-	lie := func(kind int, inc uint64, e ...entry) []byte {
-		d, _ := (&message{fleet: "f", name: "n", start: 1, incarnation: inc, kind: kind, seq: 1, entries: e}).encode()
+	lie := func(kind messageKind, inc uint64, e ...memberUpdate) []byte {
+		d, _ := (&message{fleet: "f", name: "n", startMillis: 1, incarnation: inc, kind: kind, sequence: 1, updates: e}).encode()
 		return d
 	}
 	before := m.stats
-	good := lie(kindNews, m.members[3].incarnation, entry{2, Alive, m.members[2].incarnation})
+	good := lie(kindGossip, m.members.records[3].incarnation, memberUpdate{2, Alive, m.members.records[2].incarnation})
 	for n := range len(good) {
 		m.HandlePacket(s.now, 3, good[:n])
 	}
@@ -363,13 +363,13 @@
 	m.HandlePacket(s.now, -1, good)
 	m.HandlePacket(s.now, 8, good)
 	m.HandlePacket(s.now, 0, good)
-	m.HandlePacket(s.now, 3, lie(kindNews, m.members[3].incarnation, entry{2, Dead, 1 << 62}))
-	m.HandlePacket(s.now, 3, lie(kindNews, 1<<63))
+	m.HandlePacket(s.now, 3, lie(kindGossip, m.members.records[3].incarnation, memberUpdate{2, Dead, 1 << 62}))
+	m.HandlePacket(s.now, 3, lie(kindGossip, 1<<63))
 	if m.stats.ForeignPackets != before.ForeignPackets+1 || m.stats.MalformedPackets < before.MalformedPackets+uint64(len(good)) || m.stats.RejectedIncarnations != before.RejectedIncarnations+2 {
 		t.Errorf("%+v", m.stats)
 	}
 	own := m.Incarnation()
-	m.HandlePacket(s.now, 3, lie(kindNews, m.members[3].incarnation, entry{0, Dead, 1 << 62}))
+	m.HandlePacket(s.now, 3, lie(kindGossip, m.members.records[3].incarnation, memberUpdate{0, Dead, 1 << 62}))
 	if m.Incarnation() != own {
 		t.Error("an absurd claim of itself is answered")
 	}
@@ -388,7 +388,7 @@
 		for i := range s.nodes {
 			for j := range s.nodes {
 				if i != 3 && i != j && j != 3 {
-					s.send(i, s.nodes[i].m.HandlePacket(s.now, 3, lie(kindNews, s.nodes[i].m.members[3].incarnation, entry{j, Dead, s.nodes[i].m.members[j].incarnation})))
+					s.send(i, s.nodes[i].m.HandlePacket(s.now, 3, lie(kindGossip, s.nodes[i].m.members.records[3].incarnation, memberUpdate{j, Dead, s.nodes[i].m.members.records[j].incarnation})))
 				}
 			}
 		}
@@ -397,7 +397,7 @@
 }
 
 func TestSizesAndCost(t *testing.T) {
-	s := newSim(80, 1, DefaultSettings("a-fleet-with-a-name-of-32-bytes.."[:maxName]))
+	s := newSim(80, 1, DefaultSettings("a-fleet-with-a-name-of-32-bytes.."[:maxNameLength]))
 	s.startAll()
 	s.run(10 * time.Second)
 	before := uint64(0)
@@ -408,7 +408,7 @@
 	after := uint64(0)
 	for _, nd := range s.nodes {
 		after += nd.m.stats.BytesSent
-		if n := len(nd.m.probes) + len(nd.m.helps) + len(nd.m.doubted); n > 16 {
+		if n := len(nd.m.detector.probes) + len(nd.m.detector.relayed) + len(nd.m.suspicions.active); n > 16 {
 			t.Errorf("%d things are waited for at rest", n)
 		}
 	}
@@ -421,17 +421,17 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	d, _ := (&message{fleet: "f", name: "n", start: 3, incarnation: 4, kind: kindAsk, seq: 9, target: 2, health: 3, entries: []entry{{1, Suspect, 7}, {2, Left, 1 << 40}}}).encode()
+	d, _ := (&message{fleet: "f", name: "n", startMillis: 3, incarnation: 4, kind: kindPingReq, sequence: 9, target: 2, health: 3, updates: []memberUpdate{{1, Suspect, 7}, {2, Left, 1 << 40}}}).encode()
 	f.Add(d)
-	f.Add([]byte{lead})
+	f.Add([]byte{magicByte})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		m, err := decode(data, 5)
+		m, err := decodeMessage(data, 5)
 		if err != nil {
 			return
 		}
 		again, n := m.encode()
-		back, err := decode(again, 5)
-		if len(again) > MaxPacketSize || err != nil || fmt.Sprint(back.entries) != fmt.Sprint(m.entries[:n]) && n > 0 {
+		back, err := decodeMessage(again, 5)
+		if len(again) > MaxPacketSize || err != nil || fmt.Sprint(back.updates) != fmt.Sprint(m.updates[:n]) && n > 0 {
 			t.Errorf("%v, %+v, %+v", err, m, back)
 		}
 		New(0, 1, DefaultSettings("f"), LocalNode{Index: 1, Name: "n"}, 5).HandlePacket(0, 2, data)
--- a/internal/membership/sim_test.go
+++ b/internal/membership/sim_test.go
@@ -186,7 +186,7 @@
 		s.wasState[i] = make([]State, len(s.nodes))
 	}
 	for j, was := range s.wasState[i] {
-		if st := s.nodes[i].m.members[j].state; st != was {
+		if st := s.nodes[i].m.members.records[j].state; st != was {
 			s.wasState[i][j] = st
 			if st == Dead {
 				s.onDeath(i, j)
@@ -236,8 +236,8 @@
 		if !nd.up {
 			continue
 		}
-		for j := range nd.m.members {
-			if s.nodes[j].up && nd.m.members[j].state != Alive {
+		for j := range nd.m.members.records {
+			if s.nodes[j].up && nd.m.members.records[j].state != Alive {
 				return false
 			}
 		}
