--- a/internal/membership/codec_test.go
+++ b/internal/membership/codec_test.go
@@ -2,48 +2,17 @@
 
 import (
 	"encoding/hex"
-	"flag"
+	"errors"
 	"fmt"
+	"io"
 	"os"
-	"path/filepath"
 	"reflect"
 	"slices"
 	"strings"
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
-
-// golden holds what was made now to what an earlier version wrote.
-func golden(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *update {
-		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got == string(want) {
-		return
-	}
-	g, w := strings.Split(got, "\n"), strings.Split(string(want), "\n")
-	for i := range max(len(g), len(w)) {
-		switch {
-		case i >= len(g):
-			t.Fatalf("%s:%d: %q is missing", path, i+1, w[i])
-		case i >= len(w):
-			t.Fatalf("%s:%d: %q is too much", path, i+1, g[i])
-		case g[i] != w[i]:
-			t.Fatalf("%s:%d:\ngot  %q\nwant %q", path, i+1, g[i], w[i])
-		}
-	}
-}
-
-// goldenMembers is how many can be there in what is decoded here.
+// goldenMembers is the length of the list of peers in the golden tests.
 const goldenMembers = 5000
 
 var goldenKinds = []struct {
@@ -51,7 +20,8 @@
 	kind messageKind
 }{{"ping", kindPing}, {"ack", kindAck}, {"ask", kindPingReq}, {"nack", kindNack}, {"news", kindGossip}}
 
-// goldenMessages are all kinds with all fields, with none that may be left out, and an overfull one.
+// goldenMessages returns messages of all kinds with all fields and without the optional ones, and one with more updates
+// than fit.
 func goldenMessages() (names []string, all []message) {
 	add := func(name string, m message) { names, all = append(names, name), append(all, m) }
 	updates := []memberUpdate{{0, Alive, 1}, {1, Suspect, 1700000000123}, {17, Dead, 1<<63 + 5}, {4999, Left, 0}, {128, Alive, 127}}
@@ -72,7 +42,8 @@
 	return names, all
 }
 
-// What an older version wrote is read, and written again to the same bytes; cut short it is taken or refused as it was.
+// TestCodec_Golden checks that datagrams of earlier versions decode, and encode to the same bytes again, and that what
+// is accepted when cut short does not change.
 func TestCodec_Golden(t *testing.T) {
 	var out strings.Builder
 	names, all := goldenMessages()
@@ -88,7 +59,7 @@
 		}
 		fmt.Fprintf(&out, "refused at %d other lengths\n", len(data)-whole)
 	}
-	golden(t, "datagrams.txt", out.String())
+	compareGolden(t, "datagrams.txt", out.String())
 
 	text, err := os.ReadFile("testdata/datagrams.txt")
 	if err != nil {
@@ -122,7 +93,8 @@
 	}
 }
 
-// What is refused stays refused, in the same words; fields of later versions are passed over.
+// TestCodec_GoldenRefusals checks that what is refused stays refused, with the same texts, and that fields of later
+// versions are skipped.
 func TestCodec_GoldenRefusals(t *testing.T) {
 	var out strings.Builder
 	for _, tc := range []struct{ name, hex string }{
@@ -170,5 +142,67 @@
 		// protowire writes its first space as one of two kinds, by the build.
 		fmt.Fprintf(&out, "%s\n%x\n%s\n", tc.name, data, strings.ReplaceAll(err.Error(), "\u00a0", " "))
 	}
-	golden(t, "refusals.txt", out.String())
+	compareGolden(t, "refusals.txt", out.String())
+}
+
+// TestCodec_DecodeErrors checks that a refused datagram says why and where: the reason, the field and the offset.
+func TestCodec_DecodeErrors(t *testing.T) {
+	const header = "b50801120166 1a016e 2802 3005" // 13 bytes
+	for _, tc := range []struct {
+		name   string
+		hex    string
+		reason error
+		field  int
+		offset int
+		cause  error
+	}{
+		{"another protocol", "b408", errNotMessage, 0, 0, nil},
+		{"truncated tag", header + "80", errMalformed, 0, 13, io.ErrUnexpectedEOF},
+		{"truncated number", header + "3880", errMalformed, 7, 13, io.ErrUnexpectedEOF},
+		{"number for text", "b50801 1001", errFieldType, 2, 3, nil},
+		{"version 2", "b50802", errVersion, 1, 1, nil},
+		{"empty name", "b50801120166 1a00 2802", errNameLength, 3, 6, nil},
+		{"kind 6", "b50801120166 1a016e 2802 3006", errKind, 6, 11, nil},
+		{"target 5001 of 5000", header + "408927", errTarget, 8, 13, nil},
+		{"truncated update", header + "4a0189", errMalformed, 9, 15, io.ErrUnexpectedEOF},
+		{"truncated incarnation", header + "4a0109", errMalformed, 9, 15, io.ErrUnexpectedEOF},
+		{"second update with state 5", header + "4a0409010501", errUpdate, 9, 17, nil},
+		{"no kind", "b50801120166 1a016e 2802 3803", errMissingField, 0, 13, nil},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			data, err := hex.DecodeString(strings.ReplaceAll(tc.hex, " ", ""))
+			if err != nil {
+				t.Fatal(err)
+			}
+			_, err = decodeMessage(data, goldenMembers)
+			var decodeErr *decodeError
+			if !errors.As(err, &decodeErr) {
+				t.Fatalf("%v is not a decodeError", err)
+			}
+			if !errors.Is(err, tc.reason) || int(decodeErr.field) != tc.field || decodeErr.offset != tc.offset {
+				t.Errorf("%v: reason %v, field %d, offset %d", err, decodeErr.reason, decodeErr.field, decodeErr.offset)
+			}
+			if tc.cause != nil && !errors.Is(err, tc.cause) {
+				t.Errorf("%v doesn't wrap %v", err, tc.cause)
+			}
+		})
+	}
+}
+
+func FuzzCodec_Decode(f *testing.F) {
+	d, _ := (&message{fleet: "f", name: "n", startMillis: 3, incarnation: 4, kind: kindPingReq, sequence: 9, target: 2, health: 3, updates: []memberUpdate{{1, Suspect, 7}, {2, Left, 1 << 40}}}).encode()
+	f.Add(d)
+	f.Add([]byte{magicByte})
+	f.Fuzz(func(t *testing.T, data []byte) {
+		m, err := decodeMessage(data, 5)
+		if err != nil {
+			return
+		}
+		again, n := m.encode()
+		back, err := decodeMessage(again, 5)
+		if len(again) > MaxPacketSize || err != nil || fmt.Sprint(back.updates) != fmt.Sprint(m.updates[:n]) && n > 0 {
+			t.Errorf("%v, %+v, %+v", err, m, back)
+		}
+		New(0, 1, DefaultSettings("f"), LocalNode{Index: 1, Name: "n"}, 5).HandlePacket(0, 2, data)
+	})
 }
--- a/internal/membership/roundtrip.go
+++ b/internal/membership/roundtrip.go
@@ -8,7 +8,8 @@
 )
 
 // roundTripEstimator derives the probe timeout from measured round trips as TCP does (RFC 6298), with smaller gains
-// because the samples come from all members. Slow or lossy links between all relays so don't look like failures.
+// because the samples come from all members. Links that are slow or lossy between all relays are thereby not mistaken for
+// failures.
 type roundTripEstimator struct {
 	smoothed  time.Duration // 0: no sample yet
 	variation time.Duration // mean deviation
