--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -133,11 +133,11 @@
 	log                     *zap.Logger
 	driver                  Driver
 	balancer                decision.Decider
-	shadow                  *shadow.Evaluator   // nil: nothing is watched
-	membership              *membership.Machine // nil: nobody finds out who is there
-	activeRelays            int                 // relays that are there, as the module was told
-	membershipPublishedAt   time.Duration       // when staff's view of them was made
-	inheritedIncarnation    uint64              // an incarnation that the process before this one had
+	shadow                  *shadow.Evaluator      // nil: nothing is watched
+	membership              *membership.Memberlist // nil: nobody finds out who is there
+	activeRelays            int                    // relays that are there, as the module was told
+	membershipPublishedAt   time.Duration          // when staff's view of them was made
+	inheritedIncarnation    uint64                 // an incarnation that the process before this one had
 	startedAt               time.Duration
 	now                     time.Duration
 	sessions                map[uint64]*sessionRecord
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -38,8 +38,8 @@
 	} else {
 		n.setTimer(membershipTimer, 0, 0)
 	}
-	n.membership = membership.New(n.now, cfg.Seed, *cfg.Membership, membership.Self{Number: n.settings.RelayIndex, Name: cfg.Name,
-		Start: uint64(n.startedAt / time.Millisecond), Incarnation: n.inheritedIncarnation}, len(cfg.Peers))
+	n.membership = membership.New(n.now, cfg.Seed, *cfg.Membership, membership.LocalNode{Index: n.settings.RelayIndex, Name: cfg.Name,
+		StartMillis: uint64(n.startedAt / time.Millisecond), PreviousIncarnation: n.inheritedIncarnation}, len(cfg.Peers))
 }
 
 func (n *Controller) membershipTick() {
@@ -51,14 +51,14 @@
 		return
 	}
 	n.sendMembership(n.membership.Tick(n.now))
-	if here := n.membership.Here(); here != n.activeRelays {
+	if here := n.membership.ActiveCount(); here != n.activeRelays {
 		n.setActiveRelays(here)
 	}
 	if n.now-n.membershipPublishedAt >= membershipInterval {
 		n.membershipPublishedAt = n.now
 		n.metrics.SetMembership(n.membership, n.now)
 	}
-	n.setTimer(membershipTimer, 0, max(0, n.membership.Next()-n.now))
+	n.setTimer(membershipTimer, 0, max(0, n.membership.NextTick()-n.now))
 }
 
 // setActiveRelays tells the module how many relays there are; 0: nobody knows any more.
@@ -68,7 +68,7 @@
 	n.balancer.SetActiveRelays(here)
 }
 
-func (n *Controller) sendMembership(out []membership.Out) {
+func (n *Controller) sendMembership(out []membership.Packet) {
 	for _, o := range out {
 		if o.To < len(n.cfg.Peers) {
 			n.driver.SendDatagram(n.cfg.Peers[o.To], o.Data)
@@ -79,11 +79,11 @@
 // membershipDatagram takes in a datagram of a relay in the list. It returns false for an older version's notice of a slow
 // server, which is taken from who is there alone.
 func (n *Controller) membershipDatagram(now time.Duration, from int, data []byte) bool {
-	if membership.Ours(data) {
-		n.deliver(now, func() { n.sendMembership(n.membership.Datagram(n.now, from, data)) })
+	if membership.IsMessage(data) {
+		n.deliver(now, func() { n.sendMembership(n.membership.HandlePacket(n.now, from, data)) })
 		return true
 	}
-	if n.membership.Has(from) {
+	if n.membership.IsActive(from) {
 		return false
 	}
 	n.metrics.RejectedGossip.Add(1)
--- a/internal/controller/membership_test.go
+++ b/internal/controller/membership_test.go
@@ -37,7 +37,7 @@
 			return counting{balance.New(now, seed, s, do), seen[i]}
 		}
 		if on {
-			s := membership.Sound("f")
+			s := membership.DefaultSettings("f")
 			cfg.Membership = &s
 		}
 		nodes[i], hosts[i] = node(t, cfg)
@@ -106,7 +106,7 @@
 		t.Fatal(err)
 	}
 	pass(12 * time.Second)
-	if nodes[0].activeRelays != 2 || !nodes[1].membership.Has(0) {
+	if nodes[0].activeRelays != 2 || !nodes[1].membership.IsActive(0) {
 		t.Errorf("turned on again: %d relays", nodes[0].activeRelays)
 	}
 }
--- a/internal/metrics/registry.go
+++ b/internal/metrics/registry.go
@@ -140,12 +140,12 @@
 	Health         int
 	RejectedGossip int64 // notices that were not taken
 	Members        []membership.Member
-	Counters       membership.Counters
+	Counters       membership.Stats
 }
 
 // SetMembership publishes the view.
-func (l *Registry) SetMembership(m *membership.Machine, now time.Duration) {
-	l.membership.Store(&Membership{ActiveRelays: m.Here(), Health: m.Health(), RejectedGossip: l.RejectedGossip.Load(), Members: m.Members(now), Counters: m.Count})
+func (l *Registry) SetMembership(m *membership.Memberlist, now time.Duration) {
+	l.membership.Store(&Membership{ActiveRelays: m.ActiveCount(), Health: m.Health(), RejectedGossip: l.RejectedGossip.Load(), Members: m.Members(now), Counters: m.Stats()})
 }
 
 // EnableShadow has the registry count the differences that a shadow evaluation finds, from zero.
