--- a/cmd/aspenlab/seeds.go
+++ b/cmd/aspenlab/seeds.go
@@ -99,7 +99,7 @@
 				return fmt.Errorf("%s: %w", f.timing, err)
 			}
 			var t balance.RetryPolicy
-			if r := cfg.Relay.Routes.Pick(q); r != nil {
+			if r := cfg.Relay.Routes.Lookup(q); r != nil {
 				t = r.RetryPolicy
 			}
 			f.opt.Timings = append(f.opt.Timings, t)
--- a/internal/config/codec_test.go
+++ b/internal/config/codec_test.go
@@ -9,7 +9,7 @@
 	"testing"
 
 	"aspenbarrow/balance"
-	"aspenbarrow/internal/route"
+	"aspenbarrow/internal/routing"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
@@ -123,11 +123,11 @@
 	}
 	for class := range s.Classes {
 		for tenant := range max(1, len(s.Tenants)) {
-			for _, protocol := range []int{route.Line, route.AMQP} {
+			for _, protocol := range []int{routing.ProtocolLine, routing.ProtocolAMQP} {
 				for _, key := range []uint64{0, 0x7f << 56, 0x0a << 56} {
 					for _, group := range []uint64{0, 0x5c0f6e1a2b3d4c59} {
-						q := route.Request{Class: class, Tenant: tenant, Zone: s.Zone, Protocol: protocol, Key: key, Group: group}
-						if x := r.Routes.Pick(q); x != nil {
+						q := routing.Request{Class: class, Tenant: tenant, Zone: s.Zone, Protocol: protocol, Key: key, Group: group}
+						if x := r.Routes.Lookup(q); x != nil {
 							t := &x.RetryPolicy
 							say(fmt.Sprintf("goes %d %d %d %x %x", class, tenant, protocol, key>>56, group>>60), x.Name+":", t.ConnectTimeout, t.AttemptTimeout, t.RequestTimeout,
 								t.MaxAttempts, t.BaseBackoff, t.MaxBackoff, t.RetryBudget, t.HedgeDelay)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -18,7 +18,7 @@
 	"aspenbarrow/balance"
 	"aspenbarrow/internal/machine"
 	"aspenbarrow/internal/membership"
-	"aspenbarrow/internal/route"
+	"aspenbarrow/internal/routing"
 	"aspenbarrow/internal/settings"
 )
 
@@ -218,7 +218,7 @@
 		r.fault("relay.drain-grace", "%v is over rules.drain-grace, %v", f.Relay.DrainGrace, f.Rules.DrainGrace)
 	}
 	s := f.settings(r)
-	rules := route.Rules{Attempts: f.Rules.MaxAttempts, Cancel: f.Rules.Cancel, AnswerSlack: f.Rules.AnswerSlack}
+	rules := routing.Limits{MaxAttempts: f.Rules.MaxAttempts, Cancellation: f.Rules.Cancel, AnswerSlack: f.Rules.AnswerSlack}
 	c := Config{Cores: f.Limits.Cores, Level: f.Log.Level, Relay: machine.Config{Name: f.Relay.Name, Listen: f.Relay.Listen,
 		Discovery: f.Discovery.Address, Seed: seed, MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets,
 		PeerListen: f.Peers.Listen, Peers: f.Peers.Addresses, PeersAll: f.Peers.All, Settings: s, Management: f.Relay.Management}}
@@ -413,14 +413,14 @@
 
 // routes makes the table of routes: the file's in their order, then one for each
 // class that has a timing of its own or by way of retries.
-func (f *file) routes(r *reader, s *settings.Settings, rules route.Rules) *route.Table {
+func (f *file) routes(r *reader, s *settings.Settings, rules routing.Limits) *routing.Table {
 	timings := make([]balance.RetryPolicy, len(f.Classes))
 	plain := f.Retries.timing()
 	check := func(key string, t balance.RetryPolicy, class int, by string) {
 		if f.Classes[class].GiveUp == 0 {
 			return // told already
 		}
-		for _, fault := range route.Check(t, s.Classes[class], rules) {
+		for _, fault := range routing.CheckPolicy(t, s.Classes[class], rules) {
 			reason := fault.Reason
 			if fault.Other != "" {
 				reason += fmt.Sprintf(" (%s)", strings.Replace(fault.Other, "class.", fmt.Sprintf("class[%d].", class), 1))
@@ -442,25 +442,25 @@
 		}
 		check(fmt.Sprintf("class[%d]", i), timings[i], i, "")
 	}
-	var asked []route.Route
+	var asked []routing.Route
 	var at []int
 	for i := range f.Routes {
 		if m, ok := f.Routes[i].match(r, fmt.Sprintf("route[%d]", i), f, s); ok {
-			asked, at = append(asked, route.Route{Name: f.Routes[i].Name, Match: m}), append(at, i)
+			asked, at = append(asked, routing.Route{Name: f.Routes[i].Name, Match: m}), append(at, i)
 		}
 	}
-	_, errs := route.New(asked)
+	_, errs := routing.NewTable(asked)
 	for _, err := range errs {
-		var e *route.Shadowed
+		var e *routing.ShadowedRouteError
 		if errors.As(err, &e) {
-			r.fault(fmt.Sprintf("route[%d]", at[e.Route]), "%v", err)
+			r.fault(fmt.Sprintf("route[%d]", at[e.Index]), "%v", err)
 		}
 	}
-	var all []route.Route
+	var all []routing.Route
 	for n, a := range asked {
 		i := at[n]
 		key, own := fmt.Sprintf("route[%d]", i), f.Routes[i].timing()
-		if class := a.Match.Class; class != route.Any {
+		if class := a.Match.Class; class != routing.Any {
 			a.RetryPolicy = over(own, timings[class])
 			check(key, a.RetryPolicy, class, "")
 			all = append(all, a)
@@ -474,21 +474,21 @@
 	}
 	for i, t := range timings {
 		if t != (balance.RetryPolicy{}) {
-			m := route.Everything
+			m := routing.MatchAll
 			m.Class = i
-			all = append(all, route.Route{Name: "class " + f.Classes[i].Name, Match: m, RetryPolicy: t})
+			all = append(all, routing.Route{Name: "class " + f.Classes[i].Name, Match: m, RetryPolicy: t})
 		}
 	}
 	if len(all) == 0 {
 		return nil
 	}
-	table, _ := route.New(all) // what hides a class's own route was meant to
+	table, _ := routing.NewTable(all) // what hides a class's own route was meant to
 	return table
 }
 
 // match turns a route's conditions into numbers.
-func (q *routeSection) match(r *reader, key string, f *file, s *settings.Settings) (route.Match, bool) {
-	m, ok := route.Everything, true
+func (q *routeSection) match(r *reader, key string, f *file, s *settings.Settings) (routing.Match, bool) {
+	m, ok := routing.MatchAll, true
 	find := func(name, at, where string, known []string, to *int) {
 		if name == "" {
 			return
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -13,7 +13,7 @@
 	"pgregory.net/rapid"
 
 	"aspenbarrow/balance"
-	"aspenbarrow/internal/route"
+	"aspenbarrow/internal/routing"
 )
 
 func none(string) string { return "" }
@@ -90,17 +90,17 @@
 		t.Errorf("%+v", c.Relay)
 	}
 	for _, tc := range []struct {
-		q    route.Request
+		q    routing.Request
 		name string
 		want balance.RetryPolicy
 	}{
-		{route.Request{Class: 0, Key: 0x7f << 56}, "hot", balance.RetryPolicy{ConnectTimeout: 200 * time.Millisecond, HedgeDelay: 400 * time.Millisecond}},
-		{route.Request{Class: 0, Key: 0x7e << 56}, "class status-watch", balance.RetryPolicy{ConnectTimeout: 200 * time.Millisecond}},
-		{route.Request{Class: 1, Tenant: 1}, "fetches", balance.RetryPolicy{ConnectTimeout: 200 * time.Millisecond,
+		{routing.Request{Class: 0, Key: 0x7f << 56}, "hot", balance.RetryPolicy{ConnectTimeout: 200 * time.Millisecond, HedgeDelay: 400 * time.Millisecond}},
+		{routing.Request{Class: 0, Key: 0x7e << 56}, "class status-watch", balance.RetryPolicy{ConnectTimeout: 200 * time.Millisecond}},
+		{routing.Request{Class: 1, Tenant: 1}, "fetches", balance.RetryPolicy{ConnectTimeout: 200 * time.Millisecond,
 			AttemptTimeout: 500 * time.Millisecond, MaxAttempts: 3, BaseBackoff: 50 * time.Millisecond, MaxBackoff: 100 * time.Millisecond}},
-		{route.Request{Class: 2, Tenant: 1}, "milano", balance.RetryPolicy{ConnectTimeout: 200 * time.Millisecond, RetryBudget: 0.1}},
+		{routing.Request{Class: 2, Tenant: 1}, "milano", balance.RetryPolicy{ConnectTimeout: 200 * time.Millisecond, RetryBudget: 0.1}},
 	} {
-		r := c.Relay.Routes.Pick(tc.q)
+		r := c.Relay.Routes.Lookup(tc.q)
 		if r == nil || r.Name != tc.name || r.RetryPolicy != tc.want {
 			t.Errorf("%+v goes by %+v", tc.q, r)
 		}
@@ -354,7 +354,7 @@
 			return
 		}
 		accepted++
-		class, timing := c.Relay.Settings.Classes[0], c.Relay.Routes.Pick(route.Request{}).RetryPolicy
+		class, timing := c.Relay.Settings.Classes[0], c.Relay.Routes.Lookup(routing.Request{}).RetryPolicy
 		n := timing.MaxAttempts
 		if n == 0 {
 			n = 4
--- a/internal/config/explain.go
+++ b/internal/config/explain.go
@@ -9,11 +9,11 @@
 	"strconv"
 	"time"
 
-	"aspenbarrow/internal/route"
+	"aspenbarrow/internal/routing"
 )
 
 // Request makes a request of the names and numbers that a person writes.
-func (c *Config) Request(class, tenant, group, key, protocol string) (q route.Request, err error) {
+func (c *Config) Request(class, tenant, group, key, protocol string) (q routing.Request, err error) {
 	s := &c.Relay.Settings
 	if q.Class = slices.Index(s.ClassNames, class); q.Class < 0 {
 		return q, fmt.Errorf("class: %s", unknown(class, "the file's classes", s.ClassNames))
@@ -38,7 +38,7 @@
 	switch protocol {
 	case "line":
 	case "amqp":
-		q.Protocol = route.AMQP
+		q.Protocol = routing.ProtocolAMQP
 	default:
 		return q, fmt.Errorf("protocol: %q is none of line, amqp", protocol)
 	}
@@ -52,14 +52,14 @@
 }
 
 // Explain finds a request's route as a relay does.
-func (c *Config) Explain(q route.Request) Explanation {
+func (c *Config) Explain(q routing.Request) Explanation {
 	s := &c.Relay.Settings
 	e := Explanation{Route: "(none)"}
 	add := func(key, value, from string) { e.Timing = append(e.Timing, Setting{key, value, from}) }
 	class := s.Classes[q.Class]
 	connect, attempts := s.DialTimeout, s.MaxAttempts
 	attempt, total := time.Duration(0), class.ClientTimeout
-	r := c.Relay.Routes.Pick(q)
+	r := c.Relay.Routes.Lookup(q)
 	if r != nil {
 		e.Route = r.Name
 		t := r.RetryPolicy
@@ -74,25 +74,25 @@
 		}
 		attempt = t.AttemptTimeout
 	}
-	add(route.KeyConnect, connect.String(), "")
+	add(routing.KeyConnectTimeout, connect.String(), "")
 	if attempt > 0 {
-		add(route.KeyAttempt, attempt.String(), "")
+		add(routing.KeyAttemptTimeout, attempt.String(), "")
 	} else {
-		add(route.KeyAttempt, "all that is left", "")
+		add(routing.KeyAttemptTimeout, "all that is left", "")
 	}
-	add(route.KeyTotal, total.String(), "")
-	add(route.KeyAttempts, strconv.Itoa(attempts), "")
+	add(routing.KeyRequestTimeout, total.String(), "")
+	add(routing.KeyMaxAttempts, strconv.Itoa(attempts), "")
 	if r != nil && r.RetryPolicy.BaseBackoff > 0 {
-		add(route.KeyBackoff, r.RetryPolicy.BaseBackoff.String(), "")
+		add(routing.KeyBaseBackoff, r.RetryPolicy.BaseBackoff.String(), "")
 		if r.RetryPolicy.MaxBackoff > 0 {
-			add(route.KeyMaxBackoff, r.RetryPolicy.MaxBackoff.String(), "")
+			add(routing.KeyMaxBackoff, r.RetryPolicy.MaxBackoff.String(), "")
 		}
 	}
 	if r != nil && r.RetryPolicy.RetryBudget > 0 {
-		add(route.KeyBudget, strconv.FormatFloat(r.RetryPolicy.RetryBudget, 'g', -1, 64), "")
+		add(routing.KeyRetryBudget, strconv.FormatFloat(r.RetryPolicy.RetryBudget, 'g', -1, 64), "")
 	}
 	if r != nil && r.RetryPolicy.HedgeDelay > 0 {
-		add(route.KeySecond, r.RetryPolicy.HedgeDelay.String(), "")
+		add(routing.KeyHedgeDelay, r.RetryPolicy.HedgeDelay.String(), "")
 	}
 	return e
 }
--- a/internal/machine/machine_test.go
+++ b/internal/machine/machine_test.go
@@ -29,7 +29,7 @@
 // goroutine or randomness of its own, directly or through a package of this repository.
 func TestTheMachinesReachForNothing(t *testing.T) {
 	allowed := map[string]bool{"net/netip": true, "math/rand/v2": true}
-	for _, dir := range []string{".", "../../balance", "../route", "../settings", "../emulator"} {
+	for _, dir := range []string{".", "../../balance", "../routing", "../settings", "../emulator"} {
 		files, err := filepath.Glob(filepath.Join(dir, "*.go"))
 		if err != nil || len(files) == 0 {
 			t.Fatalf("%s: %d files, %v", dir, len(files), err)
--- a/internal/machine/node.go
+++ b/internal/machine/node.go
@@ -21,7 +21,7 @@
 
 	"aspenbarrow/balance"
 	"aspenbarrow/internal/membership"
-	"aspenbarrow/internal/route"
+	"aspenbarrow/internal/routing"
 	"aspenbarrow/internal/settings"
 )
 
@@ -38,7 +38,7 @@
 	PeersAll   string
 	Known      []byte // the list as this relay last had it, in discovery's form; may be empty
 	Settings   settings.Settings
-	Routes     *route.Table         // nil: no request has a timing of its own
+	Routes     *routing.Table       // nil: no request has a timing of its own
 	Management string               // the second address, for staff; empty: there is none
 	Watch      *Shape               // settings of another shape that decide in vain, to be watched before a switch; nil: none
 	Membership *membership.Settings // how relays find out who of them is there; nil: they don't
@@ -530,7 +530,7 @@
 	if err != nil {
 		return err
 	}
-	cfg.Routes = cfg.Routes.Renumber(numbers)
+	cfg.Routes = cfg.Routes.RemapClasses(numbers)
 	changed, later := []string{}, []string{}
 	n.sockets = sockets
 	shares := Deal(sockets-n.held, cfg.MemoryMB, was.Management != "")
@@ -664,8 +664,8 @@
 		q.TimeLeft = max(0, min(q.TimeLeft, by-n.now))
 	}
 	if !c.resumed {
-		if r := n.cfg.Routes.Pick(route.Request{Class: q.Class, Tenant: q.Tenant, Zone: n.set.Zone,
-			Protocol: route.Line, Group: q.Group, Key: q.Key}); r != nil {
+		if r := n.cfg.Routes.Lookup(routing.Request{Class: q.Class, Tenant: q.Tenant, Zone: n.set.Zone,
+			Protocol: routing.ProtocolLine, Group: q.Group, Key: q.Key}); r != nil {
 			c.timing = &r.RetryPolicy
 			q.RetryPolicy = c.timing
 		}
--- a/internal/machine/retune_test.go
+++ b/internal/machine/retune_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"aspenbarrow/balance"
-	"aspenbarrow/internal/route"
+	"aspenbarrow/internal/routing"
 )
 
 // class makes a class with an effect.
@@ -115,7 +115,7 @@
 // refused in the end, and nothing of that file is taken.
 func TestClassesKeepTheirNumbers(t *testing.T) {
 	n, _ := node(t, with([]string{"a", "b"}, []balance.Class{class(balance.Idempotent), class(balance.NonIdempotent)}, 4))
-	table, _ := route.New([]route.Route{{Name: "r", Match: route.Match{Class: 0, Tenant: route.Any, Zone: route.Any, Protocol: route.Any}}})
+	table, _ := routing.NewTable([]routing.Route{{Name: "r", Match: routing.Match{Class: 0, Tenant: routing.Any, Zone: routing.Any, Protocol: routing.Any}}})
 	cfg := with([]string{"b", "a"}, []balance.Class{class(balance.NonIdempotent), class(balance.Idempotent)}, 4)
 	cfg.Routes = table
 	for range 5 {
@@ -129,7 +129,7 @@
 	if err := n.Reload(time.Second, cfg, 256); err != nil || !slices.Equal(n.Settings().ClassNames, []string{"a", "b"}) {
 		t.Errorf("%v, %v", n.Settings().ClassNames, err)
 	}
-	if r := n.Config().Routes.Pick(route.Request{Class: 1}); r == nil || n.Config().Routes.Pick(route.Request{Class: 0}) != nil {
+	if r := n.Config().Routes.Lookup(routing.Request{Class: 1}); r == nil || n.Config().Routes.Lookup(routing.Request{Class: 0}) != nil {
 		t.Error("the route of class b is not found by b's number")
 	}
 	var refused error
--- a/internal/relay/crossings_test.go
+++ b/internal/relay/crossings_test.go
@@ -18,7 +18,7 @@
 
 	"aspenbarrow/balance"
 	"aspenbarrow/internal/machine"
-	"aspenbarrow/internal/route"
+	"aspenbarrow/internal/routing"
 	"aspenbarrow/internal/standin"
 )
 
@@ -467,8 +467,8 @@
 			t.Parallel()
 			b := newScripted(t)
 			cfg := bare("127.0.0.1:9", b.entry("s-0"), b.entry("s-1"), b.entry("s-2"))
-			table, err := route.New([]route.Route{{Name: "r", Match: route.Match{Class: route.Any, Tenant: route.Any, Zone: route.Any,
-				Protocol: route.Any}, RetryPolicy: balance.RetryPolicy{BaseBackoff: 200 * time.Millisecond, RetryBudget: 1}}})
+			table, err := routing.NewTable([]routing.Route{{Name: "r", Match: routing.Match{Class: routing.Any, Tenant: routing.Any, Zone: routing.Any,
+				Protocol: routing.Any}, RetryPolicy: balance.RetryPolicy{BaseBackoff: 200 * time.Millisecond, RetryBudget: 1}}})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/route/route_test.go
+++ b/internal/routing/table_test.go
@@ -1,4 +1,4 @@
-package route
+package routing
 
 import (
 	"errors"
@@ -10,50 +10,50 @@
 	"aspenbarrow/balance"
 )
 
-func match(change func(m *Match)) Match {
-	m := Everything
+func matchWith(change func(m *Match)) Match {
+	m := MatchAll
 	change(&m)
 	return m
 }
 
-func TestTheFirstRouteThatMatchesCounts(t *testing.T) {
-	table, errs := New([]Route{
-		{Name: "one group", Match: match(func(m *Match) { m.Group = 9 })},
-		{Name: "keys of 7f", Match: match(func(m *Match) { m.Key, m.KeyBits = 0x7f<<56, 8 })},
-		{Name: "keys of 7fa", Match: match(func(m *Match) { m.Key, m.KeyBits, m.Class = 0x7fa<<52, 12, 1 })},
-		{Name: "class 1", Match: match(func(m *Match) { m.Class = 1 })},
-		{Name: "tenant 2 by amqp", Match: match(func(m *Match) { m.Tenant, m.Protocol = 2, AMQP })},
-		{Name: "east", Match: match(func(m *Match) { m.Zone = 1 })},
+func TestTable_FirstMatchWins(t *testing.T) {
+	table, errs := NewTable([]Route{
+		{Name: "one group", Match: matchWith(func(m *Match) { m.Group = 9 })},
+		{Name: "keys of 7f", Match: matchWith(func(m *Match) { m.Key, m.KeyBits = 0x7f<<56, 8 })},
+		{Name: "keys of 7fa", Match: matchWith(func(m *Match) { m.Key, m.KeyBits, m.Class = 0x7fa<<52, 12, 1 })},
+		{Name: "class 1", Match: matchWith(func(m *Match) { m.Class = 1 })},
+		{Name: "tenant 2 by amqp", Match: matchWith(func(m *Match) { m.Tenant, m.Protocol = 2, ProtocolAMQP })},
+		{Name: "east", Match: matchWith(func(m *Match) { m.Zone = 1 })},
 	})
 	if len(errs) != 1 || errs[0].Error() != `route "keys of 7fa" can never match: route "keys of 7f" before it takes all of its requests` {
 		t.Errorf("%v", errs)
 	}
 	for _, tc := range []struct {
-		r    Request
-		want string
+		request Request
+		want    string
 	}{
 		{Request{Group: 9, Class: 1, Key: 0x7f << 56}, "one group"},
 		{Request{Class: 1, Key: 0x7fab << 48}, "keys of 7f"},
 		{Request{Class: 1, Key: 0x7e << 56}, "class 1"},
-		{Request{Tenant: 2, Protocol: AMQP, Zone: 1}, "tenant 2 by amqp"},
+		{Request{Tenant: 2, Protocol: ProtocolAMQP, Zone: 1}, "tenant 2 by amqp"},
 		{Request{Tenant: 2, Zone: 1}, "east"},
 		{Request{Tenant: 2}, ""},
 	} {
 		got := ""
-		if r := table.Pick(tc.r); r != nil {
+		if r := table.Lookup(tc.request); r != nil {
 			got = r.Name
 		}
 		if got != tc.want {
-			t.Errorf("%+v goes by %q, want %q", tc.r, got, tc.want)
+			t.Errorf("%+v goes by %q, want %q", tc.request, got, tc.want)
 		}
 	}
-	if (*Table)(nil).Pick(Request{}) != nil {
+	if (*Table)(nil).Lookup(Request{}) != nil {
 		t.Error("no table has a route")
 	}
 }
 
-// plainly is what New and Pick mean, with every route looked at.
-func plainly(routes []Route, r Request) int {
+// linearSearch is the reference for NewTable and Lookup: it tries every route in turn.
+func linearSearch(routes []Route, r Request) int {
 	for i := range routes {
 		m := &routes[i].Match
 		if (m.Class == Any || m.Class == r.Class) && (m.Tenant == Any || m.Tenant == r.Tenant) &&
@@ -81,30 +81,30 @@
 	return m
 }
 
-func TestATableDoesWhatALookAtEveryRouteDoes(t *testing.T) {
+func TestTable_AgreesWithLinearSearch(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 300 {
 		routes := make([]Route, 1+rng.IntN(40))
 		for i := range routes {
 			routes[i] = Route{Name: fmt.Sprint(i), Match: randomMatch(rng)}
 		}
-		table, errs := New(routes)
+		table, errs := NewTable(routes)
 		shadowed := map[int]bool{}
 		for _, err := range errs {
-			var e *Shadowed
-			if !errors.As(err, &e) || e.By >= e.Route {
+			var e *ShadowedRouteError
+			if !errors.As(err, &e) || !errors.Is(err, ErrShadowedRoute) || e.ShadowedBy >= e.Index {
 				t.Fatalf("%v", err)
 			}
-			shadowed[e.Route] = true
+			shadowed[e.Index] = true
 		}
 		for range 300 {
 			r := Request{Class: rng.IntN(3), Tenant: rng.IntN(3), Zone: rng.IntN(2), Protocol: rng.IntN(2),
 				Group: uint64(rng.IntN(3)), Key: rng.Uint64()}
-			want := plainly(routes, r)
+			want := linearSearch(routes, r)
 			if shadowed[want] {
-				t.Fatalf("route %d is called hidden, but takes %+v", want, r)
+				t.Fatalf("route %d is reported as shadowed, but takes %+v", want, r)
 			}
-			got := table.Pick(r)
+			got := table.Lookup(r)
 			if (got == nil) != (want < 0) || got != nil && got.Name != fmt.Sprint(want) {
 				t.Fatalf("%+v goes by %+v, want %d", r, got, want)
 			}
@@ -112,22 +112,22 @@
 	}
 }
 
-func TestTablesOfTheSameRoutesAreEqual(t *testing.T) {
-	one, _ := New([]Route{{Name: "a", Match: Everything, RetryPolicy: balance.RetryPolicy{MaxAttempts: 2}}})
-	two, _ := New([]Route{{Name: "a", Match: Everything, RetryPolicy: balance.RetryPolicy{MaxAttempts: 2}}})
-	other, _ := New([]Route{{Name: "a", Match: Everything, RetryPolicy: balance.RetryPolicy{RequestTimeout: time.Second}}})
+func TestTable_Equal(t *testing.T) {
+	one, _ := NewTable([]Route{{Name: "a", Match: MatchAll, RetryPolicy: balance.RetryPolicy{MaxAttempts: 2}}})
+	two, _ := NewTable([]Route{{Name: "a", Match: MatchAll, RetryPolicy: balance.RetryPolicy{MaxAttempts: 2}}})
+	other, _ := NewTable([]Route{{Name: "a", Match: MatchAll, RetryPolicy: balance.RetryPolicy{RequestTimeout: time.Second}}})
 	if !one.Equal(two) || one.Equal(other) || one.Equal(nil) || !(*Table)(nil).Equal(nil) {
 		t.Error("tables are compared wrongly")
 	}
 }
 
-// A request's look-up at a few sizes of the table: routes by class, tenant, group and key prefix.
-func BenchmarkPick(b *testing.B) {
+// One lookup at a few sizes of the table: routes by class, tenant, group and key prefix.
+func BenchmarkTable_Lookup(b *testing.B) {
 	for _, n := range []int{10, 1000, 50000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			routes := make([]Route, 0, n)
 			for i := range n - 1 {
-				m := Everything
+				m := MatchAll
 				switch i % 4 {
 				case 0:
 					m.Group = uint64(i + 1)
@@ -140,8 +140,8 @@
 				}
 				routes = append(routes, Route{Name: fmt.Sprint(i), Match: m})
 			}
-			routes = append(routes, Route{Name: "rest", Match: Everything})
-			table, errs := New(routes)
+			routes = append(routes, Route{Name: "rest", Match: MatchAll})
+			table, errs := NewTable(routes)
 			if len(errs) > 0 {
 				b.Fatal(errs[0])
 			}
@@ -152,7 +152,7 @@
 			}
 			i := 0
 			for b.Loop() {
-				if table.Pick(requests[i&1023]) == nil {
+				if table.Lookup(requests[i&1023]) == nil {
 					b.Fatal("no route")
 				}
 				i++
--- a/internal/world/run.go
+++ b/internal/world/run.go
@@ -16,7 +16,7 @@
 	"aspenbarrow/internal/emulator"
 	"aspenbarrow/internal/machine"
 	"aspenbarrow/internal/measure"
-	"aspenbarrow/internal/route"
+	"aspenbarrow/internal/routing"
 	"aspenbarrow/internal/settings"
 	"aspenbarrow/internal/trouble"
 )
@@ -322,7 +322,7 @@
 		s.RelayIndex, s.RelayCount, s.Zone = r.cfg.Settings.RelayIndex, r.cfg.Settings.RelayCount, r.cfg.Settings.Zone
 		r.cfg.Settings, r.cfg.Routes = s, run.routes()
 		if on && r.cfg.Routes != nil { // the file's classes stand in another order
-			r.cfg.Routes = r.cfg.Routes.Renumber([]int{1, 2, 3})
+			r.cfg.Routes = r.cfg.Routes.RemapClasses([]int{1, 2, 3})
 		}
 		run.check.Retuned(r.number, classes, set.MaxAttempts)
 		if r.up {
@@ -387,17 +387,17 @@
 }
 
 // routes gives each class its timing.
-func (run *run) routes() *route.Table {
-	var all []route.Route
+func (run *run) routes() *routing.Table {
+	var all []routing.Route
 	for i, t := range run.opt.Timings {
-		m := route.Everything
+		m := routing.MatchAll
 		m.Class = i
-		all = append(all, route.Route{Name: run.classes[i].name, Match: m, RetryPolicy: t})
+		all = append(all, routing.Route{Name: run.classes[i].name, Match: m, RetryPolicy: t})
 	}
 	if all == nil {
 		return nil
 	}
-	table, errs := route.New(all)
+	table, errs := routing.NewTable(all)
 	if len(errs) > 0 {
 		panic(errs[0])
 	}
--- a/internal/world/timing_test.go
+++ b/internal/world/timing_test.go
@@ -64,7 +64,7 @@
 				t.Fatal(err)
 			}
 			timing := balance.RetryPolicy{}
-			if r := cfg.Relay.Routes.Pick(q); r != nil {
+			if r := cfg.Relay.Routes.Lookup(q); r != nil {
 				timing = r.RetryPolicy
 			}
 			opt.Timings = append(opt.Timings, timing)
