--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -108,7 +108,7 @@
 	}
 	s, err := settings.Parse(in.Settings)
 	if err == nil && !again { // a reload is held to it by Replaces
-		err = settings.Sound(in.Settings)
+		err = settings.Validate(in.Settings)
 	}
 	if err != nil {
 		return Config{}, err
@@ -131,10 +131,10 @@
 	if m := in.Membership; m != nil {
 		of := membership.Sound(m.Fleet)
 		if m.PeriodMS > 0 {
-			of.Period = settings.Duration(m.PeriodMS)
+			of.Period = settings.FromMilliseconds(m.PeriodMS)
 		}
 		if m.SuspicionMS > 0 {
-			of.Suspicion = settings.Duration(m.SuspicionMS)
+			of.Suspicion = settings.FromMilliseconds(m.SuspicionMS)
 		}
 		if fs := of.Faults(); len(fs) > 0 {
 			return Config{}, fmt.Errorf("membership: %s: %s", fs[0].Key, fs[0].Reason)
@@ -273,7 +273,7 @@
 		r.fault("watch.report", "reports come in the form of rules.report, %q: watch that or none", f.Rules.Report)
 	}
 	for _, name := range w.Report {
-		s.Report = append(s.Report, settings.Field(name))
+		s.Report = append(s.Report, settings.ReportField(name))
 	}
 	return s
 }
@@ -292,7 +292,7 @@
 	}
 	unique("rules.zones", u.Zones)
 	unique("rules.kinds", u.Kinds)
-	s := settings.Settings{ZoneNames: u.Zones, KindNames: u.Kinds, FieldNames: u.Report, IdleClose: u.IdleClose}
+	s := settings.Settings{ZoneNames: u.Zones, KindNames: u.Kinds, ReportFieldNames: u.Report, IdleTimeout: u.IdleClose}
 	zone := 0
 	if f.Relay.Zone != "" {
 		if zone = slices.Index(u.Zones, f.Relay.Zone); zone < 0 {
@@ -324,13 +324,13 @@
 		r.fault("rules.over-share-worth", "%v is over the full worth", u.OverShare)
 	}
 	for _, name := range u.Report {
-		s.ReportFields = append(s.ReportFields, settings.Field(name))
+		s.ReportFields = append(s.ReportFields, settings.ReportField(name))
 	}
 	if u.TellsLoad && u.TellsDelay {
 		r.fault("rules.tells-delay", "a LOAD line carries one thing: rules.tells-load says that it is the connection's load")
 	}
 	if !u.Probes { // reports come with answers to probes: held to be told, they would be waited for in vain
-		s.ReportFields, s.FieldNames = nil, nil
+		s.ReportFields, s.ReportFieldNames = nil, nil
 	}
 	if len(f.Classes) == 0 {
 		r.fault("class", "is missing: a relay needs one class at least")
@@ -355,7 +355,7 @@
 			r.fault(key+".on-time", "%v is over %s.give-up, %v", c.OnTime, key, c.GiveUp)
 		}
 		s.ClassNames = append(s.ClassNames, c.Name)
-		s.Classes = append(s.Classes, balance.Class{NameHash: settings.NameOf(c.Name), LatencyObjective: c.OnTime, ClientTimeout: c.GiveUp, MessageLatencyObjective: c.MessageAim,
+		s.Classes = append(s.Classes, balance.Class{NameHash: settings.HashName(c.Name), LatencyObjective: c.OnTime, ClientTimeout: c.GiveUp, MessageLatencyObjective: c.MessageAim,
 			Idempotency: effects[c.Effect], DedupScope: scopes[c.Scope], DedupWindow: c.Window, PriorityWeight: c.Worth})
 	}
 	share := 0.0
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -17,7 +17,7 @@
 var ErrLacks = errors.New("lacks a key of the file in force")
 
 // mayLack are keys that a sound file may or may not have: the list as last known, and what only classes of some
-// effects have (settings.Sound asks for it where it is needed).
+// effects have (settings.Validate asks for it where it is needed).
 var mayLack = map[string]bool{"known": true, "watch": true, "dedup-scope": true, "dedup-window-ms": true}
 
 // Replaces says whether a file, read again, may replace the one in force: it has all of its keys, each with a value of
@@ -41,7 +41,7 @@
 			return err
 		}
 	}
-	return settings.Sound(now.Settings)
+	return settings.Validate(now.Settings)
 }
 
 // lacks holds a value to the shape of another: every key of an object, and in a list of objects every key that all of
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -143,7 +143,7 @@
 // Reports come with answers to probes. Where none are allowed, a relay that is held to be told would wait in vain.
 func TestWithoutProbesNoReportComes(t *testing.T) {
 	c, err := Parse("w.toml", []byte(strings.Replace(sound, "peers = true", "peers = true\nprobes = false\ntells-delay = true", 1)), none, false)
-	if s := c.Relay.Settings; err != nil || len(s.ReportFields) > 0 || len(s.FieldNames) > 0 || !s.ReportsMessageDelay {
+	if s := c.Relay.Settings; err != nil || len(s.ReportFields) > 0 || len(s.ReportFieldNames) > 0 || !s.ReportsMessageDelay {
 		t.Errorf("%v, %v", s.ReportFields, err)
 	}
 	if _, err := Parse("w.toml", []byte(strings.Replace(sound, "peers = true", "peers = true\ntells-load = true\ntells-delay = true", 1)), none, false); err == nil ||
--- a/internal/machine/attempt.go
+++ b/internal/machine/attempt.go
@@ -141,7 +141,7 @@
 	if closed := a.To.closed.Load(); closed != 0 && int64(now)-closed > int64(a.set.DrainGrace/2) {
 		return head, &AttemptError{stage: unsent, err: errDrained}
 	}
-	a.lines = backendLines{fields: a.set.FieldNames}
+	a.lines = backendLines{fields: a.set.ReportFieldNames}
 	o := a.open
 	return [3][]byte{o.line[:o.left], strconv.AppendInt(a.digits[:0], left.Milliseconds(), 10), o.line[o.right:]}, nil
 }
--- a/internal/machine/codec_test.go
+++ b/internal/machine/codec_test.go
@@ -111,7 +111,7 @@
 	for _, line := range []string{"", "UP", "UP\r\n", "UP r1\r\nmore", "UP\n", "UPPER\r\n", "BYE\r\n", "BYE utilization=0.5,x0=1\r\n", "MOVE\r\n", "MOVE now\r\n",
 		"ERR\r\n", "ERR x0=1,utilization=0.25\r\n", "BUSY\r\n", "BUSY 20\r\n", "BUSY x0=0.9,utilization=0.61,new=7\r\n", "BUSY x0=0.9\r\n",
 		"BUSY x0=0.9,utilization=NaN\r\n", "BUSY x0=1e-1,utilization=-2\r\n", "SYNTAX\r\n", "PONG\r\n", "\r\n", strings.Repeat("x", MaxLine)} {
-		m := backendLines{fields: names.FieldNames}
+		m := backendLines{fields: names.ReportFieldNames}
 		ev, n, err := m.feed([]byte(line))
 		say("%s: %s, %d bytes, report %v, %v", shortly(line), goldenEvents[ev], n, m.report, err)
 	}
@@ -211,7 +211,7 @@
 	say("# questions to backends, and their answers")
 	for _, set := range []*settings.Settings{names, {}} {
 		p := NewProbes(set, 1)
-		say("%d fields: %q", len(set.FieldNames), p.Question())
+		say("%d fields: %q", len(set.ReportFieldNames), p.Question())
 		for _, line := range []string{"PONG", "PONG utilization=0.5,x0=0.25", "PONG x0=0.25", "ERR", "BUSY", ""} {
 			pr := &Probe{To: &Backend{ID: 9}, of: p}
 			pr.Answered(time.Millisecond, line)
--- a/internal/machine/crossings_test.go
+++ b/internal/machine/crossings_test.go
@@ -408,7 +408,7 @@
 		t.Fatalf("%+v", step)
 	}
 	shorter := *n.Settings()
-	shorter.IdleClose = time.Second
+	shorter.IdleTimeout = time.Second
 	p.Under(&shorter)
 	if _, step = p.Begin(800*time.Millisecond, b); !step.Dial || len(step.Close) != 1 || step.Close[0] != "first" || p.Connections() != 1 {
 		t.Errorf("%+v, %d connections", step, p.Connections())
--- a/internal/machine/machine_test.go
+++ b/internal/machine/machine_test.go
@@ -166,7 +166,7 @@
 
 func testConfig() Config {
 	s := settings.Settings{ClassNames: []string{"chat"}, ZoneNames: []string{"east"}, KindNames: []string{"k"},
-		FieldNames: []string{"x0"}, IdleClose: 5 * time.Second, Settings: balance.Settings{RelayCount: 2,
+		ReportFieldNames: []string{"x0"}, IdleTimeout: 5 * time.Second, Settings: balance.Settings{RelayCount: 2,
 			Tick: 4 * time.Millisecond, HealthChecks: true, Gossip: true, RetryAfter: true, MaxRetryAfter: time.Second,
 			MaxAttempts: 4, DialTimeout: 250 * time.Millisecond, DrainGrace: 250 * time.Millisecond,
 			ReportFields: []balance.ReportField{balance.FieldLoadShare}, PassThrough: true,
--- a/internal/machine/probes.go
+++ b/internal/machine/probes.go
@@ -64,14 +64,14 @@
 
 // Question is the line that asks; where reports are given, it asks for one.
 func (p *Probes) Question() string {
-	if len(p.set.Load().FieldNames) > 0 {
+	if len(p.set.Load().ReportFieldNames) > 0 {
 		return "STATS\r\n"
 	}
 	return "PING\r\n"
 }
 
 // KeepFor is how long a connection is kept; 0: not at all.
-func (p *Probes) KeepFor() time.Duration { return p.set.Load().IdleClose * 3 / 4 }
+func (p *Probes) KeepFor() time.Duration { return p.set.Load().IdleTimeout * 3 / 4 }
 
 // Connections is how many there are, kept ones included.
 func (p *Probes) Connections() int { return p.used }
@@ -147,7 +147,7 @@
 		status = balance.StatusError
 	}
 	step := pr.done(now, status)
-	pr.Report.Load = parseReport([]byte(report), p.set.Load().FieldNames)
+	pr.Report.Load = parseReport([]byte(report), p.set.Load().ReportFieldNames)
 	if p.KeepFor() <= 0 || slices.ContainsFunc(p.idle, func(k *Kept) bool { return k.id == pr.To.ID }) {
 		p.used--
 		step.Close = append(step.Close, pr.conn)
--- a/internal/machine/protocol.go
+++ b/internal/machine/protocol.go
@@ -243,7 +243,7 @@
 		case "d":
 			var ms float64
 			ms, err = decimal(value)
-			o.patience = settings.Duration(ms)
+			o.patience = settings.FromMilliseconds(ms)
 			o.left, o.right = at+2, at+len(pair)
 		case "g":
 			o.Request.Group, err = hex(value)
--- a/internal/machine/protocol_test.go
+++ b/internal/machine/protocol_test.go
@@ -13,7 +13,7 @@
 )
 
 var names = &settings.Settings{ClassNames: []string{"chat", "order"}, TenantNames: []string{"acme", "bolt"},
-	ZoneNames: []string{"east", "west"}, KindNames: []string{"k"}, FieldNames: []string{"utilization", "x0"},
+	ZoneNames: []string{"east", "west"}, KindNames: []string{"k"}, ReportFieldNames: []string{"utilization", "x0"},
 	Settings: balance.Settings{PassThrough: true, Classes: []balance.Class{{ClientTimeout: 2 * time.Second}, {}}}}
 
 func TestParseOpen(t *testing.T) {
@@ -110,12 +110,12 @@
 func TestFirstLinesOfABackend(t *testing.T) {
 	for line, want := range map[string]event{"UP r1\r\n": up, "UP\r\n": up, "BYE\r\n": bye, "MOVE\r\n": moved,
 		"ERR\r\n": failed, "BUSY 20\r\n": busy, "SYNTAX\r\n": unread, "UPPER\r\n": odd, "\r\n": odd} {
-		m := backendLines{fields: names.FieldNames}
+		m := backendLines{fields: names.ReportFieldNames}
 		if ev, n, err := m.feed([]byte(line + "more")); ev != want || n != len(line) || err != nil {
 			t.Errorf("%q: %v, %d, %v", line, ev, n, err)
 		}
 	}
-	m := backendLines{fields: names.FieldNames}
+	m := backendLines{fields: names.ReportFieldNames}
 	if _, _, err := m.feed([]byte("BUSY x0=0.9,utilization=0.61\r\n")); err != nil || len(m.report) != 2 ||
 		m.report[0] != 0.61 || m.report[1] != 0.9 {
 		t.Errorf("report %v, %v", m.report, err)
@@ -124,11 +124,11 @@
 
 func TestParseReport(t *testing.T) {
 	for _, text := range []string{"", "x0=1", "x0=1,utilization=", "x0=1,utilization=NaN", "x0=1,utilization=1e999", "x0"} {
-		if r := parseReport([]byte(text), names.FieldNames); r != nil {
+		if r := parseReport([]byte(text), names.ReportFieldNames); r != nil {
 			t.Errorf("%q: %v", text, r)
 		}
 	}
-	if r := parseReport([]byte("new=7,x0=1,utilization=0"), names.FieldNames); len(r) != 2 || r[1] != 1 {
+	if r := parseReport([]byte("new=7,x0=1,utilization=0"), names.ReportFieldNames); len(r) != 2 || r[1] != 1 {
 		t.Errorf("%v", r)
 	}
 }
@@ -189,7 +189,7 @@
 	f.Add([]byte("UP r\r\nLOAD 3\r\nBYE\r\n"), 4)
 	f.Add([]byte("BUSY utilization=1,x0=2\r\n"), 7)
 	f.Fuzz(func(t *testing.T, b []byte, split int) {
-		one, two := backendLines{fields: names.FieldNames}, backendLines{fields: names.FieldNames}
+		one, two := backendLines{fields: names.ReportFieldNames}, backendLines{fields: names.ReportFieldNames}
 		compare(t, one.feed, two.feed, b, split)
 		if one.last != two.last {
 			t.Errorf("last word %v or %v", one.last, two.last)
--- a/internal/machine/retune.go
+++ b/internal/machine/retune.go
@@ -21,7 +21,7 @@
 func lasting(s, was *settings.Settings) settings.Settings {
 	o := *s
 	o.RelayIndex, o.RelayCount, o.Zone, o.Tick = was.RelayIndex, was.RelayCount, was.Zone, was.Tick
-	o.ZoneNames, o.KindNames, o.FieldNames, o.ReportFields = was.ZoneNames, was.KindNames, was.FieldNames, was.ReportFields
+	o.ZoneNames, o.KindNames, o.ReportFieldNames, o.ReportFields = was.ZoneNames, was.KindNames, was.ReportFieldNames, was.ReportFields
 	o.Tenants, o.TenantNames = was.Tenants, was.TenantNames
 	o.Groups, o.PassThrough, o.ReportsConnectionLoad, o.ReportsMessageDelay = was.Groups, was.PassThrough, was.ReportsConnectionLoad, was.ReportsMessageDelay
 	o.Gossip, o.PollEndpoints, o.Weights = was.Gossip, was.PollEndpoints, was.Weights
--- a/internal/mesa/mesa.go
+++ b/internal/mesa/mesa.go
@@ -227,7 +227,7 @@
 
 func (d *Decoder) f64() float64 { return math.Float64frombits(d.u64()) }
 func (d *Decoder) ms() time.Duration {
-	return settings.Duration(d.f64())
+	return settings.FromMilliseconds(d.f64())
 }
 
 func (d *Decoder) backend() balance.BackendID {
--- a/internal/relay/crossings_test.go
+++ b/internal/relay/crossings_test.go
@@ -31,7 +31,7 @@
 // bare is a configuration without probes and peers on the given backends.
 func bare(discovery string, list ...standin.Entry) Config {
 	cfg := config(discovery, list...)
-	cfg.Settings.HealthChecks, cfg.Settings.Gossip, cfg.Settings.ReportFields, cfg.Settings.FieldNames = false, false, nil, nil
+	cfg.Settings.HealthChecks, cfg.Settings.Gossip, cfg.Settings.ReportFields, cfg.Settings.ReportFieldNames = false, false, nil, nil
 	cfg.PeerListen, cfg.Peers, cfg.Sockets = "", nil, 2048
 	cfg.MemoryMB = 192
 	cfg.Settings.Classes[0].LatencyObjective, cfg.Settings.Classes[0].ClientTimeout = 40*time.Second, time.Minute // a machine that stalls ends nothing
@@ -1187,7 +1187,7 @@
 	b := newScripted(t)
 	cfg := bare("127.0.0.1:9", b.entry("s-0"))
 	s := &cfg.Settings
-	s.MaxAttempts, s.DialTimeout, s.DrainGrace, s.IdleClose, s.RetryAfter, s.PassThrough = 1, 2*time.Second, 0, 3*time.Millisecond, false, false
+	s.MaxAttempts, s.DialTimeout, s.DrainGrace, s.IdleTimeout, s.RetryAfter, s.PassThrough = 1, 2*time.Second, 0, 3*time.Millisecond, false, false
 	s.Classes[0].ClientTimeout, s.Classes[0].LatencyObjective, s.Classes[0].MessageLatencyObjective, s.Classes[0].Idempotency = 300*time.Millisecond, 100*time.Millisecond, 0, balance.NonIdempotent
 	r, _, _ := running(t, cfg)
 	servesNext(t, r, b, 1)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -1,7 +1,9 @@
 package settings
 
 import (
+	"errors"
 	"math"
+	"strings"
 	"testing"
 	"time"
 
@@ -27,7 +29,7 @@
 		t.Errorf("settings %+v", s)
 	}
 	if s.ClassNames[0] != "chat" || s.TenantNames[0] != "acme" || s.ZoneNames[1] != "west" || s.KindNames[0] != "k" ||
-		len(s.FieldNames) != 3 || s.FieldNames[1] != "x0" {
+		len(s.ReportFieldNames) != 3 || s.ReportFieldNames[1] != "x0" {
 		t.Errorf("names %+v", s)
 	}
 	for _, bad := range []string{"", "[]", "{}", `{"classes": [{"effect": "odd"}], "n-instances": 1}`,
@@ -40,14 +42,57 @@
 	}
 }
 
-func TestDurationOfOddNumbers(t *testing.T) {
+func TestFieldError(t *testing.T) {
+	parse := func(text []byte) error { _, err := Parse(text); return err }
+	for _, tc := range []struct {
+		name     string
+		check    func([]byte) error
+		from, to string
+		field    string
+		cause    error
+		text     string
+	}{
+		{"no classes", parse, `"classes"`, `"other"`, "classes", ErrNoClasses, "settings: no classes"},
+		{"a relay beyond the last", parse, `"me": 1`, `"me": 2`, "me", ErrOutOfRange, "settings: relay 2 of 2"},
+		{"an unknown effect", parse, `"idempotency_key"`, `"odd"`, "classes[0].effect", ErrUnknownWord,
+			`settings: class 0 has unknown effect "odd"`},
+		{"an unknown scope", parse, `"cell"`, `"moon"`, "classes[0].dedup-scope", ErrUnknownWord,
+			`settings: class 0 has unknown scope "moon"`},
+		{"a text for a number", parse, `"me": 1`, `"me": "1"`, "me", nil,
+			"settings: json: cannot unmarshal string into Go struct field info.me of type int"},
+		{"a class without a name", Validate, `"chat"`, `""`, "classes[0].name", ErrDuplicateName,
+			`settings: class 0 has no name of its own: ""`},
+		{"a timeout of two days", Validate, `2000.0`, `172800000`, "classes[0].give-up-ms", ErrOutOfRange,
+			`settings: class "chat": give-up-ms 1.728e+08 is no time above 0 that can be meant`},
+		{"no attempts", Validate, `"try-limit": 4`, `"try-limit": 0`, "limits.try-limit", ErrOutOfRange,
+			"settings: limits: try-limit 0 is no number of attempts above 0 that can be meant"},
+		{"no dial timeout", Validate, `"tick-ms"`, `"other"`, "limits.dial-timeout-ms", ErrOutOfRange,
+			"settings: limits: dial-timeout-ms 0 is no time above 0 that can be meant"},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			if !strings.Contains(someSettings, tc.from) {
+				t.Fatalf("%q is not in the settings", tc.from)
+			}
+			err := tc.check([]byte(strings.Replace(someSettings, tc.from, tc.to, 1)))
+			var failure *FieldError
+			if !errors.As(err, &failure) || failure.Field != tc.field || tc.cause != nil && !errors.Is(err, tc.cause) {
+				t.Fatalf("%#v, want one of %s", err, tc.field)
+			}
+			if err.Error() != tc.text {
+				t.Errorf("%v, want %s", err, tc.text)
+			}
+		})
+	}
+}
+
+func TestFromMilliseconds(t *testing.T) {
 	for _, tc := range []struct {
 		ms   float64
 		want time.Duration
 	}{
 		{1.5, 1500 * time.Microsecond}, {math.NaN(), 0}, {math.Inf(1), 1e15}, {math.Inf(-1), -1e15}, {-2, -2e6},
 	} {
-		if got := Duration(tc.ms); got != tc.want {
+		if got := FromMilliseconds(tc.ms); got != tc.want {
 			t.Errorf("%v ms: %v, want %v", tc.ms, got, tc.want)
 		}
 	}
--- a/internal/world/run.go
+++ b/internal/world/run.go
@@ -236,7 +236,7 @@
 	}
 	run.served = make([]int, len(run.classes))
 	s := settings.Settings{ClassNames: []string{"watch", "fetch", "submit"}, ZoneNames: zones, KindNames: []string{"k"},
-		FieldNames: []string{"x0"}, IdleClose: 5 * time.Second}
+		ReportFieldNames: []string{"x0"}, IdleTimeout: 5 * time.Second}
 	s.Settings = balance.Settings{RelayCount: 1, Tick: 4 * time.Millisecond, HealthChecks: rng.IntN(8) != 0, Gossip: rng.IntN(4) != 0,
 		Cancellation: true, RetryAfter: rng.IntN(4) != 0, MaxRetryAfter: 1500 * time.Millisecond, MaxAttempts: 4,
 		DialTimeout: 250 * time.Millisecond, AnswerSlack: 16 * time.Millisecond, DrainGrace: 250 * time.Millisecond,
