--- a/cmd/aspenbarrow/codec_test.go
+++ b/cmd/aspenbarrow/codec_test.go
@@ -126,7 +126,7 @@
 // The example that an earlier version printed is still read; what it printed as JSON is JSON.
 func TestCodec_GoldenIsReadAgain(t *testing.T) {
 	none := func(string) string { return "" }
-	if _, err := config.Read(filepath.Join("testdata", "example.toml"), none, false); err != nil {
+	if _, err := config.Load(filepath.Join("testdata", "example.toml"), none, false); err != nil {
 		t.Error(err)
 	}
 	for _, name := range []string{"schema.json", "show.json"} {
@@ -150,7 +150,7 @@
 			t.Fatal(err)
 		}
 		_, err = config.Parse(filepath.Base(p), text, func(string) string { return "" }, false)
-		var fs config.Faults
+		var fs config.Problems
 		if !errors.As(err, &fs) {
 			t.Fatalf("%s: %v", p, err)
 		}
--- a/cmd/aspenbarrow/commands.go
+++ b/cmd/aspenbarrow/commands.go
@@ -52,7 +52,7 @@
 			return usage{errors.New("serve wants --config FILE")}
 		}
 		err := serve(path)
-		var faults config.Faults
+		var faults config.Problems
 		if errors.As(err, &faults) {
 			return usage{err}
 		}
@@ -66,17 +66,17 @@
 	var asJSON bool
 	c := &cobra.Command{Use: "check FILE...", Short: "Say all that is wrong with files", Args: cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, paths []string) error {
-			faults, unsound := []config.Fault{}, 0
+			faults, unsound := []config.Problem{}, 0
 			for _, p := range paths {
-				_, err := config.Read(p, os.Getenv, false)
-				var fs config.Faults
+				_, err := config.Load(p, os.Getenv, false)
+				var fs config.Problems
 				switch {
 				case err == nil:
 					continue
 				case errors.As(err, &fs):
 					faults = append(faults, fs...)
 				default:
-					faults = append(faults, config.Fault{File: p, Line: 1, Column: 1, Key: "(file)", Reason: err.Error()})
+					faults = append(faults, config.Problem{File: p, Line: 1, Column: 1, Key: "(file)", Reason: err.Error(), Err: err})
 				}
 				unsound++
 			}
@@ -103,12 +103,12 @@
 		RunE: func(c *cobra.Command, _ []string) error { return c.Help() }}
 	c.AddCommand(&cobra.Command{Use: "example", Short: "A whole file with a comment for each key", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			_, err := io.WriteString(c.OutOrStdout(), config.Example())
+			_, err := io.WriteString(c.OutOrStdout(), config.ExampleTOML())
 			return err
 		}})
 	c.AddCommand(&cobra.Command{Use: "schema", Short: "A JSON Schema of the file", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			s, err := config.Schema()
+			s, err := config.JSONSchema()
 			if err == nil {
 				_, err = fmt.Fprintf(c.OutOrStdout(), "%s\n", s)
 			}
@@ -116,7 +116,7 @@
 		}})
 	c.AddCommand(&cobra.Command{Use: "keys", Short: "All keys as a table in Markdown, for docs/configuration.md", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			_, err := io.WriteString(c.OutOrStdout(), config.Keys())
+			_, err := io.WriteString(c.OutOrStdout(), config.MarkdownKeys())
 			return err
 		}})
 	var path string
@@ -127,7 +127,7 @@
 			if err != nil {
 				return err
 			}
-			list := cfg.Settings(os.Getenv)
+			list := cfg.EffectiveSettings(os.Getenv)
 			if list == nil {
 				return usage{errors.New("the platform's JSON has no keys of its own to show; give a TOML file")}
 			}
@@ -135,7 +135,7 @@
 				return printJSON(c.OutOrStdout(), list)
 			}
 			for _, s := range list {
-				fmt.Fprintf(c.OutOrStdout(), "%-32s %-28s %s\n", s.Key, s.Value, s.From)
+				fmt.Fprintf(c.OutOrStdout(), "%-32s %-28s %s\n", s.Key, s.Value, s.Source)
 			}
 			return nil
 		}}
@@ -153,7 +153,7 @@
 	if path == "" {
 		return config.Config{}, usage{errors.New("--config FILE is missing, and PROXY_CONFIG names none")}
 	}
-	cfg, err := config.Read(path, os.Getenv, false)
+	cfg, err := config.Load(path, os.Getenv, false)
 	if err != nil {
 		return config.Config{}, usage{fmt.Errorf("configuration: %w", err)}
 	}
@@ -163,7 +163,8 @@
 func routesCommand() *cobra.Command {
 	c := &cobra.Command{Use: "routes", Short: "The routes of requests", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return c.Help() }}
-	var path, class, tenant, group, key, protocol string
+	var path string
+	var request config.RequestDescription
 	var asJSON bool
 	explain := &cobra.Command{Use: "explain", Short: "Which route takes a request, and its timing", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -171,27 +172,27 @@
 			if err != nil {
 				return err
 			}
-			q, err := cfg.Request(class, tenant, group, key, protocol)
+			q, err := cfg.RoutingRequest(request)
 			if err != nil {
 				return usage{err}
 			}
-			e := cfg.Explain(q)
+			e := cfg.ExplainRoute(q)
 			if asJSON {
 				return printJSON(c.OutOrStdout(), e)
 			}
 			fmt.Fprintf(c.OutOrStdout(), "route            %s\n", e.Route)
-			for _, line := range e.Timing {
+			for _, line := range e.RetryPolicy {
 				fmt.Fprintf(c.OutOrStdout(), "%-16s %s\n", line.Key, line.Value)
 			}
 			return nil
 		}}
 	f := explain.Flags()
 	f.StringVar(&path, "config", "", "the file; else what PROXY_CONFIG names")
-	f.StringVar(&class, "class", "", "the request's class")
-	f.StringVar(&tenant, "tenant", "", "its tenant")
-	f.StringVar(&group, "group", "", "its group, 16 hexadecimal digits")
-	f.StringVar(&key, "key", "", "its key, 16 hexadecimal digits")
-	f.StringVar(&protocol, "protocol", "line", "line or amqp")
+	f.StringVar(&request.Class, "class", "", "the request's class")
+	f.StringVar(&request.Tenant, "tenant", "", "its tenant")
+	f.StringVar(&request.Group, "group", "", "its group, 16 hexadecimal digits")
+	f.StringVar(&request.Key, "key", "", "its key, 16 hexadecimal digits")
+	f.StringVar(&request.Protocol, "protocol", "line", "line or amqp")
 	f.BoolVar(&asJSON, "json", false, "as JSON")
 	c.AddCommand(explain)
 	return c
--- a/cmd/aspenbarrow/commands_test.go
+++ b/cmd/aspenbarrow/commands_test.go
@@ -48,7 +48,7 @@
 		t.Errorf("%q, %q, %v", out, errs, err)
 	}
 	out, errs, err = command(t, "check", "--json", bad)
-	var faults []config.Fault
+	var faults []config.Problem
 	if jsonErr := json.Unmarshal([]byte(out), &faults); jsonErr != nil || len(faults) != 2 || faults[0].Line == 0 || errs != "" || err == nil {
 		t.Errorf("%v: %q, %q, %v", jsonErr, out, errs, err)
 	}
@@ -64,8 +64,8 @@
 	}
 	want := map[string]string{"relay.name": "environment PROXY_NAME", "limits.sockets": "file", "rules.tick": "default"}
 	for _, s := range list {
-		if w, ok := want[s.Key]; ok && w != s.From {
-			t.Errorf("%s from %q, want %q", s.Key, s.From, w)
+		if w, ok := want[s.Key]; ok && w != s.Source {
+			t.Errorf("%s from %q, want %q", s.Key, s.Source, w)
 		}
 		delete(want, s.Key)
 	}
--- a/cmd/aspenbarrow/main.go
+++ b/cmd/aspenbarrow/main.go
@@ -55,7 +55,7 @@
 	signal.Notify(hup, syscall.SIGHUP)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	cfg, err := config.Read(path, os.Getenv, false)
+	cfg, err := config.Load(path, os.Getenv, false)
 	if err != nil {
 		return fmt.Errorf("configuration: %w", err)
 	}
@@ -79,9 +79,9 @@
 
 // reload reads the configuration again and returns the one in force. An unsound one changes nothing.
 func reload(path string, old config.Config, r *relay.Relay, log *zap.Logger) config.Config {
-	cfg, err := config.Read(path, os.Getenv, true)
+	cfg, err := config.Load(path, os.Getenv, true)
 	if err == nil {
-		err = cfg.Replaces(old)
+		err = cfg.CheckReplacement(old)
 	}
 	if err == nil {
 		err = r.Reload(cfg.Relay)
@@ -109,8 +109,8 @@
 // and then every hundredth: a storm must not cost the relay its core.
 func newLogger(c config.Config) (*zap.Logger, error) {
 	level := zapcore.InfoLevel
-	if c.Level != "" {
-		if err := level.Set(c.Level); err != nil {
+	if c.LogLevel != "" {
+		if err := level.Set(c.LogLevel); err != nil {
 			return nil, fmt.Errorf("log level: %w", err)
 		}
 	}
--- a/cmd/aspenlab/seeds.go
+++ b/cmd/aspenlab/seeds.go
@@ -89,12 +89,12 @@
 		}
 	}
 	if f.timing != "" {
-		cfg, err := config.Read(f.timing, func(string) string { return "" }, false)
+		cfg, err := config.Load(f.timing, func(string) string { return "" }, false)
 		if err != nil {
 			return err
 		}
 		for _, name := range []string{"watch", "fetch", "submit"} {
-			q, err := cfg.Request(name, "", "", "", "line")
+			q, err := cfg.RoutingRequest(config.RequestDescription{Class: name, Protocol: "line"})
 			if err != nil {
 				return fmt.Errorf("%s: %w", f.timing, err)
 			}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -18,6 +18,11 @@
 
 func none(string) string { return "" }
 
+// description makes a request of its class, tenant, group, key and protocol.
+func description(parts [5]string) RequestDescription {
+	return RequestDescription{Class: parts[0], Tenant: parts[1], Group: parts[2], Key: parts[3], Protocol: parts[4]}
+}
+
 const sound = `[relay]
 name = "n1"
 listen = "127.0.0.1:5000"
@@ -79,7 +84,7 @@
 budget = 0.1
 `
 
-func TestASoundFileIsTakenAsWritten(t *testing.T) {
+func TestParse(t *testing.T) {
 	c, err := Parse("a.toml", []byte(sound), none, false)
 	if err != nil {
 		t.Fatal(err)
@@ -209,7 +214,7 @@
 tenant`, "tenant", "route[2].name", "is missing", "[[route]]\ntenant"},
 }
 
-func TestEachBadFileIsRefusedWithItsLineAndReason(t *testing.T) {
+func TestParse_Problems(t *testing.T) {
 	if len(badFiles) < 60 {
 		t.Fatalf("only %d bad files", len(badFiles))
 	}
@@ -224,12 +229,12 @@
 		}
 		want := 1 + strings.Count(text[:strings.Index(text, at)], "\n")
 		_, err := Parse("bad.toml", []byte(text), none, false)
-		var faults Faults
-		if !errors.As(err, &faults) {
+		var problems Problems
+		if !errors.As(err, &problems) {
 			t.Errorf("%q for %q: %v", b.to, b.from, err)
 			continue
 		}
-		if !slices.ContainsFunc(faults, func(f Fault) bool {
+		if !slices.ContainsFunc(problems, func(f Problem) bool {
 			return f.Line == want && f.Column >= 1 && f.Key == b.key && strings.Contains(f.Reason, b.reason)
 		}) {
 			t.Errorf("%q for %q: wanted %d: %s: ...%s...\n%v", b.to, b.from, want, b.key, b.reason, err)
@@ -237,21 +242,21 @@
 	}
 }
 
-func TestAllFaultsOfAFileAreToldAtOnceInTheirOrder(t *testing.T) {
+func TestParse_AllProblemsInOrder(t *testing.T) {
 	text := strings.NewReplacer(`number = 1`, `number = 5`, `effect = "keyed"`, `effect = "odd"`, `attempts = 3`, `attempts = 9`,
 		`name = "n1"`, `nam = "n1"`).Replace(sound)
 	_, err := Parse("bad.toml", []byte(text), none, false)
-	var faults Faults
-	if !errors.As(err, &faults) || len(faults) < 4 {
+	var problems Problems
+	if !errors.As(err, &problems) || len(problems) < 4 {
 		t.Fatalf("%v", err)
 	}
-	if !slices.IsSortedFunc(faults, func(a, b Fault) int { return a.Line - b.Line }) ||
+	if !slices.IsSortedFunc(problems, func(a, b Problem) int { return a.Line - b.Line }) ||
 		!strings.HasPrefix(err.Error(), `bad.toml:2:1: relay.nam: no such key; is "name" meant?`) {
 		t.Errorf("%v", err)
 	}
 }
 
-func TestTheEnvironmentGoesBeforeTheFileAndIsNamed(t *testing.T) {
+func TestEffectiveSettings_EnvironmentTakesPrecedence(t *testing.T) {
 	env := func(name string) string { return map[string]string{"PROXY_LISTEN": "127.0.0.1:7"}[name] }
 	text := strings.Replace(sound, `listen = "127.0.0.1:5000"`, "", 1)
 	c, err := Parse("a.toml", []byte(text), env, false)
@@ -259,8 +264,8 @@
 		t.Fatalf("%v, %+v", err, c.Relay)
 	}
 	from := map[string]string{}
-	for _, s := range c.Settings(env) {
-		from[s.Key] = s.Value + " " + s.From
+	for _, s := range c.EffectiveSettings(env) {
+		from[s.Key] = s.Value + " " + s.Source
 	}
 	for key, want := range map[string]string{"relay.listen": `"127.0.0.1:7" environment PROXY_LISTEN`, "relay.name": `"n1" file`,
 		"rules.tick": `"4ms" default`, "class[1].give-up": `"1.8s" file`, "route[0].second-after": `"400ms" file`} {
@@ -270,16 +275,16 @@
 	}
 }
 
-func TestTheExampleAndTheSchemaFollowTheTypes(t *testing.T) {
-	c, err := Parse("example.toml", []byte(Example()), none, false)
+func TestReference_ExampleAndSchemaCoverEveryKey(t *testing.T) {
+	c, err := Parse("example.toml", []byte(ExampleTOML()), none, false)
 	if err != nil {
-		t.Fatalf("%v\n%s", err, Example())
+		t.Fatalf("%v\n%s", err, ExampleTOML())
 	}
-	again, err := Parse("again.toml", []byte(c.Write()), none, false)
-	if err != nil || again.Write() != c.Write() || !strings.Contains(c.Write(), `give-up = "3.2s"`) {
-		t.Fatalf("%v, written out:\n%s", err, c.Write())
+	again, err := Parse("again.toml", []byte(c.FormatTOML()), none, false)
+	if err != nil || again.FormatTOML() != c.FormatTOML() || !strings.Contains(c.FormatTOML(), `give-up = "3.2s"`) {
+		t.Fatalf("%v, written out:\n%s", err, c.FormatTOML())
 	}
-	text, err := Schema()
+	text, err := JSONSchema()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -292,7 +297,7 @@
 	if err := json.Unmarshal(text, &schema); err != nil {
 		t.Fatal(err)
 	}
-	for _, s := range c.Settings(none) {
+	for _, s := range c.EffectiveSettings(none) {
 		section, key, _ := strings.Cut(s.Key, ".")
 		section, _, _ = strings.Cut(section, "[")
 		p := schema.Properties[section]
@@ -303,39 +308,39 @@
 }
 
 // The page for operators is made by `aspenbarrow config keys` and must not fall behind the types.
-func TestThePageHasEveryKey(t *testing.T) {
+func TestMarkdownKeys_DocumentedInConfigurationPage(t *testing.T) {
 	page, err := os.ReadFile("../../docs/configuration.md")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !strings.Contains(string(page), Keys()) {
+	if !strings.Contains(string(page), MarkdownKeys()) {
 		t.Error("docs/configuration.md does not hold what `aspenbarrow config keys` prints")
 	}
 }
 
-func TestExplainTellsWhatARelayWouldDo(t *testing.T) {
+func TestExplainRoute(t *testing.T) {
 	c, err := Parse("a.toml", []byte(sound), none, false)
 	if err != nil {
 		t.Fatal(err)
 	}
-	q, err := c.Request("sig-fetch", "milano", "", "00000000000000ff", "line")
+	q, err := c.RoutingRequest(RequestDescription{Class: "sig-fetch", Tenant: "milano", Key: "00000000000000ff", Protocol: "line"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	e := c.Explain(q)
+	e := c.ExplainRoute(q)
 	if got := fmt.Sprint(e); e.Route != "fetches" || !strings.Contains(got, "attempt-timeout 500ms") || !strings.Contains(got, "attempts 3") {
 		t.Errorf("%v", got)
 	}
 	for _, args := range [][5]string{{"sig-fetsh", "", "", "", "line"}, {"sig-fetch", "roma", "", "", "line"},
 		{"sig-fetch", "", "7", "", "line"}, {"sig-fetch", "", "", "zz", "line"}, {"sig-fetch", "", "", "", "http"}} {
-		if _, err := c.Request(args[0], args[1], args[2], args[3], args[4]); err == nil {
+		if _, err := c.RoutingRequest(description(args)); err == nil {
 			t.Errorf("%v is taken", args)
 		}
 	}
 }
 
 // Whatever is accepted keeps within the rules by arithmetic of its own, and writes out to what means the same.
-func TestWhatIsAcceptedKeepsToTheRules(t *testing.T) {
+func TestParse_AcceptedPoliciesObeyTheRules(t *testing.T) {
 	accepted := 0
 	rapid.Check(t, func(t *rapid.T) {
 		ms := func(name string, most int) string {
@@ -367,9 +372,9 @@
 			class.Idempotency == balance.IdempotentWithKey && timing.HedgeDelay >= class.DedupWindow && timing.HedgeDelay > 0 {
 			t.Fatalf("accepted: %+v for %+v", timing, class)
 		}
-		again, err := Parse("w.toml", []byte(c.Write()), none, false)
-		if err != nil || !again.Relay.Routes.Equal(c.Relay.Routes) || again.Write() != c.Write() {
-			t.Fatalf("written out it differs: %v\n%s", err, c.Write())
+		again, err := Parse("w.toml", []byte(c.FormatTOML()), none, false)
+		if err != nil || !again.Relay.Routes.Equal(c.Relay.Routes) || again.FormatTOML() != c.FormatTOML() {
+			t.Fatalf("written out it differs: %v\n%s", err, c.FormatTOML())
 		}
 	})
 	if accepted < 3 {
@@ -379,28 +384,28 @@
 
 func FuzzParse(f *testing.F) {
 	f.Add(sound)
-	f.Add(Example())
+	f.Add(ExampleTOML())
 	for _, b := range badFiles {
 		f.Add(strings.Replace(sound, b.from, b.to, 1))
 	}
 	f.Fuzz(func(t *testing.T, text string) {
 		c, err := Parse("f.toml", []byte(text), none, false)
 		if err != nil {
-			var faults Faults
-			if !errors.As(err, &faults) || len(faults) == 0 || faults[0].Line < 1 || faults[0].Reason == "" {
+			var problems Problems
+			if !errors.As(err, &problems) || len(problems) == 0 || problems[0].Line < 1 || problems[0].Reason == "" {
 				t.Fatalf("%#v", err)
 			}
 			return
 		}
-		again, err := Parse("w.toml", []byte(c.Write()), none, false)
-		if err != nil || again.Write() != c.Write() || !again.Relay.Routes.Equal(c.Relay.Routes) {
-			t.Fatalf("written out it differs: %v\n%s", err, c.Write())
+		again, err := Parse("w.toml", []byte(c.FormatTOML()), none, false)
+		if err != nil || again.FormatTOML() != c.FormatTOML() || !again.Relay.Routes.Equal(c.Relay.Routes) {
+			t.Fatalf("written out it differs: %v\n%s", err, c.FormatTOML())
 		}
 	})
 }
 
 // What membership wants of the rest of a file is asked for by both keys.
-func TestMembershipAgreesWithTheRest(t *testing.T) {
+func TestParse_Membership(t *testing.T) {
 	const base = "[relay]\nlisten = \"127.0.0.1:5000\"\nrelays = 2\n[discovery]\naddress = \"127.0.0.1:8500\"\n[[class]]\nname = \"a\"\ngive-up = \"2s\"\n"
 	const peers = "[rules]\npeers = true\n[peers]\nlisten = \"127.0.0.1:7946\"\naddresses = [\"127.0.0.1:7946\", \"127.0.0.2:7946\"]\n"
 	for _, tc := range []struct{ text, key, reason string }{
@@ -423,8 +428,8 @@
 			}
 			continue
 		}
-		var fs Faults
-		if !errors.As(err, &fs) || !slices.ContainsFunc(fs, func(f Fault) bool { return f.Key == tc.key && strings.Contains(f.Reason, tc.reason) }) {
+		var fs Problems
+		if !errors.As(err, &fs) || !slices.ContainsFunc(fs, func(f Problem) bool { return f.Key == tc.key && strings.Contains(f.Reason, tc.reason) }) {
 			t.Errorf("%q: told %v, wanted is %s: %s", tc.text, err, tc.key, tc.reason)
 		}
 	}
--- a/internal/config/explain.go
+++ b/internal/config/explain.go
@@ -1,98 +1,151 @@
-// This file owns the answer to the question which route takes a request. It must
-// never choose in another way than a relay does.
-
 package config
 
 import (
-	"fmt"
 	"slices"
 	"strconv"
 	"time"
 
+	"aspenbarrow/balance"
 	"aspenbarrow/internal/routing"
 )
 
-// Request makes a request of the names and numbers that a person writes.
-func (c *Config) Request(class, tenant, group, key, protocol string) (q routing.Request, err error) {
-	s := &c.Relay.Settings
-	if q.Class = slices.Index(s.ClassNames, class); q.Class < 0 {
-		return q, fmt.Errorf("class: %s", unknown(class, "the file's classes", s.ClassNames))
-	}
-	if tenant != "" {
-		if q.Tenant = slices.Index(s.TenantNames, tenant); q.Tenant < 0 {
-			return q, fmt.Errorf("tenant: %s", unknown(tenant, "the file's tenants", s.TenantNames))
-		}
+// RequestDescription describes a request as a person writes it.
+type RequestDescription struct {
+	Class    string // name of the class
+	Tenant   string // name of the tenant; empty: the first
+	Group    string // connection group, 16 hexadecimal digits; empty: none
+	Key      string // key of the request, 16 hexadecimal digits; empty: zero
+	Protocol string // line or amqp
+}
+
+// DescriptionError reports a part of a RequestDescription that the configuration does not know or that is malformed.
+type DescriptionError struct {
+	Part   string // class, tenant, group, key or protocol
+	Value  string
+	Reason string
+	Err    error // the cause
+}
+
+// Error implements the error interface.
+func (e *DescriptionError) Error() string { return e.Part + ": " + e.Reason }
+
+// Unwrap returns the cause.
+func (e *DescriptionError) Unwrap() error { return e.Err }
+
+// Explanation is the route of a request and the retry policy that applies to it.
+type Explanation struct {
+	Route       string    `json:"route"`
+	RetryPolicy []Setting `json:"timing"`
+}
+
+// noRoute is the route of an Explanation of a request that no route matches.
+const noRoute = "(none)"
+
+// RoutingRequest resolves the names and numbers of a description. Its error is a *DescriptionError.
+func (c *Config) RoutingRequest(description RequestDescription) (request routing.Request, err error) {
+	names := &c.Relay.Settings
+	request.Zone = names.Zone
+	if request.Class, err = findName("class", description.Class, "the file's classes", names.ClassNames); err != nil {
+		return request, err
 	}
-	q.Zone = s.Zone
-	for _, part := range []struct {
-		name, text string
-		to         *uint64
-	}{{"group", group, &q.Group}, {"key", key, &q.Key}} {
-		if part.text == "" {
-			continue
-		}
-		if *part.to, err = strconv.ParseUint(part.text, 16, 64); err != nil || len(part.text) != 16 {
-			return q, fmt.Errorf("%s: %q is no 16 hexadecimal digits", part.name, part.text)
+	if description.Tenant != "" {
+		if request.Tenant, err = findName("tenant", description.Tenant, "the file's tenants", names.TenantNames); err != nil {
+			return request, err
 		}
 	}
-	switch protocol {
-	case "line":
-	case "amqp":
-		q.Protocol = routing.ProtocolAMQP
-	default:
-		return q, fmt.Errorf("protocol: %q is none of line, amqp", protocol)
+	if request.Group, err = parseWord("group", description.Group); err != nil {
+		return request, err
 	}
-	return q, nil
+	if request.Key, err = parseWord("key", description.Key); err != nil {
+		return request, err
+	}
+	request.Protocol, err = findProtocol(description.Protocol)
+	return request, err
 }
 
-// Explanation is which route takes a request and what its timing comes to.
-type Explanation struct {
-	Route  string    `json:"route"`
-	Timing []Setting `json:"timing"`
+// findName returns the index of a name among those known.
+func findName(part, name, where string, known []string) (int, error) {
+	index := slices.Index(known, name)
+	if index < 0 {
+		return index, &DescriptionError{Part: part, Value: name, Reason: noneOf(name, where, known), Err: ErrUnknownValue}
+	}
+	return index, nil
 }
 
-// Explain finds a request's route as a relay does.
-func (c *Config) Explain(q routing.Request) Explanation {
-	s := &c.Relay.Settings
-	e := Explanation{Route: "(none)"}
-	add := func(key, value, from string) { e.Timing = append(e.Timing, Setting{key, value, from}) }
-	class := s.Classes[q.Class]
-	connect, attempts := s.DialTimeout, s.MaxAttempts
-	attempt, total := time.Duration(0), class.ClientTimeout
-	r := c.Relay.Routes.Lookup(q)
-	if r != nil {
-		e.Route = r.Name
-		t := r.RetryPolicy
-		if t.ConnectTimeout > 0 {
-			connect = t.ConnectTimeout
-		}
-		if t.MaxAttempts > 0 {
-			attempts = min(attempts, t.MaxAttempts)
+// findProtocol returns the protocol with a name. Unlike findName it suggests none: there are two, and both are told.
+func findProtocol(name string) (int, error) {
+	protocol := slices.Index(protocolNames, name)
+	if protocol < 0 {
+		return protocol, &DescriptionError{
+			Part: "protocol", Value: name, Reason: strconv.Quote(name) + " is none of " + protocolList, Err: ErrUnknownValue,
 		}
-		if t.RequestTimeout > 0 {
-			total = min(total, t.RequestTimeout)
-		}
-		attempt = t.AttemptTimeout
-	}
-	add(routing.KeyConnectTimeout, connect.String(), "")
-	if attempt > 0 {
-		add(routing.KeyAttemptTimeout, attempt.String(), "")
-	} else {
-		add(routing.KeyAttemptTimeout, "all that is left", "")
-	}
-	add(routing.KeyRequestTimeout, total.String(), "")
-	add(routing.KeyMaxAttempts, strconv.Itoa(attempts), "")
-	if r != nil && r.RetryPolicy.BaseBackoff > 0 {
-		add(routing.KeyBaseBackoff, r.RetryPolicy.BaseBackoff.String(), "")
-		if r.RetryPolicy.MaxBackoff > 0 {
-			add(routing.KeyMaxBackoff, r.RetryPolicy.MaxBackoff.String(), "")
+	}
+	return protocol, nil
+}
+
+// parseWord parses 16 hexadecimal digits; no text at all is zero.
+func parseWord(part, text string) (uint64, error) {
+	if text == "" {
+		return 0, nil
+	}
+	word, err := strconv.ParseUint(text, hexadecimal, wordBits)
+	if err == nil && len(text) != wordDigits {
+		err = ErrInvalidValue
+	}
+	if err != nil {
+		return 0, &DescriptionError{Part: part, Value: text, Reason: strconv.Quote(text) + " is no 16 hexadecimal digits", Err: err}
+	}
+	return word, nil
+}
+
+// ExplainRoute finds the route of a request as a relay does, and what its policy comes to with the class and the rules.
+func (c *Config) ExplainRoute(request routing.Request) Explanation {
+	explanation := Explanation{Route: noRoute}
+	var policy balance.RetryPolicy
+	if route := c.Relay.Routes.Lookup(request); route != nil {
+		explanation.Route, policy = route.Name, route.RetryPolicy
+	}
+	explanation.RetryPolicy = effectivePolicy(policy, &c.Relay.Settings.Settings, request.Class)
+	return explanation
+}
+
+// effectivePolicy lists the values of a policy. Where it leaves one open, that of the class or the rules applies;
+// backoff, budget and hedge delay are listed only if the policy sets them.
+func effectivePolicy(policy balance.RetryPolicy, rules *balance.Settings, class int) []Setting {
+	connectTimeout := rules.DialTimeout
+	if policy.ConnectTimeout > 0 {
+		connectTimeout = policy.ConnectTimeout
+	}
+	attemptTimeout := "all that is left"
+	if policy.AttemptTimeout > 0 {
+		attemptTimeout = policy.AttemptTimeout.String()
+	}
+	requestTimeout := rules.Classes[class].ClientTimeout
+	if policy.RequestTimeout > 0 {
+		requestTimeout = min(requestTimeout, policy.RequestTimeout)
+	}
+	attempts := rules.MaxAttempts
+	if policy.MaxAttempts > 0 {
+		attempts = min(attempts, policy.MaxAttempts)
+	}
+	values := []Setting{
+		{Key: routing.KeyConnectTimeout, Value: connectTimeout.String()},
+		{Key: routing.KeyAttemptTimeout, Value: attemptTimeout},
+		{Key: routing.KeyRequestTimeout, Value: requestTimeout.String()},
+		{Key: routing.KeyMaxAttempts, Value: strconv.Itoa(attempts)},
+	}
+	addDuration := func(key string, duration time.Duration) {
+		if duration > 0 {
+			values = append(values, Setting{Key: key, Value: duration.String()})
 		}
 	}
-	if r != nil && r.RetryPolicy.RetryBudget > 0 {
-		add(routing.KeyRetryBudget, strconv.FormatFloat(r.RetryPolicy.RetryBudget, 'g', -1, 64), "")
+	addDuration(routing.KeyBaseBackoff, policy.BaseBackoff)
+	if policy.BaseBackoff > 0 {
+		addDuration(routing.KeyMaxBackoff, policy.MaxBackoff)
 	}
-	if r != nil && r.RetryPolicy.HedgeDelay > 0 {
-		add(routing.KeyHedgeDelay, r.RetryPolicy.HedgeDelay.String(), "")
+	if policy.RetryBudget > 0 {
+		values = append(values, Setting{Key: routing.KeyRetryBudget, Value: formatFloat(policy.RetryBudget)})
 	}
-	return e
+	addDuration(routing.KeyHedgeDelay, policy.HedgeDelay)
+	return values
 }
--- a/internal/config/codec_test.go
+++ b/internal/config/golden_test.go
@@ -14,7 +14,7 @@
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// golden holds what was made now to what an earlier version wrote.
+// golden compares a text with the one in testdata that an earlier version wrote.
 func golden(t *testing.T, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -59,8 +59,8 @@
 	return out
 }
 
-// told is all that a relay is told, by words that no name in the code has a part in.
-func told(c *Config) string {
+// describe returns a whole configuration in words that are independent of the names in the code.
+func describe(c *Config) string {
 	var b strings.Builder
 	say := func(what string, args ...any) {
 		fmt.Fprintf(&b, "%-28s%s\n", what, fmt.Sprintln(args...)[:len(fmt.Sprintln(args...))-1])
@@ -72,7 +72,7 @@
 	say("discovery at", r.Discovery)
 	say("seed", fmt.Sprintf("%x", r.Seed))
 	say("cores, MB, sockets", c.Cores, r.MemoryMB, r.Sockets)
-	say("log level", c.Level)
+	say("log level", c.LogLevel)
 	say("hears peers at", r.PeerListen)
 	say("peers", r.Peers)
 	say("all peers at", r.PeersAll)
@@ -140,8 +140,8 @@
 	return b.String()
 }
 
-// Files of today are read to the values that they were read to, and TOML written out is the same text.
-func TestCodec_Golden(t *testing.T) {
+// Files are read to the values that earlier versions read, and FormatTOML writes the same text.
+func TestLoad_Golden(t *testing.T) {
 	scratch := func(name string) string { return map[string]string{"TMPDIR": "scratch"}[name] }
 	for _, tc := range []struct {
 		name, path string
@@ -153,27 +153,27 @@
 			return map[string]string{"PROXY_NAME": "n9", "PROXY_LISTEN": "127.0.0.1:59", "PROXY_DISCOVERY": "127.0.0.1:89", "PROXY_MANAGEMENT": "127.0.0.1:99"}[name]
 		}},
 	} {
-		c, err := Read(tc.path, tc.env, false)
+		c, err := Load(tc.path, tc.env, false)
 		if err != nil {
 			t.Errorf("%s: %v", tc.path, err)
 			continue
 		}
-		golden(t, tc.name+".told", told(&c))
-		if c.file == nil {
+		golden(t, tc.name+".told", describe(&c))
+		if c.document == nil {
 			continue
 		}
-		golden(t, tc.name+".written", c.Write())
-		again, err := Parse("again.toml", []byte(c.Write()), tc.env, false)
-		if err != nil || told(&again) != told(&c) || again.Write() != c.Write() {
+		golden(t, tc.name+".written", c.FormatTOML())
+		again, err := Parse("again.toml", []byte(c.FormatTOML()), tc.env, false)
+		if err != nil || describe(&again) != describe(&c) || again.FormatTOML() != c.FormatTOML() {
 			t.Errorf("%s written out is read otherwise: %v", tc.path, err)
 		}
 		if tc.name != "every-toml" {
 			continue
 		}
 		whole := map[string]bool{} // keys of any class, tenant or route count
-		for _, s := range c.Settings(none) {
+		for _, s := range c.EffectiveSettings(none) {
 			key := strings.NewReplacer("[0]", "", "[1]", "", "[2]", "").Replace(s.Key)
-			whole[key] = whole[key] || s.From == "file"
+			whole[key] = whole[key] || s.Source == "file"
 		}
 		delete(whole, "retries.backoff") // its classes differ in what may be repeated
 		delete(whole, "retries.max-backoff")
@@ -186,20 +186,20 @@
 	}
 }
 
-// toldOf is what is wrong with a text, as it is told, set in.
-func toldOf(err error) string {
+// indented returns an error, line by line, as the golden files have it.
+func indented(err error) string {
 	if err == nil {
 		return "  taken"
 	}
 	return "  " + strings.ReplaceAll(err.Error(), "\n", "\n  ")
 }
 
-// What is wrong with a file is told in the same words at the same place.
-func TestCodec_GoldenFaults(t *testing.T) {
+// The problems of a TOML file keep their texts and places.
+func TestLoad_GoldenProblemsOfTOML(t *testing.T) {
 	var out strings.Builder
 	for _, b := range badFiles {
 		_, err := Parse("bad.toml", []byte(strings.Replace(sound, b.from, b.to, 1)), none, false)
-		fmt.Fprintf(&out, "%q for %q\n%s\n", b.to, b.from, toldOf(err))
+		fmt.Fprintf(&out, "%q for %q\n%s\n", b.to, b.from, indented(err))
 	}
 	every, err := os.ReadFile("testdata/every.toml")
 	if err != nil {
@@ -224,11 +224,11 @@
 			t.Fatalf("%q is not in the file", x[0])
 		}
 		_, err := Parse("every.toml", []byte(strings.Replace(string(every), x[0], x[1], 1)), none, false)
-		fmt.Fprintf(&out, "every.toml with %q for %q\n%s\n", x[1], x[0], toldOf(err))
+		fmt.Fprintf(&out, "every.toml with %q for %q\n%s\n", x[1], x[0], indented(err))
 	}
 	for _, text := range []string{"", "[relay]\n", "[[class]]\nname = \"a\"\n", "\x00", "a = 1\na = 2\n"} {
 		_, err := Parse("short.toml", []byte(text), none, false)
-		fmt.Fprintf(&out, "%q\n%s\n", text, toldOf(err))
+		fmt.Fprintf(&out, "%q\n%s\n", text, indented(err))
 	}
 	c, err := Parse("every.toml", every, none, false)
 	if err != nil {
@@ -236,20 +236,20 @@
 	}
 	for _, a := range [][5]string{{"sig-fetsh", "", "", "", "line"}, {"sig-fetch", "roma", "", "", "line"}, {"sig-fetch", "", "7", "", "line"},
 		{"sig-fetch", "", "", "zz", "line"}, {"sig-fetch", "", "", "", "http"}} {
-		_, err := c.Request(a[0], a[1], a[2], a[3], a[4])
-		fmt.Fprintf(&out, "explain %q\n%s\n", a, toldOf(err))
+		_, err := c.RoutingRequest(description(a))
+		fmt.Fprintf(&out, "explain %q\n%s\n", a, indented(err))
 	}
 	golden(t, "faults-toml.txt", out.String())
 }
 
-// The same of the platform's JSON, read at a start and read again to replace the file in force.
-func TestCodec_GoldenFaultsOfJSON(t *testing.T) {
+// The problems of a JSON file keep their texts, at a start and when the file is to replace the one in force.
+func TestLoad_GoldenProblemsOfJSON(t *testing.T) {
 	text, err := os.ReadFile("testdata/every.json")
 	if err != nil {
 		t.Fatal(err)
 	}
 	every := string(text)
-	old, err := parseJSON("every.json", text, none, true)
+	old, err := parsePlatform("every.json", text, none, true)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -269,10 +269,10 @@
 			t.Fatalf("%q is not in the file", x[0])
 		}
 		text := []byte(strings.Replace(every, x[0], x[1], 1))
-		_, err := parseJSON("every.json", text, none, false)
-		fmt.Fprintf(&out, "%q for %q\n%s\n", x[1], x[0], toldOf(err))
-		if c, err := parseJSON("every.json", text, none, true); err == nil {
-			fmt.Fprintf(&out, "read again\n%s\n", toldOf(c.Replaces(old)))
+		_, err := parsePlatform("every.json", text, none, false)
+		fmt.Fprintf(&out, "%q for %q\n%s\n", x[1], x[0], indented(err))
+		if c, err := parsePlatform("every.json", text, none, true); err == nil {
+			fmt.Fprintf(&out, "read again\n%s\n", indented(c.CheckReplacement(old)))
 		}
 	}
 	golden(t, "faults-json.txt", out.String())
--- /dev/null
+++ b/internal/config/platform.go
@@ -0,0 +1,237 @@
+package config
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net"
+	"strconv"
+
+	"aspenbarrow/internal/machine"
+	"aspenbarrow/internal/membership"
+	"aspenbarrow/internal/settings"
+)
+
+// jsonNull is a JSON value that stands for an absent one.
+const jsonNull = "null"
+
+// platformObject is the platform's JSON file as encoding/json decodes it.
+//
+// The error texts of encoding/json hold the name of the Go struct around a field that has the wrong kind of value, and
+// the texts that operators see are not to change. So platformObject and membershipObject are aliases of types without a
+// name, and the name limits stays; its fields are printed as well.
+type platformObject = struct {
+	Name       string            `json:"name"`
+	Listen     string            `json:"listen"`
+	Discovery  string            `json:"discovery"`
+	Management string            `json:"management"`
+	Seed       string            `json:"seed"` // hexadecimal
+	Limits     limits            `json:"limits"`
+	PeerListen string            `json:"peer_listen"`
+	Peers      []string          `json:"peers"`
+	PeersAll   string            `json:"peers_all"`
+	Known      json.RawMessage   `json:"known"` // endpoint list, in the form of discovery
+	Settings   json.RawMessage   `json:"settings"`
+	Watch      json.RawMessage   `json:"watch"` // settings whose shape is evaluated without acting on it
+	Membership *membershipObject `json:"membership"`
+}
+
+type limits struct {
+	Cores    float64 `json:"cores"`
+	MemoryMB int     `json:"memory_mb"`
+	Sockets  int     `json:"sockets"`
+}
+
+type membershipObject = struct {
+	Fleet       string  `json:"fleet"`
+	PeriodMS    float64 `json:"period_ms"`
+	SuspicionMS float64 `json:"suspicion_ms"`
+}
+
+// platformParser reads the platform's JSON file.
+type platformParser struct {
+	file   string
+	object platformObject
+}
+
+// parsePlatform reads a text in the platform's JSON. Its errors are *KeyError, for the first key at fault.
+func parsePlatform(file string, text []byte, env Environment, reload bool) (Config, error) {
+	p := platformParser{file: file}
+	if err := p.decode(text); err != nil {
+		return Config{}, err
+	}
+	object := &p.object
+	env.override(reload, overrides{
+		name:       &object.Name,
+		listen:     &object.Listen,
+		discovery:  &object.Discovery,
+		management: &object.Management,
+	})
+	relay, err := p.relay(reload)
+	if err != nil {
+		return Config{}, err
+	}
+	relay.Scratch = env(variableScratch)
+	return Config{Cores: object.Limits.Cores, Relay: relay, platform: text}, nil
+}
+
+// fail returns the error of a key.
+func (p *platformParser) fail(key string, value any, cause error, format string, args ...any) error {
+	return &KeyError{File: p.file, Key: key, Value: value, Err: cause, text: fmt.Sprintf(format, args...)}
+}
+
+func (p *platformParser) decode(text []byte) error {
+	err := json.Unmarshal(text, &p.object)
+	if err == nil {
+		return nil
+	}
+	key, value := "", any(nil)
+	var wrongType *json.UnmarshalTypeError
+	if errors.As(err, &wrongType) {
+		key, value = wrongType.Field, wrongType.Value
+	}
+	return p.fail(key, value, err, "%s: %v", p.file, err)
+}
+
+// relay converts the decoded object.
+func (p *platformParser) relay(reload bool) (machine.Config, error) {
+	object := &p.object
+	if err := p.checkAddresses(); err != nil {
+		return machine.Config{}, err
+	}
+	if err := p.checkLimits(); err != nil {
+		return machine.Config{}, err
+	}
+	seed, err := strconv.ParseUint(object.Seed, hexadecimal, wordBits)
+	if err != nil {
+		return machine.Config{}, p.fail("seed", object.Seed, err, "seed %q: %v", object.Seed, err)
+	}
+	installation, err := p.settings(reload)
+	if err != nil {
+		return machine.Config{}, err
+	}
+	shadow, err := p.shadow()
+	if err != nil {
+		return machine.Config{}, err
+	}
+	detector, err := p.membership(&installation)
+	if err != nil {
+		return machine.Config{}, err
+	}
+	return machine.Config{
+		Name:       object.Name,
+		Listen:     object.Listen,
+		Discovery:  object.Discovery,
+		Management: object.Management,
+		Seed:       seed,
+		MemoryMB:   object.Limits.MemoryMB,
+		Sockets:    object.Limits.Sockets,
+		PeerListen: object.PeerListen,
+		Peers:      object.Peers,
+		PeersAll:   object.PeersAll,
+		Known:      p.known(),
+		Settings:   installation,
+		Watch:      shadow,
+		Membership: detector,
+	}, nil
+}
+
+func (p *platformParser) checkAddresses() error {
+	object := &p.object
+	if object.Listen == "" || object.Discovery == "" {
+		key := "listen"
+		if object.Listen != "" {
+			key = "discovery"
+		}
+		return p.fail(key, nil, ErrMissingKey, "the listen address or that of discovery is missing")
+	}
+	if _, _, err := net.SplitHostPort(object.Discovery); err != nil {
+		return p.fail("discovery", object.Discovery, err, "discovery: %v", err)
+	}
+	if object.Management == "" {
+		return nil
+	}
+	if _, _, err := net.SplitHostPort(object.Management); err != nil {
+		return p.fail("management", object.Management, err, "management: %v", err)
+	}
+	return nil
+}
+
+func (p *platformParser) checkLimits() error {
+	resources := p.object.Limits
+	if resources.Cores < 0 || resources.MemoryMB < 0 || resources.Sockets < 0 {
+		return p.fail("limits", resources, ErrOutOfRange, "limits %+v", resources)
+	}
+	return nil
+}
+
+// settings parses the settings object. At a start it is validated here, at a reload by CheckReplacement.
+func (p *platformParser) settings(reload bool) (settings.Settings, error) {
+	installation, err := settings.Parse(p.object.Settings)
+	if err == nil && !reload {
+		err = settings.Validate(p.object.Settings)
+	}
+	if err != nil {
+		return settings.Settings{}, p.failSettings("settings", err, "")
+	}
+	return installation, nil
+}
+
+// failSettings returns the error of a settings object under a key.
+func (p *platformParser) failSettings(key string, err error, prefix string) error {
+	var field *settings.FieldError
+	if !errors.As(err, &field) {
+		return p.fail(key, nil, err, "%s%v", prefix, err)
+	}
+	if field.Field != "" {
+		key = joinKey(key, field.Field)
+	}
+	return p.fail(key, field.Value, err, "%s%v", prefix, err)
+}
+
+// known returns the endpoint list as the relay last had it; nil if the file gives none.
+func (p *platformParser) known() []byte {
+	if string(p.object.Known) == jsonNull {
+		return nil
+	}
+	return p.object.Known
+}
+
+// shadow returns the shape of the settings that are evaluated without acting on them; nil if the file gives none.
+func (p *platformParser) shadow() (*machine.Shape, error) {
+	text := p.object.Watch
+	if len(text) == 0 || string(text) == jsonNull {
+		return nil, nil
+	}
+	shadowed, err := settings.Parse(text)
+	if err != nil {
+		return nil, p.failSettings("watch", err, "watch: ")
+	}
+	if shadowed.Gossip && p.object.PeerListen == "" {
+		return nil, p.fail("watch.limits.peers", true, ErrConflict, "watch: relays would tell one another, and peer_listen is missing")
+	}
+	return machine.ShapeOf(&shadowed.Settings), nil
+}
+
+// membership returns the settings by which relays detect one another; nil if they do not.
+func (p *platformParser) membership(installation *settings.Settings) (*membership.Settings, error) {
+	object := p.object.Membership
+	if object == nil {
+		return nil, nil
+	}
+	detector := membership.Sound(object.Fleet)
+	if object.PeriodMS > 0 {
+		detector.Period = settings.FromMilliseconds(object.PeriodMS)
+	}
+	if object.SuspicionMS > 0 {
+		detector.Suspicion = settings.FromMilliseconds(object.SuspicionMS)
+	}
+	if faults := detector.Faults(); len(faults) > 0 {
+		return nil, p.fail("membership."+faults[0].Key, nil, ErrInvalidValue, "membership: %s: %s", faults[0].Key, faults[0].Reason)
+	}
+	if !installation.Gossip || p.object.PeerListen == "" || len(p.object.Peers) <= installation.RelayIndex {
+		return nil, p.fail("membership", nil, ErrConflict,
+			"membership: settings.limits.peers, peer_listen and this relay among peers are wanted")
+	}
+	return &detector, nil
+}
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -1,6 +1,3 @@
-// This file owns the checks of a file that is to replace the one in force. It must never
-// let a file pass of which a part is missing, nor hold one to the values of the other.
-
 package config
 
 import (
@@ -13,110 +10,140 @@
 	"aspenbarrow/internal/settings"
 )
 
-// ErrLacks is wrapped by what says that a file lacks a key of the one in force.
-var ErrLacks = errors.New("lacks a key of the file in force")
+// ErrIncompleteReplacement is the error that every ReplacementError wraps.
+var ErrIncompleteReplacement = errors.New("lacks a key of the file in force")
+
+// ReplacementError reports a key of the file in force that a file to replace it does not have, or has with a value of
+// another type.
+type ReplacementError struct {
+	Key    string // path within the file, as in "settings.classes[0].give-up-ms"
+	Reason string
+}
+
+// Error implements the error interface.
+func (e *ReplacementError) Error() string {
+	return fmt.Sprintf("%s %s: %v", e.Key, e.Reason, ErrIncompleteReplacement)
+}
+
+// Unwrap returns ErrIncompleteReplacement.
+func (e *ReplacementError) Unwrap() error { return ErrIncompleteReplacement }
 
-// mayLack are keys that a sound file may or may not have: the list as last known, and what only classes of some
-// effects have (settings.Validate asks for it where it is needed).
-var mayLack = map[string]bool{"known": true, "watch": true, "dedup-scope": true, "dedup-window-ms": true}
+// optionalKeys are those that a sound file may have or not: the endpoint list as last known, the shadow settings, and
+// what only classes of some idempotency have, where settings.Validate asks for it.
+var optionalKeys = map[string]bool{"known": true, "watch": true, "dedup-scope": true, "dedup-window-ms": true}
 
-// Replaces says whether a file, read again, may replace the one in force: it has all of its keys, each with a value of
-// its kind, and its deadlines and attempts are sound. A TOML file is held to its keys when it is read.
-func (c Config) Replaces(old Config) error {
-	if c.text == nil {
+// CheckReplacement says whether a file that was read again may replace the one in force: it has all keys of the old one,
+// each with a value of the same type, and its settings are valid. A truncated file thus never takes effect. The keys of
+// a TOML file are checked when it is parsed. Errors are *ReplacementError, *settings.FieldError or those of
+// encoding/json.
+func (c Config) CheckReplacement(old Config) error {
+	if c.platform == nil {
 		return nil
 	}
-	var now struct {
+	var object struct {
 		Settings json.RawMessage `json:"settings"`
 	}
-	if err := json.Unmarshal(c.text, &now); err != nil {
+	if err := json.Unmarshal(c.platform, &object); err != nil {
 		return err
 	}
-	if old.text != nil {
-		var a, b any
-		if err := errors.Join(json.Unmarshal(c.text, &a), json.Unmarshal(old.text, &b)); err != nil {
-			return err
-		}
-		if err := lacks("", a, b); err != nil {
+	if old.platform != nil {
+		if err := checkKeys(c.platform, old.platform); err != nil {
 			return err
 		}
 	}
-	return settings.Validate(now.Settings)
+	return settings.Validate(object.Settings)
+}
+
+// checkKeys checks that a JSON text has all keys of an older one.
+func checkKeys(text, oldText []byte) error {
+	var value, old any
+	if err := errors.Join(json.Unmarshal(text, &value), json.Unmarshal(oldText, &old)); err != nil {
+		return err
+	}
+	return checkValue("", value, old)
 }
 
-// lacks holds a value to the shape of another: every key of an object, and in a list of objects every key that all of
-// them have.
-func lacks(at string, now, was any) error {
-	switch was := was.(type) {
+// checkValue holds a JSON value to the shape of an older one: it is of the same type, an object has all keys of the old
+// one, and each object in a list has the keys that all objects of the old list have.
+func checkValue(path string, value, old any) error {
+	switch old := old.(type) {
+	case nil: // any value may take the place of none
+		return nil
 	case map[string]any:
-		now, ok := now.(map[string]any)
+		object, ok := value.(map[string]any)
 		if !ok {
-			return fmt.Errorf("%s is no object: %w", at, ErrLacks)
-		}
-		for _, key := range slices.Sorted(maps.Keys(was)) {
-			v, ok := now[key]
-			switch {
-			case mayLack[key]:
-				continue
-			case !ok:
-				return fmt.Errorf("%s%s is missing: %w", dotted(at), key, ErrLacks)
-			}
-			if err := lacks(dotted(at)+key, v, was[key]); err != nil {
-				return err
-			}
+			return &ReplacementError{Key: path, Reason: "is no object"}
 		}
+		return checkObject(path, object, old)
 	case []any:
-		now, ok := now.([]any)
+		list, ok := value.([]any)
 		if !ok {
-			return fmt.Errorf("%s is no list: %w", at, ErrLacks)
+			return &ReplacementError{Key: path, Reason: "is no list"}
 		}
-		if shape := common(was); shape != nil {
-			for i, v := range now {
-				if err := lacks(fmt.Sprintf("%s[%d]", at, i), v, shape); err != nil {
-					return err
-				}
-			}
+		return checkList(path, list, old)
+	}
+	if jsonType(value) != jsonType(old) {
+		return &ReplacementError{Key: path, Reason: fmt.Sprintf("is a %s, was a %s", jsonType(value), jsonType(old))}
+	}
+	return nil
+}
+
+func checkObject(path string, object, old map[string]any) error {
+	for _, name := range slices.Sorted(maps.Keys(old)) {
+		if optionalKeys[name] {
+			continue
 		}
-	case nil:
-	default:
-		if kind(now) != kind(was) {
-			return fmt.Errorf("%s is a %s, was a %s: %w", at, kind(now), kind(was), ErrLacks)
+		key := joinKey(path, name)
+		value, ok := object[name]
+		if !ok {
+			return &ReplacementError{Key: key, Reason: "is missing"}
+		}
+		if err := checkValue(key, value, old[name]); err != nil {
+			return err
 		}
 	}
 	return nil
 }
 
-// common is an object of the keys that all objects of a list have; nil: it holds others, or nothing.
-func common(list []any) any {
+func checkList(path string, list, old []any) error {
+	shape := commonShape(old)
+	if shape == nil {
+		return nil
+	}
+	for i, value := range list {
+		if err := checkValue(elementKey(path, i), value, shape); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// commonShape returns an object of the keys that all objects of a list have; nil if the list is empty or holds other
+// values.
+func commonShape(list []any) map[string]any {
 	var shape map[string]any
-	for i, v := range list {
-		o, ok := v.(map[string]any)
+	for i, value := range list {
+		object, ok := value.(map[string]any)
 		if !ok {
 			return nil
 		}
 		if i == 0 {
-			shape = maps.Clone(o)
+			shape = maps.Clone(object)
 			continue
 		}
-		maps.DeleteFunc(shape, func(k string, _ any) bool { _, ok := o[k]; return !ok })
-	}
-	if shape == nil {
-		return nil
+		maps.DeleteFunc(shape, func(key string, _ any) bool {
+			_, ok := object[key]
+			return !ok
+		})
 	}
 	return shape
 }
 
-func dotted(at string) string {
-	if at == "" {
-		return ""
-	}
-	return at + "."
-}
-
-func kind(v any) string {
-	switch v.(type) {
+// jsonType returns the JSON type of a decoded value.
+func jsonType(value any) string {
+	switch value.(type) {
 	case nil:
-		return "null"
+		return jsonNull
 	case bool:
 		return "boolean"
 	case float64:
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -25,7 +25,7 @@
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		return Read(path, none, true)
+		return Load(path, none, true)
 	}
 	old, err := read(platform)
 	if err != nil {
@@ -35,10 +35,10 @@
 	if err != nil {
 		return err
 	}
-	return c.Replaces(old)
+	return c.CheckReplacement(old)
 }
 
-func TestEveryPrefixOfASoundFileIsTurnedDown(t *testing.T) {
+func TestCheckReplacement_RefusesTruncatedFiles(t *testing.T) {
 	if err := replaced(t, platform); err != nil {
 		t.Fatal(err)
 	}
@@ -49,7 +49,7 @@
 	}
 }
 
-func TestWhatMayReplaceAFile(t *testing.T) {
+func TestCheckReplacement(t *testing.T) {
 	for _, c := range []struct{ name, from, to, reason string }{
 		{"fewer attempts", `"try-limit":4`, `"try-limit":2`, ""},
 		{"another effect", `"effect":"read_like"`, `"effect":"non_idempotent"`, ""},
@@ -97,7 +97,7 @@
 }
 
 // The shape to watch comes from both forms, is held to what can be, and is off unless it is given.
-func TestTheShapeToWatch(t *testing.T) {
+func TestLoad_ShadowSettings(t *testing.T) {
 	parse := func(add string) (Config, error) { return Parse("w.toml", []byte(sound+add), none, false) }
 	if c, err := parse(""); err != nil || c.Relay.Watch != nil {
 		t.Fatalf("%v, %v", c.Relay.Watch, err)
@@ -126,7 +126,7 @@
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		return Read(path, none, false)
+		return Load(path, none, false)
 	}
 	settings := platform[strings.Index(platform, `"settings":`)+len(`"settings":`) : len(platform)-1]
 	if c, err := of(settings); err != nil || c.Relay.Watch == nil || c.Relay.Watch.Probes {
@@ -141,7 +141,7 @@
 }
 
 // Reports come with answers to probes. Where none are allowed, a relay that is held to be told would wait in vain.
-func TestWithoutProbesNoReportComes(t *testing.T) {
+func TestParse_NoReportsWithoutHealthChecks(t *testing.T) {
 	c, err := Parse("w.toml", []byte(strings.Replace(sound, "peers = true", "peers = true\nprobes = false\ntells-delay = true", 1)), none, false)
 	if s := c.Relay.Settings; err != nil || len(s.ReportFields) > 0 || len(s.ReportFieldNames) > 0 || !s.ReportsMessageDelay {
 		t.Errorf("%v, %v", s.ReportFields, err)
--- a/internal/world/timing_test.go
+++ b/internal/world/timing_test.go
@@ -59,7 +59,7 @@
 		}
 		opt := Options{Seed: rapid.Uint64().Draw(t, "seed"), Length: 15 * time.Second}
 		for _, name := range []string{"watch", "fetch", "submit"} {
-			q, err := cfg.Request(name, "", "", "", "line")
+			q, err := cfg.RoutingRequest(config.RequestDescription{Class: name, Protocol: "line"})
 			if err != nil {
 				t.Fatal(err)
 			}
