--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -95,9 +95,9 @@
 		t.Errorf("%+v", c.Relay)
 	}
 	for _, tc := range []struct {
-		q    routing.Request
-		name string
-		want balance.RetryPolicy
+		request routing.Request
+		name    string
+		want    balance.RetryPolicy
 	}{
 		{routing.Request{Class: 0, Key: 0x7f << 56}, "hot", balance.RetryPolicy{ConnectTimeout: 200 * time.Millisecond, HedgeDelay: 400 * time.Millisecond}},
 		{routing.Request{Class: 0, Key: 0x7e << 56}, "class status-watch", balance.RetryPolicy{ConnectTimeout: 200 * time.Millisecond}},
@@ -105,9 +105,9 @@
 			AttemptTimeout: 500 * time.Millisecond, MaxAttempts: 3, BaseBackoff: 50 * time.Millisecond, MaxBackoff: 100 * time.Millisecond}},
 		{routing.Request{Class: 2, Tenant: 1}, "milano", balance.RetryPolicy{ConnectTimeout: 200 * time.Millisecond, RetryBudget: 0.1}},
 	} {
-		r := c.Relay.Routes.Lookup(tc.q)
+		r := c.Relay.Routes.Lookup(tc.request)
 		if r == nil || r.Name != tc.name || r.RetryPolicy != tc.want {
-			t.Errorf("%+v goes by %+v", tc.q, r)
+			t.Errorf("%+v goes by %+v", tc.request, r)
 		}
 	}
 }
@@ -219,26 +219,27 @@
 		t.Fatalf("only %d bad files", len(badFiles))
 	}
 	for _, b := range badFiles {
-		if strings.Count(sound, b.from) < 1 {
-			t.Fatalf("%q is not in the sound file", b.from)
-		}
-		text := strings.Replace(sound, b.from, b.to, 1)
-		at := b.at
-		if at == "" {
-			at = b.to
-		}
-		want := 1 + strings.Count(text[:strings.Index(text, at)], "\n")
-		_, err := Parse("bad.toml", []byte(text), none, false)
-		var problems Problems
-		if !errors.As(err, &problems) {
-			t.Errorf("%q for %q: %v", b.to, b.from, err)
-			continue
-		}
-		if !slices.ContainsFunc(problems, func(f Problem) bool {
-			return f.Line == want && f.Column >= 1 && f.Key == b.key && strings.Contains(f.Reason, b.reason)
-		}) {
-			t.Errorf("%q for %q: wanted %d: %s: ...%s...\n%v", b.to, b.from, want, b.key, b.reason, err)
-		}
+		t.Run(b.key+" "+b.reason, func(t *testing.T) {
+			if strings.Count(sound, b.from) < 1 {
+				t.Fatalf("%q is not in the sound file", b.from)
+			}
+			text := strings.Replace(sound, b.from, b.to, 1)
+			at := b.at
+			if at == "" {
+				at = b.to
+			}
+			want := 1 + strings.Count(text[:strings.Index(text, at)], "\n")
+			_, err := Parse("bad.toml", []byte(text), none, false)
+			var problems Problems
+			if !errors.As(err, &problems) {
+				t.Fatalf("%q for %q: %v", b.to, b.from, err)
+			}
+			if !slices.ContainsFunc(problems, func(p Problem) bool {
+				return p.Line == want && p.Column >= 1 && p.Key == b.key && strings.Contains(p.Reason, b.reason) && p.Err != nil
+			}) {
+				t.Errorf("%q for %q: wanted %d: %s: ...%s...\n%v", b.to, b.from, want, b.key, b.reason, err)
+			}
+		})
 	}
 }
 
@@ -428,8 +429,9 @@
 			}
 			continue
 		}
-		var fs Problems
-		if !errors.As(err, &fs) || !slices.ContainsFunc(fs, func(f Problem) bool { return f.Key == tc.key && strings.Contains(f.Reason, tc.reason) }) {
+		var problems Problems
+		if !errors.As(err, &problems) ||
+			!slices.ContainsFunc(problems, func(p Problem) bool { return p.Key == tc.key && strings.Contains(p.Reason, tc.reason) }) {
 			t.Errorf("%q: told %v, wanted is %s: %s", tc.text, err, tc.key, tc.reason)
 		}
 	}
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -16,7 +16,7 @@
 {"name":"order","effect":"idempotency_key","dedup-scope":"all","dedup-window-ms":900,"on-time-ms":500,"give-up-ms":2000,"worth":2}],
 "family-info":{"mode":"proxy","message-aim-ms":[60,60]},"limits":{"try-limit":4,"dial-timeout-ms":250},"rules":{"fall-ms":3000}}}`
 
-// replaced reads a text as a file that is to replace the sound one.
+// replaced loads a text as the file that is to replace the sound one and returns why it may not.
 func replaced(t *testing.T, text string) error {
 	t.Helper()
 	none := func(string) string { return "" }
@@ -79,24 +79,26 @@
 		{"two classes of one name", `"name":"order"`, `"name":"chat"`, "no name of its own"},
 		{"an unknown effect", `"effect":"read_like"`, `"effect":"none"`, "unknown effect"},
 	} {
-		text := strings.Replace(platform, c.from, c.to, 1)
-		if text == platform {
-			t.Fatalf("%s: %q is not in the file", c.name, c.from)
-		}
-		err := replaced(t, text)
-		if c.name == "attempts without end" { // refused, whichever check is first
-			if err == nil {
-				t.Error("a thousand million attempts are taken")
+		t.Run(c.name, func(t *testing.T) {
+			text := strings.Replace(platform, c.from, c.to, 1)
+			if text == platform {
+				t.Fatalf("%q is not in the file", c.from)
 			}
-			continue
-		}
-		if (err == nil) != (c.reason == "") || err != nil && !strings.Contains(err.Error(), c.reason) {
-			t.Errorf("%s: %v, wanted %q", c.name, err, c.reason)
-		}
+			err := replaced(t, text)
+			if c.name == "attempts without end" { // refused, whichever check is first
+				if err == nil {
+					t.Error("a thousand million attempts are taken")
+				}
+				return
+			}
+			if (err == nil) != (c.reason == "") || err != nil && !strings.Contains(err.Error(), c.reason) {
+				t.Errorf("%v, wanted %q", err, c.reason)
+			}
+		})
 	}
 }
 
-// The shape to watch comes from both forms, is held to what can be, and is off unless it is given.
+// Shadow settings come from both forms, are checked against the rest of the file, and are off unless they are given.
 func TestLoad_ShadowSettings(t *testing.T) {
 	parse := func(add string) (Config, error) { return Parse("w.toml", []byte(sound+add), none, false) }
 	if c, err := parse(""); err != nil || c.Relay.Watch != nil {
@@ -140,7 +142,7 @@
 	}
 }
 
-// Reports come with answers to probes. Where none are allowed, a relay that is held to be told would wait in vain.
+// Load reports come with the answers to health checks. Without health checks, a relay would wait for them in vain.
 func TestParse_NoReportsWithoutHealthChecks(t *testing.T) {
 	c, err := Parse("w.toml", []byte(strings.Replace(sound, "peers = true", "peers = true\nprobes = false\ntells-delay = true", 1)), none, false)
 	if s := c.Relay.Settings; err != nil || len(s.ReportFields) > 0 || len(s.ReportFieldNames) > 0 || !s.ReportsMessageDelay {
