--- a/internal/config/builder.go
+++ b/internal/config/builder.go
@@ -15,14 +15,14 @@
 
 // Full names of keys that several checks report or refer to.
 const (
-	keyListen           = "relay.listen"
-	keyName             = "relay.name"
-	keyDiscovery        = "discovery.address"
-	keyPeersListen      = "peers.listen"
-	keyPeersAddresses   = "peers.addresses"
-	keyMembershipEnable = "membership.on"
-	keyShadowReport     = "watch.report"
-	keyZones            = "rules.zones"
+	keyListen         = "relay.listen"
+	keyName           = "relay.name"
+	keyDiscovery      = "discovery.address"
+	keyPeersListen    = "peers.listen"
+	keyPeersAddresses = "peers.addresses"
+	keyMembershipOn   = "membership.on"
+	keyShadowReport   = "watch.report"
+	keyZones          = "rules.zones"
 )
 
 // Seeds are written in hexadecimal and have 64 bits.
@@ -161,11 +161,11 @@
 func (b *builder) checkMembershipPeers() {
 	doc, addresses := b.doc, b.doc.Peers.Addresses
 	if !doc.Rules.Gossip {
-		b.report(keyMembershipEnable, ErrConflict,
+		b.report(keyMembershipOn, ErrConflict,
 			"relays find out by datagrams who is there, and rules.peers says that they may send none")
 	}
 	if len(addresses) == 0 {
-		b.report(keyMembershipEnable, ErrConflict, "peers.addresses is missing: it says who may be there")
+		b.report(keyMembershipOn, ErrConflict, "peers.addresses is missing: it says who may be there")
 	}
 	for i, address := range addresses {
 		if slices.Contains(addresses[:i], address) {
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -2,11 +2,15 @@
 
 import "time"
 
-// document is a whole TOML file.
+// document is a whole TOML file. The decoder, the example file, the JSON Schema and docs/configuration.md are all made
+// from this type and those of its sections, by the tags of their fields:
 //
-// The TOML form. Each field has the tags toml, the name of its key; default, its value when the key is absent; required,
-// when the file has to give it; example, the value in the example file; oneof, the values of a text; and doc. The
-// decoder, the example file, the JSON Schema and docs/configuration.md are all made from these types.
+//   - toml: the name of the key
+//   - default: the value of an absent key, lists separated by commas; without this tag it is the zero value
+//   - required: the file has to give the key
+//   - example: the value in the example file, where the default would not do
+//   - oneof: the values that a text can have, separated by commas
+//   - doc: what the key is for
 type document struct {
 	Relay      relaySection       `toml:"relay" doc:"This relay."`
 	Limits     limitsSection      `toml:"limits" doc:"What the process may use. 0 leaves a limit to the system."`
--- a/internal/config/effective.go
+++ b/internal/config/effective.go
@@ -22,7 +22,8 @@
 	sourceEnvironment = "environment "
 )
 
-// listedVariables are the environment variables that EffectiveSettings names as the source of a value.
+// listedVariables are the environment variables that EffectiveSettings names as the source of a value. It does not name
+// PROXY_MANAGEMENT, which override applies as well: relay.management is listed as from the file or the default then.
 var listedVariables = map[string]string{
 	keyName:      variableName,
 	keyListen:    variableListen,
