--- a/internal/config/builder.go
+++ b/internal/config/builder.go
@@ -7,10 +7,11 @@
 	"strconv"
 	"strings"
 
-	"aspenbarrow/internal/machine"
+	"aspenbarrow/internal/controller"
 	"aspenbarrow/internal/membership"
 	"aspenbarrow/internal/routing"
 	"aspenbarrow/internal/settings"
+	"aspenbarrow/internal/shadow"
 )
 
 // Full names of keys that several checks report or refer to.
@@ -47,12 +48,12 @@
 	b.checkDrainGrace()
 	installation := b.settings()
 	routes := b.routes(&installation)
-	shadow := b.shadow()
+	shape := b.shadow()
 	detector := b.membership()
 	return Config{
 		Cores:    doc.Limits.Cores,
 		LogLevel: doc.Log.Level,
-		Relay: machine.Config{
+		Relay: controller.Config{
 			Name:       doc.Relay.Name,
 			Listen:     doc.Relay.Listen,
 			Management: doc.Relay.Management,
@@ -65,7 +66,7 @@
 			PeersAll:   doc.Peers.Broadcast,
 			Settings:   installation,
 			Routes:     routes,
-			Watch:      shadow,
+			Shadow:     shape,
 			Membership: detector,
 		},
 	}
@@ -185,7 +186,7 @@
 }
 
 // shadow returns the shape of deployment that is evaluated without acting on it; nil if there is none.
-func (b *builder) shadow() *machine.Shape {
+func (b *builder) shadow() *shadow.Shape {
 	section := &b.doc.Shadow
 	if !section.Enabled {
 		return nil
@@ -199,7 +200,7 @@
 	if len(section.ReportFields) > 0 && !slices.Equal(section.ReportFields, b.doc.Rules.ReportFields) {
 		b.report(keyShadowReport, ErrConflict, "reports come in the form of rules.report, %q: watch that or none", b.doc.Rules.ReportFields)
 	}
-	shape := &machine.Shape{
+	shape := &shadow.Shape{
 		Probes:     section.HealthChecks,
 		Peers:      section.Gossip,
 		Groups:     section.Groups,
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -11,7 +11,7 @@
 	"os"
 	"strings"
 
-	"aspenbarrow/internal/machine"
+	"aspenbarrow/internal/controller"
 )
 
 // tomlSuffix ends the names of TOML files; any other file is in the platform's JSON.
@@ -19,7 +19,7 @@
 
 // Config is the configuration of a relay.
 type Config struct {
-	Relay    machine.Config
+	Relay    controller.Config
 	Cores    float64 // processor cores that the process may use; 0: as many as the system gives
 	LogLevel string  // lowest level that is logged: debug, info, warn or error; empty: info
 
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -7,9 +7,10 @@
 	"net"
 	"strconv"
 
-	"aspenbarrow/internal/machine"
+	"aspenbarrow/internal/controller"
 	"aspenbarrow/internal/membership"
 	"aspenbarrow/internal/settings"
+	"aspenbarrow/internal/shadow"
 )
 
 // jsonNull is a JSON value that stands for an absent one.
@@ -94,31 +95,31 @@
 }
 
 // relay converts the decoded object.
-func (p *platformParser) relay(reload bool) (machine.Config, error) {
+func (p *platformParser) relay(reload bool) (controller.Config, error) {
 	object := &p.object
 	if err := p.checkAddresses(); err != nil {
-		return machine.Config{}, err
+		return controller.Config{}, err
 	}
 	if err := p.checkLimits(); err != nil {
-		return machine.Config{}, err
+		return controller.Config{}, err
 	}
 	seed, err := strconv.ParseUint(object.Seed, hexadecimal, wordBits)
 	if err != nil {
-		return machine.Config{}, p.fail("seed", object.Seed, err, "seed %q: %v", object.Seed, err)
+		return controller.Config{}, p.fail("seed", object.Seed, err, "seed %q: %v", object.Seed, err)
 	}
 	installation, err := p.settings(reload)
 	if err != nil {
-		return machine.Config{}, err
+		return controller.Config{}, err
 	}
-	shadow, err := p.shadow()
+	shape, err := p.shadow()
 	if err != nil {
-		return machine.Config{}, err
+		return controller.Config{}, err
 	}
 	detector, err := p.membership(&installation)
 	if err != nil {
-		return machine.Config{}, err
+		return controller.Config{}, err
 	}
-	return machine.Config{
+	return controller.Config{
 		Name:       object.Name,
 		Listen:     object.Listen,
 		Discovery:  object.Discovery,
@@ -131,7 +132,7 @@
 		PeersAll:   object.PeersAll,
 		Known:      p.known(),
 		Settings:   installation,
-		Watch:      shadow,
+		Shadow:     shape,
 		Membership: detector,
 	}, nil
 }
@@ -198,7 +199,7 @@
 }
 
 // shadow returns the shape of the settings that are evaluated without acting on them; nil if the file gives none.
-func (p *platformParser) shadow() (*machine.Shape, error) {
+func (p *platformParser) shadow() (*shadow.Shape, error) {
 	text := p.object.Watch
 	if len(text) == 0 || string(text) == jsonNull {
 		return nil, nil
@@ -210,7 +211,7 @@
 	if shadowed.Gossip && p.object.PeerListen == "" {
 		return nil, p.fail("watch.limits.peers", true, ErrConflict, "watch: relays would tell one another, and peer_listen is missing")
 	}
-	return machine.ShapeOf(&shadowed.Settings), nil
+	return shadow.ShapeOf(&shadowed.Settings), nil
 }
 
 // membership returns the settings by which relays detect one another; nil if they do not.
