--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -24,7 +24,7 @@
 	"aspenbarrow/internal/membership"
 	"aspenbarrow/internal/metrics"
 	"aspenbarrow/internal/protocol"
-	"aspenbarrow/internal/route"
+	"aspenbarrow/internal/routing"
 	"aspenbarrow/internal/session"
 	"aspenbarrow/internal/settings"
 	"aspenbarrow/internal/shadow"
@@ -44,7 +44,7 @@
 	PeersAll   string
 	Known      []byte // the list as this relay last had it, in discovery's form; may be empty
 	Settings   settings.Settings
-	Routes     *route.Table         // nil: no request has a timing of its own
+	Routes     *routing.Table       // nil: no request has a timing of its own
 	Management string               // the second address, for staff; empty: there is none
 	Shadow     *shadow.Shape        // settings of another shape that decide in vain, to be watched before a switch; nil: none
 	Membership *membership.Settings // how relays find out who of them is there; nil: they don't
@@ -513,7 +513,7 @@
 	if err != nil {
 		return err
 	}
-	cfg.Routes = cfg.Routes.Renumber(numbers)
+	cfg.Routes = cfg.Routes.RemapClasses(numbers)
 	changed, later := []string{}, []string{}
 	n.descriptors = sockets
 	shares := AllocateDescriptors(sockets-n.otherProcessDescriptors, cfg.MemoryMB, was.Management != "")
@@ -651,8 +651,8 @@
 		q.TimeLeft = max(0, min(q.TimeLeft, by-n.now))
 	}
 	if !c.resumed {
-		if r := n.cfg.Routes.Pick(route.Request{Class: q.Class, Tenant: q.Tenant, Zone: n.settings.Zone,
-			Protocol: route.Line, Group: q.Group, Key: q.Key}); r != nil {
+		if r := n.cfg.Routes.Lookup(routing.Request{Class: q.Class, Tenant: q.Tenant, Zone: n.settings.Zone,
+			Protocol: routing.ProtocolLine, Group: q.Group, Key: q.Key}); r != nil {
 			c.retryPolicy = &r.RetryPolicy
 			q.RetryPolicy = c.retryPolicy
 		}
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -32,7 +32,7 @@
 func TestTheMachinesReachForNothing(t *testing.T) {
 	allowed := map[string]bool{"net/netip": true, "math/rand/v2": true}
 	for _, dir := range []string{".", "../protocol", "../discovery", "../session", "../upstream", "../handshake", "../healthcheck",
-		"../metrics", "../hotrestart", "../shadow", "../decision", "../../balance", "../membership", "../route", "../settings", "../emulator"} {
+		"../metrics", "../hotrestart", "../shadow", "../decision", "../../balance", "../membership", "../routing", "../settings", "../emulator"} {
 		files, err := filepath.Glob(filepath.Join(dir, "*.go"))
 		if err != nil || len(files) == 0 {
 			t.Fatalf("%s: %d files, %v", dir, len(files), err)
@@ -167,7 +167,7 @@
 
 func testConfig() Config {
 	s := settings.Settings{ClassNames: []string{"chat"}, ZoneNames: []string{"east"}, KindNames: []string{"k"},
-		FieldNames: []string{"x0"}, IdleClose: 5 * time.Second, Settings: balance.Settings{RelayCount: 2,
+		ReportFieldNames: []string{"x0"}, IdleTimeout: 5 * time.Second, Settings: balance.Settings{RelayCount: 2,
 			Tick: 4 * time.Millisecond, HealthChecks: true, Gossip: true, RetryAfter: true, MaxRetryAfter: time.Second,
 			MaxAttempts: 4, DialTimeout: 250 * time.Millisecond, DrainGrace: 250 * time.Millisecond,
 			ReportFields: []balance.ReportField{balance.FieldLoadShare}, PassThrough: true,
--- a/internal/healthcheck/checker.go
+++ b/internal/healthcheck/checker.go
@@ -64,14 +64,14 @@
 
 // RequestLine is the line that asks; where reports are given, it asks for one.
 func (p *Checker) RequestLine() string {
-	if len(p.settings.Load().FieldNames) > 0 {
+	if len(p.settings.Load().ReportFieldNames) > 0 {
 		return "STATS\r\n"
 	}
 	return "PING\r\n"
 }
 
 // IdleTimeout is how long a connection is kept; 0: not at all.
-func (p *Checker) IdleTimeout() time.Duration { return p.settings.Load().IdleClose * 3 / 4 }
+func (p *Checker) IdleTimeout() time.Duration { return p.settings.Load().IdleTimeout * 3 / 4 }
 
 // Connections is how many there are, kept ones included.
 func (p *Checker) Connections() int { return p.open }
@@ -147,7 +147,7 @@
 		status = balance.StatusError
 	}
 	step := pr.done(now, status)
-	pr.Result.Load = protocol.ParseReport([]byte(report), p.settings.Load().FieldNames)
+	pr.Result.Load = protocol.ParseReport([]byte(report), p.settings.Load().ReportFieldNames)
 	if p.IdleTimeout() <= 0 || slices.ContainsFunc(p.idle, func(k *IdleConnection) bool { return k.backend == pr.Backend.ID }) {
 		p.open--
 		step.Close = append(step.Close, pr.conn)
--- a/internal/healthcheck/checker_test.go
+++ b/internal/healthcheck/checker_test.go
@@ -13,7 +13,7 @@
 
 // A reload that shortens the idle time holds for connections that were kept before it too.
 func TestAKeptConnectionIsUsedWithinTheIdleTimeInForce(t *testing.T) {
-	set := settings.Settings{FieldNames: []string{"x0"}, IdleClose: 5 * time.Second, Settings: balance.Settings{DialTimeout: 250 * time.Millisecond}}
+	set := settings.Settings{ReportFieldNames: []string{"x0"}, IdleTimeout: 5 * time.Second, Settings: balance.Settings{DialTimeout: 250 * time.Millisecond}}
 	p := New(&set, 4)
 	b := &upstream.Backend{ID: 1, Name: "a"}
 	b.SetAddress("h:1")
@@ -26,7 +26,7 @@
 		t.Fatalf("%+v", step)
 	}
 	shorter := set
-	shorter.IdleClose = time.Second
+	shorter.IdleTimeout = time.Second
 	p.SetSettings(&shorter)
 	if _, step = p.Start(800*time.Millisecond, b); !step.Dial || len(step.Close) != 1 || step.Close[0] != "first" || p.Connections() != 1 {
 		t.Errorf("%+v, %d connections", step, p.Connections())
@@ -41,7 +41,7 @@
 	say("# questions to backends, and their answers")
 	for _, set := range []*settings.Settings{names, {}} {
 		p := New(set, 1)
-		say("%d fields: %q", len(set.FieldNames), p.RequestLine())
+		say("%d fields: %q", len(set.ReportFieldNames), p.RequestLine())
 		for _, line := range []string{"PONG", "PONG utilization=0.5,x0=0.25", "PONG x0=0.25", "ERR", "BUSY", ""} {
 			pr := &Check{Backend: &upstream.Backend{ID: 9}, checker: p}
 			pr.ReadAnswer(time.Millisecond, line)
--- a/internal/healthcheck/helpers_test.go
+++ b/internal/healthcheck/helpers_test.go
@@ -44,7 +44,7 @@
 }
 
 var names = &settings.Settings{ClassNames: []string{"chat", "order"}, TenantNames: []string{"acme", "bolt"},
-	ZoneNames: []string{"east", "west"}, KindNames: []string{"k"}, FieldNames: []string{"utilization", "x0"},
+	ZoneNames: []string{"east", "west"}, KindNames: []string{"k"}, ReportFieldNames: []string{"utilization", "x0"},
 	Settings: balance.Settings{PassThrough: true, Classes: []balance.Class{{ClientTimeout: 2 * time.Second}, {}}}}
 
 var goldenStatuses = map[balance.Status]string{balance.StatusOK: "ok", balance.StatusError: "error", balance.StatusOverloaded: "full", balance.StatusTimeout: "timeout",
--- a/internal/protocol/codec_test.go
+++ b/internal/protocol/codec_test.go
@@ -63,7 +63,7 @@
 	for _, line := range []string{"", "UP", "UP\r\n", "UP r1\r\nmore", "UP\n", "UPPER\r\n", "BYE\r\n", "BYE utilization=0.5,x0=1\r\n", "MOVE\r\n", "MOVE now\r\n",
 		"ERR\r\n", "ERR x0=1,utilization=0.25\r\n", "BUSY\r\n", "BUSY 20\r\n", "BUSY x0=0.9,utilization=0.61,new=7\r\n", "BUSY x0=0.9\r\n",
 		"BUSY x0=0.9,utilization=NaN\r\n", "BUSY x0=1e-1,utilization=-2\r\n", "SYNTAX\r\n", "PONG\r\n", "\r\n", strings.Repeat("x", MaxLineLength)} {
-		m := BackendReader{ReportFields: names.FieldNames}
+		m := BackendReader{ReportFields: names.ReportFieldNames}
 		ev, n, err := m.Feed([]byte(line))
 		say("%s: %s, %d bytes, report %v, %v", shortly(line), goldenEvents[ev], n, m.Report, err)
 	}
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -238,7 +238,7 @@
 		case "d":
 			var ms float64
 			ms, err = parseDecimal(value)
-			o.Timeout = settings.Duration(ms)
+			o.Timeout = settings.FromMilliseconds(ms)
 			o.timeoutStart, o.timeoutEnd = at+2, at+len(pair)
 		case "g":
 			o.Request.Group, err = parseID(value)
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -13,7 +13,7 @@
 )
 
 var names = &settings.Settings{ClassNames: []string{"chat", "order"}, TenantNames: []string{"acme", "bolt"},
-	ZoneNames: []string{"east", "west"}, KindNames: []string{"k"}, FieldNames: []string{"utilization", "x0"},
+	ZoneNames: []string{"east", "west"}, KindNames: []string{"k"}, ReportFieldNames: []string{"utilization", "x0"},
 	Settings: balance.Settings{PassThrough: true, Classes: []balance.Class{{ClientTimeout: 2 * time.Second}, {}}}}
 
 func TestParseOpen(t *testing.T) {
@@ -110,12 +110,12 @@
 func TestFirstLinesOfABackend(t *testing.T) {
 	for line, want := range map[string]LineKind{"UP r1\r\n": KindUp, "UP\r\n": KindUp, "BYE\r\n": KindBye, "MOVE\r\n": KindMove,
 		"ERR\r\n": KindError, "BUSY 20\r\n": KindBusy, "SYNTAX\r\n": KindSyntax, "UPPER\r\n": KindUnknown, "\r\n": KindUnknown} {
-		m := BackendReader{ReportFields: names.FieldNames}
+		m := BackendReader{ReportFields: names.ReportFieldNames}
 		if ev, n, err := m.Feed([]byte(line + "more")); ev != want || n != len(line) || err != nil {
 			t.Errorf("%q: %v, %d, %v", line, ev, n, err)
 		}
 	}
-	m := BackendReader{ReportFields: names.FieldNames}
+	m := BackendReader{ReportFields: names.ReportFieldNames}
 	if _, _, err := m.Feed([]byte("BUSY x0=0.9,utilization=0.61\r\n")); err != nil || len(m.Report) != 2 ||
 		m.Report[0] != 0.61 || m.Report[1] != 0.9 {
 		t.Errorf("report %v, %v", m.Report, err)
@@ -124,11 +124,11 @@
 
 func TestParseReport(t *testing.T) {
 	for _, text := range []string{"", "x0=1", "x0=1,utilization=", "x0=1,utilization=NaN", "x0=1,utilization=1e999", "x0"} {
-		if r := ParseReport([]byte(text), names.FieldNames); r != nil {
+		if r := ParseReport([]byte(text), names.ReportFieldNames); r != nil {
 			t.Errorf("%q: %v", text, r)
 		}
 	}
-	if r := ParseReport([]byte("new=7,x0=1,utilization=0"), names.FieldNames); len(r) != 2 || r[1] != 1 {
+	if r := ParseReport([]byte("new=7,x0=1,utilization=0"), names.ReportFieldNames); len(r) != 2 || r[1] != 1 {
 		t.Errorf("%v", r)
 	}
 }
@@ -189,7 +189,7 @@
 	f.Add([]byte("UP r\r\nLOAD 3\r\nBYE\r\n"), 4)
 	f.Add([]byte("BUSY utilization=1,x0=2\r\n"), 7)
 	f.Fuzz(func(t *testing.T, b []byte, split int) {
-		one, two := BackendReader{ReportFields: names.FieldNames}, BackendReader{ReportFields: names.FieldNames}
+		one, two := BackendReader{ReportFields: names.ReportFieldNames}, BackendReader{ReportFields: names.ReportFieldNames}
 		compare(t, one.Feed, two.Feed, b, split)
 		if one.LastKind != two.LastKind {
 			t.Errorf("last word %v or %v", one.LastKind, two.LastKind)
--- a/internal/session/attempt.go
+++ b/internal/session/attempt.go
@@ -116,7 +116,7 @@
 	if closed := a.Backend.ClosedAt(); closed != 0 && now-closed > a.settings.DrainGrace/2 {
 		return head, &AttemptError{stage: stageNotSent, err: ErrBackendDraining}
 	}
-	a.reader = protocol.BackendReader{ReportFields: a.settings.FieldNames}
+	a.reader = protocol.BackendReader{ReportFields: a.settings.ReportFieldNames}
 	before, after := a.open.SplitAtTimeout()
 	return [3][]byte{before, strconv.AppendInt(a.digits[:0], left.Milliseconds(), 10), after}, nil
 }
--- a/internal/session/helpers_test.go
+++ b/internal/session/helpers_test.go
@@ -44,5 +44,5 @@
 }
 
 var names = &settings.Settings{ClassNames: []string{"chat", "order"}, TenantNames: []string{"acme", "bolt"},
-	ZoneNames: []string{"east", "west"}, KindNames: []string{"k"}, FieldNames: []string{"utilization", "x0"},
+	ZoneNames: []string{"east", "west"}, KindNames: []string{"k"}, ReportFieldNames: []string{"utilization", "x0"},
 	Settings: balance.Settings{PassThrough: true, Classes: []balance.Class{{ClientTimeout: 2 * time.Second}, {}}}}
--- a/internal/world/run.go
+++ b/internal/world/run.go
@@ -14,7 +14,7 @@
 	"aspenbarrow/internal/discovery"
 	"aspenbarrow/internal/emulator"
 	"aspenbarrow/internal/measure"
-	"aspenbarrow/internal/route"
+	"aspenbarrow/internal/routing"
 	"aspenbarrow/internal/session"
 	"aspenbarrow/internal/settings"
 	"aspenbarrow/internal/trouble"
@@ -273,7 +273,7 @@
 	}
 	run.served = make([]int, len(run.classes))
 	s := settings.Settings{ClassNames: []string{"watch", "fetch", "submit"}, ZoneNames: zones, KindNames: []string{"k"},
-		FieldNames: []string{"x0"}, IdleClose: 5 * time.Second}
+		ReportFieldNames: []string{"x0"}, IdleTimeout: 5 * time.Second}
 	s.Settings = balance.Settings{RelayCount: 1, Tick: 4 * time.Millisecond, HealthChecks: rng.IntN(8) != 0, Gossip: rng.IntN(4) != 0,
 		Cancellation: true, RetryAfter: rng.IntN(4) != 0, MaxRetryAfter: 1500 * time.Millisecond, MaxAttempts: 4,
 		DialTimeout: 250 * time.Millisecond, AnswerSlack: 16 * time.Millisecond, DrainGrace: 250 * time.Millisecond,
@@ -359,7 +359,7 @@
 		s.RelayIndex, s.RelayCount, s.Zone = r.cfg.Settings.RelayIndex, r.cfg.Settings.RelayCount, r.cfg.Settings.Zone
 		r.cfg.Settings, r.cfg.Routes = s, run.routes()
 		if on && r.cfg.Routes != nil { // the file's classes stand in another order
-			r.cfg.Routes = r.cfg.Routes.Renumber([]int{1, 2, 3})
+			r.cfg.Routes = r.cfg.Routes.RemapClasses([]int{1, 2, 3})
 		}
 		run.check.Retuned(r.number, classes, set.MaxAttempts)
 		if r.up {
@@ -424,17 +424,17 @@
 }
 
 // routes gives each class its timing.
-func (run *run) routes() *route.Table {
-	var all []route.Route
+func (run *run) routes() *routing.Table {
+	var all []routing.Route
 	for i, t := range run.opt.Timings {
-		m := route.Everything
+		m := routing.MatchAll
 		m.Class = i
-		all = append(all, route.Route{Name: run.classes[i].name, Match: m, RetryPolicy: t})
+		all = append(all, routing.Route{Name: run.classes[i].name, Match: m, RetryPolicy: t})
 	}
 	if all == nil {
 		return nil
 	}
-	table, errs := route.New(all)
+	table, errs := routing.NewTable(all)
 	if len(errs) > 0 {
 		panic(errs[0])
 	}
