--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -327,7 +327,7 @@
 		t.Fatal("asked again at once")
 	}
 	for now := 2 * sec; now < 5*sec; now += sec {
-		b.TimerFired(now, tickToken)
+		b.TimerFired(now, maintenanceTimer)
 	}
 	if n := len(r.take("subscribe")); n != 1 {
 		t.Fatalf("asked %d times in 3 s", n)
@@ -370,7 +370,7 @@
 	s.Groups = true
 	b, r := start(t, s, 6)
 	loaded(t, b, r, 1, 10, 7)
-	c := b.calls[1]
+	c := b.requests[1]
 	b.LoadReported(sec, 1, SignalConnectionLoad, 1000)
 	for id := uint64(2); id <= 10; id++ {
 		b.LoadReported(sec, id, SignalConnectionLoad, 500)
@@ -378,8 +378,8 @@
 	r.clear()
 	b.LoadReported(2*sec, 1, SignalMessageDelay, 500)
 	moves := r.take("move")
-	if len(moves) == 0 || moves[0].id != 1 || len(moves) >= len(c.at.open) {
-		t.Fatalf("moved %v of %d", moves, len(c.at.open))
+	if len(moves) == 0 || moves[0].id != 1 || len(moves) >= len(c.backend.openRequests) {
+		t.Fatalf("moved %v of %d", moves, len(c.backend.openRequests))
 	}
 }
 
@@ -388,15 +388,15 @@
 	s := settings()
 	s.Groups = true
 	b, r := start(t, s, 2)
-	var crowd *server
+	var crowd *backend
 	for id := uint64(1); id <= 12; id++ { // a large group on one server
 		loaded(t, b, r, id, 1, 7)
-		crowd = b.calls[1].at
+		crowd = b.requests[1].backend
 	}
 	lone := uint64(0)
 	for group := uint64(100); lone == 0; group++ { // and one of a kind
 		loaded(t, b, r, group, 1, group)
-		if b.calls[group].at == crowd {
+		if b.requests[group].backend == crowd {
 			lone = group
 		}
 	}
@@ -421,11 +421,11 @@
 		for _, a := range r.take("send") {
 			seen[a.to] = true
 			b.AttemptSucceeded(2*sec, AttemptResult{ID: id})
-			b.servers[a.to].limit = 3
+			b.endpoints.byID[a.to].concurrency.limit = 3
 		}
 		refused += len(r.take("refuse"))
 	}
-	if len(seen) != spread || refused == 0 {
+	if len(seen) != groupSpread || refused == 0 {
 		t.Errorf("the group is on %d servers, %d refused", len(seen), refused)
 	}
 }
@@ -440,8 +440,8 @@
 		sent(t, b, r, sec, Request{ID: id, Key: id})
 		b.AttemptSucceeded(sec, AttemptResult{ID: id})
 	}
-	for _, o := range b.ready {
-		o.limit, o.hot = 1.25*b.own(&o.sums), sec
+	for _, o := range b.endpoints.ready {
+		o.concurrency.limit, o.concurrency.lastOverload = 1.25*b.loads.sum(&o.loadSums), sec
 	}
 	r.clear()
 	b.RequestArrived(sec, Request{ID: 50, Key: 50, TimeLeft: sec})
@@ -459,7 +459,7 @@
 		b, r := start(t, s, 6)
 		loaded(t, b, r, 1, 20, 7)
 		b.LoadReported(2*sec, 1, SignalMessageDelay, ms)
-		return b.calls[1].at.limit
+		return b.requests[1].backend.concurrency.limit
 	}
 	if none, little, much, most := limit(19), limit(25), limit(150), limit(1e9); none != 0 || little <= much ||
 		much <= most || most <= 1 {
@@ -477,17 +477,17 @@
 		s := settings()
 		s.Groups, s.HealthChecks, s.ReportFields = true, true, []ReportField{FieldLoadShare}
 		b, r := start(t, s, 6)
-		for _, o := range b.ready {
-			o.heard = sec
+		for _, o := range b.endpoints.ready {
+			o.health.lastResult = sec
 		}
 		loaded(t, b, r, 1, 20, 7)
-		hot := b.calls[1].at
+		hot := b.requests[1].backend
 		b.LoadReported(2*sec, 1, SignalMessageDelay, 25)
 		b.HealthCheckDone(2*sec+10*ms, HealthCheckResult{Backend: hot.ID, Load: []float32{0.9}})
 		r.clear()
 		b.LoadReported(4*sec, 1, SignalMessageDelay, tc.ms)
-		if stay := hot.n - len(r.take("move")); stay < tc.least || stay > tc.most {
-			t.Errorf("%v ms piled up: %d of %d stay", tc.ms, stay, hot.n)
+		if stay := hot.connections - len(r.take("move")); stay < tc.least || stay > tc.most {
+			t.Errorf("%v ms piled up: %d of %d stay", tc.ms, stay, hot.connections)
 		}
 	}
 }
@@ -521,10 +521,10 @@
 // A process that restarts under the same id is cold and owes nothing to its past.
 func TestRestartUnderTheSameIdIsColdAndUnmarked(t *testing.T) {
 	b, r := start(t, settings(), 4)
-	s := b.servers[1]
-	s.limit, s.until, s.bench = 3, 60*sec, 16*sec
+	s := b.endpoints.byID[1]
+	s.concurrency.limit, s.ejection.until, s.ejection.duration = 3, 60*sec, 16*sec
 	b.EndpointsUpdated(30*sec, UpdateDelta, []Backend{{ID: 1, State: StateReady, Weight: 1, ReadyAt: 29 * sec}})
-	if s.limit != 0 || s.until != 0 || s.bench != 0 {
+	if s.concurrency.limit != 0 || s.ejection.until != 0 || s.ejection.duration != 0 {
 		t.Errorf("old marks stay: %+v", s)
 	}
 	n := 0
@@ -543,23 +543,23 @@
 	s := settings()
 	s.Groups, s.HealthChecks, s.ReportFields = true, true, []ReportField{FieldLoadShare}
 	b, r := start(t, s, 6)
-	for _, o := range b.ready {
-		o.heard = sec
+	for _, o := range b.endpoints.ready {
+		o.health.lastResult = sec
 	}
 	loaded(t, b, r, 1, 20, 7)
-	hot := b.calls[1].at
+	hot := b.requests[1].backend
 	claim := HealthCheckResult{Backend: hot.ID, Load: []float32{0.1}}
 	b.LoadReported(2*sec, 1, SignalMessageDelay, 100)
 	b.HealthCheckDone(2*sec+10*ms, claim)
-	first := hot.limit
+	first := hot.concurrency.limit
 	b.LoadReported(3*sec, 1, SignalMessageDelay, 100)
 	b.HealthCheckDone(3*sec+10*ms, claim)
-	if hot.limit >= first {
-		t.Errorf("limit %v after %v: the note did not cut or the report lifted it", hot.limit, first)
+	if hot.concurrency.limit >= first {
+		t.Errorf("limit %v after %v: the note did not cut or the report lifted it", hot.concurrency.limit, first)
 	}
 	b.HealthCheckDone(6*sec, claim)
-	if hot.limit <= first {
-		t.Errorf("limit stays %v though messages are in time", hot.limit)
+	if hot.concurrency.limit <= first {
+		t.Errorf("limit stays %v though messages are in time", hot.concurrency.limit)
 	}
 }
 
@@ -570,8 +570,8 @@
 	b.ClientClosed(sec+10*ms, 1)
 	r.clear()
 	b.AttemptEnded(sec+20*ms, AttemptResult{ID: 1, Backend: to, Status: StatusError})
-	if len(r.did) != 0 || len(b.calls) != 0 {
-		t.Errorf("did %v, %d calls left", r.did, len(b.calls))
+	if len(r.did) != 0 || len(b.requests) != 0 {
+		t.Errorf("did %v, %d calls left", r.did, len(b.requests))
 	}
 }
 
@@ -642,12 +642,12 @@
 			if len(got) != 1 {
 				t.Fatalf("request %d: %v", id, r.did)
 			}
-			if to = got[0].to; learned[b.servers[to].Zone] {
+			if to = got[0].to; learned[b.endpoints.byID[to].Zone] {
 				return b, r, now, id, to
 			}
 			b.TimerFired(now+15*ms, id)
 			for _, late := range r.take("probe") {
-				learned[b.servers[late.to].Zone] = true
+				learned[b.endpoints.byID[late.to].Zone] = true
 				b.HealthCheckDone(now+40*ms, HealthCheckResult{Backend: late.to, Latency: 40 * ms, Load: []float32{0.4}})
 			}
 		}
@@ -668,8 +668,8 @@
 	}
 	b, r, now, id, to = asked() // a way that grows meanwhile leaves no question without an end
 	waits := r.take("after")
-	other := slices.IndexFunc(b.ready, func(o *server) bool { return o.ID != to && o.Zone == b.servers[to].Zone })
-	b.HealthCheckDone(now+10*ms, HealthCheckResult{Backend: b.ready[other].ID, Latency: 300 * ms, Load: []float32{0.4}})
+	other := slices.IndexFunc(b.endpoints.ready, func(o *backend) bool { return o.ID != to && o.Zone == b.endpoints.byID[to].Zone })
+	b.HealthCheckDone(now+10*ms, HealthCheckResult{Backend: b.endpoints.ready[other].ID, Latency: 300 * ms, Load: []float32{0.4}})
 	if by := now + waits[0].wait; by > now+100*ms {
 		t.Errorf("asked for %v", waits[0].wait)
 	} else if b.TimerFired(by, id); !b.Unavailable(by, to) {
@@ -691,16 +691,16 @@
 			b := New(start, uint64(relay), s, r)
 			b.EndpointsUpdated(start, UpdateCached, fleet(11))
 			b.EndpointsUpdated(start, UpdateDelta, []Backend{{ID: 11, State: StateRemoved}})
-			ready := b.ready
+			ready := b.endpoints.ready
 			for i := range conns { // spread over all servers but the one asked for
-				c := b.newCall(now, Request{ID: 100 + i, Group: 100 + i})
+				c := b.newRequest(now, Request{ID: 100 + i, Group: 100 + i})
 				b.attach(c, ready[1+i%9])
 			}
 			for i := range 64 {
 				b.HealthCheckDone(now, HealthCheckResult{Backend: ready[1+i%9].ID, Load: []float32{0.5}})
 			}
 			group := uint64(1)
-			for b.first(mix(group), func(*server) bool { return true }) != ready[0] {
+			for b.ring.first(mixBits(group), func(*backend) bool { return true }) != ready[0] {
 				group++
 			}
 			b.RequestArrived(now, Request{ID: 1, Group: group, TimeLeft: 2 * sec, Reconnecting: back})
@@ -727,7 +727,7 @@
 		t.Errorf("only %d of 80 new clients went to a server with room", n)
 	}
 	// Where relays died and no server, the clients that come back have left their room behind.
-	if n := takes(true, clearEvery, 3, 0.65); n != 80 {
+	if n := takes(true, backupLifetime, 3, 0.65); n != 80 {
 		t.Errorf("%d of 80 clients that came back long after the last loss went to a server with room", n)
 	}
 }
@@ -738,7 +738,7 @@
 	for now := sec; now < 3*sec; now += 125 * ms {
 		b.TimerFired(now, 1)
 	}
-	if n := len(r.take("probe")); n > 2*spread {
+	if n := len(r.take("probe")); n > 2*groupSpread {
 		t.Errorf("%d probes for one connection", n)
 	}
 	if len(r.take("send"))+len(r.take("refuse")) != 1 {
@@ -769,15 +769,15 @@
 func TestProbesOfManyRelaysDoNotAddUp(t *testing.T) {
 	probes := func(conns uint64) int {
 		b, r := blindRelay(t, 1)
-		b.ready[0].heard = sec
+		b.endpoints.ready[0].health.lastResult = sec
 		for id := uint64(1); id <= conns; id++ {
 			sent(t, b, r, sec, Request{ID: id, Key: 1, Group: 7})
 			b.AttemptSucceeded(sec, AttemptResult{ID: id})
 		}
 		r.clear()
 		for now := 2 * sec; now < 102*sec; now += sec {
-			b.ready[0].limit, b.ready[0].probing = 1000, false
-			b.TimerFired(now, tickToken)
+			b.endpoints.ready[0].concurrency.limit, b.endpoints.ready[0].health.checkPending = 1000, false
+			b.TimerFired(now, maintenanceTimer)
 		}
 		return len(r.take("probe"))
 	}
@@ -789,12 +789,12 @@
 // One failure may be all that a relay sees of a server in a minute.
 func TestOneFailureSuspendsAndTheSuspendedShareIsCapped(t *testing.T) {
 	b, _ := start(t, settings(), 9)
-	for _, s := range b.ready {
-		b.judge(2*sec, s, StatusError)
+	for _, s := range b.endpoints.ready {
+		b.ejectOnFailure(2*sec, s, StatusError)
 	}
 	out := 0
-	for _, s := range b.ready {
-		if s.until > 2*sec {
+	for _, s := range b.endpoints.ready {
+		if s.ejection.until > 2*sec {
 			out++
 		}
 	}
@@ -847,18 +847,18 @@
 			b := New(sec, seed, settings(), r)
 			b.EndpointsUpdated(sec, UpdateCached, list)
 			sent(t, b, r, sec, Request{ID: 1, Key: seed})
-			weak := b.calls[1].at
+			weak := b.requests[1].backend
 			b.AttemptSucceeded(sec, AttemptResult{ID: 1})
 			for now := 2 * sec; now < 32*sec; now += sec {
 				if now < sec*time.Duration(2+late) {
 					b.LoadReported(now, 1, SignalMessageDelay, 21)
 				}
-				b.TimerFired(now, tickToken)
+				b.TimerFired(now, maintenanceTimer)
 			}
 			b.AttemptEnded(32*sec, AttemptResult{ID: 1, Backend: weak.ID, Status: StatusCancelled})
-			b.TimerFired(43*sec, tickToken) // what it can bear is forgotten, its kind is not
+			b.TimerFired(43*sec, maintenanceTimer) // what it can bear is forgotten, its kind is not
 			to := sent(t, b, r, 43*sec, Request{ID: 2, Key: seed, Reconnecting: back})
-			if b.servers[to].Kind == weak.Kind {
+			if b.endpoints.byID[to].Kind == weak.Kind {
 				n++
 			}
 		}
@@ -885,14 +885,14 @@
 	b.AttemptSucceeded(sec, AttemptResult{ID: 1})
 	b.LoadReported(2*sec, 1, SignalMessageDelay, 200)
 	b.AttemptEnded(3*sec, AttemptResult{ID: 1, Backend: to, Status: StatusCancelled, Closed: true})
-	if len(b.busy) != 1 || b.servers[to].limit == 0 {
-		t.Fatalf("busy %d, limit %v right after", len(b.busy), b.servers[to].limit)
+	if len(b.concurrency.watched) != 1 || b.endpoints.byID[to].concurrency.limit == 0 {
+		t.Fatalf("busy %d, limit %v right after", len(b.concurrency.watched), b.endpoints.byID[to].concurrency.limit)
 	}
 	for now := 4 * sec; now < 20*sec; now += sec {
-		b.TimerFired(now, tickToken)
+		b.TimerFired(now, maintenanceTimer)
 	}
-	if len(b.busy) != 0 || b.servers[to].limit != 0 {
-		t.Errorf("busy %d, limit %v long after", len(b.busy), b.servers[to].limit)
+	if len(b.concurrency.watched) != 0 || b.endpoints.byID[to].concurrency.limit != 0 {
+		t.Errorf("busy %d, limit %v long after", len(b.concurrency.watched), b.endpoints.byID[to].concurrency.limit)
 	}
 }
 
@@ -910,11 +910,11 @@
 		s := settings()
 		s.ReportsMessageDelay, s.ReportFields = c.tells, []ReportField{FieldLoadShare}
 		b, _ := start(t, s, c.servers)
-		b.set.Groups, b.crowd = true, c.crowd
-		q := b.newCall(sec, Request{ID: 1, Group: 7, TimeLeft: 2 * sec})
+		b.settings.Groups, b.health.meanUtilization = true, c.crowd
+		q := b.newRequest(sec, Request{ID: 1, Group: 7, TimeLeft: 2 * sec})
 		n := 0
-		for s := b.place(sec, q); s != nil; s = b.place(sec, q) {
-			s.until, n = 60*sec, n+1
+		for s := b.choosePlacement(sec, q); s != nil; s = b.choosePlacement(sec, q) {
+			s.ejection.until, n = 60*sec, n+1
 		}
 		if n != c.want {
 			t.Errorf("%d servers, %.1f full: a group went to %d, want %d", c.servers, c.crowd, n, c.want)
@@ -937,7 +937,7 @@
 // ticks runs upkeep at a time and counts the moves, which end their connections.
 func ticks(b *Balancer, r *recorder, now time.Duration) int {
 	r.clear()
-	b.TimerFired(now, tickToken)
+	b.TimerFired(now, maintenanceTimer)
 	moves := r.take("move")
 	for _, m := range moves {
 		b.AttemptEnded(now, AttemptResult{ID: m.id, Status: StatusCancelled, Closed: true})
@@ -952,10 +952,10 @@
 	list[0].State = StateDraining
 	b.EndpointsUpdated(2*sec, UpdateDelta, list[:1])
 	left, most := at[1], 0
-	for beats := time.Duration(1); beats <= drainTime/beat; beats++ {
+	for beats := time.Duration(1); beats <= backendDrainTime/maintenanceInterval; beats++ {
 		n := ticks(b, r, 2*sec+beats*sec)
 		left, most = left-n, max(most, n)
-		if beats == drainTime/beat/2 && left < at[1]/3 { // what leaves early overloads others for a server that still serves
+		if beats == backendDrainTime/maintenanceInterval/2 && left < at[1]/3 { // what leaves early overloads others for a server that still serves
 			t.Errorf("%d of %d stay at half time", left, at[1])
 		}
 	}
@@ -965,8 +965,8 @@
 	if most > at[1]/4+1 {
 		t.Errorf("%d of %d moved at once", most, at[1])
 	}
-	if at[2] == 0 || len(b.servers[2].open) != at[2] {
-		t.Errorf("%d of %d connections of the other server stay", len(b.servers[2].open), at[2])
+	if at[2] == 0 || len(b.endpoints.byID[2].openRequests) != at[2] {
+		t.Errorf("%d of %d connections of the other server stay", len(b.endpoints.byID[2].openRequests), at[2])
 	}
 }
 
@@ -981,9 +981,9 @@
 
 // leaving fires the timer of moves off a relay from one time up to another and says how many moved at each step.
 func leaving(b *Balancer, r *recorder, from, to time.Duration) (moved []int) {
-	for now := from; now < to; now += step {
+	for now := from; now < to; now += drainStep {
 		r.clear()
-		b.TimerFired(now, leaveToken)
+		b.TimerFired(now, drainTimer)
 		got := r.take("move")
 		for _, m := range got {
 			b.AttemptEnded(now, AttemptResult{ID: m.id, Status: StatusCancelled, Closed: true})
@@ -1015,13 +1015,13 @@
 		case !pass && (total(moved) != 90 || slices.Max(moved) > 15 || total(moved[:10]) < 30):
 			t.Errorf("%v moved, of 90", moved)
 		}
-		if b.TimerFired(4*sec, tickToken); pass {
+		if b.TimerFired(4*sec, maintenanceTimer); pass {
 			continue
 		}
 		// Whoever comes up after that is asked to move at the next step.
 		b.RequestArrived(4*sec, Request{ID: 200, Key: 9, TimeLeft: 2 * sec})
 		b.AttemptSucceeded(4*sec, AttemptResult{ID: 200})
-		if late := leaving(b, r, 4*sec+step, 4*sec+2*step); total(late) != 1 {
+		if late := leaving(b, r, 4*sec+drainStep, 4*sec+2*drainStep); total(late) != 1 {
 			t.Errorf("%v moved of one that came late", late)
 		}
 	}
@@ -1035,8 +1035,8 @@
 	r.clear()
 	b.DrainBy(2*sec, 4*sec)
 	first := total(leaving(b, r, 2*sec, 2500*ms))
-	if b.DrainBy(2500*ms, 9*sec); b.leaves != 4*sec { // seed 1193: SIGTERM within a drain put its end off
-		t.Errorf("a drain until 4 s ends at %v", b.leaves)
+	if b.DrainBy(2500*ms, 9*sec); b.drain.deadline != 4*sec { // seed 1193: SIGTERM within a drain put its end off
+		t.Errorf("a drain until 4 s ends at %v", b.drain.deadline)
 	}
 	b.DrainBy(2500*ms, 0)
 	b.DrainBy(2500*ms, 5*sec)
@@ -1048,9 +1048,9 @@
 	if first == 0 || first > 30 || rest != 0 {
 		t.Errorf("%d moved before, %d after it was told to stay", first, rest)
 	}
-	for _, s := range b.servers {
-		if s.limit != 0 {
-			t.Errorf("server %d bears %v, though it showed no trouble", s.ID, s.limit)
+	for _, s := range b.endpoints.byID {
+		if s.concurrency.limit != 0 {
+			t.Errorf("server %d bears %v, though it showed no trouble", s.ID, s.concurrency.limit)
 		}
 	}
 }
@@ -1066,7 +1066,7 @@
 	r.clear()
 	b.DrainBy(2*sec, 3500*ms)
 	leaving(b, r, 2*sec, 3500*ms)
-	if left := b.servers[1].n; at[1] == 0 || left != 0 {
+	if left := b.endpoints.byID[1].connections; at[1] == 0 || left != 0 {
 		t.Errorf("of %d on the draining server %d are left when the relay ends", at[1], left)
 	}
 }
@@ -1079,7 +1079,7 @@
 	b.EndpointsUpdated(2*sec, UpdateDelta, list[:1])
 	ticks(b, r, 3*sec)
 	b.EndpointsUpdated(4*sec, UpdateDelta, fleet(2)[:1])
-	if l := b.servers[1].limit; l != 0 {
+	if l := b.endpoints.byID[1].concurrency.limit; l != 0 {
 		t.Errorf("the limit of the drain, %v, stays", l)
 	}
 }
@@ -1112,7 +1112,7 @@
 			for beats := 1; beats <= 40; beats++ {
 				r.clear()
 				now := sec + time.Duration(beats)*sec
-				b.TimerFired(now, tickToken)
+				b.TimerFired(now, maintenanceTimer)
 				probes += len(r.take("probe"))
 				b.HealthCheckDone(now, HealthCheckResult{Backend: 1, Load: []float32{0.3}})
 			}
@@ -1135,7 +1135,7 @@
 		b, r := start(t, untold(), 1)
 		asked(b, 10, 0.3)
 		r.clear()
-		b.crowd, b.tells = tc.crowd, tc.tells
+		b.health.meanUtilization, b.health.reports = tc.crowd, tc.tells
 		b.HealthCheckDone(4*sec, HealthCheckResult{Backend: 1, Load: []float32{tc.load}})
 		if n := len(r.take("move")); (n > 0) != tc.moves {
 			t.Errorf("others at %v, this one at %v: %d of 10 moved", tc.crowd, tc.load, n)
@@ -1224,7 +1224,7 @@
 			s.ReportsMessageDelay = tc.tells
 			b, r := start(t, s, 1)
 			asked(b, 10, 0.3)
-			b.servers[1].pace, b.servers[1].paces = 0, 0
+			b.endpoints.byID[1].latency.baseline, b.endpoints.byID[1].latency.samples = 0, 0
 			r.clear()
 			for i, took := range tc.took {
 				b.HealthCheckDone(4*sec+time.Duration(i)*ms, HealthCheckResult{Backend: 1, Latency: took * time.Microsecond, Load: []float32{0.3}})
@@ -1241,8 +1241,8 @@
 func TestLimitsFollowTheMeasureOfT(t *testing.T) {
 	b, r := start(t, untold(), 1)
 	asked(b, 10, 0.1)
-	b.upkeep(sec)
-	b.servers[1].limit = 12 * b.meanLoad()
+	b.runMaintenance(sec)
+	b.endpoints.byID[1].concurrency.limit = 12 * b.loads.meanConnection()
 	r.clear()
 	for i, load := range []float64{50000, 20000, 80000} {
 		b.LoadReported(2*sec, uint64(i+1), SignalConnectionLoad, load)
@@ -1251,15 +1251,15 @@
 	if n := len(r.take("move")); n != 0 {
 		t.Errorf("%d moves", n)
 	}
-	s := b.servers[1]
-	if least := b.own(&s.sums); s.limit < least || s.limit > 20*least {
-		t.Errorf("limit %v where T is %v", s.limit, least)
+	s := b.endpoints.byID[1]
+	if least := b.loads.sum(&s.loadSums); s.concurrency.limit < least || s.concurrency.limit > 20*least {
+		t.Errorf("limit %v where T is %v", s.concurrency.limit, least)
 	}
-	t0 := b.own(&s.sums)
-	was := s.limit
+	t0 := b.loads.sum(&s.loadSums)
+	was := s.concurrency.limit
 	b.LoadReported(3*sec, 1, SignalConnectionLoad, 250000) // a change of its own is one of T
-	if grew := b.own(&s.sums) / t0; grew < 1.2 || s.limit > was*grew*0.95 {
-		t.Errorf("T grew %v times, the limit %v times", grew, s.limit/was)
+	if grew := b.loads.sum(&s.loadSums) / t0; grew < 1.2 || s.concurrency.limit > was*grew*0.95 {
+		t.Errorf("T grew %v times, the limit %v times", grew, s.concurrency.limit/was)
 	}
 }
 
@@ -1268,7 +1268,7 @@
 	s.Gossip = true
 	relay := func() (*Balancer, *recorder) {
 		b, r := start(t, s, 2)
-		for range surePace + 1 {
+		for range minLatencySamples + 1 {
 			for id := BackendID(1); id <= 2; id++ {
 				b.HealthCheckDone(sec, HealthCheckResult{Backend: id, Latency: ms, Load: []float32{0.3}})
 			}
@@ -1291,16 +1291,16 @@
 	if n := len(seen.take("move")); n != 0 {
 		t.Errorf("%d moved for what is no notice", n)
 	}
-	other.GossipReceived(4*sec, 1, notice(b.servers[1]))
-	if n := len(seen.take("move")); n != 0 || !other.servers[1].probing {
-		t.Errorf("by another relay's word alone %d clients move; it is asked: %v", n, other.servers[1].probing)
+	other.GossipReceived(4*sec, 1, encodeOverloadNotice(b.endpoints.byID[1]))
+	if n := len(seen.take("move")); n != 0 || !other.endpoints.byID[1].health.checkPending {
+		t.Errorf("by another relay's word alone %d clients move; it is asked: %v", n, other.endpoints.byID[1].health.checkPending)
 	}
 	other.HealthCheckDone(4*sec+2*ms, HealthCheckResult{Backend: 1, Latency: 2 * ms, Load: []float32{0.3}})
 	if n := len(seen.take("move")); n == 0 {
 		t.Error("the other relay keeps all its clients there")
 	}
 	third, calm := relay()
-	third.GossipReceived(4*sec, 1, notice(b.servers[1]))
+	third.GossipReceived(4*sec, 1, encodeOverloadNotice(b.endpoints.byID[1]))
 	third.HealthCheckDone(4*sec+ms, HealthCheckResult{Backend: 1, Latency: ms, Load: []float32{0.3}})
 	if n := len(calm.take("move")); n != 0 {
 		t.Errorf("one relay's mistake moves %d clients at another that sees nothing wrong", n)
--- a/balance/bench_test.go
+++ b/balance/bench_test.go
@@ -15,8 +15,8 @@
 		list[i].Weight = float64(1 + i%3)
 	}
 	b.EndpointsUpdated(sec, UpdateFull, list)
-	for _, o := range b.ready {
-		o.heard = time.Hour
+	for _, o := range b.endpoints.ready {
+		o.health.lastResult = time.Hour
 	}
 	for id := uint64(1); id <= 300; id++ {
 		b.RequestArrived(sec, Request{ID: id, Key: id, Group: 1 + id%40, TimeLeft: 2 * sec})
@@ -29,11 +29,11 @@
 	for _, n := range []int{12, 120, 480} {
 		bench.Run(fmt.Sprint(n), func(bench *testing.B) {
 			b, _ := benchRelay(n)
-			c := b.newCall(sec, Request{ID: 1 << 40, Key: 5, TimeLeft: 2 * sec})
+			c := b.newRequest(sec, Request{ID: 1 << 40, Key: 5, TimeLeft: 2 * sec})
 			bench.ReportAllocs()
 			for i := 0; bench.Loop(); i++ {
-				c.key = mix(uint64(i % 1000))
-				b.place(2*sec, c)
+				c.hashKey = mixBits(uint64(i % 1000))
+				b.choosePlacement(2*sec, c)
 			}
 		})
 	}
@@ -58,17 +58,17 @@
 	for _, n := range []int{12, 120, 480} {
 		bench.Run(fmt.Sprint(n), func(bench *testing.B) {
 			b, r := benchRelay(n)
-			for i, o := range b.ready {
-				o.probing = true
+			for i, o := range b.endpoints.ready {
+				o.health.checkPending = true
 				if i%10 == 0 {
-					o.limit = 1e9
+					o.concurrency.limit = 1e9
 				}
 			}
 			bench.ReportAllocs()
 			for now := 3 * sec; bench.Loop(); now += sec {
 				r.clear()
-				b.TimerFired(now, tickToken)
-				b.ready[0].limit = 1e9
+				b.TimerFired(now, maintenanceTimer)
+				b.endpoints.ready[0].concurrency.limit = 1e9
 			}
 		})
 	}
--- a/balance/codec_test.go
+++ b/balance/codec_test.go
@@ -62,7 +62,7 @@
 		r := &teller{}
 		b := New(sec, 1, s, r)
 		b.EndpointsUpdated(sec, UpdateCached, []Backend{{ID: slow, State: StateReady, Weight: 1}, {ID: well, State: StateReady, Zone: 1, Weight: 1}})
-		for range surePace + 1 {
+		for range minLatencySamples + 1 {
 			for _, id := range []BackendID{slow, well} {
 				b.HealthCheckDone(sec, HealthCheckResult{Backend: id, Latency: ms, Load: []float32{0.3}})
 			}
--- a/balance/cold_test.go
+++ b/balance/cold_test.go
@@ -40,7 +40,7 @@
 	probe := New(sec, 1, set, &recorder{})
 	probe.EndpointsUpdated(sec, UpdateCached, append(fleet(coldServers), Backend{ID: 99, State: StateReady, Weight: 1}))
 	for len(keys) < 400 {
-		if key := rng.Uint64(); probe.first(mix(key), func(*server) bool { return true }).ID == 99 {
+		if key := rng.Uint64(); probe.ring.first(mixBits(key), func(*backend) bool { return true }).ID == 99 {
 			keys = append(keys, key)
 		}
 	}
@@ -175,10 +175,10 @@
 		sends := 0
 		for id := uint64(1); id <= 40; id++ {
 			q := Request{ID: id, Key: id, MidStream: true, TimeLeft: 2 * sec}
-			c := b.newCall(20*sec, q)
-			delete(b.calls, id)
+			c := b.newRequest(20*sec, q)
+			delete(b.requests, id)
 			if known {
-				b.remember(20*sec, c, b.servers[9])
+				b.sticky.remember(20*sec, c.flowKey, b.endpoints.byID[9])
 			}
 			if sent(t, b, r, 20*sec, q) == 9 {
 				sends++
@@ -216,7 +216,7 @@
 				x := relay{r: &recorder{}}
 				x.b = New(sec, rng.Uint64(), set, x.r)
 				x.b.EndpointsUpdated(sec, UpdateCached, fleet(warm))
-				for s := range sureCrowd {
+				for s := range minFleetReports {
 					x.b.HealthCheckDone(sec, HealthCheckResult{Backend: BackendID(1 + s%warm), Latency: ms, Load: []float32{0.5}})
 				}
 				for range int(fills*warm/float64(relays) + rng.Float64()) {
--- /dev/null
+++ b/balance/doc.go
@@ -0,0 +1,16 @@
+// Package balance decides which backend serves each long-lived connection.
+//
+// A Balancer holds the decisions of one relay: placement, admission, retries,
+// outlier ejection, concurrency limits, slow start, health checks and draining.
+// Events are methods on Balancer, each given the current time; decisions leave
+// through the Actions interface.
+//
+// The package does no I/O. It starts no goroutines, reads no clock and knows no
+// wire format, socket or file; randomness comes from a generator seeded by the
+// caller. The same events at the same times therefore give the same actions.
+// A Balancer is not safe for concurrent use.
+//
+// Placement follows the "power of one random choice" of Maat ("Maat: A Fair and
+// Scalable Layer-4 Load Balancer With Per-Connection Consistency", section III).
+// Where and why it departs from the paper is in docs/design.md.
+package balance
--- /dev/null
+++ b/balance/inspect.go
@@ -0,0 +1,80 @@
+package balance
+
+import (
+	"fmt"
+	"time"
+)
+
+// InvariantError reports that the counts of connections disagree.
+type InvariantError struct {
+	Total     int // counted over all backends
+	ByBackend int // sum of the backends' counts
+	Listed    int // sum of the lengths of the backends' lists
+	ByGroup   int // sum of the groups' counts
+	ByTenant  int // sum of the tenants' counts
+}
+
+func (e *InvariantError) Error() string {
+	return fmt.Sprintf("%d connections in all, %d by backend, %d in lists, %d by group, %d by tenant",
+		e.Total, e.ByBackend, e.Listed, e.ByGroup, e.ByTenant)
+}
+
+func (e *InvariantError) isConsistent() bool {
+	return e.Total == e.ByBackend && e.Total == e.Listed && e.Total == e.ByGroup && e.Total == e.ByTenant
+}
+
+// CheckInvariants returns an *InvariantError if the connections counted in all, by backend, by group and by tenant
+// disagree. It may be called at any time between two events.
+func (b *Balancer) CheckInvariants() error {
+	counts := &InvariantError{Total: b.loads.total.connections}
+	for _, s := range b.endpoints.byID {
+		counts.ByBackend += s.connections
+		counts.Listed += len(s.openRequests)
+		for _, count := range s.groupConnections {
+			counts.ByGroup += count
+		}
+	}
+	for _, count := range b.quotas.connections {
+		counts.ByTenant += count
+	}
+	if counts.isConsistent() {
+		return nil
+	}
+	return counts
+}
+
+// Connections returns the number of pending and open connections, and the sum of the backends' counts, which has to equal it.
+func (b *Balancer) Connections() (all, byBackend int) {
+	for _, s := range b.endpoints.byID {
+		byBackend += s.connections
+	}
+	return b.loads.total.connections, byBackend
+}
+
+// CountUnavailable returns how many backends the endpoint list holds, and how many of them get no new request now: draining,
+// ejected or at their limit.
+func (b *Balancer) CountUnavailable(now time.Duration) (listed, unavailable int) {
+	for id, s := range b.endpoints.byID {
+		if s.State == StateRemoved {
+			continue
+		}
+		listed++
+		if b.Unavailable(now, id) {
+			unavailable++
+		}
+	}
+	return listed, unavailable
+}
+
+// Unavailable reports whether a listed backend gets no new request now.
+func (b *Balancer) Unavailable(now time.Duration, id BackendID) bool {
+	s := b.endpoints.byID[id]
+	if s == nil || s.State == StateRemoved {
+		return false
+	}
+	if s.State == StateDraining || s.ejection.until > now {
+		return true
+	}
+	limit := s.concurrency.limit
+	return limit > 0 && s.connections > 0 && b.loads.sum(&s.loadSums) >= limit
+}
--- a/balance/memory_test.go
+++ b/balance/memory_test.go
@@ -36,23 +36,23 @@
 	b, r := start(t, s, 6)
 	to := sent(t, b, r, sec, Request{ID: 1, Key: 11})
 	b.AttemptEnded(sec, AttemptResult{ID: 1, Backend: to, Status: StatusError})
-	b.remember(sec, &call{flow: 77}, b.servers[5])
+	b.sticky.remember(sec, 77, b.endpoints.byID[5])
 	sent(t, b, r, sec, Request{ID: 2, Key: 12, Class: 1})
 	b.LoadReported(sec, 2, SignalConnectionLoad, 40)
-	cold := b.servers[2]
-	cold.ReadyAt, cold.filled, cold.budget = sec, sec+500*ms, 2
+	cold := b.endpoints.byID[2]
+	cold.ReadyAt, cold.slowStart.refillAt, cold.slowStart.tokens = sec, sec+500*ms, 2
 	n, _ := heir(t, s, 6, sec+10*ms, b.Snapshot())
-	if got := n.servers[to]; got.until != b.servers[to].until || got.until <= sec || len(n.out) != 1 {
-		t.Errorf("server %d is suspended until %v, was until %v; %d are out", to, got.until, b.servers[to].until, len(n.out))
+	if got := n.endpoints.byID[to]; got.ejection.until != b.endpoints.byID[to].ejection.until || got.ejection.until <= sec || len(n.outliers.ejected) != 1 {
+		t.Errorf("server %d is suspended until %v, was until %v; %d are out", to, got.ejection.until, b.endpoints.byID[to].ejection.until, len(n.outliers.ejected))
 	}
-	if got := n.servers[2]; got.budget != 2 || got.filled != sec+500*ms {
-		t.Errorf("the cold server may get %v more until %v", got.budget, got.filled)
+	if got := n.endpoints.byID[2]; got.slowStart.tokens != 2 || got.slowStart.refillAt != sec+500*ms {
+		t.Errorf("the cold server may get %v more until %v", got.slowStart.tokens, got.slowStart.refillAt)
 	}
-	if d := n.divert[77]; d.to == nil || d.to.ID != 5 || len(n.order) != 1 {
+	if d := n.sticky.overrides[77]; d.backend == nil || d.backend.ID != 5 || len(n.sticky.order) != 1 {
 		t.Errorf("the diverted flow goes to %+v", d)
 	}
-	if n.usual[1] != b.usual[1] || n.seen[1] != b.seen[1] {
-		t.Errorf("a connection of class 1 loads %v, was %v", n.usual[1], b.usual[1])
+	if n.loads.classLoads[1] != b.loads.classLoads[1] || n.loads.classSamples[1] != b.loads.classSamples[1] {
+		t.Errorf("a connection of class 1 loads %v, was %v", n.loads.classLoads[1], b.loads.classLoads[1])
 	}
 }
 
@@ -62,8 +62,8 @@
 	b, r := start(t, settings(), 2)
 	opened(t, b, r, 40)
 	n, nr := heir(t, settings(), 2, 2*sec, b.Snapshot())
-	full := b.servers[1]
-	b.overload(2*sec, full, 0.5)
+	full := b.endpoints.byID[1]
+	b.lowerLimit(2*sec, full, 0.5)
 	n.UpdateOtherProcess(2*sec+100*ms, b.Snapshot())
 	for id := uint64(1); id <= 30; id++ {
 		if to := sent(t, n, nr, 2*sec+200*ms, Request{ID: id, Key: id}); to == 1 {
@@ -71,7 +71,7 @@
 		}
 	}
 	n.UpdateOtherProcess(3*sec, Snapshot{})
-	if n.servers[1].also != 0 || n.servers[2].also != 0 {
+	if n.endpoints.byID[1].otherProcess != 0 || n.endpoints.byID[2].otherProcess != 0 {
 		t.Error("the old process's connections still count though it has ended")
 	}
 }
@@ -82,8 +82,8 @@
 	s.PassThrough, s.Classes[0].NameHash = true, 0xc0ffee
 	b, r := start(t, s, 6)
 	home := sent(t, b, r, sec, Request{ID: 1, Key: 5})
-	other := b.servers[home%6+1]
-	b.remember(sec, b.calls[1], other)
+	other := b.endpoints.byID[home%6+1]
+	b.sticky.remember(sec, b.requests[1].flowKey, other)
 	changed := s
 	changed.Classes = append(slices.Clone(s.Classes), Class{LatencyObjective: 400 * ms, ClientTimeout: sec, Idempotency: NonIdempotent, NameHash: 0xc0ffee})
 	b.UpdateSettings(changed)
@@ -103,13 +103,13 @@
 		{ID: 1, EjectedUntil: 1 << 60, EjectionTime: 1 << 60, LastOverload: 1 << 60, LastHealthCheck: 1 << 60, SlowStartRefill: -5, ConcurrencyLimit: -1, SlowStartTokens: 1e300, LatencySamples: 1 << 30, TrackedLoad: -7},
 		{ID: 99, EjectedUntil: 1 << 60}}, StickyOverrides: []StickyOverride{{1, 99, now}, {2, 1, 1 << 60}}, ClassLoads: []float64{1}, ClassLoadSamples: []float64{1},
 		KindLateness: map[int][2]float64{0: {1, -1}, 1: {-1, 1}}, MeanUtilization: 1e9, UtilizationReports: -4, LastBackendLoss: 1 << 60})
-	s := n.servers[1]
-	if s.until > now+16*beat || s.bench > 16*beat || s.hot > now || s.heard > now || s.filled < 0 || s.limit != 0 || s.budget > maxBudget ||
-		s.paces > surePace+1 || s.also != 0 || math.IsInf(s.budget, 0) {
+	s := n.endpoints.byID[1]
+	if s.ejection.until > now+maxEjection || s.ejection.duration > maxEjection || s.concurrency.lastOverload > now || s.health.lastResult > now || s.slowStart.refillAt < 0 || s.concurrency.limit != 0 || s.slowStart.tokens > maxSlowStartTokens ||
+		s.latency.samples > minLatencySamples+1 || s.otherProcess != 0 || math.IsInf(s.slowStart.tokens, 0) {
 		t.Errorf("%+v", s)
 	}
-	if len(n.divert) != 1 || n.divert[2].at > now || len(n.kinds) != 0 || n.crowd > 2 || n.tells < 0 || n.lost > now {
-		t.Errorf("diverted %v, kinds %v, crowd %v, %d tells, lost %v", n.divert, n.kinds, n.crowd, n.tells, n.lost)
+	if len(n.sticky.overrides) != 1 || n.sticky.overrides[2].at > now || len(n.outliers.kinds) != 0 || n.health.meanUtilization > 2 || n.health.reports < 0 || n.endpoints.lastLoss > now {
+		t.Errorf("diverted %v, kinds %v, crowd %v, %d tells, lost %v", n.sticky.overrides, n.outliers.kinds, n.health.meanUtilization, n.health.reports, n.endpoints.lastLoss)
 	}
 }
 
@@ -119,8 +119,8 @@
 	s.PassThrough = true
 	b, r := start(t, s, 6)
 	home := sent(t, b, r, sec, Request{ID: 1, Key: 5})
-	b.servers[home].limit, b.servers[home].hot = 0.5, sec
-	b.servers[home].until = 10 * sec
+	b.endpoints.byID[home].concurrency.limit, b.endpoints.byID[home].concurrency.lastOverload = 0.5, sec
+	b.endpoints.byID[home].ejection.until = 10 * sec
 	if to := sent(t, b, r, sec, Request{ID: 2, Key: 5, MidStream: true}); to != home {
 		t.Errorf("they go to %d, not to %d that holds it", to, home)
 	}
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -217,7 +217,7 @@
 	}
 	slices.SortStableFunc(j.timers, func(x, y timer) int { return cmp.Compare(x.at, y.at) })
 	for _, tm := range j.timers[:len(j.timers):len(j.timers)] { // the deadlines of what is still held
-		if tm.token != tickToken {
+		if tm.token != maintenanceTimer {
 			j.now = max(j.now, tm.at)
 			b.TimerFired(j.now, tm.token)
 		}
@@ -227,13 +227,13 @@
 			t.Fatalf("request %d never got a final answer", id)
 		}
 	}
-	placed := map[*server]int{}
-	for _, c := range b.calls {
-		placed[c.at]++
+	placed := map[*backend]int{}
+	for _, c := range b.requests {
+		placed[c.backend]++
 	}
-	for _, sv := range b.servers {
-		if own := b.own(&sv.sums); math.IsNaN(own) || own < 0 || len(sv.open) != placed[sv] {
-			t.Fatalf("backend %d: T %v, %d connections of %d", sv.ID, own, len(sv.open), placed[sv])
+	for _, sv := range b.endpoints.byID {
+		if own := b.loads.sum(&sv.loadSums); math.IsNaN(own) || own < 0 || len(sv.openRequests) != placed[sv] {
+			t.Fatalf("backend %d: T %v, %d connections of %d", sv.ID, own, len(sv.openRequests), placed[sv])
 		}
 	}
 	return j.log
--- a/balance/shape_test.go
+++ b/balance/shape_test.go
@@ -58,7 +58,7 @@
 				t.Errorf("refused as %v, want one with a time to come back", got)
 			}
 			how, took = func(BackendID) Status { return StatusOK }, 10*ms
-			now += longestGap * 2
+			now += maxAttemptInterval * 2
 			flood(b, r, &now, &id, 2000, took, how)
 			if n := flood(b, r, &now, &id, 100, took, how); n != 100 {
 				t.Errorf("%d of 100 attempts once all is well again", n)
@@ -87,8 +87,8 @@
 		b, r := start(t, s, 12)
 		now, id := sec, uint64(0)
 		flood(b, r, &now, &id, 40, c.took, func(BackendID) Status { return c.st })
-		if got := b.gap > 0; got != c.gap {
-			t.Errorf("%s: attempts are spaced out by %v", c.what, b.gap)
+		if got := b.pacer.interval > 0; got != c.gap {
+			t.Errorf("%s: attempts are spaced out by %v", c.what, b.pacer.interval)
 		}
 	}
 }
@@ -100,7 +100,7 @@
 	b, r := start(t, s, 12)
 	now, id := sec, uint64(0)
 	flood(b, r, &now, &id, 40, 10*ms, func(BackendID) Status { return StatusError })
-	if now >= b.due {
+	if now >= b.pacer.nextAttempt {
 		t.Fatal("attempts are not spaced out")
 	}
 	r.clear()
@@ -125,8 +125,8 @@
 		}
 		return StatusOK
 	})
-	if b.gap != 0 {
-		t.Errorf("attempts are spaced out by %v", b.gap)
+	if b.pacer.interval != 0 {
+		t.Errorf("attempts are spaced out by %v", b.pacer.interval)
 	}
 }
 
@@ -163,7 +163,7 @@
 		}
 		r.clear()
 		q := Request{ID: 99, Key: 99, Group: 99, TimeLeft: 2 * sec}
-		b.first(mix(q.Group), func(*server) bool { return true }).until = 60 * sec
+		b.ring.first(mixBits(q.Group), func(*backend) bool { return true }).ejection.until = 60 * sec
 		b.RequestArrived(3*sec, q)
 		if got := len(r.take("send")) == 0; got != c.stays {
 			t.Errorf("%+v: the group stayed at its home: %v", c, got)
@@ -179,17 +179,17 @@
 	s.Groups = true
 	b, r := start(t, s, 6)
 	loaded(t, b, r, 1, 20, 7)
-	at := b.calls[1].at
-	bore := b.own(&at.sums)
+	at := b.requests[1].backend
+	bore := b.loads.sum(&at.loadSums)
 	b.LoadReported(2*sec, 1, SignalMessageDelay, 5000)
-	if at.limit < 0.49*bore {
-		t.Errorf("%.0f of %.0f are left", at.limit, bore)
+	if at.concurrency.limit < 0.49*bore {
+		t.Errorf("%.0f of %.0f are left", at.concurrency.limit, bore)
 	}
 	for now := 3 * sec; now <= 9*sec; now += sec {
-		b.TimerFired(now, tickToken)
+		b.TimerFired(now, maintenanceTimer)
 	}
-	if at.limit < 0.8*bore || at.limit > 0.95*bore {
-		t.Errorf("after seven seconds the limit is %.0f of %.0f", at.limit, bore)
+	if at.concurrency.limit < 0.8*bore || at.concurrency.limit > 0.95*bore {
+		t.Errorf("after seven seconds the limit is %.0f of %.0f", at.concurrency.limit, bore)
 	}
 }
 
@@ -203,9 +203,9 @@
 			r := &recorder{}
 			b := New(sec, seed, s, r)
 			b.EndpointsUpdated(sec, UpdateCached, fleet(12))
-			b.kinds[0] = &kind{late: 95, seconds: 95}
+			b.outliers.kinds[0] = &kindLateness{late: 95, seconds: 95}
 			b.RequestArrived(2*sec, Request{ID: 1, Key: seed, TimeLeft: sec, Reconnecting: true})
-			most = max(most, b.calls[1].shuns)
+			most = max(most, b.requests[1].bypassCount)
 		}
 		return most
 	}
@@ -241,18 +241,18 @@
 			if int(id)%of != 0 {
 				group = 100 + id
 			}
-			b.newCall(sec, Request{ID: id, Group: group, TimeLeft: sec})
+			b.newRequest(sec, Request{ID: id, Group: group, TimeLeft: sec})
 		}
 		for id := uint64(100); id < 200; id++ {
-			b.newCall(sec, Request{ID: id, Group: 7, TimeLeft: sec, Reconnecting: true})
+			b.newRequest(sec, Request{ID: id, Group: 7, TimeLeft: sec, Reconnecting: true})
 		}
-		q := b.newCall(sec, Request{ID: 999, Group: 7, TimeLeft: sec})
-		for s := b.place(sec, q); s != nil; s = b.place(sec, q) {
-			s.until, n = 60*sec, n+1
+		q := b.newRequest(sec, Request{ID: 999, Group: 7, TimeLeft: sec})
+		for s := b.choosePlacement(sec, q); s != nil; s = b.choosePlacement(sec, q) {
+			s.ejection.until, n = 60*sec, n+1
 		}
 		return n
 	}
-	if all, half, few := went(1), went(2), went(30); all != 20 || half < 9 || half > 11 || few != spread {
+	if all, half, few := went(1), went(2), went(30); all != 20 || half < 9 || half > 11 || few != groupSpread {
 		t.Errorf("of 40 servers all requests go to %d, half of them to %d, a thirtieth to %d", all, half, few)
 	}
 }
@@ -262,18 +262,18 @@
 	s := settings()
 	s.Groups = true
 	b, _ := start(t, s, 4)
-	for _, o := range b.ready {
-		o.until = 60 * sec
+	for _, o := range b.endpoints.ready {
+		o.ejection.until = 60 * sec
 	}
 	q := Request{ID: 1, Group: 7, TimeLeft: 2 * sec}
 	b.RequestArrived(2*sec, q) // refused
 	b.ReplayDecision(2*sec, q, 0, 3, true)
-	if all, at := b.Connections(); all != 1 || at != 1 || b.calls[1].at.ID != 3 || b.demanded != 1 {
-		t.Errorf("%d connections, %d by server, %v requests counted", all, at, b.demanded)
+	if all, at := b.Connections(); all != 1 || at != 1 || b.requests[1].backend.ID != 3 || b.groups.total != 1 {
+		t.Errorf("%d connections, %d by server, %v requests counted", all, at, b.groups.total)
 	}
 	b.ReplayDecision(2*sec, q, 0, 0, false)
-	if all, _ := b.Connections(); all != 0 || len(b.calls) != 0 {
-		t.Errorf("%d connections and %d calls after its answer", all, len(b.calls))
+	if all, _ := b.Connections(); all != 0 || len(b.requests) != 0 {
+		t.Errorf("%d connections and %d calls after its answer", all, len(b.requests))
 	}
 }
 
--- /dev/null
+++ b/balance/snapshot.go
@@ -0,0 +1,185 @@
+package balance
+
+import (
+	"math"
+	"time"
+)
+
+const (
+	// maxSnapshotOverrides bounds the sticky overrides in a snapshot; the newest are kept.
+	maxSnapshotOverrides = 1 << 12
+
+	// maxSnapshotLatency bounds the latency baseline that a snapshot may hold.
+	maxSnapshotLatency = time.Minute
+)
+
+// Snapshot is the state that one process of a relay passes on to the next in a hot restart. It holds what the next one needs so as not to
+// send to ejected backends, to fill cold ones a second time, or to lose the flows placed so far. Times are on the clock of the relay.
+type Snapshot struct {
+	Backends           []BackendSnapshot  `json:"Servers"`
+	StickyOverrides    []StickyOverride   `json:"Diverted"`
+	ClassLoads         []float64          `json:"Usual"` // mean load of a connection by class; last: of all classes
+	ClassLoadSamples   []float64          `json:"Seen"`  // number of reports behind ClassLoads
+	KindLateness       map[int][2]float64 `json:"Kinds"` // by Backend.Kind: seconds with late messages, and seconds in all
+	MeanUtilization    float64            `json:"Crowd"`
+	UtilizationReports int                `json:"Tells"`
+	LastBackendLoss    time.Duration      `json:"Lost"`
+}
+
+// BackendSnapshot is the state of one backend in a Snapshot.
+type BackendSnapshot struct {
+	ID               BackendID     `json:"ID"`
+	EjectedUntil     time.Duration `json:"Until"`
+	EjectionTime     time.Duration `json:"Bench"` // length of the last ejection
+	LastOverload     time.Duration `json:"Hot"`
+	LastHealthCheck  time.Duration `json:"Heard"`
+	SlowStartRefill  time.Duration `json:"Filled"` // end of the present slow start window
+	ConcurrencyLimit float64       `json:"Limit"`  // in the unit of TrackedLoad; 0: none
+	SlowStartTokens  float64       `json:"Budget"` // requests that may still be sent in the window
+	Utilization      float64       `json:"Full"`   // last reported load over capacity
+	TrackedLoad      float64       `json:"Held"`   // T of the process that made the snapshot
+	LatencyBaseline  time.Duration `json:"Pace"`   // usual latency of a health check
+	LatencySamples   int           `json:"Paces"`  // number of health checks behind LatencyBaseline
+}
+
+// StickyOverride says where a flow was sent that did not go to its primary.
+type StickyOverride struct {
+	Flow    uint64        `json:"Flow"`
+	Backend BackendID     `json:"To"`
+	At      time.Duration `json:"At"`
+}
+
+// Snapshot returns the state to pass on. Its slices of class loads are the Balancer's own and valid until the next event.
+func (b *Balancer) Snapshot() Snapshot {
+	snapshot := Snapshot{
+		StickyOverrides:    b.sticky.newest(maxSnapshotOverrides),
+		ClassLoads:         b.loads.classLoads,
+		ClassLoadSamples:   b.loads.classSamples,
+		KindLateness:       map[int][2]float64{},
+		MeanUtilization:    b.health.meanUtilization,
+		UtilizationReports: b.health.reports,
+		LastBackendLoss:    b.endpoints.lastLoss,
+	}
+	for _, s := range b.endpoints.ready {
+		snapshot.Backends = append(snapshot.Backends, b.snapshotBackend(s))
+	}
+	for kind, lateness := range b.outliers.kinds {
+		snapshot.KindLateness[kind] = [2]float64{lateness.late, lateness.seconds}
+	}
+	return snapshot
+}
+
+func (b *Balancer) snapshotBackend(s *backend) BackendSnapshot {
+	return BackendSnapshot{
+		ID:               s.ID,
+		EjectedUntil:     s.ejection.until,
+		EjectionTime:     s.ejection.duration,
+		LastOverload:     s.concurrency.lastOverload,
+		LastHealthCheck:  s.health.lastResult,
+		SlowStartRefill:  s.slowStart.refillAt,
+		ConcurrencyLimit: s.concurrency.limit,
+		SlowStartTokens:  s.slowStart.tokens,
+		Utilization:      s.health.utilization,
+		TrackedLoad:      b.loads.sum(&s.loadSums),
+		LatencyBaseline:  s.latency.baseline,
+		LatencySamples:   s.latency.samples,
+	}
+}
+
+// UpdateOtherProcess records what the relay's former process sees while both run: its tracked load counts as this relay's own, and overload
+// there since is overload here. Without it, the clients that one process moves off a backend would be sent right back by the other. An empty
+// Snapshot ends it.
+func (b *Balancer) UpdateOtherProcess(now time.Duration, snapshot Snapshot) {
+	for _, s := range b.endpoints.byID {
+		s.otherProcess = 0
+	}
+	for _, other := range snapshot.Backends {
+		s := b.endpoints.byID[other.ID]
+		if s == nil {
+			continue
+		}
+		s.otherProcess = positiveFinite(other.TrackedLoad)
+		s.ejection.until = max(s.ejection.until, min(other.EjectedUntil, now+maxEjection))
+		if other.LastOverload > s.concurrency.lastOverload && positiveFinite(other.ConcurrencyLimit) > 0 {
+			s.concurrency.limit = other.ConcurrencyLimit
+			s.concurrency.lastOverload = min(other.LastOverload, now)
+			b.concurrency.watch(s)
+		}
+	}
+}
+
+// Restore takes over the state of a former process. What cannot be true is left out: values that are not numbers, times further ahead than any that a
+// Balancer sets, and backends that no list has named.
+func (b *Balancer) Restore(now time.Duration, snapshot Snapshot) {
+	for i := range snapshot.Backends {
+		b.restoreBackend(now, &snapshot.Backends[i])
+	}
+	overrides := snapshot.StickyOverrides
+	for _, entry := range overrides[:min(len(overrides), maxSnapshotOverrides)] {
+		if target := b.endpoints.byID[entry.Backend]; target != nil {
+			b.sticky.restore(clampToPast(now, entry.At), entry.Flow, target)
+		}
+	}
+	b.loads.restore(snapshot.ClassLoads, snapshot.ClassLoadSamples)
+	b.outliers.restoreKinds(snapshot.KindLateness)
+	b.health.restoreMean(snapshot.MeanUtilization, snapshot.UtilizationReports)
+	b.endpoints.lastLoss = clampToPast(now, snapshot.LastBackendLoss)
+}
+
+func (b *Balancer) restoreBackend(now time.Duration, saved *BackendSnapshot) {
+	s := b.endpoints.byID[saved.ID]
+	if s == nil {
+		return
+	}
+	s.ejection.duration = clamp(saved.EjectionTime, maxEjection)
+	s.ejection.until = clamp(saved.EjectedUntil, now+maxEjection)
+	if s.ejection.until > now {
+		b.outliers.ejected = append(b.outliers.ejected, s)
+	}
+	s.health.lastResult = clampToPast(now, saved.LastHealthCheck)
+	s.health.utilization = positiveFinite(saved.Utilization)
+	s.slowStart.refillAt = clamp(saved.SlowStartRefill, now+b.settings.OverloadWindow)
+	s.slowStart.tokens = min(positiveFinite(saved.SlowStartTokens), maxSlowStartTokens)
+	s.latency.baseline = clamp(saved.LatencyBaseline, maxSnapshotLatency)
+	s.latency.samples = max(0, min(saved.LatencySamples, minLatencySamples+1))
+	s.concurrency.lastOverload = clampToPast(now, saved.LastOverload)
+	s.concurrency.limit = positiveFinite(saved.ConcurrencyLimit)
+	if s.concurrency.limit > 0 { // the maintenance removes it in time
+		b.concurrency.watch(s)
+	}
+}
+
+// restore takes over the class loads of a former process with the same number of classes.
+func (t *loadTracker) restore(loads, samples []float64) {
+	if len(loads) != len(t.classLoads) || len(samples) != len(t.classSamples) {
+		return
+	}
+	for i, load := range loads {
+		if positiveFinite(load) > 0 && samples[i] > 0 {
+			t.classLoads[i], t.classSamples[i] = load, min(samples[i], maxLoadSamples)
+		}
+	}
+}
+
+// restoreKinds takes over the lateness of kinds, as pairs of late seconds and seconds in all.
+func (o *outlierDetector) restoreKinds(kinds map[int][2]float64) {
+	for kind, saved := range kinds {
+		late, seconds := saved[0], saved[1]
+		if positiveFinite(seconds) > 0 && late >= 0 && !math.IsInf(late, 0) {
+			o.kinds[kind] = &kindLateness{late, seconds}
+		}
+	}
+}
+
+// restoreMean takes over the mean utilization and the number of reports behind it.
+func (h *healthChecker) restoreMean(utilization float64, reports int) {
+	if positiveFinite(utilization) > 0 {
+		h.meanUtilization, h.reports = min(utilization, maxReportedUtilization), max(0, reports)
+	}
+}
+
+// clamp bounds a time to between 0 and a limit.
+func clamp(t, limit time.Duration) time.Duration { return max(0, min(t, limit)) }
+
+// clampToPast bounds a time to between 0 and now.
+func clampToPast(now, t time.Duration) time.Duration { return clamp(t, now) }
--- a/balance/timing_test.go
+++ b/balance/timing_test.go
@@ -10,7 +10,7 @@
 	s := settings()
 	s.Cancellation, s.RetryAfter, s.MaxRetryAfter = true, true, 2*sec
 	b, r := start(t, s, n)
-	b.budget = 10
+	b.retryBudget.tokens = 10
 	return b, r
 }
 
@@ -150,7 +150,7 @@
 		{"no budget", 0, 4, 0.5, false},
 	} {
 		b, r := timed(t, tc.servers)
-		b.budget = tc.budget - 0.2
+		b.retryBudget.tokens = tc.budget - 0.2
 		b.RequestArrived(sec, Request{ID: 1, Class: tc.class, Key: 7, TimeLeft: 2 * sec, RetryPolicy: &RetryPolicy{HedgeDelay: 300 * ms}})
 		to := r.take("send")[0].to
 		r.clear()
@@ -185,9 +185,9 @@
 		repeat bool
 		want   float64
 	}{{nil, true, 0.2}, {&RetryPolicy{RetryBudget: 0.05}, false, 0.05}, {&RetryPolicy{RetryBudget: 0.05}, true, 0}} {
-		b.budget = 1
+		b.retryBudget.tokens = 1
 		b.RequestArrived(sec, Request{ID: uint64(100 * tc.want), Key: 7, TimeLeft: sec, RetryPolicy: tc.timing, ClientRetry: tc.repeat})
-		if got := b.budget - 1; got < tc.want-1e-9 || got > tc.want+1e-9 {
+		if got := b.retryBudget.tokens - 1; got < tc.want-1e-9 || got > tc.want+1e-9 {
 			t.Errorf("%+v earned %v", tc, got)
 		}
 	}
--- a/balance/told_test.go
+++ b/balance/told_test.go
@@ -16,7 +16,7 @@
 	}
 	b, r := start(t, s, n)
 	b.rng = rand.New(rand.NewPCG(uint64(seed), 1))
-	for range sureCrowd { // how full the fleet is
+	for range minFleetReports { // how full the fleet is
 		for id := BackendID(1); id <= BackendID(n); id++ {
 			b.HealthCheckDone(sec, HealthCheckResult{Backend: id, Latency: ms, Load: []float32{0.6}})
 		}
@@ -65,7 +65,7 @@
 			for i := range 400 {
 				b, r := many(t, 20, i, tc.change)
 				q := Request{ID: 1, Key: uint64(i)*7919 + 1, Group: uint64(i + 1)}
-				b.rush, b.cameAt = 0.2, 4*sec // two thirds of a request a second and server from all relays
+				b.arrivals.recent, b.arrivals.last = 0.2, 4*sec // two thirds of a request a second and server from all relays
 				if to, _ := settles(t, b, r, 4*sec, q, heavy); to%2 == 1 {
 					got++
 				}
@@ -97,7 +97,7 @@
 	diverted := func(rush float64) (n int) {
 		for i := range 300 {
 			b, r := many(t, 20, i, nil)
-			b.rush, b.cameAt = rush, 4*sec
+			b.arrivals.recent, b.arrivals.last = rush, 4*sec
 			to, _ := settles(t, b, r, 4*sec, Request{ID: 1, Key: uint64(i)*7919 + 1}, func(id BackendID) float64 { return 0.55 + 0.1*float64(id%2) })
 			if to%2 == 0 {
 				n++
@@ -115,16 +115,16 @@
 func TestBooksComeOutEven(t *testing.T) {
 	b, r := many(t, 5, 1, func(s *Settings) { s.Groups = true })
 	opened(t, b, r, 20)
-	if err := b.CheckInvariants(); err != nil || b.all.n != 20 {
-		t.Fatalf("%d connections: %v", b.all.n, err)
+	if err := b.CheckInvariants(); err != nil || b.loads.total.connections != 20 {
+		t.Fatalf("%d connections: %v", b.loads.total.connections, err)
 	}
 	for id := uint64(1); id <= 20; id++ {
-		b.AttemptEnded(9*sec, AttemptResult{ID: id, Attempt: b.calls[id].tries - 1, Status: []Status{StatusOK, StatusReset, StatusError, StatusCancelled}[id%4], Closed: true})
+		b.AttemptEnded(9*sec, AttemptResult{ID: id, Attempt: b.requests[id].attempts - 1, Status: []Status{StatusOK, StatusReset, StatusError, StatusCancelled}[id%4], Closed: true})
 		if err := b.CheckInvariants(); err != nil {
 			t.Fatalf("after end %d: %v", id, err)
 		}
 	}
-	b.taken[0]++
+	b.quotas.connections[0]++
 	if b.CheckInvariants() == nil {
 		t.Error("a connection that stays in its tenant's count is not told")
 	}
@@ -141,15 +141,15 @@
 		b, r := many(t, 1, 1, func(s *Settings) { s.ReportsMessageDelay = false })
 		settles(t, b, r, 4*sec, Request{ID: 1}, func(BackendID) float64 { return 0.3 })
 		b.AttemptSucceeded(4*sec, AttemptResult{ID: 1, Backend: 1})
-		b.servers[1].pace, b.servers[1].paces, b.scatter, b.paces = 0, 0, 0, 0
+		b.endpoints.byID[1].latency.baseline, b.endpoints.byID[1].latency.samples, b.outliers.latencyScatter, b.outliers.scatterSamples = 0, 0, 0, 0
 		found := false
 		for i := range 600 {
-			took := 500 + time.Duration(mix(uint64(i))%uint64(tc.scatter))
+			took := 500 + time.Duration(mixBits(uint64(i))%uint64(tc.scatter))
 			if i > 300 {
 				took += tc.slow
 			}
 			b.HealthCheckDone(5*sec+time.Duration(i)*200*ms, HealthCheckResult{Backend: 1, Latency: took * time.Microsecond, Load: []float32{0.3}})
-			found = found || b.servers[1].lags > 2
+			found = found || b.endpoints.byID[1].latency.consecutiveLate > 2
 		}
 		if found != tc.found {
 			t.Errorf("%s: held to be slow: %v", tc.name, found)
@@ -180,7 +180,7 @@
 			s.ReportFields = []ReportField{FieldLoadShare, FieldErrors}
 			s.Classes[0].Idempotency, s.Classes[0].DedupWindow = tc.effect, 5*sec
 		})
-		b.pace = sec // 200 relays, eight servers: 25 attempts a second at each
+		b.pacer.usualInterval = sec // 200 relays, eight servers: 25 attempts a second at each
 		now, at := 2*sec, 0
 		for id := uint64(1); id <= 200; id++ {
 			for s := BackendID(1); s <= n; s++ {
@@ -194,7 +194,7 @@
 				at++
 			}
 			b.AttemptEnded(now, AttemptResult{ID: id, Status: StatusCancelled, Closed: true})
-			b.pace = sec
+			b.pacer.usualInterval = sec
 		}
 		if at < tc.least || at > tc.most {
 			t.Errorf("%s: %d of 200 went to servers that report errors", tc.name, at)
@@ -218,7 +218,7 @@
 		at, asked := 0, 0
 		for id := uint64(1); id <= 200; id++ {
 			now := 10*sec + time.Duration(id)*3*sec // nothing has been heard for longer than a report lasts
-			b.pace = sec
+			b.pacer.usualInterval = sec
 			r.clear()
 			b.RequestArrived(now, Request{ID: id, Key: id * 77, Class: 1, TimeLeft: tc.left})
 			for len(r.take("send")) == 0 {
