--- a/balance/bench_test.go
+++ b/balance/bench_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// benchRelay is a relay with a few hundred connections on a fleet of n servers.
-func benchRelay(n int) (*Balancer, *recorder) {
+// benchRelay is a relay with a few hundred connections on a fleet of n backends.
+func newBenchBalancer(n int) (*Balancer, *recorder) {
 	r := &recorder{}
-	b := New(sec, 1, manyRelays(), r)
-	list := fleet(n)
+	b := New(sec, 1, manyRelaySettings(), r)
+	list := readyBackends(n)
 	for i := range list {
 		list[i].Weight = float64(1 + i%3)
 	}
@@ -28,7 +28,7 @@
 func BenchmarkPlace(bench *testing.B) {
 	for _, n := range []int{12, 120, 480} {
 		bench.Run(fmt.Sprint(n), func(bench *testing.B) {
-			b, _ := benchRelay(n)
+			b, _ := newBenchBalancer(n)
 			c := b.newRequest(sec, Request{ID: 1 << 40, Key: 5, TimeLeft: 2 * sec})
 			bench.ReportAllocs()
 			for i := 0; bench.Loop(); i++ {
@@ -42,7 +42,7 @@
 func BenchmarkRequest(bench *testing.B) {
 	for _, n := range []int{12, 120, 480} {
 		bench.Run(fmt.Sprint(n), func(bench *testing.B) {
-			b, r := benchRelay(n)
+			b, r := newBenchBalancer(n)
 			bench.ReportAllocs()
 			for id := uint64(1 << 30); bench.Loop(); id++ {
 				r.clear()
@@ -57,7 +57,7 @@
 func BenchmarkUpkeep(bench *testing.B) {
 	for _, n := range []int{12, 120, 480} {
 		bench.Run(fmt.Sprint(n), func(bench *testing.B) {
-			b, r := benchRelay(n)
+			b, r := newBenchBalancer(n)
 			for i, o := range b.endpoints.ready {
 				o.health.checkPending = true
 				if i%10 == 0 {
--- a/balance/codec_test.go
+++ b/balance/codec_test.go
@@ -14,8 +14,8 @@
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// golden holds what was made now to what an earlier version wrote.
-func golden(t *testing.T, name, got string) {
+// checkGolden compares a text with the one that an earlier version wrote.
+func checkGolden(t *testing.T, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
 	if *update {
@@ -43,23 +43,23 @@
 	}
 }
 
-// teller keeps what is told beside the other actions.
-type teller struct {
+// gossipRecorder keeps the messages to other relays as well.
+type gossipRecorder struct {
 	recorder
-	told []string
+	messages []string
 }
 
-func (r *teller) SendGossip(peer int, data []byte) {
-	r.told = append(r.told, fmt.Sprintf("%d %x", peer, data))
+func (r *gossipRecorder) SendGossip(peer int, data []byte) {
+	r.messages = append(r.messages, fmt.Sprintf("%d %x", peer, data))
 }
 
-// The notice of a slow server has the bytes that it had, and another relay that hears those asks that server and no other.
+// The overload notice keeps its encoding, and a relay that receives those bytes checks that backend and no other.
 func TestCodec_Golden(t *testing.T) {
 	const slow, well = BackendID(0x0a124a071b5b), BackendID(0x0a9011f21b84)
-	relay := func() (*Balancer, *teller) {
-		s := untold()
+	relay := func() (*Balancer, *gossipRecorder) {
+		s := settingsWithoutMessageDelay()
 		s.Gossip = true
-		r := &teller{}
+		r := &gossipRecorder{}
 		b := New(sec, 1, s, r)
 		b.EndpointsUpdated(sec, UpdateCached, []Backend{{ID: slow, State: StateReady, Weight: 1}, {ID: well, State: StateReady, Zone: 1, Weight: 1}})
 		for range minLatencySamples + 1 {
@@ -67,7 +67,7 @@
 				b.HealthCheckDone(sec, HealthCheckResult{Backend: id, Latency: ms, Load: []float32{0.3}})
 			}
 		}
-		opened(t, b, &r.recorder, 12)
+		openConnections(t, b, &r.recorder, 12)
 		r.clear()
 		return b, r
 	}
@@ -75,7 +75,7 @@
 	for i := range 3 {
 		b.HealthCheckDone(4*sec+time.Duration(i)*ms, HealthCheckResult{Backend: slow, Latency: 2 * ms, Load: []float32{0.3}})
 	}
-	golden(t, "notice.txt", strings.Join(r.told, "\n")+"\n")
+	checkGolden(t, "notice.txt", strings.Join(r.messages, "\n")+"\n")
 
 	text, err := os.ReadFile("testdata/notice.txt")
 	if err != nil {
@@ -87,19 +87,19 @@
 		t.Fatalf("%q: %v", text, err)
 	}
 	other, seen := relay()
-	for n := range data { // cut short, it is none
+	for n := range data { // truncated, it is invalid
 		other.GossipReceived(4*sec, 1, data[:n])
 	}
 	other.GossipReceived(4*sec, 1, append(slices.Clone(data), 0))
-	if asked := seen.take("probe"); len(asked) != 0 {
-		t.Errorf("%v is asked for what is no notice", asked)
+	if checked := seen.take(actionCheckHealth); len(checked) != 0 {
+		t.Errorf("%v is checked by an invalid message", checked)
 	}
 	other.GossipReceived(4*sec, 1, data)
-	if asked := seen.take("probe"); len(asked) != 1 || asked[0].to != slow {
-		t.Errorf("asked is %v, the notice names %x", asked, slow)
+	if checked := seen.take(actionCheckHealth); len(checked) != 1 || checked[0].to != slow {
+		t.Errorf("checked are %v, the notice names %x", checked, slow)
 	}
 	other.HealthCheckDone(4*sec+2*ms, HealthCheckResult{Backend: slow, Latency: 2 * ms, Load: []float32{0.3}})
-	if len(seen.take("move")) == 0 {
-		t.Error("the notice moves nobody")
+	if len(seen.take(actionMigrate)) == 0 {
+		t.Error("the notice migrates nothing")
 	}
 }
