--- a/balance/admission.go
+++ b/balance/admission.go
@@ -27,8 +27,17 @@
 
 func (q *quotas) add(tenant, count int) { q.connections[tenant] += count }
 
-// isOverQuota reports whether the tenant of a request holds its quota here while half of the backends are short
-// of room: only then does what it asks beyond its share take the room of others.
+// total is the number of connections of all tenants.
+func (q *quotas) total() int {
+	total := 0
+	for _, count := range q.connections {
+		total += count
+	}
+	return total
+}
+
+// isOverQuota reports whether the tenant of a request holds its quota here while half of the backends are
+// short of room: only then does what it asks beyond its share take the room of others.
 func (b *Balancer) isOverQuota(req *request) bool {
 	if req.Tenant >= len(b.settings.Tenants) || b.settings.OverQuotaPriority >= 1 || req.MidStream {
 		return false
@@ -41,7 +50,7 @@
 }
 
 // answer gives the final answer: a rejection where a retry by the client is known to be safe, else a failure.
-func (b *Balancer) answer(_ time.Duration, req *request) {
+func (b *Balancer) answer(req *request) {
 	if b.isClientRetrySafe(req) {
 		b.actions.Reject(req.ID, min(b.settings.MaxRetryAfter, defaultRetryAfter))
 	} else {
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -192,14 +192,13 @@
 	if target == nil {
 		return
 	}
-	target.health.checkPending = false
+	target.health.recordCheckEnd()
 	b.health.recordZoneLatency(target.Zone, result)
 	report := b.health.read(result)
 	if report.hasUtilization {
 		b.limitByReport(now, target, &report, result.Latency)
 	}
-	target.health.hasUtilization = report.hasUtilization
-	target.health.errorsPerSecond = report.errorsPerSecond
+	target.health.recordReport(&report)
 	b.recordUtilization(now, target, report.utilization)
 }
 
@@ -224,7 +223,7 @@
 		return
 	}
 	if kind != UpdateCached {
-		b.endpoints.polling = endpointPolling{}
+		b.endpoints.polling.reset()
 	}
 	b.updateEndpoints(now, kind, entries)
 	b.ring.rebuild(b.endpoints.ready, b.settings.Weights)
@@ -254,7 +253,7 @@
 	case req.backend != nil:
 		b.hedge(now, req)
 	case now+2*b.settings.Tick >= req.deadline:
-		b.answer(now, req)
+		b.answer(req)
 	case req.retryAt > 0 && now >= req.retryAt:
 		req.retryAt = 0
 		b.attempt(now, req)
@@ -265,7 +264,7 @@
 
 // runMaintenance does the periodic work.
 func (b *Balancer) runMaintenance(now time.Duration) {
-	if now-b.backups.lastReset >= backupLifetime {
+	if b.backups.isDue(now) {
 		b.resetBackups(now)
 	}
 	b.sticky.expire(now)
@@ -275,7 +274,8 @@
 	}
 }
 
-// resumeHeld attempts the requests that waited for a backend's health check or, with nil, for an endpoint list.
+// resumeHeld attempts the requests that waited for a backend's health check or, with nil, for an endpoint
+// list.
 func (b *Balancer) resumeHeld(now time.Duration, checked *backend) {
 	held := b.held
 	b.held = nil
--- a/balance/codec_test.go
+++ b/balance/codec_test.go
@@ -53,7 +53,8 @@
 	r.messages = append(r.messages, fmt.Sprintf("%d %x", peer, data))
 }
 
-// The overload notice keeps its encoding, and a relay that receives those bytes checks that backend and no other.
+// The overload notice keeps its encoding, and a relay that receives those bytes checks that backend and no
+// other.
 func TestCodec_Golden(t *testing.T) {
 	const slow, well = BackendID(0x0a124a071b5b), BackendID(0x0a9011f21b84)
 	relay := func() (*Balancer, *gossipRecorder) {
--- a/balance/concurrency.go
+++ b/balance/concurrency.go
@@ -6,27 +6,29 @@
 )
 
 const (
-	// fillTarget is the part of its capacity that a backend is filled to; fillTargetByReports applies where only
-	// load reports show overload, since they are old.
+	// fillTarget is the part of its capacity that a backend is filled to; fillTargetByReports applies
+	// where only load reports show overload, since they are old.
 	fillTarget          = 0.75
 	fillTargetByReports = 0.6
 
 	// relieveAbove is the utilization from which connections are migrated.
 	relieveAbove = 0.9
 
-	// keepAfterOverload is the part of its load that a backend keeps after it has shown overload, keepAfterReset where resets are
-	// its first sign: reports of message delay would have lowered the limit before, so what it holds is late.
+	// keepAfterOverload is the part of its load that a backend keeps after it has shown overload,
+	// keepAfterReset where resets are its first sign: reports of message delay would have lowered the
+	// limit before, so what it holds is late.
 	keepAfterOverload = 0.85
 	keepAfterReset    = 0.5
 
-	// keepWhenSlow is the part of its load that a backend keeps after late health checks have shown it to be slow.
+	// keepWhenSlow is the part of its load that a backend keeps after late health checks have shown it to
+	// be slow.
 	keepWhenSlow = 0.5
 
 	// minKeepByReport is the least part of its load that a backend keeps after a load report.
 	minKeepByReport = 0.5
 
-	// keepLostByLateness is the part of its load that a backend loses for each late-message threshold of delay, down to
-	// minKeepByLateness.
+	// keepLostByLateness is the part of its load that a backend loses for each late-message threshold of
+	// delay, down to minKeepByLateness.
 	keepLostByLateness = 0.05
 	minKeepByLateness  = 0.5
 	minKeepByBacklog   = 0.1
@@ -40,8 +42,8 @@
 	// quietTime is the time without overload after which a limit rises.
 	quietTime = 2 * time.Second
 
-	// limitGrowth is by how much a limit rises in a quiet second; cautiousLimitGrowth near the load at which the backend was overloaded,
-	// from fastRecoveryShare of it on, for cautiousTime.
+	// limitGrowth is by how much a limit rises in a quiet second; cautiousLimitGrowth near the load at
+	// which the backend was overloaded, from fastRecoveryShare of it on, for cautiousTime.
 	limitGrowth         = 1.1
 	cautiousLimitGrowth = 1.02
 	fastRecoveryShare   = 0.8
@@ -53,7 +55,7 @@
 	// lateMemory is how long a backend counts as late after it has shown overload.
 	lateMemory = 4 * time.Second
 
-	// fleetSampleFraction is the inverse of the part of the fleet that may stand for the whole.
+	// fleetSampleFraction is the inverse of the part of the fleet that may represent the whole.
 	fleetSampleFraction = 10
 )
 
@@ -74,6 +76,9 @@
 	}
 }
 
+// remove ends the limit.
+func (c *concurrencyLimit) remove() { c.limit = 0 }
+
 // rescale follows a change of the unit of the load.
 func (c *concurrencyLimit) rescale(factor float64) {
 	c.limit *= factor
@@ -98,14 +103,14 @@
 	c.watched = slices.DeleteFunc(c.watched, func(s *backend) bool {
 		s.concurrency.watched = s.connections > 0 || now-s.concurrency.lastOverload < limitLifetime
 		if !s.concurrency.watched {
-			s.concurrency.limit = 0
+			s.concurrency.remove()
 		}
 		return !s.concurrency.watched
 	})
 }
 
-// hasRoom reports whether a backend can bear a request within its limit. One that this relay has no connection on always can where
-// it is checked first.
+// hasRoom reports whether a backend can bear a request within its limit. One that this relay has no
+// connection on always can where it is checked first.
 func (b *Balancer) hasRoom(s *backend, req *request) bool {
 	limit := s.concurrency.limit
 	if limit == 0 {
@@ -128,8 +133,8 @@
 	return near
 }
 
-// isFleetLate reports whether half of the backends that this relay has connections on were late recently, if they are enough of the fleet
-// to stand for it. A single one may be at fault itself.
+// isFleetLate reports whether half of the backends that this relay has connections on were late recently,
+// if they are enough of the fleet to represent it. A single one may be at fault itself.
 func (b *Balancer) isFleetLate(now time.Duration) bool {
 	late := 0
 	for _, s := range b.concurrency.watched {
@@ -140,8 +145,8 @@
 	return late > 1 && 2*late >= len(b.concurrency.watched) && fleetSampleFraction*late >= len(b.endpoints.ready)
 }
 
-// limitOnFailure lowers the limit of a backend whose attempt or connection ended in a way that shows overload. Without that,
-// what it drops comes straight back.
+// limitOnFailure lowers the limit of a backend whose attempt or connection ended in a way that shows
+// overload. Without that, what it drops comes straight back.
 func (b *Balancer) limitOnFailure(now time.Duration, req *request, status Status, isolatedReset bool) {
 	switch status {
 	case StatusOverloaded:
@@ -158,8 +163,9 @@
 	}
 }
 
-// recordLateMessage lowers the limit of a backend by the delay of its messages, in milliseconds. What is queued there keeps all messages late until
-// it is worked off, so what stays has to leave room for that within backlogDrainTime.
+// recordLateMessage lowers the limit of a backend by the delay of its messages, in milliseconds. What is
+// queued there keeps all messages late until it is worked off, so what stays has to leave room for that
+// within backlogDrainTime.
 func (b *Balancer) recordLateMessage(now time.Duration, s *backend, delayMillis float64) {
 	b.outliers.kind(s).late++
 	keepByLateness := max(minKeepByLateness, 1-keepLostByLateness*delayMillis/b.health.lateMessageMillis)
@@ -170,8 +176,8 @@
 		b.lowerLimit(now, s, max(minKeepByLateness, keep))
 		return
 	}
-	// Where load reports set the limit, reports of message delay would lower it to the floor while everything is slow; one that
-	// claims room is stale or wrong.
+	// Where load reports set the limit, reports of message delay would lower it to the floor while
+	// everything is slow; one that claims room is stale or wrong.
 	if s.concurrency.limit == 0 || s.health.utilization < fillTarget || keepByBacklog < keepByLateness {
 		b.lowerLimit(now, s, max(minKeepByBacklog, keep))
 	}
@@ -197,25 +203,37 @@
 
 // limitByReport sets the limit of a backend by its load report.
 func (b *Balancer) limitByReport(now time.Duration, s *backend, report *loadReport, took time.Duration) {
-	relieve, fill := relieveAbove, fillTarget
-	if !b.settings.ReportsMessageDelay { // load reports alone show overload, and they are old
-		// Where the whole fleet is known to be fuller there is nowhere to move to: clients would only be turned away.
-		if b.health.meanUtilization <= fillTargetByReports || !b.health.knowsFleet() {
-			relieve, fill = fillTarget, fillTargetByReports
-		}
-		if b.isConfirmedSlow(now, s, took) {
-			report.utilization = max(report.utilization, 1)
-		}
+	relieveFrom, fillTo := b.reportThresholds()
+	if !b.settings.ReportsMessageDelay && b.isConfirmedSlow(now, s, took) {
+		report.utilization = max(report.utilization, 1)
 	}
-	if report.utilization <= 0 || s.connections == 0 {
-		return
+	if report.utilization > 0 && s.connections > 0 {
+		b.applyReport(now, s, report.utilization, relieveFrom, fillTo)
+	}
+}
+
+// reportThresholds returns the utilization from which a backend is relieved, and that which it is then filled
+// to. Where load reports alone show overload both are lower, since reports are old; unless the whole fleet is
+// known to be fuller: there is nowhere to move to then, and clients would only be turned away.
+func (b *Balancer) reportThresholds() (relieveFrom, fillTo float64) {
+	if b.settings.ReportsMessageDelay {
+		return relieveAbove, fillTarget
+	}
+	if b.health.knowsFleet() && b.health.meanUtilization > fillTargetByReports {
+		return relieveAbove, fillTarget
 	}
-	c, full := &s.concurrency, report.utilization > relieve
+	return fillTarget, fillTargetByReports
+}
+
+// applyReport limits a backend to what fills it to fillTo, and migrates what is over if its utilization exceeds
+// relieveFrom. Where reports of message delay show overload, they alone start a limit.
+func (b *Balancer) applyReport(now time.Duration, s *backend, utilization, relieveFrom, fillTo float64) {
+	c, full := &s.concurrency, utilization > relieveFrom
 	if c.limit == 0 && (!full || b.settings.ReportsMessageDelay) {
 		return
 	}
 	quiet := now-c.lastOverload >= quietTime
-	limit := b.loads.sum(&s.loadSums) * max(minKeepByReport, fill/report.utilization)
+	limit := b.loads.sum(&s.loadSums) * max(minKeepByReport, fillTo/utilization)
 	if c.limit == 0 || limit < c.limit || quiet {
 		c.limit = limit
 	}
@@ -225,8 +243,9 @@
 	}
 }
 
-// isConfirmedSlow reports whether late answers to health checks show that a backend works more slowly, however low the load in its old
-// report: three in a row, or one and the word of another relay. It lowers the limit then, and checks again after a first one.
+// isConfirmedSlow reports whether late answers to health checks show that a backend works more slowly,
+// however low the load in its old report: three in a row, or one and the notice of another relay. It
+// lowers the limit then, and checks again after a first one.
 func (b *Balancer) isConfirmedSlow(now time.Duration, s *backend, took time.Duration) bool {
 	b.outliers.recordLatency(s, took, lateAnswerFactor, b.health.minLateExcess())
 	late := s.latency.consecutiveLate
@@ -245,8 +264,9 @@
 	return true
 }
 
-// migrateExcess migrates connections until a backend's tracked load is within a limit. The last one is drawn in proportion to what is
-// over: of many relays with a connection or two each, none would ever be over by a whole one.
+// migrateExcess migrates connections until a backend's tracked load is within a limit. The last one is
+// drawn in proportion to what is over: of many relays with a connection or two each, none would ever be
+// over by a whole one.
 func (b *Balancer) migrateExcess(s *backend, limit float64) {
 	for excess := b.loads.sum(&s.loadSums) - limit; excess > 0; {
 		req := b.costliestConnection(s)
@@ -259,7 +279,8 @@
 	}
 }
 
-// costliestConnection returns the connection to migrate first: a heavy one, with few others of its group, since a split group costs twice.
+// costliestConnection returns the connection to migrate first: a heavy one, with few others of its group,
+// since a split group costs twice.
 func (b *Balancer) costliestConnection(s *backend) *request {
 	var costliest *request
 	highest := 0.0
@@ -292,8 +313,8 @@
 	}
 }
 
-// maintainLimit raises the limit of a ready backend and checks its health. Where reports of message delay show overload, only a backend
-// with a limit needs either.
+// maintainLimit raises the limit of a ready backend and checks its health. Where reports of message delay
+// show overload, only a backend with a limit needs either.
 func (b *Balancer) maintainLimit(now time.Duration, s *backend) {
 	if s.concurrency.limit == 0 && b.settings.ReportsMessageDelay {
 		return
--- a/balance/concurrency_test.go
+++ b/balance/concurrency_test.go
@@ -82,8 +82,8 @@
 	}
 }
 
-// Queued work delays all messages, and a backend that keeps nine tenths of its load takes ten times as long to work it
-// off: what stays has to leave room for the backlog, whatever the load report says.
+// Queued work delays all messages, and a backend that keeps nine tenths of its load takes ten times as
+// long to work it off: what stays has to leave room for the backlog, whatever the load report says.
 func TestConcurrency_BacklogIsWorkedOffWithinOneSecond(t *testing.T) {
 	for _, tc := range []struct {
 		ms          float64
@@ -132,8 +132,8 @@
 	}
 }
 
-// With one connection a relay on an overloaded backend, no relay is ever over by a whole one: some of them have to
-// migrate theirs, most keep it.
+// With one connection a relay on an overloaded backend, no relay is ever over by a whole one: some of them
+// have to migrate theirs, most keep it.
 func TestConcurrency_MigrationAcrossManyRelaysIsProportional(t *testing.T) {
 	migrated := 0
 	for seed := uint64(1); seed <= 400; seed++ {
@@ -168,8 +168,8 @@
 	}
 }
 
-// Where all backends are over the fill target there is nowhere to migrate to: one over 75% keeps its connections, one
-// over 90% does not.
+// Where all backends are over the fill target there is nowhere to migrate to: one over 75% keeps its
+// connections, one over 90% does not.
 func TestConcurrency_FullFleetKeepsConnections(t *testing.T) {
 	for _, tc := range []struct {
 		meanUtilization float64
@@ -227,8 +227,8 @@
 	}
 }
 
-// Each of many relays sent a late backend one more connection, as it had none there itself, and the backend stayed
-// late. Where health checks are allowed one is made first.
+// Each of many relays sent a late backend one more connection, as it had none there itself, and the
+// backend stayed late. Where health checks are allowed one is made first.
 func TestConcurrency_LimitHoldsForFirstConnectionWithoutHealthChecks(t *testing.T) {
 	b, r := newTestBalancer(t, defaultSettings(), 2)
 	target := mustSend(t, b, r, sec, Request{ID: 1, Key: 1})
@@ -240,9 +240,9 @@
 	}
 }
 
-// Cut to a tenth by every relay at once, backends that were slightly over stayed half empty for half a minute, while a
-// quarter of all requests were rejected. Where no load report lifts the limit, it loses half at most, is soon back at
-// most of the load at overload, and then rises slowly.
+// Cut to a tenth by every relay at once, backends that were slightly over stayed half empty for half a
+// minute, while a quarter of all requests were rejected. Where no load report lifts the limit, it loses
+// half at most, is soon back at most of the load at overload, and then rises slowly.
 func TestConcurrency_LimitRecoversNearLoadAtOverload(t *testing.T) {
 	s := defaultSettings()
 	s.Groups = true
--- a/balance/drain.go
+++ b/balance/drain.go
@@ -16,8 +16,9 @@
 	timerSet bool
 }
 
-// DrainBy migrates all connections off this relay by a time, since it stops or is drained; 0 ends the draining. New requests are served
-// meanwhile. Where packets pass through, nothing is migrated: another relay continues the connections.
+// DrainBy migrates all connections off this relay by a time, since it stops or is drained; 0 ends the
+// draining. New requests are served meanwhile. Where packets pass through, nothing is migrated: another
+// relay continues the connections.
 func (b *Balancer) DrainBy(_, deadline time.Duration) {
 	if b.settings.PassThrough {
 		return
--- a/balance/drain_test.go
+++ b/balance/drain_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// maintainAndCloseMigrated runs the maintenance, ends the connections that it migrates and returns their number.
+// maintainAndCloseMigrated runs the maintenance, ends the connections that it migrates and returns their
+// number.
 func maintainAndCloseMigrated(b *Balancer, r *recorder, now time.Duration) int {
 	r.clear()
 	b.TimerFired(now, maintenanceTimer)
@@ -53,8 +54,8 @@
 	}
 }
 
-// drainAndCloseMigrated runs the drain steps between two times, ends the connections that they migrate and returns
-// their number in each.
+// drainAndCloseMigrated runs the drain steps between two times, ends the connections that they migrate and
+// returns their number in each.
 func drainAndCloseMigrated(b *Balancer, r *recorder, from, to time.Duration) (migrated []int) {
 	for now := from; now < to; now += drainStep {
 		r.clear()
@@ -103,8 +104,8 @@
 	}
 }
 
-// A relay whose drain is cancelled migrates nothing more and places as before; a second drain right after it sets no
-// second timer.
+// A relay whose drain is cancelled migrates nothing more and places as before; a second drain right after
+// it sets no second timer.
 func TestDrain_CancelledDrainMigratesNothingMore(t *testing.T) {
 	b, r := newTestBalancer(t, defaultSettings(), 3)
 	openConnections(t, b, r, 60)
@@ -131,8 +132,8 @@
 	}
 }
 
-// Seed 100 of the simulation: the connections on a backend that began to drain just before its relay did were migrated
-// over the backend's time, and cut off when the relay stopped before it.
+// Seed 100 of the simulation: the connections on a backend that began to drain just before its relay did
+// were migrated over the backend's time, and cut off when the relay stopped before it.
 func TestDrain_BackendDrainEndsWithRelayDrain(t *testing.T) {
 	b, r := newTestBalancer(t, defaultSettings(), 3)
 	at := openConnections(t, b, r, 30)
--- a/balance/endpoints.go
+++ b/balance/endpoints.go
@@ -76,8 +76,8 @@
 	b.endpoints.collectReady(now)
 }
 
-// updateEndpoint applies one entry of the list. A process that has started anew does not inherit the ejection and the limits of the
-// one before.
+// updateEndpoint applies one entry of the list. A process that has started anew does not inherit the
+// ejection and the limits of the one before.
 func (b *Balancer) updateEndpoint(now time.Duration, entry Backend) *backend {
 	s := b.endpoints.byID[entry.ID]
 	if s == nil {
@@ -110,9 +110,9 @@
 
 // forgetHistory forgets what was observed of the process before. The slow start begins after the offset.
 func (s *backend) forgetHistory(now, offset time.Duration) {
-	s.ejection.until, s.ejection.duration = 0, 0
-	s.concurrency.limit = 0
-	s.latency.baseline, s.latency.samples = 0, 0
+	s.ejection.lift()
+	s.concurrency.remove()
+	s.latency.forget()
 	s.health.expire(now)
 	s.slowStart.reset(now, offset)
 }
@@ -123,16 +123,21 @@
 	backoff time.Duration
 }
 
-// scheduleRetry sets the time of the next poll after a failed one: exponential backoff up to half of the poll interval, with jitter.
+// scheduleRetry sets the time of the next poll after a failed one: exponential backoff up to half of the
+// poll interval, with jitter.
 func (p *endpointPolling) scheduleRetry(now, pollInterval time.Duration, rng *rand.Rand) {
 	p.backoff = min(max(minPollBackoff, 2*p.backoff), max(minPollBackoff, pollInterval/2))
 	p.retryAt = now + time.Duration(float64(p.backoff)*(0.5+rng.Float64()))
 }
 
+// reset ends the retries once the list has been read.
+func (p *endpointPolling) reset() { *p = endpointPolling{} }
+
 // isDue reports whether it is time to poll.
 func (p *endpointPolling) isDue(now time.Duration) bool { return p.retryAt > 0 && now >= p.retryAt }
 
-// requestEndpoints subscribes to the endpoint list. A request that is never answered is repeated after the poll interval.
+// requestEndpoints subscribes to the endpoint list. A request that is never answered is repeated after the
+// poll interval.
 func (b *Balancer) requestEndpoints(now time.Duration) {
 	b.actions.WatchEndpoints(true)
 	b.endpoints.polling.retryAt = now + max(minPollBackoff, b.settings.PollInterval)
--- a/balance/fake_test.go
+++ b/balance/fake_test.go
@@ -145,8 +145,8 @@
 	return got[0].to
 }
 
-// openGroupConnections opens n connections of one group, with IDs from the given one on, and returns the backend of
-// the last one.
+// openGroupConnections opens n connections of one group, with IDs from the given one on, and returns the
+// backend of the last one.
 func openGroupConnections(t *testing.T, b *Balancer, r *recorder, from, n uint64, group uint64) BackendID {
 	t.Helper()
 	var to BackendID
@@ -182,8 +182,8 @@
 	return at
 }
 
-// settingsWithoutMessageDelay are the settings of a relay that knows loads by health checks and nothing of message
-// delays.
+// settingsWithoutMessageDelay are the settings of a relay that knows loads by health checks and nothing of
+// message delays.
 func settingsWithoutMessageDelay() Settings {
 	s := defaultSettings()
 	s.ReportsMessageDelay, s.HealthChecks, s.ReportFields = false, true, []ReportField{FieldLoadShare}
--- a/balance/gossip.go
+++ b/balance/gossip.go
@@ -18,7 +18,8 @@
 	return binary.BigEndian.AppendUint64(nil, uint64(s.ID))
 }
 
-// decodeOverloadNotice returns the backend that a message is about; false for anything but an overload notice.
+// decodeOverloadNotice returns the backend that a message is about; false for anything but an overload
+// notice.
 func decodeOverloadNotice(data []byte) (BackendID, bool) {
 	if len(data) != overloadNoticeSize {
 		return 0, false
--- a/balance/healthcheck.go
+++ b/balance/healthcheck.go
@@ -10,20 +10,22 @@
 	// reportLifetime is how long a load report counts.
 	reportLifetime = 2 * time.Second
 
-	// fullPause is how long a backend without connections of this relay is passed by after it has reported to be full.
+	// fullPause is how long a backend without connections of this relay is passed by after it has reported
+	// to be full.
 	fullPause = 2 * time.Second
 
 	// maxChecksPerRequest bounds the health checks that a request waits for.
 	maxChecksPerRequest = 2 * groupSpread
 
-	// connectionsPerCheck is how many connections on a backend are worth one health check a second: one from each of many
-	// relays would cost too much.
+	// connectionsPerCheck is how many connections on a backend are worth one health check a second: one
+	// from each of many relays would cost too much.
 	connectionsPerCheck = 4.0
 
 	// lateAnswerFactor is the multiple of its usual latency from which an answer is late.
 	lateAnswerFactor = 1.3
 
-	// minLateExcessFraction is the inverse of the part of the late-message threshold that a late answer exceeds the usual by.
+	// minLateExcessFraction is the inverse of the part of the late-message threshold that a late answer
+	// exceeds the usual by.
 	minLateExcessFraction = 64
 
 	// minFleetReports is how many load reports tell how full the fleet is.
@@ -35,7 +37,8 @@
 	// maxReportedUtilization bounds what one report adds to the mean.
 	maxReportedUtilization = 2
 
-	// lateMessageFraction is the inverse of the part of the message latency objective from which a message is late.
+	// lateMessageFraction is the inverse of the part of the message latency objective from which a message
+	// is late.
 	lateMessageFraction = 3
 
 	// reconnectWindow is how long the clients of a lost backend come back.
@@ -44,7 +47,8 @@
 	// minUtilization bounds the mean utilization below, where it is divided by.
 	minUtilization = 0.1
 
-	// roomShareFactor is how many times this relay's part the room of a backend counts: of so many relays one checks it while a report is old.
+	// roomShareFactor is how many times this relay's part the room of a backend counts: of so many relays
+	// one checks it while a report is old.
 	roomShareFactor = 8
 )
 
@@ -63,6 +67,23 @@
 	return h.hasUtilization && now-h.lastResult < reportLifetime
 }
 
+// recordSend counts a request sent since the last result.
+func (h *backendHealth) recordSend() { h.sentSince++ }
+
+// recordCheckEnd records that no health check is pending any more.
+func (h *backendHealth) recordCheckEnd() { h.checkPending = false }
+
+// recordReport records what a health check has shown beside the utilization.
+func (h *backendHealth) recordReport(report *loadReport) {
+	h.hasUtilization = report.hasUtilization
+	h.errorsPerSecond = report.errorsPerSecond
+}
+
+// recordUtilization records how full the backend is held to be from now on.
+func (h *backendHealth) recordUtilization(now time.Duration, utilization float64) {
+	h.lastResult, h.utilization, h.sentSince = now, utilization, 0
+}
+
 // expire makes the last result count as old.
 func (h *backendHealth) expire(now time.Duration) { h.lastResult = now - reportLifetime }
 
@@ -129,7 +150,7 @@
 		h.reports++
 		h.meanUtilization += (min(report.utilization, maxReportedUtilization) - h.meanUtilization) /
 			float64(min(h.reports, meanUtilizationSamples))
-	case !ok && result.Status != StatusAbandoned: // an abandoned check has not asked
+	case !ok && result.Status != StatusAbandoned: // an abandoned check was never sent
 		report.utilization = 1
 	case result.Latency.Seconds()*1000 > h.lateMessageMillis:
 		report.utilization = 1
@@ -171,19 +192,21 @@
 	}
 }
 
-// isDueForPeriodicCheck draws whether a watched backend is checked in this second, in proportion to the connections there.
+// isDueForPeriodicCheck draws whether a watched backend is checked in this second, in proportion to the
+// connections there.
 func (b *Balancer) isDueForPeriodicCheck(s *backend) bool {
 	return b.settings.HealthChecks && b.health.reportsUtilization() && b.rng.Float64()*connectionsPerCheck < float64(s.connections)
 }
 
-// needsHealthCheck reports whether a backend is to be checked before it gets a request. Reports on this relay's connections
-// show only that messages are late; a load report shows what a backend holds of all relays.
+// needsHealthCheck reports whether a backend is to be checked before it gets a request. Reports on this
+// relay's connections show only that messages are late; a load report shows what a backend holds of all
+// relays.
 func (b *Balancer) needsHealthCheck(now time.Duration, s *backend) bool {
 	return b.settings.HealthChecks && (s.connections == 0 || b.health.reportsUtilization()) && now-s.health.lastResult >= reportLifetime
 }
 
-// awaitHealthCheck holds a request until its backend has been checked, where that is needed and there is time. With many relays each
-// has connections on few backends, and the others may be full unseen.
+// awaitHealthCheck holds a request until its backend has been checked, where that is needed and there is
+// time. With many relays each has connections on few backends, and the others may be full unseen.
 func (b *Balancer) awaitHealthCheck(now time.Duration, s *backend, req *request) bool {
 	if !b.needsHealthCheck(now, s) || req.MidStream || req.checks == maxChecksPerRequest {
 		return false
@@ -200,26 +223,28 @@
 	return true
 }
 
-// healthCheckTimeout is how long a request waits for a health check: a quarter of its latency objective, so that the rest is left
-// for the connection, and at least twice the latency of the backend's zone.
+// healthCheckTimeout is how long a request waits for a health check: a quarter of its latency objective,
+// so that the rest is left for the connection, and at least twice the latency of the backend's zone.
 func (b *Balancer) healthCheckTimeout(req *request, s *backend) time.Duration {
 	zoneLatency := min(b.health.zoneLatency[s.Zone], b.settings.DialTimeout)
 	return max(b.latencyObjective(req)/4, 2*zoneLatency)
 }
 
-// recordUtilization records how full a backend has reported to be, and resumes the requests that waited for it. A full one without
-// connections of this relay is passed by for a while: no report on a connection tells when it has room again.
+// recordUtilization records how full a backend has reported to be, and resumes the requests that waited
+// for it. A full one without connections of this relay is passed by for a while: no report on a connection
+// tells when it has room again.
 func (b *Balancer) recordUtilization(now time.Duration, s *backend, utilization float64) {
-	s.health.lastResult, s.health.utilization, s.health.sentSince = now, utilization, 0
+	s.health.recordUtilization(now, utilization)
 	if s.connections == 0 && (utilization >= fillTarget || b.leavesRoomToOthers(now, s, utilization)) {
-		s.ejection.until = now + fullPause
+		s.ejection.passBy(now + fullPause)
 	}
 	b.resumeHeld(now, s)
 }
 
-// leavesRoomToOthers draws whether reconnecting clients pass a backend by though it has room. After a backend is lost the clients of all relays
-// return together and read of the same room in an old report: each relay fills its part, by chance below a connection. Its own connections
-// on a usual backend tell how many fill one.
+// leavesRoomToOthers draws whether reconnecting clients pass a backend by though it has room. After a
+// backend is lost the clients of all relays return together and read of the same room in an old report:
+// each relay fills its part, by chance below a connection. Its own connections on a usual backend tell how
+// many fill one.
 func (b *Balancer) leavesRoomToOthers(now time.Duration, s *backend, utilization float64) bool {
 	if !b.endpoints.hasLostWithin(now, reconnectWindow) || !b.hasReconnectingClientFor(s) {
 		return false
--- a/balance/healthcheck_test.go
+++ b/balance/healthcheck_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// With many relays, each holds connections on few backends. The others may be full without a sign of it, so one is
-// checked before it gets a connection.
+// With many relays, each holds connections on few backends. The others may be full without a sign of it,
+// so one is checked before it gets a connection.
 func TestHealthCheck_UnknownBackendIsCheckedFirst(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -44,11 +44,13 @@
 	}
 }
 
-// Backends of other zones, 20 ms away, could not answer within the 15 ms that a class with a latency objective of 60
-// ms waited. Each counted as full for two seconds, for all classes: 20,000 checks of 300 relays in a day. A late
-// answer tells the latency of the zone; a backend that is silent beyond it is passed by as before.
+// Backends of other zones, 20 ms away, could not answer within the 15 ms that a class with a latency
+// objective of 60 ms waited. Each counted as full for two seconds, for all classes: 20,000 checks of 300
+// relays in a day. A late answer tells the latency of the zone; a backend that is silent beyond it is
+// passed by as before.
 func TestHealthCheck_TimeoutCoversZoneLatency(t *testing.T) {
-	// pendingCheck learns the latency of a zone by one late answer, and then has a check of another backend there pending.
+	// pendingCheck learns the latency of a zone by one late answer, and then has a check of another
+	// backend there pending.
 	pendingCheck := func() (b *Balancer, r *recorder, now time.Duration, id uint64, to BackendID) {
 		s := manyRelaySettings()
 		s.Classes[0].LatencyObjective, s.DialTimeout = 60*ms, 100*ms
@@ -96,8 +98,9 @@
 	}
 }
 
-// After a backend is lost, the clients of all relays reconnect within a second, and a load report is as old: if each
-// relay sent one to the backend that reports room, it would go from half full to twice its load.
+// After a backend is lost, the clients of all relays reconnect within a second, and a load report is as
+// old: if each relay sent one to the backend that reports room, it would go from half full to twice its
+// load.
 func TestHealthCheck_RelaysShareReportedRoomAmongReconnectingClients(t *testing.T) {
 	const start = sec
 	takes := func(reconnecting bool, since time.Duration, conns uint64, full float32) int {
@@ -150,7 +153,8 @@
 	}
 }
 
-// A request does not wait for health checks without end, and is answered in time when all backends are silent.
+// A request does not wait for health checks without end, and is answered in time when all backends are
+// silent.
 func TestHealthCheck_ChecksPerRequestAreBounded(t *testing.T) {
 	b, r := newUncheckedBalancer(t, 20)
 	b.RequestArrived(sec, Request{ID: 1, Key: 1, Group: 7, TimeLeft: 2 * sec})
@@ -165,8 +169,8 @@
 	}
 }
 
-// A relay with few connections on a limited backend checks it seldom: from all relays together the checks would cost
-// the backend more than they bring.
+// A relay with few connections on a limited backend checks it seldom: from all relays together the checks
+// would cost the backend more than they bring.
 func TestHealthCheck_PeriodicChecksScaleWithConnections(t *testing.T) {
 	checks := func(conns uint64) int {
 		b, r := newUncheckedBalancer(t, 1)
@@ -210,8 +214,8 @@
 	}
 }
 
-// Without a latency objective for messages no answer to a health check is late for it: each backend would count as
-// full for two seconds after every check.
+// Without a latency objective for messages no answer to a health check is late for it: each backend would
+// count as full for two seconds after every check.
 func TestHealthCheck_AnswersAreNotLateWithoutMessageObjective(t *testing.T) {
 	s := defaultSettings()
 	for i := range s.Classes {
@@ -244,9 +248,9 @@
 	}
 }
 
-// A class whose timeout is no longer than a connection may take has the time for a health check like all others: an
-// answer takes a part of its objective. Unchecked its requests would go to backends that fail or are full, and those
-// that must not be repeated would be lost.
+// A class whose timeout is no longer than a connection may take has the time for a health check like all
+// others: an answer takes a part of its objective. Unchecked its requests would go to backends that fail
+// or are full, and those that must not be repeated would be lost.
 func TestHealthCheck_ShortTimeoutClassStillChecksFirst(t *testing.T) {
 	const n = 8
 	for _, tc := range []struct {
--- a/balance/inspect.go
+++ b/balance/inspect.go
@@ -23,10 +23,10 @@
 	return e.Total == e.ByBackend && e.Total == e.Listed && e.Total == e.ByGroup && e.Total == e.ByTenant
 }
 
-// CheckInvariants returns an *InvariantError if the connections counted in all, by backend, by group and by tenant
-// disagree. It may be called at any time between two events.
+// CheckInvariants returns an *InvariantError if the connections counted in all, by backend, by group and
+// by tenant disagree. It may be called at any time between two events.
 func (b *Balancer) CheckInvariants() error {
-	counts := &InvariantError{Total: b.loads.total.connections}
+	counts := &InvariantError{Total: b.loads.total.connections, ByTenant: b.quotas.total()}
 	for _, s := range b.endpoints.byID {
 		counts.ByBackend += s.connections
 		counts.Listed += len(s.openRequests)
@@ -34,16 +34,14 @@
 			counts.ByGroup += count
 		}
 	}
-	for _, count := range b.quotas.connections {
-		counts.ByTenant += count
-	}
 	if counts.isConsistent() {
 		return nil
 	}
 	return counts
 }
 
-// Connections returns the number of pending and open connections, and the sum of the backends' counts, which has to equal it.
+// Connections returns the number of pending and open connections, and the sum of the backends' counts,
+// which has to equal it.
 func (b *Balancer) Connections() (all, byBackend int) {
 	for _, s := range b.endpoints.byID {
 		byBackend += s.connections
@@ -51,8 +49,8 @@
 	return b.loads.total.connections, byBackend
 }
 
-// CountUnavailable returns how many backends the endpoint list holds, and how many of them get no new request now: draining,
-// ejected or at their limit.
+// CountUnavailable returns how many backends the endpoint list holds, and how many of them get no new
+// request now: draining, ejected or at their limit.
 func (b *Balancer) CountUnavailable(now time.Duration) (listed, unavailable int) {
 	for id, s := range b.endpoints.byID {
 		if s.State == StateRemoved {
@@ -72,7 +70,7 @@
 	if s == nil || s.State == StateRemoved {
 		return false
 	}
-	if s.State == StateDraining || s.ejection.until > now {
+	if s.State == StateDraining || s.ejection.isActive(now) {
 		return true
 	}
 	limit := s.concurrency.limit
--- a/balance/inspect_test.go
+++ b/balance/inspect_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// The counts by backend, list, group and tenant agree whichever way a connection ends; one left behind in a count is
-// reported.
+// The counts by backend, list, group and tenant agree whichever way a connection ends; one left behind in
+// a count is reported.
 func TestCheckInvariants_CountsAgree(t *testing.T) {
 	b, r := newReportingBalancer(t, 5, 1, func(s *Settings) { s.Groups = true })
 	openConnections(t, b, r, 20)
--- a/balance/load.go
+++ b/balance/load.go
@@ -32,8 +32,8 @@
 // addClasses makes room for more classes.
 func (l *loadSums) addClasses(count int) { l.unreported = append(l.unreported, make([]int, count)...) }
 
-// loadTracker measures the tracked load T of the paper: the load of this relay's connections on a backend. The unit is a
-// connection until a first load is reported, then microseconds of work a second.
+// loadTracker measures the tracked load T of the paper: the load of this relay's connections on a backend.
+// The unit is a connection until a first load is reported, then microseconds of work a second.
 type loadTracker struct {
 	total        loadSums  // of all backends
 	classLoads   []float64 // mean load of a connection by class; last: of all classes
@@ -116,7 +116,8 @@
 	}
 }
 
-// recordConnectionLoad records the present load of a connection, and with it what connections of its class usually load.
+// recordConnectionLoad records the present load of a connection, and with it what connections of its class
+// usually load.
 func (b *Balancer) recordConnectionLoad(req *request, load float64) {
 	if req.load > 0 { // a change of its own load, and so of T
 		b.setLoad(req, load)
@@ -142,8 +143,9 @@
 	b.attach(req, target)
 }
 
-// rescaleLimits makes a change to the unit of T, and has the limits follow it. The first loads reported change T by orders of
-// magnitude though nothing has come or gone: limits in the old unit would relieve all backends at once.
+// rescaleLimits makes a change to the unit of T, and has the limits follow it. The first loads reported
+// change T by orders of magnitude though nothing has come or gone: limits in the old unit would relieve
+// all backends at once.
 func (b *Balancer) rescaleLimits(change func()) {
 	watched := b.concurrency.watched
 	before := make([]float64, len(watched))
--- a/balance/load_test.go
+++ b/balance/load_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// The first reported loads change the unit of T a thousandfold. Limits set before are in the old unit: nothing is to
-// be migrated for that.
+// The first reported loads change the unit of T a thousandfold. Limits set before are in the old unit:
+// nothing is to be migrated for that.
 func TestLoad_LimitsFollowUnitOfTrackedLoad(t *testing.T) {
 	b, r := newTestBalancer(t, settingsWithoutMessageDelay(), 1)
 	connectAfterReport(b, 10, 0.1)
--- a/balance/outlier.go
+++ b/balance/outlier.go
@@ -6,19 +6,20 @@
 )
 
 const (
-	// minEjection and maxEjection bound how long a backend is ejected; the time doubles with each failure in a row.
+	// minEjection and maxEjection bound how long a backend is ejected; the time doubles with each failure
+	// in a row.
 	minEjection = time.Second
 	maxEjection = 16 * time.Second
 
-	// maxEjectedFraction is the inverse of the part of the fleet that may be ejected: trouble of more backends
-	// has a common cause, and ejecting them would leave nothing.
+	// maxEjectedFraction is the inverse of the part of the fleet that may be ejected: trouble of more
+	// backends has a common cause, and ejecting them would leave nothing.
 	maxEjectedFraction = 3
 
 	// isolatedResetWindow is the time without another reset after which one counts as the network's.
 	isolatedResetWindow = time.Second
 
-	// minLatencySamples is how many answers a latency baseline has to rest on. On a long way two answers differ by
-	// a third by chance alone.
+	// minLatencySamples is how many answers a latency baseline has to rest on. On a long way two answers
+	// differ by a third by chance alone.
 	minLatencySamples = 4
 
 	// scatterAllowance is the multiple of the usual scatter that an answer has to be late by.
@@ -27,7 +28,8 @@
 	// maxScatterSamples is the weight of the mean scatter over past answers.
 	maxScatterSamples = 64
 
-	// lateAnswersToConfirm is how many late answers in a row show that a backend is slow: one or two are chance.
+	// lateAnswersToConfirm is how many late answers in a row show that a backend is slow: one or two are
+	// chance.
 	lateAnswersToConfirm = 3
 
 	// bypassFactor is the chance to pass a backend by over the lateness of its kind.
@@ -41,7 +43,8 @@
 	// attemptsPerError is the inverse of the error rate from which a backend is passed by.
 	attemptsPerError = 20
 
-	// latenessPrior is the time in seconds with connections that the lateness of a kind is diluted by: the first few seconds say little.
+	// latenessPrior is the time in seconds with connections that the lateness of a kind is diluted by: the
+	// first few seconds say little.
 	latenessPrior = 5
 )
 
@@ -52,6 +55,15 @@
 	lastReset time.Duration // when it last reset a connection; 0: never
 }
 
+// isActive reports whether the backend gets no new request now.
+func (e *ejection) isActive(now time.Duration) bool { return e.until > now }
+
+// passBy keeps new requests away until a time, without counting as an ejection.
+func (e *ejection) passBy(until time.Duration) { e.until = until }
+
+// lift ends the ejection and forgets the ones before.
+func (e *ejection) lift() { e.until, e.duration = 0, 0 }
+
 // latencyBaseline is what is usual of one backend's health check latency.
 type latencyBaseline struct {
 	baseline        time.Duration // of its quicker answers; 0: none yet
@@ -63,6 +75,9 @@
 // isEstablished reports whether enough answers were seen to tell late ones.
 func (l *latencyBaseline) isEstablished() bool { return l.samples > minLatencySamples }
 
+// forget forgets what was usual.
+func (l *latencyBaseline) forget() { l.baseline, l.samples = 0, 0 }
+
 // kindLateness counts how often backends of one kind were late while this relay had connections there.
 type kindLateness struct {
 	late    float64 // seconds with late messages
@@ -94,8 +109,8 @@
 
 // eject ejects a backend for twice as long as the last time, unless too many are ejected.
 func (o *outlierDetector) eject(now time.Duration, s *backend, ready int) {
-	o.ejected = slices.DeleteFunc(o.ejected, func(e *backend) bool { return e.ejection.until <= now })
-	if s.ejection.until > now || maxEjectedFraction*(len(o.ejected)+1) > ready {
+	o.ejected = slices.DeleteFunc(o.ejected, func(e *backend) bool { return !e.ejection.isActive(now) })
+	if s.ejection.isActive(now) || maxEjectedFraction*(len(o.ejected)+1) > ready {
 		return
 	}
 	s.ejection.duration = min(max(minEjection, 2*s.ejection.duration), maxEjection)
@@ -103,8 +118,9 @@
 	o.ejected = append(o.ejected, s)
 }
 
-// recordLatency counts the late answers of a backend in a row: those that take lateFactor times the baseline, and
-// longer by minExcess and by more than answers scatter here. What stays late becomes usual, slowly.
+// recordLatency counts the late answers of a backend in a row: those that take lateFactor times the
+// baseline, and longer by minExcess and by more than answers scatter here. What stays late becomes usual,
+// slowly.
 func (o *outlierDetector) recordLatency(s *backend, took time.Duration, lateFactor float64, minExcess time.Duration) {
 	l := &s.latency
 	if l.baseline == 0 {
@@ -140,28 +156,29 @@
 	return excess >= max(minExcess, scatterAllowance*o.latencyScatter)
 }
 
-// recordReset records a reset and reports whether it is isolated: none came shortly before. A backend in trouble resets one
-// connection after the other.
+// recordReset records a reset and reports whether it is isolated: none came shortly before. A backend in
+// trouble resets one connection after the other.
 func (e *ejection) recordReset(now time.Duration) bool {
 	isolated := e.lastReset == 0 || now-e.lastReset > isolatedResetWindow
 	e.lastReset = now
 	return isolated
 }
 
-// isIsolatedReset reports whether the end of an attempt is a reset that may be the network's. Taken for trouble, each would
-// move half of what a healthy backend holds.
+// isIsolatedReset reports whether the end of an attempt is a reset that may be the network's. Taken for
+// trouble, each would move half of what a healthy backend holds.
 func (b *Balancer) isIsolatedReset(now time.Duration, s *backend, status Status) bool {
 	return status == StatusReset && !b.settings.ReportsMessageDelay && s.ejection.recordReset(now)
 }
 
-// indictsBackend reports whether the end of an attempt may show that its backend is failing. The end of an established connection
-// does so only by a reset, and where no report of message delay shows trouble earlier.
+// indictsBackend reports whether the end of an attempt may show that its backend is failing. The end of an
+// established connection does so only by a reset, and where no report of message delay shows trouble
+// earlier.
 func (b *Balancer) indictsBackend(req *request, status Status) bool {
 	return !req.established || status == StatusReset && !b.settings.ReportsMessageDelay
 }
 
-// ejectOnFailure ejects a backend whose attempt has failed. Its quick failures would lower its load and attract requests, and
-// one failure may be all that each of many relays sees.
+// ejectOnFailure ejects a backend whose attempt has failed. Its quick failures would lower its load and
+// attract requests, and one failure may be all that each of many relays sees.
 func (b *Balancer) ejectOnFailure(now time.Duration, s *backend, status Status) {
 	switch status {
 	case StatusOK:
@@ -172,8 +189,9 @@
 	}
 }
 
-// bypass reports whether a request passes a backend by that could accept it. A returning client does so the likelier, the more often
-// backends of that kind were late: each relay in turn, with no connection there, would send it back to the backend it left.
+// bypass reports whether a request passes a backend by that could accept it. A returning client does so
+// the likelier, the more often backends of that kind were late: each relay in turn, with no connection
+// there, would send it back to the backend it left.
 func (b *Balancer) bypass(now time.Duration, s *backend, req *request) bool {
 	chance, limit := bypassFactor*b.outliers.kind(s).share(), maxBypasses
 	if !b.settings.HealthChecks {
@@ -197,8 +215,9 @@
 	return req.Reconnecting && s.connections == 0 && b.rng.Float64() < chance
 }
 
-// avoidsErrors reports whether a request that must not execute twice avoids a backend that reports errors on more than a few of the
-// attempts made there. Each of many relays would otherwise lose such a request to find out.
+// avoidsErrors reports whether a request that must not execute twice avoids a backend that reports errors
+// on more than a few of the attempts made there. Each of many relays would otherwise lose such a request
+// to find out.
 func (b *Balancer) avoidsErrors(now time.Duration, s *backend, req *request) bool {
 	if b.settings.Classes[req.Class].Idempotency == Idempotent {
 		return false
--- a/balance/outlier_test.go
+++ b/balance/outlier_test.go
@@ -116,8 +116,9 @@
 	}
 }
 
-// A migrated client came back through another relay, which knew nothing of the backend that it had left and sent it
-// there again: half of the migrations on busy days. Without health checks the kind of the backend alone tells.
+// A migrated client came back through another relay, which knew nothing of the backend that it had left
+// and sent it there again: half of the migrations on busy days. Without health checks the kind of the
+// backend alone tells.
 func TestOutlier_ReconnectingClientBypassIsBounded(t *testing.T) {
 	passed := func(checks bool) (most int) {
 		s := defaultSettings()
@@ -164,9 +165,9 @@
 	}
 }
 
-// A backend that reports errors is found by each of many relays with a request of its own. One that must not be
-// repeated is lost by that, so it goes to the next of its order. Two at most are passed by: where all fail it still
-// goes somewhere.
+// A backend that reports errors is found by each of many relays with a request of its own. One that must
+// not be repeated is lost by that, so it goes to the next of its order. Two at most are passed by: where
+// all fail it still goes somewhere.
 func TestOutlier_NonIdempotentBypassesBackendsReportingErrors(t *testing.T) {
 	const n = 8
 	for _, tc := range []struct {
--- a/balance/placement.go
+++ b/balance/placement.go
@@ -6,7 +6,8 @@
 )
 
 const (
-	// backupLifetime is how long a backup is kept; B and F of the paper are cleared this often (section III-C).
+	// backupLifetime is how long a backup is kept; B and F of the paper are cleared this often (section
+	// III-C).
 	backupLifetime = 10 * time.Second
 
 	// imbalanceConnections is the imbalance threshold Δ in usual connections of this relay.
@@ -16,7 +17,8 @@
 	// relays hold on a backend.
 	reportedImbalanceConnections = 1.25
 
-	// checkBackupAbove is the fraction of the mean utilization from which a primary has its unknown backup checked.
+	// checkBackupAbove is the fraction of the mean utilization from which a primary has its unknown backup
+	// checked.
 	checkBackupAbove = 0.9
 
 	// groupSpread bounds the backends that a group may use to the first ones of its rendezvous order.
@@ -31,6 +33,9 @@
 	lastReset time.Duration
 }
 
+// isDue reports whether the backups have to be cleared again.
+func (s *backupSchedule) isDue(now time.Duration) bool { return now-s.lastReset >= backupLifetime }
+
 // choosePlacement returns the backend for a request, or nil if none may take it. It applies the power of one
 // random choice (Maat, section III, Algorithm 1): the primary keeps the request unless its load exceeds that
 // of the backup by the imbalance threshold.
@@ -65,8 +70,8 @@
 	return backup
 }
 
-// choosePrimary returns the first backend in the rendezvous order of the request's key, which all relays share,
-// or the one that it overflows to.
+// choosePrimary returns the first backend in the rendezvous order of the request's key, which all relays
+// share, or the one that it overflows to.
 func (b *Balancer) choosePrimary(now time.Duration, req *request) *backend {
 	primary := b.ring.first(req.hashKey, func(*backend) bool { return true })
 	if primary == nil || b.canAccept(now, primary, req) {
@@ -121,7 +126,8 @@
 	if !b.canCompareReports(now, primary, backup, checkFirst, req) {
 		return b.relativeLoad(primary)-b.relativeLoad(backup) >= b.imbalanceThreshold()
 	}
-	fleetRate := float64(b.settings.RelayCount) / float64(len(b.endpoints.ready)) // arrivals at a backend from all relays, per arrival here
+	// fleetRate is the arrivals at one backend from all relays for each arrival at this relay.
+	fleetRate := float64(b.settings.RelayCount) / float64(len(b.endpoints.ready))
 	perConnection := b.health.meanUtilization / (max(1, float64(b.loads.total.connections)-req.recentArrivals) * fleetRate)
 	lead := primary.health.utilization + float64(primary.health.sentSince)*perConnection
 	if checkFirst {
@@ -155,8 +161,9 @@
 // relativeLoad is T relative to the backend's size.
 func (b *Balancer) relativeLoad(s *backend) float64 { return b.loads.sum(&s.loadSums) / s.size }
 
-// chooseOverflow returns the backend for a request that its primary cannot accept: one that holds connections
-// of its group, a warming one, or the next in rendezvous order. It returns nil where its group may not spread further.
+// chooseOverflow returns the backend for a request that its primary cannot accept: one that holds
+// connections of its group, a warming one, or the next in rendezvous order. It returns nil where its group
+// may not spread further.
 func (b *Balancer) chooseOverflow(now time.Duration, req *request) *backend {
 	if holder := b.findGroupHolder(now, req); holder != nil {
 		return holder
@@ -218,8 +225,9 @@
 	return ahead
 }
 
-// findWarmingBackend returns a backend in slow start that this relay may send one more request now. Few relays
-// may at a time, and few keys have their primary there: without it, cold backends stay empty while others are full.
+// findWarmingBackend returns a backend in slow start that this relay may send one more request now. Few
+// relays may at a time, and few keys have their primary there: without it, cold backends stay empty while
+// others are full.
 func (b *Balancer) findWarmingBackend(now time.Duration, req *request) *backend {
 	return b.ring.first(req.hashKey, func(s *backend) bool {
 		return b.slowStartShare(now, s) < 1 && b.isEligible(now, s, req) && b.hasSlowStartToken(now, s)
@@ -246,7 +254,7 @@
 	if req.isFirstMidStreamAttempt() { // the backend bears the connection already
 		return true
 	}
-	return s.ejection.until <= now && b.hasRoom(s, req) && !req.hasBypassed(s)
+	return !s.ejection.isActive(now) && b.hasRoom(s, req) && !req.hasBypassed(s)
 }
 
 // resetBackups clears the backups and their flags, and halves the weight of the groups' past demand.
--- a/balance/placement_test.go
+++ b/balance/placement_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// While the fleet is short of room, groups scattered over all backends cost more than they bring: a group overflows to
-// the first backends of its order and is then rejected.
+// While the fleet is short of room, groups scattered over all backends cost more than they bring: a group
+// overflows to the first backends of its order and is then rejected.
 func TestPlacement_OverflowKeepsGroupTogether(t *testing.T) {
 	s := defaultSettings()
 	s.Groups, s.ReportFields = true, []ReportField{FieldLoadShare}
@@ -28,8 +28,8 @@
 	}
 }
 
-// A large group whose few backends are full waits while a large fleet has room; while the fleet is short of room,
-// scattering the group costs more than it brings.
+// A large group whose few backends are full waits while a large fleet has room; while the fleet is short
+// of room, scattering the group costs more than it brings.
 func TestPlacement_GroupSpreadsFurtherOnlyInLargeFleetWithRoom(t *testing.T) {
 	cases := []struct {
 		backends     int
@@ -54,8 +54,9 @@
 	}
 }
 
-// Groups that spread while nearly all backends were late cost each of them three connections' worth, and nothing was
-// served in time. Without load reports only this relay's own backends show that, if they are enough of the fleet.
+// Groups that spread while nearly all backends were late cost each of them three connections' worth, and
+// nothing was served in time. Without load reports only this relay's own backends show that, if they are
+// enough of the fleet.
 func TestPlacement_GroupStaysOnPrimaryWhileFleetIsLate(t *testing.T) {
 	for _, c := range []struct {
 		late           bool
@@ -82,8 +83,8 @@
 	}
 }
 
-// A group with half of all requests filled its three backends, and its clients were rejected beside two hundred idle
-// ones. Clients that come again do not make it larger.
+// A group with half of all requests filled its three backends, and its clients were rejected beside two
+// hundred idle ones. Clients that come again do not make it larger.
 func TestPlacement_LargeGroupUsesItsShareOfBackends(t *testing.T) {
 	went := func(of int) (n int) { // of how many requests one is the group's
 		s := defaultSettings()
@@ -110,8 +111,9 @@
 	}
 }
 
-// With many relays, T of one is a connection or none. Where backends report what they hold, a primary whose load
-// exceeds that of its random backup is passed by; without that report the same backends get what hashing gives them.
+// With many relays, T of one is a connection or none. Where backends report what they hold, a primary
+// whose load exceeds that of its random backup is passed by; without that report the same backends get
+// what hashing gives them.
 func TestPlacement_ReportedLoadDivertsFromPrimary(t *testing.T) {
 	heavy := func(id BackendID) float64 { return 0.4 + 0.3*float64(id%2) } // odd ones 0.7, even ones 0.4
 	for _, tc := range []struct {
@@ -140,8 +142,8 @@
 	}
 }
 
-// What this relay has sent since the report counts in full: by a report of one moment alone it would send everything
-// to the lightest backend.
+// What this relay has sent since the report counts in full: by a report of one moment alone it would send
+// everything to the lightest backend.
 func TestPlacement_CountsRequestsSentSinceReport(t *testing.T) {
 	b, r := newReportingBalancer(t, 2, 1, nil)
 	light := func(id BackendID) float64 { return 0.6 - 0.1*float64(id%2) } // both known from here on
@@ -155,8 +157,8 @@
 	}
 }
 
-// In a rush all relays read the same report: each diverts by chance, so that together they fill the imbalance and no
-// more.
+// In a rush all relays read the same report: each diverts by chance, so that together they fill the
+// imbalance and no more.
 func TestPlacement_RelaysShareImbalanceInRush(t *testing.T) {
 	diverted := func(rush float64) (n int) {
 		for i := range 300 {
--- a/balance/request.go
+++ b/balance/request.go
@@ -159,7 +159,7 @@
 		target = b.choosePlacement(now, req)
 	}
 	if target == nil || b.isOverQuota(req) || b.pacer.mustWait(now) && !req.MidStream {
-		b.answer(now, req)
+		b.answer(req)
 		return
 	}
 	if b.awaitHealthCheck(now, target, req) {
@@ -173,9 +173,9 @@
 	req.recordAttempt(now, target)
 	b.pacer.recordAttempt(now, b.rng)
 	b.attach(req, target)
-	target.health.sentSince++
+	target.health.recordSend()
 	if b.slowStartShare(now, target) < 1 {
-		target.slowStart.tokens--
+		target.slowStart.spend()
 	}
 	// An attempt has all the time left unless its policy says less: while connections are slow to establish
 	// everywhere, attempts cut short are repeated and keep them slow.
--- a/balance/retry.go
+++ b/balance/retry.go
@@ -47,7 +47,7 @@
 	case req.answered || closed || req.established:
 		b.finish(req)
 	case !b.mayRetry(now, req):
-		b.answer(now, req)
+		b.answer(req)
 	default:
 		b.retryBudget.spend()
 		b.retry(now, req)
@@ -75,7 +75,7 @@
 	}
 	wait := backoff(req.RetryPolicy, req.attempts, b.rng)
 	if now+wait+b.settings.Tick >= req.deadline {
-		b.answer(now, req)
+		b.answer(req)
 		return
 	}
 	req.retryAt = now + wait
@@ -121,8 +121,9 @@
 	return req.maxAttempts >= 2 && !b.retryBudget.isEmpty()
 }
 
-// mayRepeatAt reports whether an attempt at a backend is safe: a request that is not idempotent must not execute
-// twice. A repeat arrives only once its connection is established, which has to be within the deduplication window.
+// mayRepeatAt reports whether an attempt at a backend is safe: a request that is not idempotent must not
+// execute twice. A repeat arrives only once its connection is established, which has to be within the
+// deduplication window.
 func (b *Balancer) mayRepeatAt(now time.Duration, s *backend, req *request) bool {
 	if !req.mayHaveExecuted {
 		return true
@@ -156,9 +157,10 @@
 
 func (r *request) hasTried(s *backend) bool { return slices.Contains(r.tried[:], s) }
 
-// attemptPacer spaces attempts out, as TCP does segments, while connections of one request after another fail
-// or are slow to establish at different backends: what they wait for is shared. Two such in a row halve the
-// rate, at most once a round trip; each quick one raises it by half. The failures of one request alone do not count.
+// attemptPacer spaces attempts out, as TCP does segments, while connections of one request after another
+// fail or are slow to establish at different backends: what they wait for is shared. Two such in a row
+// halve the rate, at most once a round trip; each quick one raises it by half. The failures of one request
+// alone do not count.
 type attemptPacer struct {
 	lastSlow         *backend // of the last connection if that was slow or failed; nil: it was quick
 	lastRequest      uint64   // and its request
@@ -217,8 +219,8 @@
 	return time.Duration((0.5 + rng.Float64()) * float64(p.interval))
 }
 
-// slowSetup is the least time to establish a connection that counts as slow: half of the objective, and longer than a
-// connection may take on a long way.
+// slowSetup is the least time to establish a connection that counts as slow: half of the objective, and
+// longer than a connection may take on a long way.
 func (b *Balancer) slowSetup(req *request) time.Duration {
 	return max(b.latencyObjective(req)/2, b.settings.DialTimeout)
 }
--- a/balance/retry_test.go
+++ b/balance/retry_test.go
@@ -87,8 +87,8 @@
 	}
 }
 
-// sendSequence has n requests arrive one after the other and ends each attempt with the outcome for its backend, after the
-// time it took. It returns the number of attempts.
+// sendSequence has n requests arrive one after the other and ends each attempt with the outcome for its
+// backend, after the time it took. It returns the number of attempts.
 func sendSequence(b *Balancer, r *recorder, now *time.Duration, id *uint64, n int, took time.Duration,
 	how func(at BackendID) Status) (sends int) {
 	for range n {
@@ -110,8 +110,9 @@
 	return sends
 }
 
-// A store that every connection needs was jammed by reconnecting clients: 260 relays went on with some 500 attempts a
-// second, more than it could do, and not one connection was established for the rest of the day.
+// A store that every connection needs was jammed by reconnecting clients: 260 relays went on with some 500
+// attempts a second, more than it could do, and not one connection was established for the rest of the
+// day.
 func TestPacing_SlowsDownWhileAllBackendsFail(t *testing.T) {
 	for name, slow := range map[string]bool{"errors": false, "slow": true} {
 		t.Run(name, func(t *testing.T) {
@@ -144,9 +145,9 @@
 	}
 }
 
-// Zones were 20 ms apart, so that each connection there took longer than half of a latency objective of 60 ms, with
-// all backends well: nine in ten rejections of 300 relays, 9,200 of 10,700, were for that. A class with a short
-// timeout gave up on sound backends before they could answer.
+// Zones were 20 ms apart, so that each connection there took longer than half of a latency objective of 60
+// ms, with all backends well: nine in ten rejections of 300 relays, 9,200 of 10,700, were for that. A
+// class with a short timeout gave up on sound backends before they could answer.
 func TestPacing_IgnoresNetworkLatency(t *testing.T) {
 	for _, c := range []struct {
 		what  string
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// idleFleetConnections is how many connections on each backend all relays without any count as together. One
-	// each would make the sum grow with the number of relays.
+	// idleFleetConnections is how many connections on each backend all relays without any count as
+	// together. One each would make the sum grow with the number of relays.
 	idleFleetConnections = 8.0
 
 	// maxSlowStartTokens is more than any cold backend is ever sent at once.
@@ -21,7 +21,8 @@
 	refillAt time.Duration // end of the window
 }
 
-// reset empties the tokens of a backend that has started. The first window begins at a random moment, so that those of many relays do not coincide.
+// reset empties the tokens of a backend that has started. The first window begins at a random moment, so
+// that those of many relays do not coincide.
 func (t *slowStartTokens) reset(now, offset time.Duration) {
 	t.tokens, t.refillAt = 0, now+offset
 }
@@ -32,7 +33,11 @@
 	t.refillAt = now + window - (now-t.refillAt)%window
 }
 
-// slowStartShare is the fraction of its capacity that a backend certainly has: it rises from SlowStartFloor to 1 over SlowStartWindow.
+// spend takes a token for a request.
+func (t *slowStartTokens) spend() { t.tokens-- }
+
+// slowStartShare is the fraction of its capacity that a backend certainly has: it rises from
+// SlowStartFloor to 1 over SlowStartWindow.
 func (b *Balancer) slowStartShare(now time.Duration, s *backend) float64 {
 	age, window := now-s.ReadyAt, b.settings.SlowStartWindow
 	if s.ReadyAt == 0 || window <= 0 || age >= window {
@@ -42,7 +47,8 @@
 	return floor + (1-floor)*max(0, float64(age)/float64(window))
 }
 
-// slowStartAccepts reports whether a backend in slow start accepts a request: a rising share of its keys, within this relay's tokens.
+// slowStartAccepts reports whether a backend in slow start accepts a request: a rising share of its keys,
+// within this relay's tokens.
 func (b *Balancer) slowStartAccepts(now time.Duration, s *backend, req *request) bool {
 	share := b.slowStartShare(now, s)
 	if share >= 1 {
@@ -52,8 +58,8 @@
 	return position <= share && b.hasSlowStartToken(now, s)
 }
 
-// hasSlowStartToken reports whether a cold backend may get one more request from this relay in the present window. Unused tokens lapse: in a rush,
-// what all relays had saved would arrive at once.
+// hasSlowStartToken reports whether a cold backend may get one more request from this relay in the present
+// window. Unused tokens lapse: in a rush, what all relays had saved would arrive at once.
 func (b *Balancer) hasSlowStartToken(now time.Duration, s *backend) bool {
 	if now >= s.slowStart.refillAt {
 		window := max(1, b.settings.OverloadWindow)
@@ -64,8 +70,8 @@
 	return s.slowStart.tokens >= 1
 }
 
-// slowStartRate is how many requests a second this relay may send a cold backend: half of what would overload it, judged by what this relay has on warm
-// backends of its size, spread over the slow start.
+// slowStartRate is how many requests a second this relay may send a cold backend: half of what would
+// overload it, judged by what this relay has on warm backends of its size, spread over the slow start.
 func (b *Balancer) slowStartRate(now time.Duration, s *backend) float64 {
 	connections, size := b.warmFleet(now)
 	idle := idleFleetConnections / float64(b.settings.RelayCount) * float64(len(b.endpoints.ready))
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -35,7 +35,8 @@
 	return n
 }
 
-// Many relays learn of a start in the same second; one connection from each at once would overload the backend.
+// Many relays learn of a start in the same second; one connection from each at once would overload the
+// backend.
 func TestSlowStart_ManyRelaysDoNotOverload(t *testing.T) {
 	if n := countColdSends(t, 18, 100*ms); n > 4 {
 		t.Errorf("18 relays sent a backend %d connections in its first tenth of a second", n)
@@ -45,8 +46,8 @@
 	}
 }
 
-// After most relays were killed at once, the restarted ones have no connections to judge a cold backend by. If each of
-// them sent it nothing, nobody would fill it.
+// After most relays were killed at once, the restarted ones have no connections to judge a cold backend
+// by. If each of them sent it nothing, nobody would fill it.
 func TestSlowStart_RelaysWithoutConnectionsFillColdBackend(t *testing.T) {
 	n := 0
 	for relay := range 240 {
@@ -181,8 +182,8 @@
 	return at, set, fills
 }
 
-// The sum of what all relays send a cold backend is within its ramp. Beyond the N calls allowed only 2 x root of N + 2
-// are chance, however many relays there are and whatever they hold; and the room is used.
+// The sum of what all relays send a cold backend is within its ramp. Beyond the N calls allowed only 2 x
+// root of N + 2 are chance, however many relays there are and whatever they hold; and the room is used.
 func TestSlowStart_RampHoldsAcrossRelays(t *testing.T) {
 	for name, c := range map[string]coldFleet{
 		"a rush right after its start":             {rushAfter: 500 * ms, minFilled: 0.15},
@@ -227,8 +228,8 @@
 	}
 }
 
-// A mid-stream connection that is known to be open at a cold backend goes there, tokens or not: any other would reset
-// it. An unknown one takes a token or goes to the next backend of its order.
+// A mid-stream connection that is known to be open at a cold backend goes there, tokens or not: any other
+// would reset it. An unknown one takes a token or goes to the next backend of its order.
 func TestSlowStart_MidStreamFollowsStickyOverride(t *testing.T) {
 	for _, known := range []bool{true, false} {
 		s := defaultSettings()
@@ -254,9 +255,9 @@
 	}
 }
 
-// Most backends are replaced at once: those that are left report to be full, and the new ones are cold. Few keys have
-// their primary there, and few relays hold a token for one at a time. Whichever does sends it any key that finds its
-// primary full; the tokens still hold.
+// Most backends are replaced at once: those that are left report to be full, and the new ones are cold.
+// Few keys have their primary there, and few relays hold a token for one at a time. Whichever does sends
+// it any key that finds its primary full; the tokens still hold.
 func TestSlowStart_WarmingBackendTakesOverflow(t *testing.T) {
 	const warm, cold = 10, 6
 	for _, relays := range []int{30, 300} {
@@ -344,8 +345,8 @@
 	}
 }
 
-// All backends have started lately, as after a power cut: no warm one shows what fills a backend, and the connections
-// that idle relays count as are those of each backend, not of the whole fleet.
+// All backends have started lately, as after a power cut: no warm one shows what fills a backend, and the
+// connections that idle relays count as are those of each backend, not of the whole fleet.
 func TestSlowStart_AllBackendsColdAreNotOverloaded(t *testing.T) {
 	const relays, backends, fills = 300, 20, 20.0
 	set := defaultSettings()
--- a/balance/snapshot.go
+++ b/balance/snapshot.go
@@ -13,8 +13,9 @@
 	maxSnapshotLatency = time.Minute
 )
 
-// Snapshot is the state that one process of a relay passes on to the next in a hot restart. It holds what the next one needs so as not to
-// send to ejected backends, to fill cold ones a second time, or to lose the flows placed so far. Times are on the clock of the relay.
+// Snapshot is the state that one process of a relay passes on to the next in a hot restart. It holds what
+// the next one needs so as not to send to ejected backends, to fill cold ones a second time, or to lose
+// the flows placed so far. Times are on the clock of the relay.
 type Snapshot struct {
 	Backends           []BackendSnapshot  `json:"Servers"`
 	StickyOverrides    []StickyOverride   `json:"Diverted"`
@@ -49,7 +50,8 @@
 	At      time.Duration `json:"At"`
 }
 
-// Snapshot returns the state to pass on. Its slices of class loads are the Balancer's own and valid until the next event.
+// Snapshot returns the state to pass on. Its slices of class loads are the Balancer's own and valid until
+// the next event.
 func (b *Balancer) Snapshot() Snapshot {
 	snapshot := Snapshot{
 		StickyOverrides:    b.sticky.newest(maxSnapshotOverrides),
@@ -86,9 +88,9 @@
 	}
 }
 
-// UpdateOtherProcess records what the relay's former process sees while both run: its tracked load counts as this relay's own, and overload
-// there since is overload here. Without it, the clients that one process moves off a backend would be sent right back by the other. An empty
-// Snapshot ends it.
+// UpdateOtherProcess records what the relay's former process sees while both run: its tracked load counts
+// as this relay's own, and overload there since is overload here. Without it, the clients that one process
+// moves off a backend would be sent right back by the other. An empty Snapshot ends it.
 func (b *Balancer) UpdateOtherProcess(now time.Duration, snapshot Snapshot) {
 	for _, s := range b.endpoints.byID {
 		s.otherProcess = 0
@@ -100,16 +102,24 @@
 		}
 		s.otherProcess = positiveFinite(other.TrackedLoad)
 		s.ejection.until = max(s.ejection.until, min(other.EjectedUntil, now+maxEjection))
-		if other.LastOverload > s.concurrency.lastOverload && positiveFinite(other.ConcurrencyLimit) > 0 {
-			s.concurrency.limit = other.ConcurrencyLimit
-			s.concurrency.lastOverload = min(other.LastOverload, now)
+		if s.concurrency.adopt(now, &other) {
 			b.concurrency.watch(s)
 		}
 	}
 }
 
-// Restore takes over the state of a former process. What cannot be true is left out: values that are not numbers, times further ahead than any that a
-// Balancer sets, and backends that no list has named.
+// adopt takes over the limit of another process if that has seen an overload since, and reports whether it
+// did.
+func (c *concurrencyLimit) adopt(now time.Duration, other *BackendSnapshot) bool {
+	if other.LastOverload <= c.lastOverload || positiveFinite(other.ConcurrencyLimit) <= 0 {
+		return false
+	}
+	c.limit, c.lastOverload = other.ConcurrencyLimit, min(other.LastOverload, now)
+	return true
+}
+
+// Restore takes over the state of a former process. What cannot be true is left out: values that are not
+// numbers, times further ahead than any that a Balancer sets, and backends that no list has named.
 func (b *Balancer) Restore(now time.Duration, snapshot Snapshot) {
 	for i := range snapshot.Backends {
 		b.restoreBackend(now, &snapshot.Backends[i])
@@ -131,24 +141,44 @@
 	if s == nil {
 		return
 	}
-	s.ejection.duration = clamp(saved.EjectionTime, maxEjection)
-	s.ejection.until = clamp(saved.EjectedUntil, now+maxEjection)
-	if s.ejection.until > now {
-		b.outliers.ejected = append(b.outliers.ejected, s)
-	}
-	s.health.lastResult = clampToPast(now, saved.LastHealthCheck)
-	s.health.utilization = positiveFinite(saved.Utilization)
-	s.slowStart.refillAt = clamp(saved.SlowStartRefill, now+b.settings.OverloadWindow)
-	s.slowStart.tokens = min(positiveFinite(saved.SlowStartTokens), maxSlowStartTokens)
-	s.latency.baseline = clamp(saved.LatencyBaseline, maxSnapshotLatency)
-	s.latency.samples = max(0, min(saved.LatencySamples, minLatencySamples+1))
-	s.concurrency.lastOverload = clampToPast(now, saved.LastOverload)
-	s.concurrency.limit = positiveFinite(saved.ConcurrencyLimit)
+	b.outliers.restoreEjection(now, s, saved)
+	s.health.restore(now, saved)
+	s.slowStart.restore(now+b.settings.OverloadWindow, saved)
+	s.latency.restore(saved)
+	s.concurrency.restore(now, saved)
 	if s.concurrency.limit > 0 { // the maintenance removes it in time
 		b.concurrency.watch(s)
 	}
 }
 
+func (o *outlierDetector) restoreEjection(now time.Duration, s *backend, saved *BackendSnapshot) {
+	s.ejection.duration = clamp(saved.EjectionTime, maxEjection)
+	s.ejection.until = clamp(saved.EjectedUntil, now+maxEjection)
+	if s.ejection.isActive(now) {
+		o.ejected = append(o.ejected, s)
+	}
+}
+
+func (h *backendHealth) restore(now time.Duration, saved *BackendSnapshot) {
+	h.lastResult = clampToPast(now, saved.LastHealthCheck)
+	h.utilization = positiveFinite(saved.Utilization)
+}
+
+func (t *slowStartTokens) restore(latestRefill time.Duration, saved *BackendSnapshot) {
+	t.refillAt = clamp(saved.SlowStartRefill, latestRefill)
+	t.tokens = min(positiveFinite(saved.SlowStartTokens), maxSlowStartTokens)
+}
+
+func (l *latencyBaseline) restore(saved *BackendSnapshot) {
+	l.baseline = clamp(saved.LatencyBaseline, maxSnapshotLatency)
+	l.samples = max(0, min(saved.LatencySamples, minLatencySamples+1))
+}
+
+func (c *concurrencyLimit) restore(now time.Duration, saved *BackendSnapshot) {
+	c.lastOverload = clampToPast(now, saved.LastOverload)
+	c.limit = positiveFinite(saved.ConcurrencyLimit)
+}
+
 // restore takes over the class loads of a former process with the same number of classes.
 func (t *loadTracker) restore(loads, samples []float64) {
 	if len(loads) != len(t.classLoads) || len(samples) != len(t.classSamples) {
--- a/balance/snapshot_test.go
+++ b/balance/snapshot_test.go
@@ -27,8 +27,8 @@
 	return b, r
 }
 
-// A new process starts with what the old one knows: ejections, sticky overrides, and the slow start tokens that a cold
-// backend has used.
+// A new process starts with what the old one knows: ejections, sticky overrides, and the slow start tokens
+// that a cold backend has used.
 func TestSnapshot_RestoresBackendsOverridesAndLoads(t *testing.T) {
 	s := defaultSettings()
 	s.PassThrough = true
@@ -55,8 +55,8 @@
 	}
 }
 
-// While both processes run, T of the old one counts. It migrates clients off a full backend, who come by the new one
-// and would be sent right back. An empty snapshot ends it.
+// While both processes run, T of the old one counts. It migrates clients off a full backend, who come by
+// the new one and would be sent right back. An empty snapshot ends it.
 func TestSnapshot_OtherProcessCountsAsOwnLoad(t *testing.T) {
 	b, r := newTestBalancer(t, defaultSettings(), 2)
 	openConnections(t, b, r, 40)
--- a/balance/sticky_test.go
+++ b/balance/sticky_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Packets of a flow with a sticky override find its backend after the index of their class has changed, by a reload or
-// in the next process.
+// Packets of a flow with a sticky override find its backend after the index of their class has changed, by
+// a reload or in the next process.
 func TestSticky_OverrideSurvivesClassRenumbering(t *testing.T) {
 	s := defaultSettings()
 	s.PassThrough, s.Classes[0].NameHash = true, 0xc0ffee
