--- a/balance/concurrency.go
+++ b/balance/concurrency.go
@@ -55,8 +55,8 @@
 	// lateMemory is how long a backend counts as late after it has shown overload.
 	lateMemory = 4 * time.Second
 
-	// fleetSampleFraction is the inverse of the part of the fleet that may represent the whole.
-	fleetSampleFraction = 10
+	// fleetSampleDivisor: one in so many of the backends may represent the fleet.
+	fleetSampleDivisor = 10
 )
 
 // concurrencyLimit is the adaptive limit of one backend, in the unit of its tracked load.
@@ -91,10 +91,10 @@
 }
 
 // watch adds a backend to the maintenance.
-func (c *concurrencyLimiter) watch(s *backend) {
-	if !s.concurrency.watched {
-		s.concurrency.watched = true
-		c.watched = append(c.watched, s)
+func (c *concurrencyLimiter) watch(target *backend) {
+	if !target.concurrency.watched {
+		target.concurrency.watched = true
+		c.watched = append(c.watched, target)
 	}
 }
 
@@ -111,15 +111,15 @@
 
 // hasRoom reports whether a backend can bear a request within its limit. One that this relay has no
 // connection on always can where it is checked first.
-func (b *Balancer) hasRoom(s *backend, req *request) bool {
-	limit := s.concurrency.limit
+func (b *Balancer) hasRoom(target *backend, req *request) bool {
+	limit := target.concurrency.limit
 	if limit == 0 {
 		return true
 	}
-	if b.settings.HealthChecks && s.connections == 0 && s.otherProcess == 0 {
+	if b.settings.HealthChecks && target.connections == 0 && target.otherProcess == 0 {
 		return true
 	}
-	return b.loads.sum(&s.loadSums)+b.loads.of(req) <= limit
+	return b.loads.sum(&target.loadSums)+b.loads.of(req) <= limit
 }
 
 // countNearLimit counts the backends that are short of room.
@@ -142,7 +142,7 @@
 			late++
 		}
 	}
-	return late > 1 && 2*late >= len(b.concurrency.watched) && fleetSampleFraction*late >= len(b.endpoints.ready)
+	return late > 1 && 2*late >= len(b.concurrency.watched) && fleetSampleDivisor*late >= len(b.endpoints.ready)
 }
 
 // limitOnFailure lowers the limit of a backend whose attempt or connection ended in a way that shows
@@ -166,30 +166,30 @@
 // recordLateMessage lowers the limit of a backend by the delay of its messages, in milliseconds. What is
 // queued there keeps all messages late until it is worked off, so what stays has to leave room for that
 // within backlogDrainTime.
-func (b *Balancer) recordLateMessage(now time.Duration, s *backend, delayMillis float64) {
-	b.outliers.kind(s).late++
+func (b *Balancer) recordLateMessage(now time.Duration, target *backend, delayMillis float64) {
+	b.outliers.kind(target).late++
 	keepByLateness := max(minKeepByLateness, 1-keepLostByLateness*delayMillis/b.health.lateMessageMillis)
 	keepByBacklog := 1 - delayMillis/float64(backlogDrainTime/time.Millisecond)
 	keep := min(keepByLateness, keepByBacklog)
 	if !b.health.reportsUtilization() {
 		// All relays see the backlog and each lowers its limit: the more relays, the less would stay.
-		b.lowerLimit(now, s, max(minKeepByLateness, keep))
+		b.lowerLimit(now, target, max(minKeepByLateness, keep))
 		return
 	}
 	// Where load reports set the limit, reports of message delay would lower it to the floor while
 	// everything is slow; one that claims room is stale or wrong.
-	if s.concurrency.limit == 0 || s.health.utilization < fillTarget || keepByBacklog < keepByLateness {
-		b.lowerLimit(now, s, max(minKeepByBacklog, keep))
+	if target.concurrency.limit == 0 || target.health.utilization < fillTarget || keepByBacklog < keepByLateness {
+		b.lowerLimit(now, target, max(minKeepByBacklog, keep))
 	}
 }
 
 // lowerLimit limits a backend to a part of its tracked load and migrates what is over.
-func (b *Balancer) lowerLimit(now time.Duration, s *backend, keep float64) {
-	c := &s.concurrency
-	if s.connections == 0 || now-c.lastOverload < minLimitCutInterval && c.limit > 0 {
+func (b *Balancer) lowerLimit(now time.Duration, target *backend, keep float64) {
+	c := &target.concurrency
+	if target.connections == 0 || now-c.lastOverload < minLimitCutInterval && c.limit > 0 {
 		return
 	}
-	load := b.loads.sum(&s.loadSums)
+	load := b.loads.sum(&target.loadSums)
 	if c.limit == 0 || now-c.lastOverload > quietTime {
 		c.loadAtOverload = load
 	}
@@ -198,17 +198,17 @@
 		load = min(load, c.limit)
 	}
 	c.limit = max(load, b.loads.meanConnection()) * keep
-	b.migrateExcess(s, c.limit)
+	b.migrateExcess(target, c.limit)
 }
 
 // limitByReport sets the limit of a backend by its load report.
-func (b *Balancer) limitByReport(now time.Duration, s *backend, report *loadReport, took time.Duration) {
+func (b *Balancer) limitByReport(now time.Duration, target *backend, report *loadReport, took time.Duration) {
 	relieveFrom, fillTo := b.reportThresholds()
-	if !b.settings.ReportsMessageDelay && b.isConfirmedSlow(now, s, took) {
+	if !b.settings.ReportsMessageDelay && b.isConfirmedSlow(now, target, took) {
 		report.utilization = max(report.utilization, 1)
 	}
-	if report.utilization > 0 && s.connections > 0 {
-		b.applyReport(now, s, report.utilization, relieveFrom, fillTo)
+	if report.utilization > 0 && target.connections > 0 {
+		b.applyReport(now, target, report.utilization, relieveFrom, fillTo)
 	}
 }
 
@@ -227,39 +227,39 @@
 
 // applyReport limits a backend to what fills it to fillTo, and migrates what is over if its utilization exceeds
 // relieveFrom. Where reports of message delay show overload, they alone start a limit.
-func (b *Balancer) applyReport(now time.Duration, s *backend, utilization, relieveFrom, fillTo float64) {
-	c, full := &s.concurrency, utilization > relieveFrom
+func (b *Balancer) applyReport(now time.Duration, target *backend, utilization, relieveFrom, fillTo float64) {
+	c, full := &target.concurrency, utilization > relieveFrom
 	if c.limit == 0 && (!full || b.settings.ReportsMessageDelay) {
 		return
 	}
 	quiet := now-c.lastOverload >= quietTime
-	limit := b.loads.sum(&s.loadSums) * max(minKeepByReport, fillTo/utilization)
+	limit := b.loads.sum(&target.loadSums) * max(minKeepByReport, fillTo/utilization)
 	if c.limit == 0 || limit < c.limit || quiet {
 		c.limit = limit
 	}
 	if full && quiet { // else the last relief may not show in the report yet
 		c.lastOverload = now
-		b.migrateExcess(s, c.limit)
+		b.migrateExcess(target, c.limit)
 	}
 }
 
 // isConfirmedSlow reports whether late answers to health checks show that a backend works more slowly,
 // however low the load in its old report: three in a row, or one and the notice of another relay. It
 // lowers the limit then, and checks again after a first one.
-func (b *Balancer) isConfirmedSlow(now time.Duration, s *backend, took time.Duration) bool {
-	b.outliers.recordLatency(s, took, lateAnswerFactor, b.health.minLateExcess())
-	late := s.latency.consecutiveLate
+func (b *Balancer) isConfirmedSlow(now time.Duration, target *backend, took time.Duration) bool {
+	b.outliers.recordLatency(target, took, lateAnswerFactor, b.health.minLateExcess())
+	late := target.latency.consecutiveLate
 	if late == 0 {
 		return false
 	}
-	gossiped := now-s.latency.gossipedAt < gossipLifetime
+	gossiped := now-target.latency.gossipedAt < gossipLifetime
 	if late < lateAnswersToConfirm && !gossiped {
-		b.checkHealth(s)
+		b.checkHealth(target)
 		return false
 	}
-	b.lowerLimit(now, s, keepWhenSlow)
+	b.lowerLimit(now, target, keepWhenSlow)
 	if b.settings.Gossip && late == lateAnswersToConfirm {
-		b.actions.SendGossip(allRelays, encodeOverloadNotice(s))
+		b.actions.SendGossip(allRelays, encodeOverloadNotice(target))
 	}
 	return true
 }
@@ -267,9 +267,9 @@
 // migrateExcess migrates connections until a backend's tracked load is within a limit. The last one is
 // drawn in proportion to what is over: of many relays with a connection or two each, none would ever be
 // over by a whole one.
-func (b *Balancer) migrateExcess(s *backend, limit float64) {
-	for excess := b.loads.sum(&s.loadSums) - limit; excess > 0; {
-		req := b.costliestConnection(s)
+func (b *Balancer) migrateExcess(target *backend, limit float64) {
+	for excess := b.loads.sum(&target.loadSums) - limit; excess > 0; {
+		req := b.costliestConnection(target)
 		if req == nil || b.rng.Float64()*b.loads.of(req) > excess {
 			return
 		}
@@ -281,14 +281,14 @@
 
 // costliestConnection returns the connection to migrate first: a heavy one, with few others of its group,
 // since a split group costs twice.
-func (b *Balancer) costliestConnection(s *backend) *request {
+func (b *Balancer) costliestConnection(target *backend) *request {
 	var costliest *request
 	highest := 0.0
-	for _, req := range s.openRequests {
+	for _, req := range target.openRequests {
 		if !req.established || req.migrating {
 			continue
 		}
-		if cost := b.loads.of(req) / float64(s.groupConnections[req.hashKey]); cost > highest {
+		if cost := b.loads.of(req) / float64(target.groupConnections[req.hashKey]); cost > highest {
 			costliest, highest = req, cost
 		}
 	}
@@ -315,14 +315,14 @@
 
 // maintainLimit raises the limit of a ready backend and checks its health. Where reports of message delay
 // show overload, only a backend with a limit needs either.
-func (b *Balancer) maintainLimit(now time.Duration, s *backend) {
-	if s.concurrency.limit == 0 && b.settings.ReportsMessageDelay {
+func (b *Balancer) maintainLimit(now time.Duration, target *backend) {
+	if target.concurrency.limit == 0 && b.settings.ReportsMessageDelay {
 		return
 	}
-	if now-s.concurrency.lastOverload >= quietTime {
-		s.concurrency.raise(now, b.health.reportsUtilization())
+	if now-target.concurrency.lastOverload >= quietTime {
+		target.concurrency.raise(now, b.health.reportsUtilization())
 	}
-	if b.isDueForPeriodicCheck(s) {
-		b.checkHealth(s)
+	if b.isDueForPeriodicCheck(target) {
+		b.checkHealth(target)
 	}
 }
--- a/balance/drain.go
+++ b/balance/drain.go
@@ -46,7 +46,7 @@
 }
 
 // migrateStep migrates a backend's connections by a deadline in equal parts, one in each step.
-func (b *Balancer) migrateStep(now time.Duration, s *backend, deadline, step time.Duration) {
+func (b *Balancer) migrateStep(now time.Duration, target *backend, deadline, step time.Duration) {
 	part := float64(step) / float64(max(step, deadline-now))
-	b.migrateExcess(s, b.loads.sum(&s.loadSums)*(1-part))
+	b.migrateExcess(target, b.loads.sum(&target.loadSums)*(1-part))
 }
--- a/balance/endpoints.go
+++ b/balance/endpoints.go
@@ -26,9 +26,9 @@
 func newEndpointTable() endpointTable { return endpointTable{byID: map[BackendID]*backend{}} }
 
 // recordStateChange records that a backend enters another state.
-func (t *endpointTable) recordStateChange(now time.Duration, s *backend) {
-	s.stateSince = now
-	if s.State == StateReady {
+func (t *endpointTable) recordStateChange(now time.Duration, target *backend) {
+	target.stateSince = now
+	if target.State == StateReady {
 		t.lastLoss = now
 	}
 }
@@ -79,33 +79,33 @@
 // updateEndpoint applies one entry of the list. A process that has started anew does not inherit the
 // ejection and the limits of the one before.
 func (b *Balancer) updateEndpoint(now time.Duration, entry Backend) *backend {
-	s := b.endpoints.byID[entry.ID]
-	if s == nil {
-		s = newBackend(now, entry.ID, len(b.settings.Classes))
-		b.endpoints.byID[entry.ID] = s
+	target := b.endpoints.byID[entry.ID]
+	if target == nil {
+		target = newBackend(now, entry.ID, len(b.settings.Classes))
+		b.endpoints.byID[entry.ID] = target
 	}
-	restarted := entry.ReadyAt != s.ReadyAt || s.State == StateDraining
+	restarted := entry.ReadyAt != target.ReadyAt || target.State == StateDraining
 	if entry.State == StateReady && restarted {
 		offset := time.Duration(b.rng.Float64() * float64(b.settings.OverloadWindow))
-		s.forgetHistory(now, offset)
+		target.forgetHistory(now, offset)
 	}
-	if entry.State != s.State {
-		b.endpoints.recordStateChange(now, s)
+	if entry.State != target.State {
+		b.endpoints.recordStateChange(now, target)
 	}
-	s.Backend = entry
-	return s
+	target.Backend = entry
+	return target
 }
 
 // newBackend returns a backend of which nothing is known but its ID.
 func newBackend(now time.Duration, id BackendID, classes int) *backend {
-	s := &backend{
+	target := &backend{
 		rendezvousSlot:   newRendezvousSlot(id),
 		loadSums:         loadSums{unreported: make([]int, classes)},
 		groupConnections: map[uint64]int{},
 		stateSince:       now,
 	}
-	s.health.expire(now)
-	return s
+	target.health.expire(now)
+	return target
 }
 
 // forgetHistory forgets what was observed of the process before. The slow start begins after the offset.
--- a/balance/gossip.go
+++ b/balance/gossip.go
@@ -14,8 +14,8 @@
 )
 
 // encodeOverloadNotice encodes the message that a backend is slow: its ID, big-endian.
-func encodeOverloadNotice(s *backend) []byte {
-	return binary.BigEndian.AppendUint64(nil, uint64(s.ID))
+func encodeOverloadNotice(target *backend) []byte {
+	return binary.BigEndian.AppendUint64(nil, uint64(target.ID))
 }
 
 // decodeOverloadNotice returns the backend that a message is about; false for anything but an overload
--- a/balance/healthcheck.go
+++ b/balance/healthcheck.go
@@ -24,9 +24,8 @@
 	// lateAnswerFactor is the multiple of its usual latency from which an answer is late.
 	lateAnswerFactor = 1.3
 
-	// minLateExcessFraction is the inverse of the part of the late-message threshold that a late answer
-	// exceeds the usual by.
-	minLateExcessFraction = 64
+	// lateExcessDivisor: a late answer exceeds the usual by the late-message threshold over this at least.
+	lateExcessDivisor = 64
 
 	// minFleetReports is how many load reports tell how full the fleet is.
 	minFleetReports = 16
@@ -37,9 +36,8 @@
 	// maxReportedUtilization bounds what one report adds to the mean.
 	maxReportedUtilization = 2
 
-	// lateMessageFraction is the inverse of the part of the message latency objective from which a message
-	// is late.
-	lateMessageFraction = 3
+	// lateMessageDivisor: a message is late from the message latency objective over this.
+	lateMessageDivisor = 3
 
 	// reconnectWindow is how long the clients of a lost backend come back.
 	reconnectWindow = 10 * time.Second
@@ -123,14 +121,14 @@
 			objective = class.LatencyObjective
 		}
 		if !class.Retired && objective > 0 {
-			h.lateMessageMillis = min(h.lateMessageMillis, float64(objective)/float64(lateMessageFraction*time.Millisecond))
+			h.lateMessageMillis = min(h.lateMessageMillis, float64(objective)/float64(lateMessageDivisor*time.Millisecond))
 		}
 	}
 }
 
 // minLateExcess is by how much a late answer to a health check has to exceed the usual at least.
 func (h *healthChecker) minLateExcess() time.Duration {
-	return time.Duration(h.lateMessageMillis*float64(time.Millisecond)) / minLateExcessFraction
+	return time.Duration(h.lateMessageMillis*float64(time.Millisecond)) / lateExcessDivisor
 }
 
 // reportsUtilization reports whether load reports tell the utilization.
@@ -185,38 +183,38 @@
 }
 
 // checkHealth starts a health check of a backend, unless one is pending.
-func (b *Balancer) checkHealth(s *backend) {
-	if !s.health.checkPending {
-		s.health.checkPending = true
-		b.actions.CheckHealth(s.ID)
+func (b *Balancer) checkHealth(target *backend) {
+	if !target.health.checkPending {
+		target.health.checkPending = true
+		b.actions.CheckHealth(target.ID)
 	}
 }
 
 // isDueForPeriodicCheck draws whether a watched backend is checked in this second, in proportion to the
 // connections there.
-func (b *Balancer) isDueForPeriodicCheck(s *backend) bool {
-	return b.settings.HealthChecks && b.health.reportsUtilization() && b.rng.Float64()*connectionsPerCheck < float64(s.connections)
+func (b *Balancer) isDueForPeriodicCheck(target *backend) bool {
+	return b.settings.HealthChecks && b.health.reportsUtilization() && b.rng.Float64()*connectionsPerCheck < float64(target.connections)
 }
 
 // needsHealthCheck reports whether a backend is to be checked before it gets a request. Reports on this
 // relay's connections show only that messages are late; a load report shows what a backend holds of all
 // relays.
-func (b *Balancer) needsHealthCheck(now time.Duration, s *backend) bool {
-	return b.settings.HealthChecks && (s.connections == 0 || b.health.reportsUtilization()) && now-s.health.lastResult >= reportLifetime
+func (b *Balancer) needsHealthCheck(now time.Duration, target *backend) bool {
+	return b.settings.HealthChecks && (target.connections == 0 || b.health.reportsUtilization()) && now-target.health.lastResult >= reportLifetime
 }
 
 // awaitHealthCheck holds a request until its backend has been checked, where that is needed and there is
 // time. With many relays each has connections on few backends, and the others may be full unseen.
-func (b *Balancer) awaitHealthCheck(now time.Duration, s *backend, req *request) bool {
-	if !b.needsHealthCheck(now, s) || req.MidStream || req.checks == maxChecksPerRequest {
+func (b *Balancer) awaitHealthCheck(now time.Duration, target *backend, req *request) bool {
+	if !b.needsHealthCheck(now, target) || req.MidStream || req.checks == maxChecksPerRequest {
 		return false
 	}
-	timeout := b.healthCheckTimeout(req, s)
+	timeout := b.healthCheckTimeout(req, target)
 	if req.deadline-now <= 2*timeout {
 		return false
 	}
-	b.checkHealth(s)
-	req.awaitedCheck, req.sentAt, req.checkDeadline = s, now, now+timeout
+	b.checkHealth(target)
+	req.awaitedCheck, req.sentAt, req.checkDeadline = target, now, now+timeout
 	req.checks++
 	b.held = append(b.held, req)
 	b.actions.SetTimer(req.ID, timeout)
@@ -225,28 +223,28 @@
 
 // healthCheckTimeout is how long a request waits for a health check: a quarter of its latency objective,
 // so that the rest is left for the connection, and at least twice the latency of the backend's zone.
-func (b *Balancer) healthCheckTimeout(req *request, s *backend) time.Duration {
-	zoneLatency := min(b.health.zoneLatency[s.Zone], b.settings.DialTimeout)
+func (b *Balancer) healthCheckTimeout(req *request, target *backend) time.Duration {
+	zoneLatency := min(b.health.zoneLatency[target.Zone], b.settings.DialTimeout)
 	return max(b.latencyObjective(req)/4, 2*zoneLatency)
 }
 
 // recordUtilization records how full a backend has reported to be, and resumes the requests that waited
 // for it. A full one without connections of this relay is passed by for a while: no report on a connection
 // tells when it has room again.
-func (b *Balancer) recordUtilization(now time.Duration, s *backend, utilization float64) {
-	s.health.recordUtilization(now, utilization)
-	if s.connections == 0 && (utilization >= fillTarget || b.leavesRoomToOthers(now, s, utilization)) {
-		s.ejection.passBy(now + fullPause)
+func (b *Balancer) recordUtilization(now time.Duration, target *backend, utilization float64) {
+	target.health.recordUtilization(now, utilization)
+	if target.connections == 0 && (utilization >= fillTarget || b.leavesRoomToOthers(now, target, utilization)) {
+		target.ejection.passBy(now + fullPause)
 	}
-	b.resumeHeld(now, s)
+	b.resumeHeld(now, target)
 }
 
 // leavesRoomToOthers draws whether reconnecting clients pass a backend by though it has room. After a
 // backend is lost the clients of all relays return together and read of the same room in an old report:
 // each relay fills its part, by chance below a connection. Its own connections on a usual backend tell how
 // many fill one.
-func (b *Balancer) leavesRoomToOthers(now time.Duration, s *backend, utilization float64) bool {
-	if !b.endpoints.hasLostWithin(now, reconnectWindow) || !b.hasReconnectingClientFor(s) {
+func (b *Balancer) leavesRoomToOthers(now time.Duration, target *backend, utilization float64) bool {
+	if !b.endpoints.hasLostWithin(now, reconnectWindow) || !b.hasReconnectingClientFor(target) {
 		return false
 	}
 	connectionsEach := max(1, float64(b.loads.total.connections)) / float64(max(1, len(b.endpoints.ready)))
@@ -255,8 +253,8 @@
 }
 
 // hasReconnectingClientFor reports whether a reconnecting client waits for the health check of a backend.
-func (b *Balancer) hasReconnectingClientFor(s *backend) bool {
+func (b *Balancer) hasReconnectingClientFor(target *backend) bool {
 	return slices.ContainsFunc(b.held, func(req *request) bool {
-		return req.awaitedCheck == s && req.Reconnecting && !req.answered
+		return req.awaitedCheck == target && req.Reconnecting && !req.answered
 	})
 }
--- a/balance/inspect.go
+++ b/balance/inspect.go
@@ -66,13 +66,13 @@
 
 // Unavailable reports whether a listed backend gets no new request now.
 func (b *Balancer) Unavailable(now time.Duration, id BackendID) bool {
-	s := b.endpoints.byID[id]
-	if s == nil || s.State == StateRemoved {
+	target := b.endpoints.byID[id]
+	if target == nil || target.State == StateRemoved {
 		return false
 	}
-	if s.State == StateDraining || s.ejection.isActive(now) {
+	if target.State == StateDraining || target.ejection.isActive(now) {
 		return true
 	}
-	limit := s.concurrency.limit
-	return limit > 0 && s.connections > 0 && b.loads.sum(&s.loadSums) >= limit
+	limit := target.concurrency.limit
+	return limit > 0 && target.connections > 0 && b.loads.sum(&target.loadSums) >= limit
 }
--- a/balance/outlier.go
+++ b/balance/outlier.go
@@ -11,9 +11,9 @@
 	minEjection = time.Second
 	maxEjection = 16 * time.Second
 
-	// maxEjectedFraction is the inverse of the part of the fleet that may be ejected: trouble of more
-	// backends has a common cause, and ejecting them would leave nothing.
-	maxEjectedFraction = 3
+	// ejectedFleetDivisor: at most one in so many of the backends may be ejected. Trouble of more has a
+	// common cause, and ejecting them would leave nothing.
+	ejectedFleetDivisor = 3
 
 	// isolatedResetWindow is the time without another reset after which one counts as the network's.
 	isolatedResetWindow = time.Second
@@ -40,7 +40,7 @@
 	maxBypasses          = 2
 	maxBypassesUnchecked = 3
 
-	// attemptsPerError is the inverse of the error rate from which a backend is passed by.
+	// attemptsPerError: a backend that reports more than one error in so many attempts is passed by.
 	attemptsPerError = 20
 
 	// latenessPrior is the time in seconds with connections that the lateness of a kind is diluted by: the
@@ -61,6 +61,9 @@
 // passBy keeps new requests away until a time, without counting as an ejection.
 func (e *ejection) passBy(until time.Duration) { e.until = until }
 
+// recordSuccess makes the next ejection a short one.
+func (e *ejection) recordSuccess() { e.duration = 0 }
+
 // lift ends the ejection and forgets the ones before.
 func (e *ejection) lift() { e.until, e.duration = 0, 0 }
 
@@ -92,37 +95,37 @@
 	ejected        []*backend
 	kinds          map[int]*kindLateness // by Backend.Kind
 	latencyScatter time.Duration         // by how much answers usually exceed their backend's baseline
-	scatterSamples time.Duration         // number of answers that the scatter rests on, up to maxScatterSamples
+	scatterSamples int                   // number of answers that the scatter rests on, up to maxScatterSamples
 }
 
 func newOutlierDetector() outlierDetector { return outlierDetector{kinds: map[int]*kindLateness{}} }
 
 // kind returns the lateness of a backend's kind.
-func (o *outlierDetector) kind(s *backend) *kindLateness {
-	lateness := o.kinds[s.Kind]
+func (o *outlierDetector) kind(target *backend) *kindLateness {
+	lateness := o.kinds[target.Kind]
 	if lateness == nil {
 		lateness = &kindLateness{}
-		o.kinds[s.Kind] = lateness
+		o.kinds[target.Kind] = lateness
 	}
 	return lateness
 }
 
 // eject ejects a backend for twice as long as the last time, unless too many are ejected.
-func (o *outlierDetector) eject(now time.Duration, s *backend, ready int) {
+func (o *outlierDetector) eject(now time.Duration, target *backend, ready int) {
 	o.ejected = slices.DeleteFunc(o.ejected, func(e *backend) bool { return !e.ejection.isActive(now) })
-	if s.ejection.isActive(now) || maxEjectedFraction*(len(o.ejected)+1) > ready {
+	if target.ejection.isActive(now) || ejectedFleetDivisor*(len(o.ejected)+1) > ready {
 		return
 	}
-	s.ejection.duration = min(max(minEjection, 2*s.ejection.duration), maxEjection)
-	s.ejection.until = now + s.ejection.duration
-	o.ejected = append(o.ejected, s)
+	target.ejection.duration = min(max(minEjection, 2*target.ejection.duration), maxEjection)
+	target.ejection.until = now + target.ejection.duration
+	o.ejected = append(o.ejected, target)
 }
 
 // recordLatency counts the late answers of a backend in a row: those that take lateFactor times the
 // baseline, and longer by minExcess and by more than answers scatter here. What stays late becomes usual,
 // slowly.
-func (o *outlierDetector) recordLatency(s *backend, took time.Duration, lateFactor float64, minExcess time.Duration) {
-	l := &s.latency
+func (o *outlierDetector) recordLatency(target *backend, took time.Duration, lateFactor float64, minExcess time.Duration) {
+	l := &target.latency
 	if l.baseline == 0 {
 		l.baseline = max(took, 1)
 	}
@@ -136,7 +139,7 @@
 	// The first answer is what others are compared with, and late ones tell of their backend.
 	if l.samples > 1 && (l.consecutiveLate <= 1 || l.consecutiveLate > lateAnswersToConfirm) {
 		o.scatterSamples = min(o.scatterSamples+1, maxScatterSamples)
-		o.latencyScatter += (min(excess, 4*max(o.latencyScatter, minExcess)) - o.latencyScatter) / o.scatterSamples
+		o.latencyScatter += (min(excess, 4*max(o.latencyScatter, minExcess)) - o.latencyScatter) / time.Duration(o.scatterSamples)
 	}
 	if took < l.baseline {
 		l.baseline += (took - l.baseline) / 4
@@ -166,8 +169,8 @@
 
 // isIsolatedReset reports whether the end of an attempt is a reset that may be the network's. Taken for
 // trouble, each would move half of what a healthy backend holds.
-func (b *Balancer) isIsolatedReset(now time.Duration, s *backend, status Status) bool {
-	return status == StatusReset && !b.settings.ReportsMessageDelay && s.ejection.recordReset(now)
+func (b *Balancer) isIsolatedReset(now time.Duration, target *backend, status Status) bool {
+	return status == StatusReset && !b.settings.ReportsMessageDelay && target.ejection.recordReset(now)
 }
 
 // indictsBackend reports whether the end of an attempt may show that its backend is failing. The end of an
@@ -179,50 +182,50 @@
 
 // ejectOnFailure ejects a backend whose attempt has failed. Its quick failures would lower its load and
 // attract requests, and one failure may be all that each of many relays sees.
-func (b *Balancer) ejectOnFailure(now time.Duration, s *backend, status Status) {
+func (b *Balancer) ejectOnFailure(now time.Duration, target *backend, status Status) {
 	switch status {
 	case StatusOK:
-		s.ejection.duration = 0
+		target.ejection.recordSuccess()
 	case StatusOverloaded, StatusCancelled, StatusAbandoned:
 	default:
-		b.outliers.eject(now, s, len(b.endpoints.ready))
+		b.outliers.eject(now, target, len(b.endpoints.ready))
 	}
 }
 
-// bypass reports whether a request passes a backend by that could accept it. A returning client does so
+// bypass reports whether a request passes a backend by that could accept it. A reconnecting client does so
 // the likelier, the more often backends of that kind were late: each relay in turn, with no connection
 // there, would send it back to the backend it left.
-func (b *Balancer) bypass(now time.Duration, s *backend, req *request) bool {
-	chance, limit := bypassFactor*b.outliers.kind(s).share(), maxBypasses
+func (b *Balancer) bypass(now time.Duration, target *backend, req *request) bool {
+	chance, limit := bypassFactor*b.outliers.kind(target).share(), maxBypasses
 	if !b.settings.HealthChecks {
 		chance, limit = 2*chance, maxBypassesUnchecked
 	}
 	if req.MidStream || req.bypassCount >= limit {
 		return false
 	}
-	if !b.avoidsErrors(now, s, req) && !b.avoidsKind(s, req, chance) {
+	if !b.avoidsErrors(now, target, req) && !b.avoidsKind(target, req, chance) {
 		return false
 	}
-	req.bypassed[req.bypassCount] = s
+	req.bypassed[req.bypassCount] = target
 	req.bypassCount++
 	return true
 }
 
-func (r *request) hasBypassed(s *backend) bool { return slices.Contains(r.bypassed[:], s) }
+func (r *request) hasBypassed(target *backend) bool { return slices.Contains(r.bypassed[:], target) }
 
-// avoidsKind draws whether a returning client avoids a backend that this relay has no connection on.
-func (b *Balancer) avoidsKind(s *backend, req *request, chance float64) bool {
-	return req.Reconnecting && s.connections == 0 && b.rng.Float64() < chance
+// avoidsKind draws whether a reconnecting client avoids a backend that this relay has no connection on.
+func (b *Balancer) avoidsKind(target *backend, req *request, chance float64) bool {
+	return req.Reconnecting && target.connections == 0 && b.rng.Float64() < chance
 }
 
 // avoidsErrors reports whether a request that must not execute twice avoids a backend that reports errors
 // on more than a few of the attempts made there. Each of many relays would otherwise lose such a request
 // to find out.
-func (b *Balancer) avoidsErrors(now time.Duration, s *backend, req *request) bool {
+func (b *Balancer) avoidsErrors(now time.Duration, target *backend, req *request) bool {
 	if b.settings.Classes[req.Class].Idempotency == Idempotent {
 		return false
 	}
 	interval := max(b.pacer.usualInterval, b.settings.Tick)
 	attemptsPerSecond := float64(b.settings.RelayCount) / interval.Seconds() / float64(len(b.endpoints.ready))
-	return s.health.hasFreshUtilization(now) && s.health.errorsPerSecond > attemptsPerSecond/attemptsPerError
+	return target.health.hasFreshUtilization(now) && target.health.errorsPerSecond > attemptsPerSecond/attemptsPerError
 }
--- a/balance/placement.go
+++ b/balance/placement.go
@@ -24,8 +24,8 @@
 	// groupSpread bounds the backends that a group may use to the first ones of its rendezvous order.
 	groupSpread = 3
 
-	// groupFleetFraction is the inverse of the part of the fleet that a group may use while there is room.
-	groupFleetFraction = 16
+	// groupFleetDivisor: a group may use one in so many of the backends while there is room.
+	groupFleetDivisor = 16
 )
 
 // backupSchedule says when the backups were cleared.
@@ -159,7 +159,9 @@
 }
 
 // relativeLoad is T relative to the backend's size.
-func (b *Balancer) relativeLoad(s *backend) float64 { return b.loads.sum(&s.loadSums) / s.size }
+func (b *Balancer) relativeLoad(target *backend) float64 {
+	return b.loads.sum(&target.loadSums) / target.size
+}
 
 // chooseOverflow returns the backend for a request that its primary cannot accept: one that holds
 // connections of its group, a warming one, or the next in rendezvous order. It returns nil where its group
@@ -207,16 +209,16 @@
 	}
 	// A large fleet that has room serves a group better spread out than waiting. Where reports of message
 	// delay do not cut limits, a small fleet may be used whole as well.
-	if b.settings.ReportsMessageDelay && ahead >= len(b.endpoints.ready)/groupFleetFraction {
+	if b.settings.ReportsMessageDelay && ahead >= len(b.endpoints.ready)/groupFleetDivisor {
 		return false
 	}
 	return b.health.meanUtilization <= fillTarget
 }
 
 // countWarmAhead counts the warm backends before one in the rendezvous order of a key.
-func (b *Balancer) countWarmAhead(now time.Duration, s *backend, key uint64) int {
+func (b *Balancer) countWarmAhead(now time.Duration, target *backend, key uint64) int {
 	ahead := 0
-	score, _ := s.scoreAbove(key, 0)
+	score, _ := target.scoreAbove(key, 0)
 	for i, slot := range b.ring.slots {
 		if _, ok := slot.scoreAbove(key, score); ok && b.slowStartShare(now, b.ring.backends[i]) >= 1 {
 			ahead++
@@ -236,25 +238,25 @@
 
 // canAccept reports whether a backend can take a request, slow start included. Slow start holds mid-stream
 // too: when a relay dies, all its connections arrive at once.
-func (b *Balancer) canAccept(now time.Duration, s *backend, req *request) bool {
-	return b.isEligible(now, s, req) && b.slowStartAccepts(now, s, req)
+func (b *Balancer) canAccept(now time.Duration, target *backend, req *request) bool {
+	return b.isEligible(now, target, req) && b.slowStartAccepts(now, target, req)
 }
 
 // isEligible is canAccept without slow start.
-func (b *Balancer) isEligible(now time.Duration, s *backend, req *request) bool {
-	if s.State != StateReady {
+func (b *Balancer) isEligible(now time.Duration, target *backend, req *request) bool {
+	if target.State != StateReady {
 		return false
 	}
-	if !b.mayRepeatAt(now, s, req) {
+	if !b.mayRepeatAt(now, target, req) {
 		return false
 	}
-	if req.hasTried(s) {
+	if req.hasTried(target) {
 		return false
 	}
 	if req.isFirstMidStreamAttempt() { // the backend bears the connection already
 		return true
 	}
-	return !s.ejection.isActive(now) && b.hasRoom(s, req) && !req.hasBypassed(s)
+	return !target.ejection.isActive(now) && b.hasRoom(target, req) && !req.hasBypassed(target)
 }
 
 // resetBackups clears the backups and their flags, and halves the weight of the groups' past demand.
--- a/balance/retry.go
+++ b/balance/retry.go
@@ -124,7 +124,7 @@
 // mayRepeatAt reports whether an attempt at a backend is safe: a request that is not idempotent must not
 // execute twice. A repeat arrives only once its connection is established, which has to be within the
 // deduplication window.
-func (b *Balancer) mayRepeatAt(now time.Duration, s *backend, req *request) bool {
+func (b *Balancer) mayRepeatAt(now time.Duration, target *backend, req *request) bool {
 	if !req.mayHaveExecuted {
 		return true
 	}
@@ -137,25 +137,25 @@
 		if now+connect-req.executedAt >= class.DedupWindow-b.settings.Tick {
 			return false
 		}
-		return class.DedupScope.covers(s, req.executedBackend)
+		return class.DedupScope.covers(target, req.executedBackend)
 	}
 	return false
 }
 
 // covers reports whether one backend discards repeats of what another has executed.
-func (d DedupScope) covers(s, executed *backend) bool {
+func (d DedupScope) covers(target, executed *backend) bool {
 	switch d {
 	case ScopeAll:
 		return true
 	case ScopeZone:
-		return s.Zone == executed.Zone
+		return target.Zone == executed.Zone
 	case ScopeCell:
-		return s.Cell == executed.Cell
+		return target.Cell == executed.Cell
 	}
 	return false
 }
 
-func (r *request) hasTried(s *backend) bool { return slices.Contains(r.tried[:], s) }
+func (r *request) hasTried(target *backend) bool { return slices.Contains(r.tried[:], target) }
 
 // attemptPacer spaces attempts out, as TCP does segments, while connections of one request after another
 // fail or are slow to establish at different backends: what they wait for is shared. Two such in a row
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -38,9 +38,9 @@
 
 // slowStartShare is the fraction of its capacity that a backend certainly has: it rises from
 // SlowStartFloor to 1 over SlowStartWindow.
-func (b *Balancer) slowStartShare(now time.Duration, s *backend) float64 {
-	age, window := now-s.ReadyAt, b.settings.SlowStartWindow
-	if s.ReadyAt == 0 || window <= 0 || age >= window {
+func (b *Balancer) slowStartShare(now time.Duration, target *backend) float64 {
+	age, window := now-target.ReadyAt, b.settings.SlowStartWindow
+	if target.ReadyAt == 0 || window <= 0 || age >= window {
 		return 1
 	}
 	floor := b.settings.SlowStartFloor
@@ -49,36 +49,36 @@
 
 // slowStartAccepts reports whether a backend in slow start accepts a request: a rising share of its keys,
 // within this relay's tokens.
-func (b *Balancer) slowStartAccepts(now time.Duration, s *backend, req *request) bool {
-	share := b.slowStartShare(now, s)
+func (b *Balancer) slowStartAccepts(now time.Duration, target *backend, req *request) bool {
+	share := b.slowStartShare(now, target)
 	if share >= 1 {
 		return true
 	}
-	position := float64(mixBits(req.hashKey+s.hash)>>11) / (1 << 53)
-	return position <= share && b.hasSlowStartToken(now, s)
+	position := float64(mixBits(req.hashKey+target.hash)>>11) / (1 << 53)
+	return position <= share && b.hasSlowStartToken(now, target)
 }
 
 // hasSlowStartToken reports whether a cold backend may get one more request from this relay in the present
 // window. Unused tokens lapse: in a rush, what all relays had saved would arrive at once.
-func (b *Balancer) hasSlowStartToken(now time.Duration, s *backend) bool {
-	if now >= s.slowStart.refillAt {
+func (b *Balancer) hasSlowStartToken(now time.Duration, target *backend) bool {
+	if now >= target.slowStart.refillAt {
 		window := max(1, b.settings.OverloadWindow)
 		// The fraction of a token is drawn, so that the sum over many relays comes out.
-		tokens := math.Floor(b.slowStartRate(now, s)*window.Seconds() + b.rng.Float64())
-		s.slowStart.refill(now, window, tokens)
+		tokens := math.Floor(b.slowStartRate(now, target)*window.Seconds() + b.rng.Float64())
+		target.slowStart.refill(now, window, tokens)
 	}
-	return s.slowStart.tokens >= 1
+	return target.slowStart.tokens >= 1
 }
 
 // slowStartRate is how many requests a second this relay may send a cold backend: half of what would
 // overload it, judged by what this relay has on warm backends of its size, spread over the slow start.
-func (b *Balancer) slowStartRate(now time.Duration, s *backend) float64 {
+func (b *Balancer) slowStartRate(now time.Duration, target *backend) float64 {
 	connections, size := b.warmFleet(now)
 	idle := idleFleetConnections / float64(b.settings.RelayCount) * float64(len(b.endpoints.ready))
 	connections = max(connections, min(1, idle))
 	utilization := max(b.health.meanUtilization, fillTargetByReports)
-	toFill := connections / utilization / cmp.Or(size, float64(len(b.endpoints.ready))) * s.size
-	return b.settings.OverloadMultiple / 2 * toFill * b.slowStartShare(now, s) / b.settings.SlowStartWindow.Seconds()
+	toFill := connections / utilization / cmp.Or(size, float64(len(b.endpoints.ready))) * target.size
+	return b.settings.OverloadMultiple / 2 * toFill * b.slowStartShare(now, target) / b.settings.SlowStartWindow.Seconds()
 }
 
 // warmFleet sums up this relay's connections on the warm backends, and their sizes.
--- a/balance/snapshot.go
+++ b/balance/snapshot.go
@@ -71,20 +71,20 @@
 	return snapshot
 }
 
-func (b *Balancer) snapshotBackend(s *backend) BackendSnapshot {
+func (b *Balancer) snapshotBackend(target *backend) BackendSnapshot {
 	return BackendSnapshot{
-		ID:               s.ID,
-		EjectedUntil:     s.ejection.until,
-		EjectionTime:     s.ejection.duration,
-		LastOverload:     s.concurrency.lastOverload,
-		LastHealthCheck:  s.health.lastResult,
-		SlowStartRefill:  s.slowStart.refillAt,
-		ConcurrencyLimit: s.concurrency.limit,
-		SlowStartTokens:  s.slowStart.tokens,
-		Utilization:      s.health.utilization,
-		TrackedLoad:      b.loads.sum(&s.loadSums),
-		LatencyBaseline:  s.latency.baseline,
-		LatencySamples:   s.latency.samples,
+		ID:               target.ID,
+		EjectedUntil:     target.ejection.until,
+		EjectionTime:     target.ejection.duration,
+		LastOverload:     target.concurrency.lastOverload,
+		LastHealthCheck:  target.health.lastResult,
+		SlowStartRefill:  target.slowStart.refillAt,
+		ConcurrencyLimit: target.concurrency.limit,
+		SlowStartTokens:  target.slowStart.tokens,
+		Utilization:      target.health.utilization,
+		TrackedLoad:      b.loads.sum(&target.loadSums),
+		LatencyBaseline:  target.latency.baseline,
+		LatencySamples:   target.latency.samples,
 	}
 }
 
@@ -137,25 +137,25 @@
 }
 
 func (b *Balancer) restoreBackend(now time.Duration, saved *BackendSnapshot) {
-	s := b.endpoints.byID[saved.ID]
-	if s == nil {
+	target := b.endpoints.byID[saved.ID]
+	if target == nil {
 		return
 	}
-	b.outliers.restoreEjection(now, s, saved)
-	s.health.restore(now, saved)
-	s.slowStart.restore(now+b.settings.OverloadWindow, saved)
-	s.latency.restore(saved)
-	s.concurrency.restore(now, saved)
-	if s.concurrency.limit > 0 { // the maintenance removes it in time
-		b.concurrency.watch(s)
+	b.outliers.restoreEjection(now, target, saved)
+	target.health.restore(now, saved)
+	target.slowStart.restore(now+b.settings.OverloadWindow, saved)
+	target.latency.restore(saved)
+	target.concurrency.restore(now, saved)
+	if target.concurrency.limit > 0 { // the maintenance removes it in time
+		b.concurrency.watch(target)
 	}
 }
 
-func (o *outlierDetector) restoreEjection(now time.Duration, s *backend, saved *BackendSnapshot) {
-	s.ejection.duration = clamp(saved.EjectionTime, maxEjection)
-	s.ejection.until = clamp(saved.EjectedUntil, now+maxEjection)
-	if s.ejection.isActive(now) {
-		o.ejected = append(o.ejected, s)
+func (o *outlierDetector) restoreEjection(now time.Duration, target *backend, saved *BackendSnapshot) {
+	target.ejection.duration = clamp(saved.EjectionTime, maxEjection)
+	target.ejection.until = clamp(saved.EjectedUntil, now+maxEjection)
+	if target.ejection.isActive(now) {
+		o.ejected = append(o.ejected, target)
 	}
 }
 
