--- a/balance/bench_test.go
+++ b/balance/bench_test.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// benchRelay is a relay with a few hundred connections on a fleet of n servers.
-func benchRelay(n int) (*Balancer, *recorder) {
+// benchRelay is a relay with a few hundred connections on a fleet of n backends.
+func newBenchBalancer(n int) (*Balancer, *recorder) {
 	r := &recorder{}
-	b := New(sec, 1, manyRelays(), r)
-	list := fleet(n)
+	b := New(sec, 1, manyRelaySettings(), r)
+	list := readyBackends(n)
 	for i := range list {
 		list[i].Weight = float64(1 + i%3)
 	}
 	b.EndpointsUpdated(sec, UpdateFull, list)
-	for _, o := range b.ready {
-		o.heard = time.Hour
+	for _, o := range b.endpoints.ready {
+		o.health.lastResult = time.Hour
 	}
 	for id := uint64(1); id <= 300; id++ {
 		b.RequestArrived(sec, Request{ID: id, Key: id, Group: 1 + id%40, TimeLeft: 2 * sec})
@@ -28,12 +28,12 @@
 func BenchmarkPlace(bench *testing.B) {
 	for _, n := range []int{12, 120, 480} {
 		bench.Run(fmt.Sprint(n), func(bench *testing.B) {
-			b, _ := benchRelay(n)
-			c := b.newCall(sec, Request{ID: 1 << 40, Key: 5, TimeLeft: 2 * sec})
+			b, _ := newBenchBalancer(n)
+			c := b.newRequest(sec, Request{ID: 1 << 40, Key: 5, TimeLeft: 2 * sec})
 			bench.ReportAllocs()
 			for i := 0; bench.Loop(); i++ {
-				c.key = mix(uint64(i % 1000))
-				b.place(2*sec, c)
+				c.hashKey = mixBits(uint64(i % 1000))
+				b.choosePlacement(2*sec, c)
 			}
 		})
 	}
@@ -42,7 +42,7 @@
 func BenchmarkRequest(bench *testing.B) {
 	for _, n := range []int{12, 120, 480} {
 		bench.Run(fmt.Sprint(n), func(bench *testing.B) {
-			b, r := benchRelay(n)
+			b, r := newBenchBalancer(n)
 			bench.ReportAllocs()
 			for id := uint64(1 << 30); bench.Loop(); id++ {
 				r.clear()
@@ -57,18 +57,18 @@
 func BenchmarkUpkeep(bench *testing.B) {
 	for _, n := range []int{12, 120, 480} {
 		bench.Run(fmt.Sprint(n), func(bench *testing.B) {
-			b, r := benchRelay(n)
-			for i, o := range b.ready {
-				o.probing = true
+			b, r := newBenchBalancer(n)
+			for i, o := range b.endpoints.ready {
+				o.health.checkPending = true
 				if i%10 == 0 {
-					o.limit = 1e9
+					o.concurrency.limit = 1e9
 				}
 			}
 			bench.ReportAllocs()
 			for now := 3 * sec; bench.Loop(); now += sec {
 				r.clear()
-				b.TimerFired(now, tickToken)
-				b.ready[0].limit = 1e9
+				b.TimerFired(now, maintenanceTimer)
+				b.endpoints.ready[0].concurrency.limit = 1e9
 			}
 		})
 	}
