--- a/internal/management/management_test.go
+++ b/internal/admin/admin_test.go
@@ -1,7 +1,9 @@
-package management
+package admin
 
 import (
 	"bufio"
+	"errors"
+	"fmt"
 	"io"
 	"net"
 	"strings"
@@ -21,18 +23,18 @@
 }
 
 func (f *fake) State() State { return f.state }
-func (f *fake) Drain(on bool) {
+func (f *fake) SetDrained(on bool) {
 	f.drained.Store(-1)
 	if on {
 		f.drained.Store(1)
 	}
 }
-func (f *fake) Figures() metrics.Snapshot {
+func (f *fake) Metrics() metrics.Snapshot {
 	return metrics.Snapshot{Classes: []metrics.ClassCounts{{Name: "chat", Success: 812, Overload: 3, Error: 1}}, Dispatches: 820,
 		Concurrent: 14, Targets: 9, TargetsDisabled: 2, ReloadSuccess: 4, ReloadFailure: 5}
 }
 
-func TestEachCallInEachState(t *testing.T) {
+func TestExecute(t *testing.T) {
 	figures := "SUCCESS\nreplies.chat.success=812\nreplies.chat.overload=3\nreplies.chat.error=1\ndispatches=820\n" +
 		"concurrent=14\ntargets=9\ntargets_disabled=2\nreload_success=4\nreload_failure=5\nEOT\n"
 	for _, c := range []struct {
@@ -42,18 +44,20 @@
 		drained int32 // 1: told to drain; -1: told not to
 	}{
 		{"READY", Starting, "FAILURE starting", 0}, {"READY", Serving, "SUCCESS", 0}, {"READY", Drained, "FAILURE drained", 0},
-		{"READY", Leaving, "FAILURE leaving", 0},
-		{"DRAIN", Starting, "SUCCESS", 1}, {"DRAIN", Serving, "SUCCESS", 1}, {"DRAIN", Drained, "SUCCESS", 1}, {"DRAIN", Leaving, "SUCCESS leaving", 1},
+		{"READY", ShuttingDown, "FAILURE leaving", 0},
+		{"DRAIN", Starting, "SUCCESS", 1}, {"DRAIN", Serving, "SUCCESS", 1}, {"DRAIN", Drained, "SUCCESS", 1}, {"DRAIN", ShuttingDown, "SUCCESS leaving", 1},
 		{"UNDRAIN", Starting, "SUCCESS", -1}, {"UNDRAIN", Serving, "SUCCESS", -1}, {"UNDRAIN", Drained, "SUCCESS", -1},
-		{"UNDRAIN", Leaving, "FAILURE leaving", 0},
-		{"STATS", Starting, figures, 0}, {"STATS", Leaving, figures, 0},
+		{"UNDRAIN", ShuttingDown, "FAILURE leaving", 0},
+		{"STATS", Starting, figures, 0}, {"STATS", ShuttingDown, figures, 0},
 		{"WATCH", Serving, "FAILURE nothing is watched", 0},
 		{"", Serving, "FAILURE empty call", 0}, {"drain", Serving, "FAILURE unknown call", 0}, {"DRAIN now", Serving, "FAILURE unknown call", 0},
 	} {
-		f := &fake{state: c.state}
-		if got := Answer(c.call, "\n", f); !strings.HasPrefix(got, c.want) || !strings.HasSuffix(got, "\n") || f.drained.Load() != c.drained {
-			t.Errorf("%q in state %d: %q, drained %d", c.call, c.state, got, f.drained.Load())
-		}
+		t.Run(fmt.Sprintf("%q in state %d", c.call, c.state), func(t *testing.T) {
+			f := &fake{state: c.state}
+			if got := Execute(c.call, "\n", f); !strings.HasPrefix(got, c.want) || !strings.HasSuffix(got, "\n") || f.drained.Load() != c.drained {
+				t.Errorf("%q, drained %d", got, f.drained.Load())
+			}
+		})
 	}
 }
 
@@ -95,7 +99,7 @@
 	return string(got)
 }
 
-func TestCallsOnTheWire(t *testing.T) {
+func TestServer_Wire(t *testing.T) {
 	addr := served(t, 8)
 	for i := 1; i < len("READY\r\n"); i++ { // cut at each byte
 		if got := asked(t, addr, "READY\r\n"[:i], "READY\r\n"[i:]); got != "SUCCESS serving\r\n" {
@@ -108,7 +112,7 @@
 	if got := asked(t, addr, "READY\nDRAIN\n"); got != "SUCCESS serving\n" { // one line to a connection
 		t.Errorf("%q", got)
 	}
-	if got := asked(t, addr, strings.Repeat("x", 4*MostLine)); !strings.HasPrefix(got, "FAILURE call over 256 bytes") {
+	if got := asked(t, addr, strings.Repeat("x", 4*MaxLineBytes)); !strings.HasPrefix(got, "FAILURE call over 256 bytes") {
 		t.Errorf("%q", got)
 	}
 	c := dialled(t, addr)
@@ -121,7 +125,7 @@
 
 // 200 callers that say nothing, or half a call, hold no more than the few connections that there are, and nobody
 // who asks waits for them.
-func TestIdleCallersKeepNobodyWaiting(t *testing.T) {
+func TestServer_IdleClientsGiveWay(t *testing.T) {
 	addr := served(t, 8)
 	idle := make([]net.Conn, 200)
 	for i := range idle {
@@ -147,6 +151,6 @@
 }
 
 func isTimeout(err error) bool {
-	e, ok := err.(net.Error)
-	return ok && e.Timeout()
+	var netErr net.Error
+	return errors.As(err, &netErr) && netErr.Timeout()
 }
--- /dev/null
+++ b/internal/admin/format.go
@@ -0,0 +1,124 @@
+package admin
+
+import (
+	"fmt"
+	"strings"
+
+	"aspenbarrow/internal/metrics"
+)
+
+// response builds a response of several lines.
+type response struct {
+	strings.Builder
+	lineEnd string
+}
+
+func newResponse(lineEnd string) *response {
+	r := &response{lineEnd: lineEnd}
+	r.line(success)
+	return r
+}
+
+// line adds a line.
+func (r *response) line(format string, args ...any) {
+	fmt.Fprintf(r, format, args...)
+	r.WriteString(r.lineEnd)
+}
+
+// value adds a line with a name and its value.
+func (r *response) value(name string, value int64) { r.line("%s=%d", name, value) }
+
+// end adds the last line and returns the response.
+func (r *response) end() string {
+	r.line(endOfText)
+	return r.String()
+}
+
+// formatStats returns all counters and gauges, one a line.
+func formatStats(snapshot metrics.Snapshot, lineEnd string) string {
+	r := newResponse(lineEnd)
+	for _, class := range snapshot.Classes {
+		r.value("replies."+class.Name+".success", class.Success)
+		r.value("replies."+class.Name+".overload", class.Overload)
+		r.value("replies."+class.Name+".error", class.Error)
+	}
+	r.value("dispatches", snapshot.Dispatches)
+	r.value("concurrent", snapshot.Concurrent)
+	r.value("targets", snapshot.Targets)
+	r.value("targets_disabled", snapshot.TargetsDisabled)
+	r.value("reload_success", snapshot.ReloadSuccess)
+	r.value("reload_failure", snapshot.ReloadFailure)
+	if snapshot.Membership != nil {
+		r.membershipValues(snapshot.Membership)
+	}
+	return r.end()
+}
+
+// memberStates are the states of membership.Member in the order in which they are listed.
+var memberStates = []string{"joining", "alive", "suspect", "dead", "left"}
+
+// membershipValues adds how many members are in each state, and the counters of the failure detector.
+func (r *response) membershipValues(membership *metrics.Membership) {
+	inState := map[string]int64{}
+	for _, member := range membership.Members {
+		inState[member.State]++
+	}
+	for _, state := range memberStates {
+		r.value("members."+state, inState[state])
+	}
+	r.value("members.here", int64(membership.ActiveRelays))
+	r.value("members.own_health", int64(membership.Health))
+	r.value("members.strangers", membership.RejectedGossip)
+	counters := &membership.Counters
+	for _, counter := range []struct {
+		name  string
+		value uint64
+	}{
+		{"probes", counters.Probes},
+		{"probes_failed", counters.Failed},
+		{"suspected", counters.Suspected},
+		{"died", counters.Died},
+		{"returned", counters.Returned},
+		{"refuted", counters.Refuted},
+		{"overslept", counters.Overslept},
+		{"sent", counters.Sent},
+		{"sent_bytes", counters.SentBytes},
+		{"heard", counters.Heard},
+		{"bad", counters.Bad},
+		{"foreign", counters.Foreign},
+		{"absurd", counters.Absurd},
+	} {
+		r.value("members."+counter.name, int64(counter.value))
+	}
+}
+
+// formatMembers returns the relays of the fleet, one a line in the order of their numbers; nil stands for a relay without
+// membership.
+func formatMembers(membership *metrics.Membership, lineEnd string) string {
+	if membership == nil {
+		return failure + " nobody finds out who is there: the configuration has no membership, or it has just begun" + lineEnd
+	}
+	r := newResponse(lineEnd)
+	r.line("here=%d of=%d own_health=%d", membership.ActiveRelays, len(membership.Members), membership.Health)
+	for _, member := range membership.Members {
+		name := member.Name
+		if name == "" {
+			name = "-"
+		}
+		r.line("member=%d name=%s state=%s since_ms=%d by=%d incarnation=%d round_trip_us=%d health=%d twice=%t",
+			member.Number, name, member.State, member.Since.Milliseconds(), member.By, member.Incarnation,
+			member.RoundTrip.Microseconds(), member.Health, member.Twice)
+	}
+	return r.end()
+}
+
+// formatShadow returns how often the shadow settings would have decided otherwise, one kind of decision a line; nil
+// stands for a relay without shadow settings.
+func formatShadow(shadow *metrics.ShadowSnapshot, lineEnd string) string {
+	if shadow == nil {
+		return failure + " nothing is watched: the configuration has no shape to watch" + lineEnd
+	}
+	r := newResponse(lineEnd)
+	shadow.Each(func(name string, value int64) { r.value("watch."+name, value) })
+	return r.end()
+}
--- a/internal/management/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -1,4 +1,4 @@
-package management
+package admin
 
 import (
 	"bytes"
@@ -25,9 +25,9 @@
 	told  string
 }
 
-func (f *fixed) State() State  { return f.state }
-func (f *fixed) Drain(on bool) { f.told = fmt.Sprintf(" (Drain %v)", on) }
-func (f *fixed) Figures() metrics.Snapshot {
+func (f *fixed) State() State       { return f.state }
+func (f *fixed) SetDrained(on bool) { f.told = fmt.Sprintf(" (Drain %v)", on) }
+func (f *fixed) Metrics() metrics.Snapshot {
 	out := metrics.Snapshot{Classes: []metrics.ClassCounts{{Name: "chat", Success: 812, Overload: 3, Error: 1}, {Name: "bulk", Success: 90, Overload: 31, Error: 11}},
 		Dispatches: 820, Concurrent: 14, Targets: 9, TargetsDisabled: 2, ReloadSuccess: 4, ReloadFailure: 5}
 	if f.quiet {
@@ -68,15 +68,15 @@
 }
 
 // Staff's scripts read the answers: each call in each state is answered as it was, byte for byte.
-func TestAnswer_Golden(t *testing.T) {
+func TestExecute_Golden(t *testing.T) {
 	var out bytes.Buffer
 	for i, state := range []string{"starting", "serving", "drained", "leaving"} {
 		for _, quiet := range []bool{false, true} {
 			for _, call := range []string{"READY", "DRAIN", "UNDRAIN", "STATS", "WATCH", "MEMBERS", "", "ready", "DRAIN now"} {
 				f := &fixed{state: State(i), quiet: quiet}
-				answer := Answer(call, "\n", f)
+				answer := Execute(call, "\n", f)
 				fmt.Fprintf(&out, "--- %s, quiet %v: %q%s\n%s", state, quiet, call, f.told, answer)
-				if crlf := Answer(call, "\r\n", &fixed{state: State(i), quiet: quiet}); crlf != strings.ReplaceAll(answer, "\n", "\r\n") {
+				if crlf := Execute(call, "\r\n", &fixed{state: State(i), quiet: quiet}); crlf != strings.ReplaceAll(answer, "\n", "\r\n") {
 					t.Errorf("%q with CRLF: %q", call, crlf)
 				}
 			}
@@ -90,7 +90,7 @@
 	addr := served(t, 8)
 	var out bytes.Buffer
 	for _, said := range []string{"READY\n", "READY\r\n", " READY \n", "READY\nDRAIN\n", "DRAIN\n", "UNDRAIN\r\n", "STATS\r\n", "WATCH\n", "MEMBERS\r\n", "\n", "\r\n", "nothing\n",
-		strings.Repeat("x", MostLine-1) + "\n", strings.Repeat("x", MostLine) + "\n", "DRAI", ""} {
+		strings.Repeat("x", MaxLineBytes-1) + "\n", strings.Repeat("x", MaxLineBytes) + "\n", "DRAI", ""} {
 		c := dialled(t, addr)
 		_ = c.SetDeadline(time.Now().Add(10 * time.Second))
 		if _, err := io.WriteString(c, said); err != nil {
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -112,6 +112,6 @@
 	h.probes.resize(s.HealthChecks)
 	h.spare.Store(int64(s.HealthChecks + s.AdminConnections))
 	if h.second != nil {
-		h.second.Resize(s.AdminConnections)
+		h.second.SetMaxConnections(s.AdminConnections)
 	}
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -17,9 +17,9 @@
 
 	"go.uber.org/zap"
 
+	"aspenbarrow/internal/admin"
 	"aspenbarrow/internal/controller"
 	"aspenbarrow/internal/handshake"
-	"aspenbarrow/internal/management"
 	"aspenbarrow/internal/metrics"
 	"aspenbarrow/internal/protocol"
 	"aspenbarrow/internal/session"
@@ -49,9 +49,9 @@
 	discovery *discoveryLoop
 	probes    *probes
 	peers     *peers
-	second    *management.Server // nil: there is no second address
-	drains    chan struct{}      // whether clients are to be sent away may have changed
-	legacy    *legacy            // of the process before this one; nil: there is none
+	second    *admin.Server // nil: there is no second address
+	drains    chan struct{} // whether clients are to be sent away may have changed
+	legacy    *legacy       // of the process before this one; nil: there is none
 	links     links
 	listed    chan struct{} // closed once there is a list
 	serving   atomic.Bool   // who comes is taken
@@ -96,7 +96,7 @@
 	}
 	r.spare.Store(int64(shares.HealthChecks + shares.AdminConnections))
 	if cfg.Management != "" {
-		if r.second, err = management.Listen(cfg.Management, shares.AdminConnections, staff{r}, log); err != nil {
+		if r.second, err = admin.Listen(cfg.Management, shares.AdminConnections, staff{r}, log); err != nil {
 			_ = r.listener.Close()
 			return nil, err
 		}
@@ -351,23 +351,23 @@
 // leaves word for the loop; it never waits for it.
 type staff struct{ *Relay }
 
-var _ management.Relay = staff{}
+var _ admin.Relay = staff{}
 
-func (s staff) State() management.State {
+func (s staff) State() admin.State {
 	switch n := s.node; {
 	case n.ShuttingDown():
-		return management.Leaving
+		return admin.ShuttingDown
 	case n.Drained():
-		return management.Drained
+		return admin.Drained
 	case n.Ready() && s.serving.Load():
-		return management.Serving
+		return admin.Serving
 	}
-	return management.Starting
+	return admin.Starting
 }
 
-func (s staff) Figures() metrics.Snapshot { return s.node.Metrics().Snapshot() }
+func (s staff) Metrics() metrics.Snapshot { return s.node.Metrics().Snapshot() }
 
-func (s staff) Drain(on bool) {
+func (s staff) SetDrained(on bool) {
 	s.drain(on)
 	word := lineUndrain
 	if on {
