--- a/internal/protocol/helpers_test.go
+++ b/internal/protocol/helpers_test.go
@@ -6,6 +6,10 @@
 	"path/filepath"
 	"strings"
 	"testing"
+	"time"
+
+	"aspenbarrow/balance"
+	"aspenbarrow/internal/settings"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
@@ -38,3 +42,8 @@
 		}
 	}
 }
+
+// testSettings have two classes, and backends that report their load.
+var testSettings = &settings.Settings{ClassNames: []string{"chat", "order"}, TenantNames: []string{"acme", "bolt"},
+	ZoneNames: []string{"east", "west"}, KindNames: []string{"k"}, FieldNames: []string{"utilization", "x0"},
+	Settings: balance.Settings{PassThrough: true, Classes: []balance.Class{{ClientTimeout: 2 * time.Second}, {}}}}
--- /dev/null
+++ b/internal/protocol/open.go
@@ -0,0 +1,190 @@
+package protocol
+
+import (
+	"bytes"
+	"slices"
+	"time"
+
+	"aspenbarrow/balance"
+	"aspenbarrow/internal/settings"
+)
+
+// What an OPEN line holds at most; clients send far less.
+const (
+	maxNames      = 32
+	maxWordLength = 256
+	maxDigits     = 12
+)
+
+// openWords is how many words an OPEN line has: OPEN, the id, the key and the parameters.
+const openWords = 4
+
+// The names of an OPEN line's parameters.
+const (
+	nameClass        = "c"
+	nameTimeout      = "d"
+	nameGroup        = "g"
+	nameTenant       = "t"
+	nameExpectedLoad = "h"
+	nameRetry        = "r"
+	nameReconnect    = "again"
+	nameMidStream    = "mid"
+	nameHolder       = "at"
+)
+
+// loadPerMillisecond turns the expected load of an OPEN line into the balancer's unit, microseconds of work a second.
+const loadPerMillisecond = 1000
+
+// Open is one OPEN line. Its slices lie in the buffer that the line came in.
+type Open struct {
+	Line                     []byte // with its CRLF
+	timeoutStart, timeoutEnd int    // where the digits of the time-out stand in Line
+	ID                       uint64
+	Holder                   []byte // the backend that holds the connection already; nil: none
+	Request                  balance.Request
+	Timeout                  time.Duration // how long the client waits for its answer
+}
+
+// Len is the length of the line in bytes, its CRLF included.
+func (o *Open) Len() int { return len(o.Line) }
+
+// SplitAtTimeout returns the line before and after the digits of its time-out.
+func (o *Open) SplitAtTimeout() (before, after []byte) {
+	return o.Line[:o.timeoutStart], o.Line[o.timeoutEnd:]
+}
+
+// ParseOpen reads an OPEN line, its CRLF included. A backend closes a connection whose line it cannot read, and that must
+// not count against the backend, so only the protocol's form passes: each name once, numbers as decimals, nothing outside
+// printable ASCII. Names that it doesn't know pass; they are for the backend. An error is a LineError.
+func ParseOpen(line []byte, names *settings.Settings) (Open, error) {
+	p := openParser{open: Open{Line: line}, settings: names}
+	if err := p.parse(); err != nil {
+		return Open{}, err
+	}
+	p.limitTimeout()
+	return p.open, nil
+}
+
+// openParser is the state of one ParseOpen.
+type openParser struct {
+	open     Open
+	settings *settings.Settings
+	hasClass bool
+}
+
+func (p *openParser) parse() error {
+	line := p.open.Line
+	words := bytes.Split(line[:len(line)-len(crlf)], []byte(space))
+	if len(words) != openWords || string(words[0]) != wordOpen {
+		return LineError{Kind: KindOpen, Err: ErrSyntax}
+	}
+	var err error
+	if p.open.ID, err = parseID(words[1]); err != nil {
+		return LineError{Kind: KindOpen, Err: err}
+	}
+	if p.open.Request.Key, err = parseID(words[2]); err != nil {
+		return LineError{Kind: KindOpen, Err: err}
+	}
+	start := len(line) - len(crlf) - len(words[3])
+	if err := p.parseParameters(words[3], start); err != nil {
+		return err
+	}
+	hasTimeout := p.open.timeoutEnd > 0
+	if !p.hasClass || !hasTimeout || p.open.Request.MidStream && p.open.Holder != nil {
+		return LineError{Kind: KindOpen, Err: ErrSyntax}
+	}
+	return nil
+}
+
+// parseParameters reads "name=value,name=value", which starts at an offset of the line.
+func (p *openParser) parseParameters(text []byte, offset int) error {
+	pairs := bytes.Split(text, []byte{','})
+	if len(pairs) > maxNames {
+		return LineError{Kind: KindOpen, Err: ErrSyntax}
+	}
+	for i, pair := range pairs {
+		name, value, _ := bytes.Cut(pair, []byte{'='})
+		if !isPrintable(name) || !isPrintable(value) {
+			return LineError{Kind: KindOpen, Err: ErrSyntax}
+		}
+		nameAndEquals := pair[:len(name)+1]
+		isSameName := func(earlier []byte) bool { return bytes.HasPrefix(earlier, nameAndEquals) }
+		if slices.ContainsFunc(pairs[:i], isSameName) {
+			return LineError{Kind: KindOpen, Parameter: string(name), Err: ErrDuplicateName}
+		}
+		if err := p.parseParameter(name, value, offset+len(nameAndEquals)); err != nil {
+			return LineError{Kind: KindOpen, Parameter: string(name), Err: err}
+		}
+		offset += len(pair) + len(",")
+	}
+	return nil
+}
+
+// parseParameter takes in one parameter, whose value starts at an offset of the line.
+func (p *openParser) parseParameter(name, value []byte, offset int) (err error) {
+	request := &p.open.Request
+	switch string(name) {
+	case nameClass:
+		p.hasClass = true
+		request.Class = indexOf(p.settings.ClassNames, value)
+		if request.Class < 0 {
+			err = ErrUnknownClass
+		}
+	case nameTimeout:
+		var milliseconds float64
+		milliseconds, err = parseDecimal(value)
+		p.open.Timeout = settings.Duration(milliseconds)
+		p.open.timeoutStart, p.open.timeoutEnd = offset, offset+len(value)
+	case nameGroup:
+		request.Group, err = parseID(value)
+	case nameTenant:
+		request.Tenant = max(0, indexOf(p.settings.TenantNames, value))
+	case nameExpectedLoad:
+		var milliseconds float64
+		milliseconds, err = parseDecimal(value)
+		request.ExpectedLoad = milliseconds * loadPerMillisecond
+	case nameRetry:
+		request.ClientRetry, err = parseFlag(value)
+	case nameReconnect:
+		request.Reconnecting, err = parseFlag(value)
+	case nameMidStream:
+		request.MidStream, err = p.parseMidStream(value)
+	case nameHolder:
+		p.open.Holder = value
+	}
+	return err
+}
+
+// parseMidStream reads the flag of a connection that comes here unbroken, which only packets that pass through can do.
+func (p *openParser) parseMidStream(value []byte) (bool, error) {
+	if !p.settings.PassThrough {
+		return false, ErrSyntax
+	}
+	return parseFlag(value)
+}
+
+// limitTimeout holds the time-out to the one of the class: nobody waits longer than that, whatever the line says.
+func (p *openParser) limitTimeout() {
+	if limit := p.settings.Classes[p.open.Request.Class].ClientTimeout; limit > 0 {
+		p.open.Timeout = min(p.open.Timeout, limit)
+	}
+}
+
+// isPrintable reports whether a name or a value has the length that it may have and is printable ASCII without "=".
+func isPrintable(b []byte) bool {
+	for _, c := range b {
+		if c <= ' ' || c >= 0x7f || c == '=' {
+			return false
+		}
+	}
+	return len(b) > 0 && len(b) <= maxWordLength
+}
+
+func indexOf(names []string, name []byte) int {
+	for i, n := range names {
+		if n == string(name) {
+			return i
+		}
+	}
+	return -1
+}
