--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -3,13 +3,8 @@
 package discovery
 
 import (
-	"encoding/json"
-	"errors"
 	"fmt"
-	"hash/fnv"
-	"io"
 	"math/rand/v2"
-	"slices"
 	"strconv"
 	"time"
 
@@ -17,178 +12,78 @@
 	"aspenbarrow/internal/settings"
 )
 
-// Figures of the talk with an agent.
 const (
-	ResponseGrace = 500 * time.Millisecond // over the wait, the agent has fallen silent
-	MaxBodyBytes  = 16 << 20
-	watchTimeout  = 2 * time.Second       // short: an unheard change counts as told soon after it
-	minBackoff    = 50 * time.Millisecond // between calls that fail; with jitter, doubling
+	// ResponseGrace is how long after the end of its wait a watch's response may come; then the call has timed out.
+	ResponseGrace = 500 * time.Millisecond
+	// MaxBodyBytes is the longest response body that is read.
+	MaxBodyBytes = 16 << 20
+)
+
+const (
+	listPath = "/catalog/members"
+
+	// watchTimeout is how long discovery may hold a watch. It is short, for a change that was not received counts as
+	// published soon after.
+	watchTimeout = 2 * time.Second
+	// listTimeout is the time limit of a call for the whole list, which discovery answers at once.
+	listTimeout = 2 * ResponseGrace
+
+	// The backoff doubles with each failure in a row; the delay is it with jitter, between half of it and one and a half.
+	minBackoff    = 50 * time.Millisecond
 	maxBackoff    = time.Second
+	maxRetryDelay = maxBackoff / 2 * 3
 )
 
-// What discovery has counts as told so long after it had it and could be reached, whatever became of the calls before:
-// of lists that are pushed and of those that are asked for.
+// maxStaleness is how long a change at discovery may take to arrive here, whatever became of earlier calls, counted from
+// when it was made and discovery could be reached. It holds for lists that are pushed and for those that are polled.
 const maxStaleness = 6 * time.Second
 
-// worstTold is the longest way there: a call that was made just too early and breaks off at the end of its time, the
-// longest pause, and a call that brings the whole list. Each length is below; that they fit, with a second to spare for
-// the way to the books, is held when this is compiled.
+// worstStaleness is the longest way to a change: a call made just before it breaks off at the end of its time, the longest
+// delay follows, then a call that fetches the whole list. The constant below fails to compile unless that fits, with a
+// second to spare for the way to the balancer.
 const (
-	maxRetryDelay  = maxBackoff / 2 * 3
 	worstStaleness = watchTimeout + ResponseGrace + maxRetryDelay + listTimeout
 	_              = uint64(maxStaleness - time.Second - worstStaleness)
 )
 
-// listTimeout is the time of a call that waits for nothing.
-const listTimeout = 2 * ResponseGrace
-
-// EndpointList is one answer of discovery.
-type EndpointList struct {
-	Version   uint64
-	Full      bool
-	Endpoints []Endpoint
-}
-
-type Endpoint struct {
-	Name, Address string
-	Backend       balance.Backend
-}
-
-// BackendID hashes an id; it comes out alike on every relay.
-func BackendID(name string) balance.BackendID {
-	h := fnv.New64a()
-	_, _ = io.WriteString(h, name)
-	return balance.BackendID(h.Sum64())
-}
-
-// ParseEndpoints reads a body in discovery's form. One bad entry spoils the body:
-// half a list taken for a whole one would declare backends gone.
-func ParseEndpoints(body []byte, names *settings.Settings) (EndpointList, error) {
-	m, spoilt, err := ParseEndpointsLenient(body, names)
-	if err = errors.Join(err, spoilt); err != nil {
-		return EndpointList{}, err
-	}
-	return m, nil
-}
-
-// ParseEndpointsLenient reads a body entry by entry: spoilt says what is wrong with some of them, err with the body as a whole.
-func ParseEndpointsLenient(body []byte, names *settings.Settings) (m EndpointList, spoilt, err error) {
-	var in struct {
-		Version *uint64           `json:"version"`
-		Full    bool              `json:"full"`
-		Servers []json.RawMessage `json:"servers"`
-	}
-	if err := json.Unmarshal(body, &in); err != nil {
-		return EndpointList{}, nil, err
-	}
-	if in.Version == nil {
-		return EndpointList{}, nil, errors.New("no version")
-	}
-	m = EndpointList{Version: *in.Version, Full: in.Full}
-	for _, raw := range in.Servers {
-		e, err := parseEndpoint(raw, names)
-		if err != nil {
-			spoilt = errors.Join(spoilt, err)
-			continue
-		}
-		m.Endpoints = append(m.Endpoints, e)
-	}
-	return m, spoilt, nil
-}
-
-func parseEndpoint(raw json.RawMessage, names *settings.Settings) (Endpoint, error) {
-	var s struct {
-		ID      string          `json:"id"`
-		Addr    string          `json:"addr"`
-		Zone    json.RawMessage `json:"zone"`
-		Kind    json.RawMessage `json:"kind"`
-		Cell    int             `json:"cell"`
-		State   string          `json:"state"`
-		Weight  *float64        `json:"weight"`
-		Started float64         `json:"started_ms"`
-	}
-	if err := json.Unmarshal(raw, &s); err != nil {
-		return Endpoint{}, err
-	}
-	e := Endpoint{Name: s.ID, Address: s.Addr, Backend: balance.Backend{ID: BackendID(s.ID), Cell: s.Cell, Weight: 1,
-		Zone: nameOrdinal(s.Zone, names.ZoneNames), Kind: nameOrdinal(s.Kind, names.KindNames)}}
-	if s.Started > 0 {
-		e.Backend.ReadyAt = time.Duration(s.Started * float64(time.Millisecond))
-	}
-	if s.Weight != nil {
-		e.Backend.Weight = *s.Weight
-	}
-	switch s.State {
-	case "ready":
-		e.Backend.State = balance.StateReady
-	case "draining":
-		e.Backend.State = balance.StateDraining
-	case "gone":
-		e.Backend.State = balance.StateRemoved
-	default:
-		return Endpoint{}, fmt.Errorf("backend %q has unknown state %q", s.ID, s.State)
-	}
-	if s.ID == "" || s.Addr == "" && e.Backend.State == balance.StateReady {
-		return Endpoint{}, fmt.Errorf("backend %q at %q lacks a name or an address", s.ID, s.Addr)
-	}
-	return e, nil
-}
-
-// nameOrdinal turns a zone's or a kind's name into its number in the settings. What
-// they do not know gets a number of its own.
-func nameOrdinal(raw json.RawMessage, names []string) int {
-	var name string
-	if json.Unmarshal(raw, &name) != nil {
-		var n int
-		_ = json.Unmarshal(raw, &n)
-		return n
-	}
-	if i := slices.Index(names, name); i >= 0 {
-		return i
-	}
-	h := fnv.New32a()
-	_, _ = io.WriteString(h, name)
-	return len(names) + int(h.Sum32()>>2)
-}
-
-// Client is the talk with one address. Versions are its own. Its methods are called
-// one at a time.
+// Client follows the endpoint list at one address of discovery. Versions are that address's own. Its methods are called one
+// at a time.
 type Client struct {
 	Address        string
 	settings       *settings.Settings
 	rng            *rand.Rand
 	version        uint64
-	hasVersion     bool // some version is known, so changes can be asked for
+	hasVersion     bool // changes since version can be asked for
 	watching       bool
-	requested      bool // the module asked for something
-	watchRequested bool // for a watch, since the last call began: it outlives that call's failure
+	requested      bool // the balancer wants a call
+	watchRequested bool // for a watch, since the last call began: it outlasts that call's failure
 	listRequested  bool // for the whole list
-	fetchingList   bool // of the call that is out
-	answered       bool // some answer has come
+	fetchingList   bool // the current call is for the whole list
+	answered       bool // some response has been read
 	backoff        time.Duration
 }
 
-// NewClient watches from the start where changes come unasked or where it follows
-// another agent.
+// NewClient is a client that watches from the start where discovery pushes lists, or where it follows an address that
+// another one was replaced by.
 func NewClient(address string, set *settings.Settings, moved bool, rng *rand.Rand) *Client {
 	return &Client{Address: address, settings: set, rng: rng, watching: !set.PollEndpoints || moved, backoff: minBackoff}
 }
 
-// ResumeFrom has an agent that is asked for changes go on from the list that a configuration holds, which is the agent's as
-// this relay had it last. To fetch it whole and then watch would be two calls where one does: where lists come on
-// request discovery has no room for that when many relays start together, and turns the watches away.
-func (a *Client) ResumeFrom(version uint64) {
-	a.version, a.hasVersion = version, a.settings.PollEndpoints
+// ResumeFrom has a client whose lists are polled go on from the version of a list that this relay has from an earlier run.
+// To fetch the whole list and then watch would be two calls: many relays that start together would take up discovery's
+// room with the first, and have their watches turned away.
+func (c *Client) ResumeFrom(version uint64) {
+	c.version, c.hasVersion = version, c.settings.PollEndpoints
 }
 
-// Schedule hears what the module asks for: a watch, or the whole list once.
-func (a *Client) Schedule(watch bool) {
-	a.requested = true
-	a.watchRequested = a.watchRequested || watch
-	a.listRequested = a.listRequested || !watch
+// Schedule asks for a call: a watch, or the whole list once.
+func (c *Client) Schedule(watch bool) {
+	c.requested = true
+	c.watchRequested = c.watchRequested || watch
+	c.listRequested = c.listRequested || !watch
 }
 
-// Request is one request to an agent.
+// Request is one call to discovery, a GET.
 type Request struct {
 	Path     string
 	Query    string
@@ -196,72 +91,74 @@
 	FullList bool
 }
 
-// NextRequest is the call to make now; false: none until the module wants something.
-func (a *Client) NextRequest() (Request, bool) {
-	if !a.watching && !a.requested {
+// NextRequest is the call to make now; false: none until one is scheduled.
+func (c *Client) NextRequest() (Request, bool) {
+	if !c.watching && !c.requested {
 		return Request{}, false
 	}
-	a.watching = a.watching || a.watchRequested
-	a.fetchingList = !a.hasVersion || a.listRequested || !a.watching
-	a.requested, a.watchRequested, a.listRequested = false, false, false
-	if a.fetchingList {
-		return Request{Path: "/catalog/members", Timeout: listTimeout, FullList: true}, true
+	c.watching = c.watching || c.watchRequested
+	c.fetchingList = !c.hasVersion || c.listRequested || !c.watching
+	c.requested, c.watchRequested, c.listRequested = false, false, false
+	if c.fetchingList {
+		return Request{Path: listPath, Timeout: listTimeout, FullList: true}, true
 	}
-	return Request{Path: "/catalog/members", Query: "index=" + strconv.FormatUint(a.version, 10) + "&wait=" +
-		strconv.FormatInt(watchTimeout.Milliseconds(), 10), Timeout: watchTimeout + ResponseGrace}, true
+	index := strconv.FormatUint(c.version, 10)
+	wait := strconv.FormatInt(watchTimeout.Milliseconds(), 10)
+	return Request{Path: listPath, Query: "index=" + index + "&wait=" + wait, Timeout: watchTimeout + ResponseGrace}, true
 }
 
-// Update is what an answer brings.
+// Update is what a call brings.
 type Update struct {
 	Endpoints  EndpointList
 	Kind       balance.EndpointUpdateKind
-	Changed    bool          // something for the Node
-	RetryDelay time.Duration // before the next call
+	Changed    bool          // the endpoints are for the controller
+	RetryDelay time.Duration // until the next call
 }
 
-// HandleResponse takes in the body of an answer with status 200. Of a body with spoilt entries the sound ones are news all
-// the same: a drain beside them has been told. But it is no list to go by from then on, so it is asked for again.
-func (a *Client) HandleResponse(body []byte) (Update, error) {
-	l, spoilt, err := ParseEndpointsLenient(body, a.settings)
+// HandleResponse takes in the body of a response with status 200. Where some endpoints are invalid the others are an update
+// all the same, for a drain among them has been published; the list is then asked for again, and the error says why.
+func (c *Client) HandleResponse(body []byte) (Update, error) {
+	list, invalid, err := ParseEndpointsLenient(body, c.settings)
 	if err != nil {
-		return a.HandleFailure(false), fmt.Errorf("body: %w", err)
-	}
-	if spoilt != nil {
-		a.retry()
-		return Update{Endpoints: l, Kind: balance.UpdateDelta, Changed: len(l.Endpoints) > 0, RetryDelay: a.nextBackoff()}, fmt.Errorf("body: %w", spoilt)
-	}
-	// An agent whose versions go back has begun anew: what it knew in between was told to nobody.
-	a.hasVersion = l.Full || l.Version >= a.version
-	a.backoff, a.version = minBackoff, l.Version
-	n := Update{Endpoints: l, Kind: balance.UpdateDelta, Changed: a.fetchingList || l.Full || len(l.Endpoints) > 0 || !a.answered}
-	a.answered = true
-	if l.Full {
-		n.Kind = balance.UpdateFull
-	}
-	return n, nil
-}
-
-// HandleFailure hears that a call brought nothing; silent says that its time ran out. It is made again soon: a watch goes on
-// if the next call comes within 200 ms, and one that has fallen silent is broken and is opened anew at once, which its
-// own time paces. However many fail in a row the watch does not lapse and the pause stays within mostPause: where lists
-// come on request too, a change counts as told toldWithin after it could be heard. A relay whose calls fail at once
-// makes one a second; 350 relays make as many calls a second at discovery as there are of them, all together.
-func (a *Client) HandleFailure(silent bool) Update {
-	if a.retry(); silent {
+		return c.HandleFailure(false), fmt.Errorf("body: %w", err)
+	}
+	update := Update{Endpoints: list, Kind: balance.UpdateDelta}
+	if invalid != nil {
+		c.retry()
+		update.Changed, update.RetryDelay = len(list.Endpoints) > 0, c.nextBackoff()
+		return update, fmt.Errorf("body: %w", invalid)
+	}
+	update.Changed = c.fetchingList || list.Full || len(list.Endpoints) > 0 || !c.answered
+	if list.Full {
+		update.Kind = balance.UpdateFull
+	}
+	// Where versions go back discovery has started anew, and changes in between were published to nobody: with no version
+	// to go on from, the next call fetches the whole list.
+	c.hasVersion = list.Full || list.Version >= c.version
+	c.backoff, c.version, c.answered = minBackoff, list.Version, true
+	return update, nil
+}
+
+// HandleFailure takes in a call that brought nothing. It is made again soon: a watch that is renewed within 200 ms misses
+// nothing, and one that has timed out is renewed at once, since its own time limit paces it. However many calls fail in a
+// row, the delay stays below maxRetryDelay, which maxStaleness rests on. A relay whose calls fail at once makes one a second.
+func (c *Client) HandleFailure(timedOut bool) Update {
+	c.retry()
+	if timedOut {
 		return Update{}
 	}
-	return Update{RetryDelay: a.nextBackoff()}
+	return Update{RetryDelay: c.nextBackoff()}
 }
 
-// retry has the call that is out made once more.
-func (a *Client) retry() {
-	a.requested = true
-	a.listRequested = a.listRequested || a.fetchingList
+// retry has the current call made again.
+func (c *Client) retry() {
+	c.requested = true
+	c.listRequested = c.listRequested || c.fetchingList
 }
 
-// nextBackoff is the pause before the next call, longer each time in a row, and below mostPause.
-func (a *Client) nextBackoff() time.Duration {
-	pause := a.backoff/2 + time.Duration(a.rng.Int64N(int64(a.backoff)))
-	a.backoff = min(2*a.backoff, maxBackoff)
-	return pause
+// nextBackoff is the delay before the next call.
+func (c *Client) nextBackoff() time.Duration {
+	delay := c.backoff/2 + time.Duration(c.rng.Int64N(int64(c.backoff)))
+	c.backoff = min(2*c.backoff, maxBackoff)
+	return delay
 }
