--- /dev/null
+++ b/internal/session/established.go
@@ -0,0 +1,148 @@
+package session
+
+import (
+	"time"
+
+	"aspenbarrow/balance"
+	"aspenbarrow/internal/protocol"
+)
+
+// Established reports whether UP has been or is being written to the client.
+func (s *Session) Established() bool { return s.established.Load() }
+
+// Migrate asks that the client leave at the next end of a line. The caller then wakes the goroutine that reads the backend.
+func (s *Session) Migrate() { s.migrating.Store(true) }
+
+// FromClient takes in all bytes of the client that are not forwarded yet and returns how many are whole lines, which go to
+// the backend.
+func (s *Session) FromClient(now time.Duration, b []byte) (int, error) {
+	length, err := protocol.WholeLines(b)
+	if length > 0 {
+		s.unansweredSince.CompareAndSwap(0, int64(now))
+	}
+	return length, err
+}
+
+// FromBackend takes in all bytes of the backend that are not forwarded yet and returns how many go to the client, and an
+// event where a LOAD line is among them.
+func (s *Session) FromBackend(b []byte) (length int, event Event, err error) {
+	_, length, err = s.backendReader.Feed(b)
+	if err != nil || length == 0 {
+		return length, Event{}, err
+	}
+	s.unansweredSince.Store(0)
+	if s.backendReader.Load > 0 {
+		event = Event{Kind: LoadReported, Load: s.backendReader.Load}
+	}
+	return length, event, nil
+}
+
+// BackendBlocked takes in that the backend takes no lines. Part of one may have been written, so no more can follow. The
+// caller then wakes the goroutine that reads the backend.
+func (s *Session) BackendBlocked() { s.backendBlocked.Store(true) }
+
+// CloseMode is how one side of a session is closed after the other has ended.
+type CloseMode uint8
+
+// The modes of closing.
+const (
+	CloseNone  CloseMode = iota // it is not to be closed
+	CloseFIN                    // the backend's side ends orderly
+	CloseReset                  // both sides are reset
+)
+
+// ClientEnded takes in the client's end and says how the backend's side is closed: in the same way. Only the first end
+// counts.
+func (s *Session) ClientEnded(end EndKind) CloseMode {
+	if !s.clientEnd.CompareAndSwap(int32(NoEnd), int32(end)) {
+		return CloseNone
+	}
+	if end == EndFIN {
+		return CloseFIN
+	}
+	return CloseReset
+}
+
+// Termination is how an established session ends.
+type Termination struct {
+	Status        balance.Status
+	CloseClient   bool   // the client's side ends orderly, after LastLine
+	LastLine      string // for the client; it may be empty
+	ResetClient   bool   // the client's side is reset
+	BackendSilent bool   // the backend has sent nothing any more
+}
+
+// AtLineBoundary is to be asked whenever no line is being forwarded: only there may MOVE be written. It returns how the
+// session ends, if it is to migrate.
+func (s *Session) AtLineBoundary() (Termination, bool) {
+	return Termination{Status: balance.StatusCancelled, CloseClient: true, LastLine: protocol.AnswerMove}, s.migrating.Load()
+}
+
+// CheckIdle is to be asked while nothing comes from the backend. It returns how the session ends, if it does.
+func (s *Session) CheckIdle(now time.Duration) (Termination, bool) {
+	if s.hasClientEnded() { // and the backend leaves its side open
+		return s.clientTermination(), true
+	}
+	since := time.Duration(s.unansweredSince.Load())
+	timedOut := since != 0 && now-since > BackendSilenceTimeout
+	if s.backendBlocked.Load() || timedOut {
+		// A host that has vanished or is cut off sends nothing: a time-out alone tells.
+		return Termination{Status: balance.StatusReset, CloseClient: true, LastLine: protocol.AnswerMove, BackendSilent: true}, true
+	}
+	return Termination{}, false
+}
+
+// Idle reports that CheckIdle would find nothing until something more happens to the session.
+func (s *Session) Idle() bool {
+	return s.unansweredSince.Load() == 0 && !s.hasClientEnded() && !s.backendBlocked.Load()
+}
+
+// ClientBlocked takes in that the client takes nothing any more: the session ends.
+func (s *Session) ClientBlocked() (Termination, CloseMode) {
+	mode := s.ClientEnded(EndReset)
+	return s.clientTermination(), mode
+}
+
+func (s *Session) hasClientEnded() bool { return EndKind(s.clientEnd.Load()) != NoEnd }
+
+// clientTermination is the end of a session whose client has ended it.
+func (s *Session) clientTermination() Termination {
+	if EndKind(s.clientEnd.Load()) == EndFIN {
+		return Termination{Status: balance.StatusOK}
+	}
+	return Termination{Status: balance.StatusCancelled}
+}
+
+// BackendEnded takes in the backend's end; the client's side ends in the same way.
+//
+// A backend closes on what it cannot read. Where a line of the client's is still unanswered the end may be of the client's
+// making and says nothing of the backend: one bad client could have it ejected and all others moved off it. A backend that
+// dies resets its other sessions as well.
+func (s *Session) BackendEnded(end EndKind) Termination {
+	if s.hasClientEnded() {
+		return s.clientTermination()
+	}
+	termination := Termination{Status: balance.StatusReset}
+	if s.unansweredSince.Load() != 0 {
+		termination.Status = balance.StatusCancelled
+	}
+	if end != EndFIN {
+		termination.ResetClient = true
+		return termination
+	}
+	termination.CloseClient = true
+	switch s.backendReader.LastKind {
+	case protocol.KindBye:
+		termination.Status = balance.StatusOK
+	case protocol.KindMove:
+		termination.Status = balance.StatusCancelled
+	}
+	return termination
+}
+
+// Terminated is the event of the session's end.
+func (s *Session) Terminated(termination Termination) Event {
+	s.Ended()
+	return Event{Kind: AttemptEnded, Result: balance.AttemptResult{ID: s.Seq, Attempt: s.attempt.number,
+		Backend: s.attempt.Backend.ID, Status: termination.Status, Closed: true}}
+}
--- a/internal/session/golden_test.go
+++ b/internal/session/golden_test.go
@@ -1,6 +1,7 @@
 package session
 
 import (
+	"bytes"
 	"errors"
 	"fmt"
 	"strings"
@@ -14,102 +15,122 @@
 	"aspenbarrow/internal/upstream"
 )
 
+// goldenStatuses are the words for the statuses of attempts.
 var goldenStatuses = map[balance.Status]string{balance.StatusOK: "ok", balance.StatusError: "error", balance.StatusOverloaded: "full", balance.StatusTimeout: "timeout",
 	balance.StatusConnectFailed: "connect failed", balance.StatusReset: "reset", balance.StatusCancelled: "cancelled", balance.StatusAbandoned: "moot"}
 
-func goldenLedger() *metrics.Registry {
-	l := &metrics.Registry{}
-	l.SetClasses(names.ClassNames)
-	return l
+func goldenRegistry() *metrics.Registry {
+	registry := &metrics.Registry{}
+	registry.SetClasses(goldenSettings.ClassNames)
+	return registry
 }
 
-// What clients are answered, and how attempts and sessions end, is as it was.
+// goldenAttempt is a session with an attempt that is pending.
+func goldenAttempt(t *testing.T) (*Session, *Attempt) {
+	t.Helper()
+	s := New(7, goldenSettings, goldenRegistry())
+	got, err := s.ReadHandshake(0, []byte("OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=order,d=1500.5,new=x\r\n"), true)
+	if err != nil || !got.Opened {
+		t.Fatal(got, err)
+	}
+	backend := &upstream.Backend{ID: 9, Name: "s-9"}
+	return s, s.Execute(0, Command{Backend: backend, Deadline: 1234567 * time.Microsecond}).Attempt
+}
+
+// What clients are answered, and how attempts and sessions end, stays as it was.
 func TestSession_Golden(t *testing.T) {
 	var out strings.Builder
-	say := func(format string, args ...any) { fmt.Fprintf(&out, format+"\n", args...) }
+	writeAnswers(&out)
+	fmt.Fprintln(&out, "# a flow's last lines, by what the backend said first")
+	writeBackendAnswers(t, &out)
+	writeClientCloses(t, &out)
+	writeAttemptErrors(t, &out)
+	golden(t, "sessions.txt", out.String())
+}
 
-	say("# answers to clients")
-	say("failed %q", protocol.AnswerFailed)
+func writeAnswers(out *strings.Builder) {
+	fmt.Fprintln(out, "# answers to clients")
+	fmt.Fprintf(out, "failed %q\n", protocol.AnswerFailed)
 	for _, d := range []time.Duration{-time.Second, 0, 1, time.Millisecond, time.Millisecond + 1, 250 * time.Millisecond, 1500 * time.Millisecond, time.Hour} {
-		say("busy for %v %q", d, protocol.BusyAnswer(d))
+		fmt.Fprintf(out, "busy for %v %q\n", d, protocol.BusyAnswer(d))
 	}
-	for _, s := range []settings.Settings{{}, {Settings: balance.Settings{RetryAfter: true, MaxRetryAfter: 300 * time.Millisecond}},
+	for _, set := range []settings.Settings{{}, {Settings: balance.Settings{RetryAfter: true, MaxRetryAfter: 300 * time.Millisecond}},
 		{Settings: balance.Settings{RetryAfter: true, MaxRetryAfter: time.Minute}}} {
-		say("held off, told %v, at most %v: %q", s.RetryAfter, s.MaxRetryAfter, protocol.BusyAnswer(RetryAfter(&s)))
+		fmt.Fprintf(out, "held off, told %v, at most %v: %q\n", set.RetryAfter, set.MaxRetryAfter, protocol.BusyAnswer(RetryAfter(&set)))
 	}
 	for _, ready := range []bool{true, false} {
 		for _, line := range []string{"PING\r\n", "STATS\r\n"} {
-			g, err := New(1, names, goldenLedger()).ReadHandshake(0, []byte(line), ready)
-			say("%q, ready %v: %q, %d bytes, %v", line, ready, g.Reply, g.Consumed, err)
+			got, err := New(1, goldenSettings, goldenRegistry()).ReadHandshake(0, []byte(line), ready)
+			fmt.Fprintf(out, "%q, ready %v: %q, %d bytes, %v\n", line, ready, got.Reply, got.Consumed, err)
 		}
 	}
-	f, pings := New(1, names, goldenLedger()), 0
+	s, pings := New(1, goldenSettings, goldenRegistry()), 0
 	for {
-		if _, err := f.ReadHandshake(0, []byte("PING\r\n"), true); err != nil {
-			say("after %d probes: %v", pings, err)
+		if _, err := s.ReadHandshake(0, []byte("PING\r\n"), true); err != nil {
+			fmt.Fprintf(out, "after %d probes: %v\n", pings, err)
 			break
 		}
 		pings++
 	}
-	_, err := New(1, names, goldenLedger()).ReadHandshake(0, []byte("OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=chat,d=1500\r\nhello\r\n"), true)
-	say("sent on: %v", err)
+	_, err := New(1, goldenSettings, goldenRegistry()).ReadHandshake(0, []byte("OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=chat,d=1500\r\nhello\r\n"), true)
+	fmt.Fprintf(out, "sent on: %v\n", err)
+	endNames := map[EndKind]string{EndTimeout: "by time", EndFIN: "by FIN", EndReset: "by reset"}
 	for _, tc := range []struct {
-		how  EndKind
-		seen int
+		end       EndKind
+		bytesRead int
 	}{{EndTimeout, 0}, {EndFIN, 0}, {EndFIN, 3}, {EndReset, 3}} {
-		say("ended %v with %d bytes: %v", map[EndKind]string{EndTimeout: "by time", EndFIN: "by FIN", EndReset: "by reset"}[tc.how], tc.seen, f.HandshakeEnded(tc.how, tc.seen))
+		fmt.Fprintf(out, "ended %v with %d bytes: %v\n", endNames[tc.end], tc.bytesRead, s.HandshakeEnded(tc.end, tc.bytesRead))
 	}
+}
 
-	say("# a flow's last lines, by what the backend said first")
-	flow := func() (*Session, *Attempt) {
-		f := New(7, names, goldenLedger())
-		g, err := f.ReadHandshake(0, []byte("OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=order,d=1500.5,new=x\r\n"), true)
-		if err != nil || !g.Opened {
-			t.Fatal(g, err)
-		}
-		b := &upstream.Backend{ID: 9, Name: "s-9"}
-		return f, f.Execute(0, Command{Backend: b, Deadline: 1234567 * time.Microsecond}).Attempt
-	}
+func writeBackendAnswers(t *testing.T, out *strings.Builder) {
 	for _, line := range []string{"UP r\r\n", "BYE\r\n", "BUSY 20\r\n", "BUSY utilization=0.5,x0=1\r\n", "ERR\r\n", "MOVE\r\n", "SYNTAX\r\n", "WHAT\r\n", "UP\n"} {
-		f, a := flow()
-		head, fail := a.Connected(0)
-		if fail != nil {
-			t.Fatal(fail)
+		s, attempt := goldenAttempt(t)
+		request, failure := attempt.Connected(0)
+		if failure != nil {
+			t.Fatal(failure)
 		}
-		n, fail := a.ReadAnswer([]byte(line))
-		do := f.AttemptDone(time.Millisecond, a, fail)
-		said := "it stands"
-		if fail != nil {
-			said = fail.Error()
+		length, failure := attempt.ReadAnswer([]byte(line))
+		actions := s.AttemptDone(time.Millisecond, attempt, failure)
+		outcome := "it stands"
+		if failure != nil {
+			outcome = failure.Error()
 		}
-		say("%q sent, %q back: %d bytes, %s; %s, load %v, stand %v, answer %q", string(head[0])+string(head[1])+string(head[2]), line, n, said,
-			goldenStatuses[do.Event.Result.Status], do.Event.Result.Load, do.Establish, do.Answer)
+		result := actions.Event.Result
+		fmt.Fprintf(out, "%q sent, %q back: %d bytes, %s; %s, load %v, stand %v, answer %q\n", bytes.Join(request[:], nil), line, length, outcome,
+			goldenStatuses[result.Status], result.Load, actions.Establish, actions.Answer)
 	}
-	f, _ = flow()
-	say("left %q", f.ClientClosed(false).Answer)
-	f, _ = flow()
-	do := f.ClientClosed(true)
-	say("sent on %q, %v", do.Answer, do.ClientError)
-	f, a := flow()
-	if _, fail := a.Connected(2 * time.Second); fail != nil {
-		say("too late: %v", fail)
+}
+
+func writeClientCloses(t *testing.T, out *strings.Builder) {
+	s, _ := goldenAttempt(t)
+	fmt.Fprintf(out, "left %q\n", s.ClientClosed(false).Answer)
+	s, _ = goldenAttempt(t)
+	actions := s.ClientClosed(true)
+	fmt.Fprintf(out, "sent on %q, %v\n", actions.Answer, actions.ClientError)
+}
+
+func writeAttemptErrors(t *testing.T, out *strings.Builder) {
+	s, attempt := goldenAttempt(t)
+	if _, failure := attempt.Connected(2 * time.Second); failure != nil {
+		fmt.Fprintf(out, "too late: %v\n", failure)
 	}
-	a.Backend.SetState(1, balance.StateDraining)
-	a.settings = &settings.Settings{}
-	if _, fail := a.Connected(time.Second); fail != nil {
-		say("drained: %v", fail)
+	attempt.Backend.SetState(1, balance.StateDraining)
+	attempt.settings = &settings.Settings{}
+	if _, failure := attempt.Connected(time.Second); failure != nil {
+		fmt.Fprintf(out, "drained: %v\n", failure)
 	}
-	for _, fail := range []*AttemptError{a.DialFailed(errors.New("cause"), false), a.ConnectionEnded(0, false, errors.New("cause"), false),
-		a.ConnectionEnded(12, false, errors.New("cause"), false), a.ConnectionEnded(0, true, errors.New("cause"), true), a.ConnectionEnded(0, true, errors.New("cause"), false)} {
-		say("%v: %s", fail, goldenStatuses[fail.Status()])
+	cause := errors.New("cause")
+	for _, failure := range []*AttemptError{attempt.DialFailed(cause, false), attempt.ConnectionEnded(0, false, cause, false),
+		attempt.ConnectionEnded(12, false, cause, false), attempt.ConnectionEnded(0, true, cause, true), attempt.ConnectionEnded(0, true, cause, false)} {
+		fmt.Fprintf(out, "%v: %s\n", failure, goldenStatuses[failure.Status()])
 	}
-	v, now := f.AtLineBoundary()
-	say("to move %v: %q, %s", now, v.LastLine, goldenStatuses[v.Status])
-	f.Migrate()
-	v, now = f.AtLineBoundary()
-	say("to move %v: %q, %s", now, v.LastLine, goldenStatuses[v.Status])
-	f.BackendBlocked()
-	v, now = f.CheckIdle(0)
-	say("silent %v: %q, %s", now, v.LastLine, goldenStatuses[v.Status])
-	golden(t, "sessions.txt", out.String())
+	for range 2 { // before the session is to migrate, and then
+		termination, now := s.AtLineBoundary()
+		fmt.Fprintf(out, "to move %v: %q, %s\n", now, termination.LastLine, goldenStatuses[termination.Status])
+		s.Migrate()
+	}
+	s.BackendBlocked()
+	termination, now := s.CheckIdle(0)
+	fmt.Fprintf(out, "silent %v: %q, %s\n", now, termination.LastLine, goldenStatuses[termination.Status])
 }
--- a/internal/session/helpers_test.go
+++ b/internal/session/helpers_test.go
@@ -9,7 +9,9 @@
 	"time"
 
 	"aspenbarrow/balance"
+	"aspenbarrow/internal/metrics"
 	"aspenbarrow/internal/settings"
+	"aspenbarrow/internal/upstream"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
@@ -43,6 +45,40 @@
 	}
 }
 
-var names = &settings.Settings{ClassNames: []string{"chat", "order"}, TenantNames: []string{"acme", "bolt"},
+// goldenSettings are those of the golden file.
+var goldenSettings = &settings.Settings{ClassNames: []string{"chat", "order"}, TenantNames: []string{"acme", "bolt"},
 	ZoneNames: []string{"east", "west"}, KindNames: []string{"k"}, FieldNames: []string{"utilization", "x0"},
 	Settings: balance.Settings{PassThrough: true, Classes: []balance.Class{{ClientTimeout: 2 * time.Second}, {}}}}
+
+// sessionSettings are those of a relay with one class.
+func sessionSettings() *settings.Settings {
+	return &settings.Settings{ClassNames: []string{"chat"}, ZoneNames: []string{"east"}, KindNames: []string{"k"},
+		FieldNames: []string{"x0"}, IdleClose: 5 * time.Second, Settings: balance.Settings{RelayCount: 2,
+			Tick: 4 * time.Millisecond, HealthChecks: true, Gossip: true, RetryAfter: true, MaxRetryAfter: time.Second,
+			MaxAttempts: 4, DialTimeout: 250 * time.Millisecond, DrainGrace: 250 * time.Millisecond,
+			ReportFields: []balance.ReportField{balance.FieldLoadShare}, PassThrough: true,
+			Classes: []balance.Class{{LatencyObjective: 500 * time.Millisecond, ClientTimeout: time.Second,
+				MessageLatencyObjective: 60 * time.Millisecond}}}}
+}
+
+// testBackends are two backends that are ready.
+func testBackends() []*upstream.Backend {
+	return []*upstream.Backend{{ID: 1, Name: "a"}, {ID: 2, Name: "b"}}
+}
+
+func newTestSession(seq uint64) *Session {
+	set, registry := sessionSettings(), &metrics.Registry{}
+	registry.SetClasses(set.ClassNames)
+	return New(seq, set, registry)
+}
+
+// openSession is a session whose client has sent a line.
+func openSession(t *testing.T, seq uint64, line string) *Session {
+	t.Helper()
+	s := newTestSession(seq)
+	got, err := s.ReadHandshake(time.Second, []byte(line), true)
+	if err != nil || !got.Opened {
+		t.Fatalf("%+v, %v", got, err)
+	}
+	return s
+}
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -8,50 +8,14 @@
 
 	"aspenbarrow/balance"
 	"aspenbarrow/internal/handshake"
-	"aspenbarrow/internal/metrics"
 	"aspenbarrow/internal/protocol"
-	"aspenbarrow/internal/settings"
-	"aspenbarrow/internal/upstream"
 )
 
-// sessionSettings are those of a relay with one class.
-func sessionSettings() *settings.Settings {
-	return &settings.Settings{ClassNames: []string{"chat"}, ZoneNames: []string{"east"}, KindNames: []string{"k"},
-		FieldNames: []string{"x0"}, IdleClose: 5 * time.Second, Settings: balance.Settings{RelayCount: 2,
-			Tick: 4 * time.Millisecond, HealthChecks: true, Gossip: true, RetryAfter: true, MaxRetryAfter: time.Second,
-			MaxAttempts: 4, DialTimeout: 250 * time.Millisecond, DrainGrace: 250 * time.Millisecond,
-			ReportFields: []balance.ReportField{balance.FieldLoadShare}, PassThrough: true,
-			Classes: []balance.Class{{LatencyObjective: 500 * time.Millisecond, ClientTimeout: time.Second,
-				MessageLatencyObjective: 60 * time.Millisecond}}}}
-}
-
-// testBackends are two backends that are ready.
-func testBackends() []*upstream.Backend {
-	return []*upstream.Backend{{ID: 1, Name: "a"}, {ID: 2, Name: "b"}}
-}
-
-func newTestSession(seq uint64) *Session {
-	s, m := sessionSettings(), &metrics.Registry{}
-	m.SetClasses(s.ClassNames)
-	return New(seq, s, m)
-}
-
-// openSession is a session whose client has sent a line.
-func openSession(t *testing.T, seq uint64, line string) *Session {
-	t.Helper()
-	f := newTestSession(seq)
-	g, err := f.ReadHandshake(time.Second, []byte(line), true)
-	if err != nil || !g.Opened {
-		t.Fatalf("%+v, %v", g, err)
-	}
-	return f
-}
-
-func TestAttemptErrorsTellWhatMayHaveRun(t *testing.T) {
+func TestAttemptError_StatusAndMayHaveExecuted(t *testing.T) {
 	for _, tc := range []struct {
-		e    AttemptError
-		want balance.Status
-		ran  bool
+		failure         AttemptError
+		want            balance.Status
+		mayHaveExecuted bool
 	}{
 		{AttemptError{stage: stageNotSent}, balance.StatusConnectFailed, false},
 		{AttemptError{stage: stageNotSent, timeout: true}, balance.StatusConnectFailed, false},
@@ -68,147 +32,156 @@
 		{AttemptError{stage: stageAnswered, answer: protocol.KindUnknown}, balance.StatusError, true},
 		{AttemptError{stage: stageAnswered, answer: protocol.KindSyntax}, balance.StatusCancelled, true},
 	} {
-		tc.e.err = errors.New("cause")
-		if got := tc.e.Status(); got != tc.want || got.MayHaveExecuted() != tc.ran {
-			t.Errorf("%v: status %v", &tc.e, got)
+		failure := &tc.failure
+		failure.err = errors.New("cause")
+		if got := failure.Status(); got != tc.want || got.MayHaveExecuted() != tc.mayHaveExecuted {
+			t.Errorf("%v: got status %v, want %v", failure, got, tc.want)
 		}
-		if tc.e.Error() == "" || !errors.Is(&tc.e, tc.e.err) {
-			t.Errorf("%+v says nothing of its cause", tc.e)
+		if failure.Error() == "" || !errors.Is(failure, failure.err) {
+			t.Errorf("%+v does not wrap its cause", failure)
 		}
 	}
 }
 
-func TestAFullRelaySaysWhenToComeBackWhereItMay(t *testing.T) {
-	for _, may := range []bool{true, false} {
-		s := *sessionSettings()
-		s.RetryAfter = may
-		if got, want := protocol.BusyAnswer(RetryAfter(&s)), map[bool]string{true: "BUSY 1000\r\n", false: "BUSY\r\n"}[may]; got != want {
-			t.Errorf("%q, want %q", got, want)
+func TestRetryAfter_OnlyWhereSettingsAllow(t *testing.T) {
+	for allowed, want := range map[bool]string{true: "BUSY 1000\r\n", false: "BUSY\r\n"} {
+		set := sessionSettings()
+		set.RetryAfter = allowed
+		if got := protocol.BusyAnswer(RetryAfter(set)); got != want {
+			t.Errorf("allowed %v: got %q, want %q", allowed, got, want)
 		}
 	}
 }
 
-func TestAttemptsAreNotSentLateOrToADrainingBackend(t *testing.T) {
+func TestAttempt_NotSentLateOrToDrainingBackend(t *testing.T) {
 	for _, tc := range []struct {
-		name   string
-		closed time.Duration // how long ago it was heard to drain; 0: it does not
-		left   time.Duration
-		cause  error
+		name       string
+		drainedFor time.Duration // 0: the backend is ready
+		timeout    time.Duration
+		want       error
 	}{
-		{"ready", 0, time.Second, nil},
+		{"backend ready", 0, time.Second, nil},
 		{"no time left", 0, 0, ErrDeadlineExceeded},
-		{"drains, its grace not over", 60 * time.Millisecond, time.Second, nil},
-		{"drains", 200 * time.Millisecond, time.Second, ErrBackendDraining},
+		{"backend drains, grace not over", 60 * time.Millisecond, time.Second, nil},
+		{"backend drains", 200 * time.Millisecond, time.Second, ErrBackendDraining},
 	} {
-		b := testBackends()[0]
-		now := 10 * time.Second
-		if tc.closed > 0 {
-			b.SetState(now-tc.closed, balance.StateDraining)
-		}
-		f := openSession(t, 1, "OPEN 0000000000000001 0000000000000002 c=chat,d=1000\r\n")
-		head, fail := f.Execute(now, Command{Backend: b, Deadline: now + tc.left}).Attempt.Connected(now)
-		switch {
-		case tc.cause == nil && fail != nil, tc.cause != nil && !errors.Is(fail, tc.cause):
-			t.Errorf("%s: %v", tc.name, fail)
-		case tc.cause == nil && string(bytes.Join(head[:], nil)) != "OPEN 0000000000000001 0000000000000002 c=chat,d=1000\r\n":
-			t.Errorf("%s: %q", tc.name, head)
-		}
+		t.Run(tc.name, func(t *testing.T) {
+			const line = "OPEN 0000000000000001 0000000000000002 c=chat,d=1000\r\n"
+			backend, now := testBackends()[0], 10*time.Second
+			if tc.drainedFor > 0 {
+				backend.SetState(now-tc.drainedFor, balance.StateDraining)
+			}
+			s := openSession(t, 1, line)
+			attempt := s.Execute(now, Command{Backend: backend, Deadline: now + tc.timeout}).Attempt
+			request, failure := attempt.Connected(now)
+			switch sent := string(bytes.Join(request[:], nil)); {
+			case tc.want == nil && failure != nil, tc.want != nil && !errors.Is(failure, tc.want):
+				t.Errorf("got error %v, want %v", failure, tc.want)
+			case tc.want == nil && sent != line:
+				t.Errorf("got request %q, want %q", sent, line)
+			}
+		})
 	}
 }
 
-// What was true of the answer race on sockets holds step by step: one final answer, whatever comes after.
-func TestOneFinalAnswerHoweverOrdersAndAttemptsRace(t *testing.T) {
+// One final answer is given, in whatever order commands and ends of attempts come.
+func TestSession_OneFinalAnswer(t *testing.T) {
 	backends := testBackends()
-	const line = "OPEN 0000000000000001 0000000000000002 c=chat,d=1000\r\n"
 	for _, tc := range []struct {
 		name string
-		play func(f *Session, a *Attempt) (answers int)
+		play func(s *Session, attempt *Attempt) (answers int)
 	}{
-		{"refused, then UP", func(f *Session, a *Attempt) (answers int) {
-			answers += count(f.Execute(0, Command{Answer: "BUSY\r\n"}))
-			late := f.AttemptDone(0, a, nil)
+		{"refused, then UP", func(s *Session, attempt *Attempt) (answers int) {
+			answers += finalAnswers(s.Execute(0, Command{Answer: "BUSY\r\n"}))
+			late := s.AttemptDone(0, attempt, nil)
 			if !late.CloseBackend || late.Event.Result.Status != balance.StatusCancelled {
 				answers = -9
 			}
-			return answers + count(late)
+			return answers + finalAnswers(late)
+		}},
+		{"UP, then refused", func(s *Session, attempt *Attempt) int {
+			return finalAnswers(s.AttemptDone(0, attempt, nil)) + finalAnswers(s.Execute(0, Command{Answer: "BUSY\r\n"}))
 		}},
-		{"UP, then refused", func(f *Session, a *Attempt) int {
-			return count(f.AttemptDone(0, a, nil)) + count(f.Execute(0, Command{Answer: "BUSY\r\n"}))
+		{"BYE, then refused", func(s *Session, attempt *Attempt) int {
+			_, failure := attempt.ReadAnswer([]byte("BYE\r\n"))
+			return finalAnswers(s.AttemptDone(0, attempt, failure)) + finalAnswers(s.Execute(0, Command{Answer: "BUSY\r\n"}))
 		}},
-		{"BYE, then refused", func(f *Session, a *Attempt) int {
-			_, fail := a.ReadAnswer([]byte("BYE\r\n"))
-			return count(f.AttemptDone(0, a, fail)) + count(f.Execute(0, Command{Answer: "BUSY\r\n"}))
+		{"failed twice", func(s *Session, _ *Attempt) int {
+			return finalAnswers(s.Execute(0, Command{Answer: protocol.AnswerFailed})) +
+				finalAnswers(s.Execute(0, Command{Answer: protocol.AnswerFailed}))
 		}},
-		{"failed twice over", func(f *Session, _ *Attempt) int {
-			return count(f.Execute(0, Command{Answer: protocol.AnswerFailed})) + count(f.Execute(0, Command{Answer: protocol.AnswerFailed}))
+		{"data before the answer, then UP", func(s *Session, attempt *Attempt) int {
+			return finalAnswers(s.ClientClosed(true)) + finalAnswers(s.AttemptDone(0, attempt, nil))
 		}},
-		{"spoke too early, then UP", func(f *Session, a *Attempt) int { return count(f.ClientClosed(true)) + count(f.AttemptDone(0, a, nil)) }},
 	} {
-		f := openSession(t, 1, line)
-		a := f.Execute(time.Second, Command{Backend: backends[0], Deadline: 2 * time.Second}).Attempt
-		if again := f.Execute(time.Second, Command{Backend: backends[1], Deadline: 2 * time.Second}); again.Attempt != nil {
-			t.Errorf("%s: a second attempt while the first is out", tc.name)
-		}
-		if _, fail := a.Connected(time.Second); fail != nil {
-			t.Fatal(fail)
-		}
-		if got := tc.play(f, a); got != 1 {
-			t.Errorf("%s: %d final answers", tc.name, got)
-		}
-		if f.AwaitsCommands() && !f.attemptPending {
-			t.Errorf("%s: the flow still waits", tc.name)
-		}
+		t.Run(tc.name, func(t *testing.T) {
+			s := openSession(t, 1, "OPEN 0000000000000001 0000000000000002 c=chat,d=1000\r\n")
+			attempt := s.Execute(time.Second, Command{Backend: backends[0], Deadline: 2 * time.Second}).Attempt
+			if second := s.Execute(time.Second, Command{Backend: backends[1], Deadline: 2 * time.Second}); second.Attempt != nil {
+				t.Error("a second attempt while the first is pending")
+			}
+			if _, failure := attempt.Connected(time.Second); failure != nil {
+				t.Fatal(failure)
+			}
+			if got := tc.play(s, attempt); got != 1 {
+				t.Errorf("got %d final answers, want 1", got)
+			}
+			if s.AwaitsCommands() && !s.attemptPending {
+				t.Error("the session still awaits commands")
+			}
+		})
 	}
 }
 
-// count is the number of final answers in what a driver is told to do.
-func count(d Actions) (n int) {
-	if d.Answer != "" {
+// finalAnswers is the number of final answers in what the caller is told to do.
+func finalAnswers(actions Actions) (n int) {
+	if actions.Answer != "" {
 		n++
 	}
-	if d.Establish {
+	if actions.Establish {
 		n++
 	}
 	return n
 }
 
-// Who lay in the accept queue while others were heard has been waiting since before any clock of the relay's saw it: its
-// patience counts from when the queue began to fill, half a second at most. An acceptor that finds nobody has an empty queue.
-func TestPatienceCountsInTheAcceptQueue(t *testing.T) {
-	l := handshake.NewPool(1)
-	now := time.Second
-	enter := func(conn string) *handshake.Connection {
+// A client whose connection lay in the accept queue has been waiting since before any clock here saw it: its time-out
+// counts from when the queue began to fill, half a second at most. An acceptor that finds nobody has an empty queue.
+func TestSession_TimeoutCountsFromAcceptQueue(t *testing.T) {
+	pool, now := handshake.NewPool(1), time.Second
+	accept := func(name string) *handshake.Connection {
 		for {
-			in, _, wait := l.Add(now, conn)
-			if now += wait; in != nil {
-				return in
+			accepted, _, wait := pool.Add(now, name)
+			now += wait
+			if accepted != nil {
+				return accepted
 			}
 		}
 	}
-	came := func(g *handshake.Connection, after time.Duration) time.Duration {
-		f := newTestSession(1)
-		f.Accepted(g)
-		if _, err := f.ReadHandshake(now+after, []byte("OPEN 0000000000000009 0000000000000009 c=chat,d=1000\r\n"), true); err != nil {
+	// waited is how long ago a client arrived that sends its OPEN line so long after it was accepted.
+	waited := func(c *handshake.Connection, after time.Duration) time.Duration {
+		s := newTestSession(1)
+		s.Accepted(c)
+		if _, err := s.ReadHandshake(now+after, []byte("OPEN 0000000000000009 0000000000000009 c=chat,d=1000\r\n"), true); err != nil {
 			t.Fatal(err)
 		}
-		return now + after - f.ArrivedAt
+		return now + after - s.ArrivedAt
 	}
 	for i, want := range []time.Duration{0, 30 * time.Millisecond, 60 * time.Millisecond, 90 * time.Millisecond} {
-		if got := came(enter("a silent one"), 0); got != want {
-			t.Errorf("number %d in the queue counts from %v before it was heard, %v is due", i, got, want)
+		if got := waited(accept("silent"), 0); got != want {
+			t.Errorf("number %d in the queue: got %v, want %v", i, got, want)
 		}
 	}
-	if got := came(enter("slow to speak"), handshake.EvictionGrace); got != 0 {
-		t.Errorf("what was sent after its connection was taken in counts from %v before", got)
+	if got := waited(accept("slow"), handshake.EvictionGrace); got != 0 {
+		t.Errorf("a line that was sent after its connection was accepted: got %v, want 0", got)
 	}
 	for range 30 {
-		enter("a silent one")
+		accept("silent")
 	}
-	if got := came(enter("long"), 0); got != handshake.MaxQueueTime {
-		t.Errorf("after a second of crowd: %v", got)
+	if got := waited(accept("long in the queue"), 0); got != handshake.MaxQueueTime {
+		t.Errorf("after a second of crowd: got %v, want %v", got, handshake.MaxQueueTime)
 	}
 	now += handshake.EvictionGrace
-	if got := came(enter("later"), 0); got != 0 {
-		t.Errorf("with an empty queue again: %v", got)
+	if got := waited(accept("later"), 0); got != 0 {
+		t.Errorf("with an empty queue again: got %v, want 0", got)
 	}
 }
--- a/internal/session/split_test.go
+++ b/internal/session/split_test.go
@@ -7,88 +7,101 @@
 	"aspenbarrow/balance"
 )
 
-// An OPEN line that comes in two pieces, cut at any byte, is the request that it is in one, and half of it is none.
-func TestAnOpenCutAtAnyByteIsOneRequest(t *testing.T) {
+// An OPEN line that arrives in two pieces, split at any byte, is the request that it is in one.
+func TestSession_HandshakeSplitAtAnyByte(t *testing.T) {
 	const line = "PING\r\nOPEN 00000000000000aa 00000000000000bb c=chat,d=900,g=00000000000000cc\r\n"
 	for i := range len(line) {
-		f := newTestSession(1)
-		var said []byte
+		s := newTestSession(1)
+		var unread []byte
 		replies, opened := "", false
 		for _, piece := range []string{line[:i], line[i:]} {
-			said = append(said, piece...)
-			for len(said) > 0 && !opened {
-				g, err := f.ReadHandshake(time.Second, said, true)
+			unread = append(unread, piece...)
+			for len(unread) > 0 && !opened {
+				got, err := s.ReadHandshake(time.Second, unread, true)
 				if err != nil {
-					t.Fatalf("cut after %d: %v", i, err)
+					t.Fatalf("split after %d: %v", i, err)
 				}
-				replies += g.Reply
-				if opened = g.Opened; g.Consumed == 0 {
+				replies += got.Reply
+				if opened = got.Opened; got.Consumed == 0 {
 					break
 				}
-				said = said[g.Consumed:]
+				unread = unread[got.Consumed:]
 			}
 		}
-		if !opened || replies != "PONG\r\n" || f.Open.ID != 0xaa || f.Open.Request.Key != 0xbb || f.Open.Timeout != 900*time.Millisecond {
-			t.Errorf("cut after %d: opened %v, replies %q, %+v", i, opened, replies, f.Open)
+		if !opened || replies != "PONG\r\n" || s.Open.ID != 0xaa || s.Open.Request.Key != 0xbb || s.Open.Timeout != 900*time.Millisecond {
+			t.Errorf("split after %d: opened %v, replies %q, %+v", i, opened, replies, s.Open)
 		}
 	}
 }
 
-// What a backend says may be cut at any two bytes, in UP, in LOAD and in MOVE: every byte is passed on once and in
-// order, each LOAD is heard once, and the end is known for what it is. What a client says loses no byte either.
-func TestLinesCutAtAnyTwoBytesLoseNothing(t *testing.T) {
-	const line = "UP r1\r\nR 1\r\nLOAD 5.5\r\nR 2\r\nLOAD 7\r\nMOVE\r\n"
-	up := len("UP r1\r\n")
-	seq := uint64(0)
-	for i := range len(line) {
-		for j := i; j < len(line); j++ {
-			seq++
-			f := openSession(t, seq, "OPEN 00000000000000aa 00000000000000bb c=chat,d=900\r\n")
-			do := f.Execute(time.Second, Command{Backend: testBackends()[0], Deadline: 2 * time.Second})
-			if do.ClientError != nil {
-				t.Error(do.ClientError)
+// A backend's bytes may be split at any two places, in UP, in LOAD and in MOVE: every byte is forwarded once and in order,
+// each LOAD is reported once, and the end is known for what it is.
+func TestSession_BackendLinesSplitAtAnyTwoBytes(t *testing.T) {
+	const lines = "UP r1\r\nR 1\r\nLOAD 5.5\r\nR 2\r\nLOAD 7\r\nMOVE\r\n"
+	for i := range len(lines) {
+		for j := i; j < len(lines); j++ {
+			s, forwarded, loads, unread := playPieces(t, lines[:i], lines[i:j], lines[j:])
+			end := s.BackendEnded(EndFIN)
+			if forwarded != lines || unread > 0 || !s.Established() {
+				t.Errorf("split after %d and %d: forwarded %q, %d bytes left, established %v", i, j, forwarded, unread, s.Established())
 			}
-			if _, fail := do.Attempt.Connected(time.Second); fail != nil {
-				t.Fatal(fail)
+			if end.Status != balance.StatusCancelled || len(loads) == 0 || loads[len(loads)-1] != 7 || len(loads) > 2 {
+				t.Errorf("split after %d and %d: loads %v, ended %+v", i, j, loads, end)
 			}
-			var have []byte
-			passed, told, stands := "", []float64{}, false
-			for _, piece := range []string{line[:i], line[i:j], line[j:]} {
-				if have = append(have, piece...); !stands {
-					k, fail := do.Attempt.ReadAnswer(have)
-					if fail != nil {
-						t.Fatalf("cut after %d and %d: %v", i, j, fail)
-					}
-					if k == 0 {
-						continue
-					}
-					stands = f.AttemptDone(time.Second, do.Attempt, nil).Establish
-					passed, have = string(have[:k]), have[k:]
-				}
-				if len(have) == 0 {
-					continue
-				}
-				k, ev, err := f.FromBackend(have)
-				if err != nil {
-					t.Fatalf("cut after %d and %d: %v", i, j, err)
-				}
-				if ev.Kind == LoadReported {
-					told = append(told, ev.Load)
-				}
-				passed, have = passed+string(have[:k]), have[k:]
+		}
+	}
+}
+
+// playPieces feeds a session the pieces of what its backend sends.
+func playPieces(t *testing.T, pieces ...string) (s *Session, forwarded string, loads []float64, unread int) {
+	t.Helper()
+	s = openSession(t, 1, "OPEN 00000000000000aa 00000000000000bb c=chat,d=900\r\n")
+	actions := s.Execute(time.Second, Command{Backend: testBackends()[0], Deadline: 2 * time.Second})
+	if actions.ClientError != nil {
+		t.Error(actions.ClientError)
+	}
+	if _, failure := actions.Attempt.Connected(time.Second); failure != nil {
+		t.Fatal(failure)
+	}
+	var buffer []byte
+	for _, piece := range pieces {
+		buffer = append(buffer, piece...)
+		if !s.Established() {
+			length, failure := actions.Attempt.ReadAnswer(buffer)
+			if failure != nil {
+				t.Fatalf("pieces %q: %v", pieces, failure)
+			}
+			if length == 0 {
+				continue
 			}
-			end := f.BackendEnded(EndFIN)
-			if passed != line || len(have) > 0 || !stands || end.Status != balance.StatusCancelled || len(told) == 0 || told[len(told)-1] != 7 || len(told) > 2 {
-				t.Errorf("cut after %d and %d: passed %q, left %q, told %v, ended %+v", i, j, passed, have, told, end)
+			if !s.AttemptDone(time.Second, actions.Attempt, nil).Establish {
+				t.Fatalf("pieces %q: not established", pieces)
 			}
+			forwarded, buffer = string(buffer[:length]), buffer[length:]
+		}
+		if len(buffer) == 0 {
+			continue
+		}
+		length, event, err := s.FromBackend(buffer)
+		if err != nil {
+			t.Fatalf("pieces %q: %v", pieces, err)
 		}
+		if event.Kind == LoadReported {
+			loads = append(loads, event.Load)
+		}
+		forwarded, buffer = forwarded+string(buffer[:length]), buffer[length:]
 	}
-	f := openSession(t, seq+1, "OPEN 00000000000000aa 00000000000000bb c=chat,d=900\r\n")
-	for i := range up {
-		k, err := f.FromClient(time.Second, []byte(line[:i]))
-		rest, err2 := f.FromClient(time.Second, []byte(line[k:up]))
-		if err != nil || err2 != nil || k != 0 || rest != up {
-			t.Errorf("a client's line cut after %d: %d and %d bytes, %v, %v", i, k, rest, err, err2)
+	return s, forwarded, loads, len(buffer)
+}
+
+func TestSession_ClientLineSplitAtAnyByte(t *testing.T) {
+	const line = "UP r1\r\n"
+	s := openSession(t, 1, "OPEN 00000000000000aa 00000000000000bb c=chat,d=900\r\n")
+	for i := range len(line) {
+		length, err := s.FromClient(time.Second, []byte(line[:i]))
+		rest, restErr := s.FromClient(time.Second, []byte(line[length:]))
+		if err != nil || restErr != nil || length != 0 || rest != len(line) {
+			t.Errorf("split after %d: %d and %d bytes, %v, %v", i, length, rest, err, restErr)
 		}
 	}
 }
