--- a/internal/healthcheck/helpers_test.go
+++ b/internal/healthcheck/helpers_test.go
@@ -43,7 +43,8 @@
 	}
 }
 
-var names = &settings.Settings{ClassNames: []string{"chat", "order"}, TenantNames: []string{"acme", "bolt"},
+// goldenSettings are those of the golden file.
+var goldenSettings = &settings.Settings{ClassNames: []string{"chat", "order"}, TenantNames: []string{"acme", "bolt"},
 	ZoneNames: []string{"east", "west"}, KindNames: []string{"k"}, FieldNames: []string{"utilization", "x0"},
 	Settings: balance.Settings{PassThrough: true, Classes: []balance.Class{{ClientTimeout: 2 * time.Second}, {}}}}
 
