--- a/internal/handshake/pool.go
+++ b/internal/handshake/pool.go
@@ -8,101 +8,116 @@
 	"time"
 )
 
-// Figures of the lobby.
 const (
-	HandshakeTimeout = 2 * time.Second        // from being accepted a client says what it wants within this, whatever else it sends
-	LingerTimeout    = 500 * time.Millisecond // one that has had its last line is read off so long
-	MaxLingerBytes   = 64 << 10               // and so many bytes at full speed; then it is held up
-	EvictionGrace    = 30 * time.Millisecond  // whoever came so lately does not give way: its OPEN may be on its way
-	idleAcceptTime   = 5 * time.Millisecond   // an acceptor that found nobody for so long has an empty queue
-	MaxQueueTime     = 500 * time.Millisecond // nobody is taken to have been in the accept queue for longer
+	// HandshakeTimeout is how long after it was accepted a client may take to say what it wants, whatever else it sends.
+	HandshakeTimeout = 2 * time.Second
+	// LingerTimeout is how long a connection is read after its final answer, so that a reset doesn't overtake the answer.
+	LingerTimeout = 500 * time.Millisecond
+	// MaxLingerBytes is how many bytes of it are read at full speed in that time.
+	MaxLingerBytes = 64 << 10
+	// EvictionGrace is how long a connection doesn't give way: its OPEN line may be on its way.
+	EvictionGrace = 30 * time.Millisecond
+	// MaxQueueTime bounds the time for which a connection passes for having been in the accept queue.
+	MaxQueueTime = 500 * time.Millisecond
+
+	// idleAcceptTime is how long an acceptor finds nobody until the accept queue passes for empty.
+	idleAcceptTime = 5 * time.Millisecond
 )
 
-// Pool is a small budget of its own. With it used up the oldest gives way, so a
-// crowd that says nothing keeps nobody out. Its methods are called one at a time.
+// Pool is a bounded pool of connections. Its methods are called one at a time.
 type Pool struct {
-	connections   list.List // of *Guest: those with their last line first, then the oldest
+	connections   list.List // of *Connection: those with their final answer first, then the oldest
 	capacity      int
-	acceptPending bool          // somebody waits for room
-	lastAccepted  time.Duration // when the last one found it
+	acceptPending bool          // a connection waits for room
+	lastAccepted  time.Duration // when the last one was added
 	backlogSince  time.Duration // since when the accept queue has not been empty, for want of room; 0: it is
 }
 
-// Connection is one connection in the lobby.
+// Connection is one connection in the pool.
 type Connection struct {
-	Conn       any // the driver's
-	AcceptedAt time.Duration
+	Conn       any           // the caller's
+	AcceptedAt time.Duration // on the relay's clock
 	QueuedFor  time.Duration // how long it may have been in the accept queue
-	answered   bool          // its last line is out
-	element    *list.Element
+	answered   bool          // its final answer has been written
+	element    *list.Element // nil once it has left the pool
 }
 
-// NewPool is a lobby with room for so many.
-func NewPool(room int) *Pool { return &Pool{capacity: room} }
+// NewPool is a pool with room for so many connections.
+func NewPool(capacity int) *Pool { return &Pool{capacity: capacity} }
 
-// Add takes a connection in, if there is room. If not, it names the guest that
-// gives way now, to be called again, or how long to wait until one may.
-func (l *Pool) Add(now time.Duration, conn any) (in, out *Connection, wait time.Duration) {
-	if !l.acceptPending && now-l.lastAccepted > idleAcceptTime {
-		l.backlogSince = 0
+// Add takes a connection in, if there is room. If not, it returns either the connection that gives way, after which Add is
+// to be called again, or how long to wait until one may give way.
+func (p *Pool) Add(now time.Duration, conn any) (added, evicted *Connection, wait time.Duration) {
+	if !p.acceptPending && now-p.lastAccepted > idleAcceptTime {
+		p.backlogSince = 0
+	}
+	p.acceptPending = true
+	if p.connections.Len() >= p.capacity {
+		evicted, wait = p.evict(now)
+		return nil, evicted, wait
+	}
+	p.acceptPending, p.lastAccepted = false, now
+	added = &Connection{Conn: conn, AcceptedAt: now}
+	if p.backlogSince > 0 {
+		added.QueuedFor = min(now-p.backlogSince, MaxQueueTime)
 	}
-	l.acceptPending = true
-	if l.connections.Len() >= l.capacity {
-		oldest := l.connections.Front().Value.(*Connection)
-		if wait := EvictionGrace - (now - oldest.AcceptedAt); wait > 0 && !oldest.answered {
-			if l.backlogSince == 0 {
-				l.backlogSince = now
-			}
-			return nil, nil, wait
-		}
-		l.remove(oldest)
-		return nil, oldest, 0
+	added.element = p.connections.PushBack(added)
+	return added, nil, 0
+}
+
+// evict removes the oldest connection, or returns how long it still has its place.
+func (p *Pool) evict(now time.Duration) (evicted *Connection, wait time.Duration) {
+	oldest := p.oldest()
+	wait = EvictionGrace - (now - oldest.AcceptedAt)
+	if oldest.answered || wait <= 0 {
+		p.remove(oldest)
+		return oldest, 0
 	}
-	g := &Connection{Conn: conn, AcceptedAt: now}
-	if l.acceptPending, l.lastAccepted = false, now; l.backlogSince > 0 {
-		g.QueuedFor = min(now-l.backlogSince, MaxQueueTime)
+	if p.backlogSince == 0 {
+		p.backlogSince = now
 	}
-	g.element = l.connections.PushBack(g)
-	return g, nil, 0
+	return nil, wait
 }
 
-// AwaitsAnswer says whether a guest that gave way is still to have its last line.
-func (g *Connection) AwaitsAnswer() bool { return !g.answered }
+// AwaitsAnswer reports whether a connection that gave way is still to have its final answer.
+func (c *Connection) AwaitsAnswer() bool { return !c.answered }
 
-// Remove lets a guest go; false if it had to give way before.
-func (l *Pool) Remove(g *Connection) bool {
-	if g.element == nil {
+// Remove takes a connection out; false if it had to give way before.
+func (p *Pool) Remove(c *Connection) bool {
+	if c.element == nil {
 		return false
 	}
-	l.remove(g)
+	p.remove(c)
 	return true
 }
 
-// MarkAnswered hears that a guest has had its last line: it gives way first from now on.
-func (l *Pool) MarkAnswered(g *Connection) {
-	g.answered = true
-	if g.element != nil {
-		l.connections.MoveToFront(g.element)
+// MarkAnswered takes in that a connection has had its final answer: from now on it gives way first.
+func (p *Pool) MarkAnswered(c *Connection) {
+	c.answered = true
+	if c.element != nil {
+		p.connections.MoveToFront(c.element)
 	}
 }
 
-// Resize changes the budget.
-func (l *Pool) Resize(room int) { l.capacity = room }
+// Resize changes the capacity.
+func (p *Pool) Resize(capacity int) { p.capacity = capacity }
 
-// RemoveAll lets all guests go, since the relay ends: each is to have its last line.
-func (l *Pool) RemoveAll() (all []*Connection) {
-	for l.connections.Len() > 0 {
-		g := l.connections.Front().Value.(*Connection)
-		l.remove(g)
-		all = append(all, g)
+// RemoveAll takes all connections out, since the relay ends: those that await it are to have their final answer.
+func (p *Pool) RemoveAll() (all []*Connection) {
+	for p.connections.Len() > 0 {
+		oldest := p.oldest()
+		p.remove(oldest)
+		all = append(all, oldest)
 	}
 	return all
 }
 
-// Len is how many there are.
-func (l *Pool) Len() int { return l.connections.Len() }
+// Len is how many connections are in the pool.
+func (p *Pool) Len() int { return p.connections.Len() }
+
+func (p *Pool) oldest() *Connection { return p.connections.Front().Value.(*Connection) }
 
-func (l *Pool) remove(g *Connection) {
-	l.connections.Remove(g.element)
-	g.element = nil
+func (p *Pool) remove(c *Connection) {
+	p.connections.Remove(c.element)
+	c.element = nil
 }
--- a/internal/metrics/registry.go
+++ b/internal/metrics/registry.go
@@ -10,147 +10,155 @@
 	"aspenbarrow/internal/membership"
 )
 
-// ClassCounters is what became of one class's connections.
-type ClassCounters struct {
-	name                      string
-	Success, Overload, Failed atomic.Int64
-}
-
-// Registry is one relay's figures since its process began. It may be written and read
-// from any goroutine.
+// Registry is one relay's counters and gauges since its process began. It may be written and read from any goroutine. Each
+// thing is counted where it happens, once.
 type Registry struct {
 	classes        atomic.Pointer[[]*ClassCounters] // by the number of a class; classes of one name share theirs
-	Dispatches     atomic.Int64
-	ActiveSessions atomic.Int64
+	Dispatches     atomic.Int64                     // attempts whose request was written whole
+	ActiveSessions atomic.Int64                     // admitted and not ended
 	targets        atomic.Int64
 	disabled       atomic.Int64
 	reloadSuccess  atomic.Int64
 	reloadFailure  atomic.Int64
-	shadow         atomic.Pointer[ShadowCounters] // nil: nothing is watched
-	membership     atomic.Pointer[Membership]     // nil: nobody finds out who is there
-	RejectedGossip atomic.Int64
+	shadow         atomic.Pointer[ShadowCounters] // nil: there is no shadow evaluation
+	membership     atomic.Pointer[Membership]     // nil: the relays don't find out about one another
+	RejectedGossip atomic.Int64                   // notices of relays that are not active
 }
 
-// ClassCounts are those of one class.
-type ClassCounts struct {
-	Name     string
-	Success  int64 // connections brought up
-	Overload int64 // refused
-	Error    int64 // failed
+// ClassCounters is what became of one class's sessions.
+type ClassCounters struct {
+	name                      string
+	Success, Overload, Failed atomic.Int64
 }
 
-// Snapshot are a reading of a Ledger.
+// Snapshot is one reading of a Registry.
 type Snapshot struct {
 	Classes         []ClassCounts   // each name once, in the order in which they came
-	Dispatches      int64           // attempts written whole to backends
-	Concurrent      int64           // connections taken and not ended
-	Targets         int64           // backends in the list
-	TargetsDisabled int64           // of those, avoided now
-	ReloadSuccess   int64           // files taken over at SIGHUP
-	ReloadFailure   int64           // and turned down
-	Membership      *Membership     // who of the relays is there; nil: nobody finds out
-	Shadow          *ShadowSnapshot // what other settings would have decided otherwise; nil: nothing is watched
+	Dispatches      int64           // attempts whose request was written whole
+	Concurrent      int64           // sessions that were admitted and have not ended
+	Targets         int64           // backends in the endpoint list
+	TargetsDisabled int64           // of those, unavailable now
+	ReloadSuccess   int64           // configurations taken over at SIGHUP
+	ReloadFailure   int64           // and refused
+	Membership      *Membership     // nil: the relays don't find out about one another
+	Shadow          *ShadowSnapshot // nil: there is no shadow evaluation
+}
+
+// ClassCounts is the reading of one class.
+type ClassCounts struct {
+	Name     string
+	Success  int64 // sessions established
+	Overload int64 // sessions refused
+	Error    int64 // sessions failed
+}
+
+// Membership is the relay's view of the other relays.
+type Membership struct {
+	ActiveRelays   int // this one included
+	Health         int
+	RejectedGossip int64 // notices of relays that are not active
+	Members        []membership.Member
+	Counters       membership.Counters
 }
 
-// SetClasses has the ledger know classes by their numbers. Those that it knew keep their counts.
-func (l *Registry) SetClasses(names []string) {
-	byName, all := map[string]*ClassCounters{}, make([]*ClassCounters, 0, len(names))
-	if old := l.classes.Load(); old != nil {
-		for _, t := range *old {
-			byName[t.name] = t
+// SetClasses names the classes by their numbers. Classes whose name was known keep their counts.
+func (r *Registry) SetClasses(names []string) {
+	byName, classes := map[string]*ClassCounters{}, make([]*ClassCounters, 0, len(names))
+	if old := r.classes.Load(); old != nil {
+		for _, counters := range *old {
+			byName[counters.name] = counters
 		}
 	}
-	for _, n := range names {
-		t := byName[n]
-		if t == nil {
-			t = &ClassCounters{name: n}
-			byName[n] = t
+	for _, name := range names {
+		counters := byName[name]
+		if counters == nil {
+			counters = &ClassCounters{name: name}
+			byName[name] = counters
 		}
-		all = append(all, t)
+		classes = append(classes, counters)
 	}
-	l.classes.Store(&all)
+	r.classes.Store(&classes)
 }
 
-// Class is a class's tally.
-func (l *Registry) Class(class int) *ClassCounters { return (*l.classes.Load())[class] }
+// Class is the counters of a class, by its number.
+func (r *Registry) Class(class int) *ClassCounters { return (*r.classes.Load())[class] }
 
-// SetBackends takes in how many backends there are and how many are avoided.
-func (l *Registry) SetBackends(targets, disabled int) {
-	l.targets.Store(int64(targets))
-	l.disabled.Store(int64(disabled))
+// SetBackends sets how many backends the endpoint list has and how many of them are unavailable.
+func (r *Registry) SetBackends(targets, disabled int) {
+	r.targets.Store(int64(targets))
+	r.disabled.Store(int64(disabled))
 }
 
-// Reloaded counts a file that was read again.
-func (l *Registry) Reloaded(ok bool) {
+// SetMembership publishes the relay's view of the other relays.
+func (r *Registry) SetMembership(m *membership.Machine, now time.Duration) {
+	r.membership.Store(&Membership{ActiveRelays: m.Here(), Health: m.Health(), RejectedGossip: r.RejectedGossip.Load(), Members: m.Members(now), Counters: m.Count})
+}
+
+// EnableShadow has the registry count the differences that a shadow evaluation finds, from zero.
+func (r *Registry) EnableShadow() *ShadowCounters {
+	counters := &ShadowCounters{}
+	r.shadow.Store(counters)
+	return counters
+}
+
+// Reloaded counts a reload of the configuration.
+func (r *Registry) Reloaded(ok bool) {
 	if ok {
-		l.reloadSuccess.Add(1)
+		r.reloadSuccess.Add(1)
 	} else {
-		l.reloadFailure.Add(1)
+		r.reloadFailure.Add(1)
 	}
 }
 
-// maxReadings is how often a reading is made at most for two in a row to agree.
+// maxReadings bounds how often a Snapshot is read again until two readings in a row agree.
 const maxReadings = 8
 
-// Snapshot reads all figures as they were at one moment, unless counts come so fast that no
-// two readings in a row agree; then the last one holds, a count or two apart.
-func (l *Registry) Snapshot() Snapshot {
-	f := l.readOnce()
+// Snapshot reads all counters as they were at one moment, unless counts come so fast that no two readings in a row agree:
+// then the last one holds, a count or two apart.
+func (r *Registry) Snapshot() Snapshot {
+	snapshot := r.readOnce()
 	for range maxReadings {
-		again := l.readOnce()
-		if again.equal(&f) {
+		again := r.readOnce()
+		if again.equal(&snapshot) {
 			break
 		}
-		f = again
+		snapshot = again
 	}
-	return f
+	return snapshot
 }
 
-func (l *Registry) readOnce() (f Snapshot) {
-	f.Dispatches, f.Concurrent = l.Dispatches.Load(), l.ActiveSessions.Load()
-	f.Targets, f.TargetsDisabled = l.targets.Load(), l.disabled.Load()
-	f.ReloadSuccess, f.ReloadFailure = l.reloadSuccess.Load(), l.reloadFailure.Load()
-	if w := l.shadow.Load(); w != nil {
-		f.Shadow = w.Snapshot()
+func (r *Registry) readOnce() Snapshot {
+	snapshot := Snapshot{
+		Dispatches:      r.Dispatches.Load(),
+		Concurrent:      r.ActiveSessions.Load(),
+		Targets:         r.targets.Load(),
+		TargetsDisabled: r.disabled.Load(),
+		ReloadSuccess:   r.reloadSuccess.Load(),
+		ReloadFailure:   r.reloadFailure.Load(),
+		Membership:      r.membership.Load(),
+		Classes:         r.readClasses(),
 	}
-	f.Membership = l.membership.Load()
-	all := *l.classes.Load()
-	f.Classes = make([]ClassCounts, 0, len(all))
-	for i, t := range all {
-		first := true
-		for _, o := range all[:i] {
-			first = first && o != t
-		}
-		if first {
-			f.Classes = append(f.Classes, ClassCounts{t.name, t.Success.Load(), t.Overload.Load(), t.Failed.Load()})
-		}
+	if counters := r.shadow.Load(); counters != nil {
+		snapshot.Shadow = counters.Snapshot()
 	}
-	return f
-}
-
-func (f *Snapshot) equal(o *Snapshot) bool {
-	a, b := *f, *o
-	a.Classes, b.Classes = nil, nil
-	return slices.Equal(f.Classes, o.Classes) && reflect.DeepEqual(a, b)
+	return snapshot
 }
 
-// Membership is what staff are told of the other relays.
-type Membership struct {
-	ActiveRelays   int
-	Health         int
-	RejectedGossip int64 // notices that were not taken
-	Members        []membership.Member
-	Counters       membership.Counters
-}
-
-// SetMembership publishes the view.
-func (l *Registry) SetMembership(m *membership.Machine, now time.Duration) {
-	l.membership.Store(&Membership{ActiveRelays: m.Here(), Health: m.Health(), RejectedGossip: l.RejectedGossip.Load(), Members: m.Members(now), Counters: m.Count})
+func (r *Registry) readClasses() []ClassCounts {
+	classes := *r.classes.Load()
+	counts := make([]ClassCounts, 0, len(classes))
+	for i, counters := range classes {
+		if slices.Contains(classes[:i], counters) { // several classes of one name
+			continue
+		}
+		counts = append(counts, ClassCounts{Name: counters.name, Success: counters.Success.Load(),
+			Overload: counters.Overload.Load(), Error: counters.Failed.Load()})
+	}
+	return counts
 }
 
-// EnableShadow has the registry count the differences that a shadow evaluation finds, from zero.
-func (l *Registry) EnableShadow() *ShadowCounters {
-	c := &ShadowCounters{}
-	l.shadow.Store(c)
-	return c
+func (s *Snapshot) equal(other *Snapshot) bool {
+	a, b := *s, *other
+	a.Classes, b.Classes = nil, nil
+	return slices.Equal(s.Classes, other.Classes) && reflect.DeepEqual(a, b)
 }
