--- a/internal/decision/decider.go
+++ b/internal/decision/decider.go
@@ -8,10 +8,10 @@
 )
 
 // Factory makes a Decider that acts through the given actions.
-type Factory = func(now time.Duration, seed uint64, s balance.Settings, do balance.Actions) Decider
+type Factory = func(now time.Duration, seed uint64, s balance.Settings, actions balance.Actions) Decider
 
-// Decider is what makes a relay's decisions: the module, or a policy that it is
-// compared with.
+// Decider makes a relay's decisions: the balancer, or a simpler policy that it is compared with in experiments. Each method
+// takes in one event at a time on the relay's clock; package balance says what the events mean.
 type Decider interface {
 	RequestArrived(now time.Duration, r balance.Request)
 	SessionAdopted(now time.Duration, r balance.Request, id balance.BackendID)
@@ -24,9 +24,9 @@
 	DeadlineExceeded(now time.Duration, id uint64)
 	HealthCheckDone(now time.Duration, r balance.HealthCheckResult)
 	GossipReceived(now time.Duration, from int, data []byte)
-	EndpointsUpdated(now time.Duration, kind balance.EndpointUpdateKind, lines []balance.Backend)
-	Connections() (all, byServer int)
-	CountUnavailable(now time.Duration) (listed, avoided int)
+	EndpointsUpdated(now time.Duration, kind balance.EndpointUpdateKind, backends []balance.Backend)
+	Connections() (all, byBackend int) // the open ones, counted twice, to be compared
+	CountUnavailable(now time.Duration) (listed, unavailable int)
 	UpdateSettings(s balance.Settings)
 	SetActiveRelays(relays int)
 }
--- a/internal/settings/merge.go
+++ b/internal/settings/merge.go
@@ -4,57 +4,72 @@
 	"fmt"
 	"reflect"
 	"slices"
+
+	"aspenbarrow/balance"
 )
 
 // MaxClasses bounds the classes of one process, dropped and changed ones included.
 const MaxClasses = 1 << 10
 
-// keepRestartOnly has those settings that a relay is born with and that wait for a restart take
-// their value from the ones in force: its place among the relays, the names and forms by which
-// lists, reports and lines are read, and what it does with packets.
-func keepRestartOnly(s, was *Settings) Settings {
-	o := *s
-	o.RelayIndex, o.RelayCount, o.Zone, o.Tick = was.RelayIndex, was.RelayCount, was.Zone, was.Tick
-	o.ZoneNames, o.KindNames, o.FieldNames, o.ReportFields = was.ZoneNames, was.KindNames, was.FieldNames, was.ReportFields
-	o.Tenants, o.TenantNames = was.Tenants, was.TenantNames
-	o.Groups, o.PassThrough, o.ReportsConnectionLoad, o.ReportsMessageDelay = was.Groups, was.PassThrough, was.ReportsConnectionLoad, was.ReportsMessageDelay
-	o.Gossip, o.PollEndpoints, o.Weights = was.Gossip, was.PollEndpoints, was.Weights
-	return o
-}
-
-// SameRestartOnly says whether nothing waits for a restart.
-func SameRestartOnly(s, was *Settings) bool {
-	return reflect.DeepEqual(*s, keepRestartOnly(s, was))
+// SameRestartOnly reports whether nothing in new settings has to wait for a restart.
+func SameRestartOnly(updated, inForce *Settings) bool {
+	return reflect.DeepEqual(*updated, keepRestartOnly(updated, inForce))
 }
 
-// Merge is what new settings come to beside those in force: the settings, the names of all
-// classes by their numbers, and the number of each class of the new settings. A class that
-// is as it was keeps its number, a dropped one keeps it for those who came under it, and one
-// that has changed is another: so a number says for good by which rules a request goes.
-func Merge(inForce *Settings, inForceNames []string, s Settings) (out Settings, names []string, numbers []int, err error) {
-	out = keepRestartOnly(&s, inForce)
-	out.Classes, names = slices.Clone(inForce.Classes), slices.Clone(inForceNames)
-	out.ClassNames = make([]string, len(names))
-	for i := range out.Classes {
-		out.Classes[i].Retired = true
+// Merge returns what new settings come to beside those in force, the names of all classes by their numbers, and the number
+// of each class of the new settings. A class that has not changed keeps its number, a dropped one keeps it for requests
+// that came under it, and one that has changed gets another: a number says for good by which rules a request goes. It fails
+// over MaxClasses.
+func Merge(inForce *Settings, inForceNames []string, updated Settings) (merged Settings, names []string, numbers []int, err error) {
+	merged = keepRestartOnly(&updated, inForce)
+	merged.Classes, names = slices.Clone(inForce.Classes), slices.Clone(inForceNames)
+	merged.ClassNames = make([]string, len(names)) // empty where a class is dropped
+	for i := range merged.Classes {
+		merged.Classes[i].Retired = true
 	}
-	for i, c := range s.Classes {
-		name, number := s.ClassNames[i], -1
-		for j, known := range out.Classes {
-			if known.Retired = false; names[j] == name && known == c && out.ClassNames[j] == "" {
-				number = j
-			}
-		}
+	for i, class := range updated.Classes {
+		name := updated.ClassNames[i]
+		number := unchangedClass(&merged, names, name, class)
 		if number < 0 {
 			number = len(names)
-			names, out.ClassNames = append(names, name), append(out.ClassNames, "")
-			out.Classes = append(out.Classes, c)
+			names = append(names, name)
+			merged.Classes = append(merged.Classes, class)
+			merged.ClassNames = append(merged.ClassNames, "")
 		}
-		out.Classes[number].Retired, out.ClassNames[number] = false, name
+		merged.Classes[number].Retired = false
+		merged.ClassNames[number] = name
 		numbers = append(numbers, number)
 	}
 	if len(names) > MaxClasses {
 		err = fmt.Errorf("%d classes since the start, dropped and changed ones included, over %d: restart the relay", len(names), MaxClasses)
 	}
-	return out, names, numbers, err
+	return merged, names, numbers, err
+}
+
+// unchangedClass is the number of a known class with a name and the same rules that no class of the new settings has yet; -1:
+// there is none. Of several the newest is taken.
+func unchangedClass(merged *Settings, names []string, name string, class balance.Class) int {
+	for number := len(names) - 1; number >= 0; number-- {
+		known := merged.Classes[number]
+		known.Retired = false
+		if names[number] == name && known == class && merged.ClassNames[number] == "" {
+			return number
+		}
+	}
+	return -1
+}
+
+// keepRestartOnly returns new settings with those of the settings in force that wait for a restart: the relay's place among
+// the others, the names and forms by which lists, reports and lines are read, and what is done with packets.
+func keepRestartOnly(updated, inForce *Settings) Settings {
+	kept := *updated
+	kept.RelayIndex, kept.RelayCount = inForce.RelayIndex, inForce.RelayCount
+	kept.Zone, kept.Tick = inForce.Zone, inForce.Tick
+	kept.ZoneNames, kept.KindNames = inForce.ZoneNames, inForce.KindNames
+	kept.FieldNames, kept.ReportFields = inForce.FieldNames, inForce.ReportFields
+	kept.Tenants, kept.TenantNames = inForce.Tenants, inForce.TenantNames
+	kept.Groups, kept.PassThrough = inForce.Groups, inForce.PassThrough
+	kept.ReportsConnectionLoad, kept.ReportsMessageDelay = inForce.ReportsConnectionLoad, inForce.ReportsMessageDelay
+	kept.Gossip, kept.PollEndpoints, kept.Weights = inForce.Gossip, inForce.PollEndpoints, inForce.Weights
+	return kept
 }
