--- a/balance/concurrency.go
+++ b/balance/concurrency.go
@@ -307,18 +307,17 @@
 			b.migrateStep(now, s, s.stateSince+backendDrainTime, maintenanceInterval)
 		case StateRemoved:
 			b.migrateStep(now, s, now, maintenanceInterval)
-		default:
-			b.maintainLimit(now, s)
+		case StateReady:
+			// Where reports of message delay show overload, a backend without a limit needs nothing.
+			if s.concurrency.limit != 0 || !b.settings.ReportsMessageDelay {
+				b.maintainLimit(now, s)
+			}
 		}
 	}
 }
 
-// maintainLimit raises the limit of a ready backend and checks its health. Where reports of message delay
-// show overload, only a backend with a limit needs either.
+// maintainLimit raises the limit of a ready backend and checks its health.
 func (b *Balancer) maintainLimit(now time.Duration, target *backend) {
-	if target.concurrency.limit == 0 && b.settings.ReportsMessageDelay {
-		return
-	}
 	if now-target.concurrency.lastOverload >= quietTime {
 		target.concurrency.raise(now, b.health.reportsUtilization())
 	}
--- a/balance/healthcheck.go
+++ b/balance/healthcheck.go
@@ -193,14 +193,20 @@
 // isDueForPeriodicCheck draws whether a watched backend is checked in this second, in proportion to the
 // connections there.
 func (b *Balancer) isDueForPeriodicCheck(target *backend) bool {
-	return b.settings.HealthChecks && b.health.reportsUtilization() && b.rng.Float64()*connectionsPerCheck < float64(target.connections)
+	if !b.settings.HealthChecks || !b.health.reportsUtilization() {
+		return false
+	}
+	return b.rng.Float64()*connectionsPerCheck < float64(target.connections)
 }
 
 // needsHealthCheck reports whether a backend is to be checked before it gets a request. Reports on this
 // relay's connections show only that messages are late; a load report shows what a backend holds of all
 // relays.
 func (b *Balancer) needsHealthCheck(now time.Duration, target *backend) bool {
-	return b.settings.HealthChecks && (target.connections == 0 || b.health.reportsUtilization()) && now-target.health.lastResult >= reportLifetime
+	if !b.settings.HealthChecks || now-target.health.lastResult < reportLifetime {
+		return false
+	}
+	return target.connections == 0 || b.health.reportsUtilization()
 }
 
 // awaitHealthCheck holds a request until its backend has been checked, where that is needed and there is
--- a/balance/outlier.go
+++ b/balance/outlier.go
@@ -149,7 +149,9 @@
 }
 
 // isLate reports whether an answer that exceeds the baseline by so much is late.
-func (o *outlierDetector) isLate(l *latencyBaseline, took, excess time.Duration, lateFactor float64, minExcess time.Duration) bool {
+func (o *outlierDetector) isLate(
+	l *latencyBaseline, took, excess time.Duration, lateFactor float64, minExcess time.Duration,
+) bool {
 	if !l.isEstablished() {
 		return false
 	}
