--- a/balance/concurrency.go
+++ b/balance/concurrency.go
@@ -61,7 +61,7 @@
 
 // concurrencyLimit is the adaptive limit of one backend, in the unit of its tracked load.
 type concurrencyLimit struct {
-	limit          float64 // tracked load that it is known to bear; 0: no limit
+	limit          float64 // highest tracked load that the backend may have; 0: no limit
 	loadAtOverload float64 // tracked load that it had when the overload began
 	lastOverload   time.Duration
 	watched        bool // it is in concurrencyLimiter.watched
@@ -109,7 +109,7 @@
 	})
 }
 
-// hasRoom reports whether a backend can bear a request within its limit. One that this relay has no
+// hasRoom reports whether a backend can take a request within its limit. One that this relay has no
 // connection on always can where it is checked first.
 func (b *Balancer) hasRoom(target *backend, req *request) bool {
 	limit := target.concurrency.limit
--- a/balance/endpoints.go
+++ b/balance/endpoints.go
@@ -76,7 +76,7 @@
 	b.endpoints.collectReady(now)
 }
 
-// updateEndpoint applies one entry of the list. A process that has started anew does not inherit the
+// updateEndpoint applies one entry of the list. A restarted process does not inherit the
 // ejection and the limits of the one before.
 func (b *Balancer) updateEndpoint(now time.Duration, entry Backend) *backend {
 	target := b.endpoints.byID[entry.ID]
--- a/balance/healthcheck.go
+++ b/balance/healthcheck.go
@@ -27,7 +27,7 @@
 	// lateExcessDivisor: a late answer exceeds the usual by the late-message threshold over this at least.
 	lateExcessDivisor = 64
 
-	// minFleetReports is how many load reports tell how full the fleet is.
+	// minFleetReports is how many load reports are needed to know how full the fleet is.
 	minFleetReports = 16
 
 	// meanUtilizationSamples is the weight of the mean utilization over past reports.
@@ -60,7 +60,7 @@
 	sentSince       int           // requests sent from here since the last result
 }
 
-// hasFreshUtilization reports whether a recent load report tells the utilization.
+// hasFreshUtilization reports whether there is a recent load report with the utilization.
 func (h *backendHealth) hasFreshUtilization(now time.Duration) bool {
 	return h.hasUtilization && now-h.lastResult < reportLifetime
 }
@@ -71,13 +71,13 @@
 // recordCheckEnd records that no health check is pending any more.
 func (h *backendHealth) recordCheckEnd() { h.checkPending = false }
 
-// recordReport records what a health check has shown beside the utilization.
+// recordReport records what a health check has shown besides the utilization.
 func (h *backendHealth) recordReport(report *loadReport) {
 	h.hasUtilization = report.hasUtilization
 	h.errorsPerSecond = report.errorsPerSecond
 }
 
-// recordUtilization records how full the backend is held to be from now on.
+// recordUtilization records how full the backend counts as from now on.
 func (h *backendHealth) recordUtilization(now time.Duration, utilization float64) {
 	h.lastResult, h.utilization, h.sentSince = now, utilization, 0
 }
@@ -131,10 +131,10 @@
 	return time.Duration(h.lateMessageMillis*float64(time.Millisecond)) / lateExcessDivisor
 }
 
-// reportsUtilization reports whether load reports tell the utilization.
+// reportsUtilization reports whether load reports contain the utilization.
 func (h *healthChecker) reportsUtilization() bool { return h.utilizationField >= 0 }
 
-// knowsFleet reports whether enough reports were read to tell how full the fleet is.
+// knowsFleet reports whether enough reports were read to know how full the fleet is.
 func (h *healthChecker) knowsFleet() bool { return h.reports >= minFleetReports }
 
 // read reads the result of a health check, and takes its utilization into the mean.
@@ -164,8 +164,8 @@
 	return positiveFinite(float64(result.Load[h.errorsField]))
 }
 
-// recordZoneLatency records the latency of an answer from a zone. A quick answer tells of the network, a late
-// one may tell of the backend and counts less.
+// recordZoneLatency records the latency of an answer from a zone. A quick answer shows the network's
+// latency, a late one may be due to the backend and counts less.
 func (h *healthChecker) recordZoneLatency(zone int, result HealthCheckResult) {
 	if result.Status != StatusOK {
 		return
@@ -236,7 +236,7 @@
 
 // recordUtilization records how full a backend has reported to be, and resumes the requests that waited
 // for it. A full one without connections of this relay is passed by for a while: no report on a connection
-// tells when it has room again.
+// shows when it has room again.
 func (b *Balancer) recordUtilization(now time.Duration, target *backend, utilization float64) {
 	target.health.recordUtilization(now, utilization)
 	if target.connections == 0 && (utilization >= fillTarget || b.leavesRoomToOthers(now, target, utilization)) {
@@ -247,7 +247,7 @@
 
 // leavesRoomToOthers draws whether reconnecting clients pass a backend by though it has room. After a
 // backend is lost the clients of all relays return together and read of the same room in an old report:
-// each relay fills its part, by chance below a connection. Its own connections on a usual backend tell how
+// each relay fills its part, by chance below a connection. Its own connections on a usual backend show how
 // many fill one.
 func (b *Balancer) leavesRoomToOthers(now time.Duration, target *backend, utilization float64) bool {
 	if !b.endpoints.hasLostWithin(now, reconnectWindow) || !b.hasReconnectingClientFor(target) {
--- a/balance/healthcheck_test.go
+++ b/balance/healthcheck_test.go
@@ -46,7 +46,7 @@
 
 // Backends of other zones, 20 ms away, could not answer within the 15 ms that a class with a latency
 // objective of 60 ms waited. Each counted as full for two seconds, for all classes: 20,000 checks of 300
-// relays in a day. A late answer tells the latency of the zone; a backend that is silent beyond it is
+// relays in a day. A late answer shows the latency of the zone; a backend that is silent beyond it is
 // passed by as before.
 func TestHealthCheck_TimeoutCoversZoneLatency(t *testing.T) {
 	// pendingCheck learns the latency of a zone by one late answer, and then has a check of another
--- a/balance/outlier.go
+++ b/balance/outlier.go
@@ -18,7 +18,7 @@
 	// isolatedResetWindow is the time without another reset after which one counts as the network's.
 	isolatedResetWindow = time.Second
 
-	// minLatencySamples is how many answers a latency baseline has to rest on. On a long way two answers
+	// minLatencySamples is how many answers a latency baseline has to rest on. Over a long distance two answers
 	// differ by a third by chance alone.
 	minLatencySamples = 4
 
@@ -75,7 +75,7 @@
 	gossipedAt      time.Duration // when another relay last reported it slow
 }
 
-// isEstablished reports whether enough answers were seen to tell late ones.
+// isEstablished reports whether enough answers were seen to recognize late ones.
 func (l *latencyBaseline) isEstablished() bool { return l.samples > minLatencySamples }
 
 // forget forgets what was usual.
@@ -136,7 +136,7 @@
 	} else {
 		l.consecutiveLate = 0
 	}
-	// The first answer is what others are compared with, and late ones tell of their backend.
+	// The first answer is what others are compared with, and late ones are due to their backend.
 	if l.samples > 1 && (l.consecutiveLate <= 1 || l.consecutiveLate > lateAnswersToConfirm) {
 		o.scatterSamples = min(o.scatterSamples+1, maxScatterSamples)
 		o.latencyScatter += (min(excess, 4*max(o.latencyScatter, minExcess)) - o.latencyScatter) / time.Duration(o.scatterSamples)
--- a/balance/outlier_test.go
+++ b/balance/outlier_test.go
@@ -118,7 +118,7 @@
 
 // A migrated client came back through another relay, which knew nothing of the backend that it had left
 // and sent it there again: half of the migrations on busy days. Without health checks the kind of the
-// backend alone tells.
+// backend alone shows it.
 func TestOutlier_ReconnectingClientBypassIsBounded(t *testing.T) {
 	passed := func(checks bool) (most int) {
 		s := defaultSettings()
--- a/balance/placement.go
+++ b/balance/placement.go
@@ -13,7 +13,7 @@
 	// imbalanceConnections is the imbalance threshold Δ in usual connections of this relay.
 	imbalanceConnections = 4.0
 
-	// reportedImbalanceConnections is Δ in usual connections of any relay, where load reports tell what all
+	// reportedImbalanceConnections is Δ in usual connections of any relay, where load reports show what all
 	// relays hold on a backend.
 	reportedImbalanceConnections = 1.25
 
@@ -96,7 +96,7 @@
 }
 
 // canFollow reports whether a request may go where its flow was sent. A backend that holds the connection
-// already bears its load, cold or not.
+// already carries its load, cold or not.
 func (b *Balancer) canFollow(now time.Duration, recorded *backend, req *request) bool {
 	if req.isFirstMidStreamAttempt() && recorded.State == StateReady {
 		return true
@@ -120,7 +120,7 @@
 }
 
 // exceedsImbalanceThreshold reports whether the load T of the primary exceeds that of the backup by Δ. Where
-// load reports tell it, T is what all relays hold: with many relays, the connections of one say little.
+// load reports show it, T is what all relays hold: with many relays, the connections of one say little.
 func (b *Balancer) exceedsImbalanceThreshold(now time.Duration, primary, backup *backend, req *request) bool {
 	checkFirst := b.needsHealthCheck(now, backup)
 	if !b.canCompareReports(now, primary, backup, checkFirst, req) {
@@ -139,7 +139,7 @@
 	return exceeds && b.rng.Float64()*(1+req.recentArrivals*fleetRate) < lead/perConnection
 }
 
-// canCompareReports reports whether load reports can be compared in place of this relay's own connections.
+// canCompareReports reports whether load reports can be compared instead of this relay's own connections.
 func (b *Balancer) canCompareReports(now time.Duration, primary, backup *backend, checkFirst bool, req *request) bool {
 	if req.grouped { // a report is no reason to split a group
 		return false
@@ -198,7 +198,7 @@
 func (b *Balancer) mayGroupSpreadTo(now time.Duration, next *backend, req *request) bool {
 	ahead := b.countWarmAhead(now, next, req.hashKey)
 	limit := groupSpread
-	if !b.health.reportsUtilization() { // nothing tells of idle backends: a large group may use half its share of the fleet
+	if !b.health.reportsUtilization() { // no report shows idle backends: half its share of the fleet
 		if ahead > 0 && b.isFleetLate(now) {
 			return false
 		}
@@ -253,7 +253,7 @@
 	if req.hasTried(target) {
 		return false
 	}
-	if req.isFirstMidStreamAttempt() { // the backend bears the connection already
+	if req.isFirstMidStreamAttempt() { // the backend carries the connection already
 		return true
 	}
 	return !target.ejection.isActive(now) && b.hasRoom(target, req) && !req.hasBypassed(target)
--- a/balance/retry.go
+++ b/balance/retry.go
@@ -162,13 +162,13 @@
 // halve the rate, at most once a round trip; each quick one raises it by half. The failures of one request
 // alone do not count.
 type attemptPacer struct {
-	lastSlow         *backend // of the last connection if that was slow or failed; nil: it was quick
-	lastRequest      uint64   // and its request
-	usualInterval    time.Duration
-	lastAttempt      time.Duration
-	interval         time.Duration // least time between two attempts; 0: any
-	nextAttempt      time.Duration // no attempt may start before
-	intervalRaisedAt time.Duration
+	lastSlow      *backend // of the last connection if that was slow or failed; nil: it was quick
+	lastRequest   uint64   // and its request
+	usualInterval time.Duration
+	lastAttempt   time.Duration
+	interval      time.Duration // least time between two attempts; 0: any
+	nextAttempt   time.Duration // no attempt may start before
+	rateHalvedAt  time.Duration
 }
 
 // mustWait reports whether no attempt may start now.
@@ -196,17 +196,17 @@
 	if previousBackend == nil || previousBackend == req.backend || previousRequest == req.ID {
 		return
 	}
-	if req.sentAt < p.intervalRaisedAt { // it started before the rate was halved last
+	if req.sentAt < p.rateHalvedAt { // it started before the rate was halved last
 		return
 	}
 	p.interval = min(2*max(p.interval, p.usualInterval), maxAttemptInterval)
-	p.intervalRaisedAt = now
+	p.rateHalvedAt = now
 	p.nextAttempt = now + p.jittered(rng)
 }
 
 // raiseRate raises the rate after a quick connection, and ends the pacing once it holds nothing up.
 func (p *attemptPacer) raiseRate(req *request) {
-	if req.sentAt >= p.intervalRaisedAt {
+	if req.sentAt >= p.rateHalvedAt {
 		p.interval = p.interval * 2 / 3
 	}
 	if 2*p.interval < p.usualInterval {
@@ -220,7 +220,7 @@
 }
 
 // slowSetup is the least time to establish a connection that counts as slow: half of the objective, and
-// longer than a connection may take on a long way.
+// longer than a connection may take over a long distance.
 func (b *Balancer) slowSetup(req *request) time.Duration {
 	return max(b.latencyObjective(req)/2, b.settings.DialTimeout)
 }
--- a/balance/settings.go
+++ b/balance/settings.go
@@ -98,8 +98,8 @@
 
 	Groups                bool          // connections of a group share work on a backend
 	PassThrough           bool          // packets pass through, so connections may arrive mid-stream
-	ReportsConnectionLoad bool          // load reports on a connection tell its load
-	ReportsMessageDelay   bool          // load reports on a connection tell the delay of messages
+	ReportsConnectionLoad bool          // load reports on a connection contain its load
+	ReportsMessageDelay   bool          // load reports on a connection contain the delay of messages
 	ParkTime              time.Duration // how long a client waits before it reconnects
 
 	HealthChecks, Gossip, Cancellation, RetryAfter bool // what the deployment allows
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -8,7 +8,7 @@
 )
 
 // countColdSends runs many relays that learn of a start together, each with more of the new
-// backend's keys than it can bear, and counts what the backend is sent at once.
+// backend's keys than it can take, and counts what the backend is sent at once.
 func countColdSends(t *testing.T, relays int, at time.Duration) int {
 	t.Helper()
 	n := 0
@@ -76,7 +76,7 @@
 type coldFleet struct {
 	relays         int
 	callsPerWindow float64       // calls that the backend may get in a window when it has just started
-	rushAfter      time.Duration // after the start; from then on each relay has more for it than it can bear
+	rushAfter      time.Duration // after the start; from then on each relay has more for it than it can take
 	restartHalf    bool          // half of the relays restart a second before the rush
 	uneven         bool          // one relay has a third of the connections
 	idle           bool          // connections are few: most relays hold none
--- a/balance/sticky.go
+++ b/balance/sticky.go
@@ -10,7 +10,7 @@
 	overrideLifetime = 10 * time.Minute
 )
 
-// override is where a flow was sent in place of its primary.
+// override is where a flow was sent instead of its primary.
 type override struct {
 	backend *backend
 	at      time.Duration
--- a/balance/types.go
+++ b/balance/types.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// BackendID identifies a backend. It is opaque: it tells neither location nor age.
+// BackendID identifies a backend. It is opaque: neither location nor age follow from it.
 type BackendID uint64
 
 // BackendState is the state of a backend in the endpoint list.
