--- a/balance/concurrency.go
+++ b/balance/concurrency.go
@@ -61,7 +61,7 @@
 
 // concurrencyLimit is the adaptive limit of one backend, in the unit of its tracked load.
 type concurrencyLimit struct {
-	limit          float64 // tracked load that it is known to bear; 0: no limit
+	limit          float64 // highest tracked load that the backend may have; 0: no limit
 	loadAtOverload float64 // tracked load that it had when the overload began
 	lastOverload   time.Duration
 	watched        bool // it is in concurrencyLimiter.watched
@@ -109,7 +109,7 @@
 	})
 }
 
-// hasRoom reports whether a backend can bear a request within its limit. One that this relay has no
+// hasRoom reports whether a backend can take a request within its limit. One that this relay has no
 // connection on always can where it is checked first.
 func (b *Balancer) hasRoom(target *backend, req *request) bool {
 	limit := target.concurrency.limit
@@ -307,18 +307,17 @@
 			b.migrateStep(now, s, s.stateSince+backendDrainTime, maintenanceInterval)
 		case StateRemoved:
 			b.migrateStep(now, s, now, maintenanceInterval)
-		default:
-			b.maintainLimit(now, s)
+		case StateReady:
+			// Where reports of message delay show overload, a backend without a limit needs nothing.
+			if s.concurrency.limit != 0 || !b.settings.ReportsMessageDelay {
+				b.maintainLimit(now, s)
+			}
 		}
 	}
 }
 
-// maintainLimit raises the limit of a ready backend and checks its health. Where reports of message delay
-// show overload, only a backend with a limit needs either.
+// maintainLimit raises the limit of a ready backend and checks its health.
 func (b *Balancer) maintainLimit(now time.Duration, target *backend) {
-	if target.concurrency.limit == 0 && b.settings.ReportsMessageDelay {
-		return
-	}
 	if now-target.concurrency.lastOverload >= quietTime {
 		target.concurrency.raise(now, b.health.reportsUtilization())
 	}
