--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -96,7 +96,7 @@
 	}
 	var sources []string
 	for _, dir := range []string{".", "../protocol", "../discovery", "../session", "../upstream", "../handshake", "../healthcheck",
-		"../metrics", "../hotrestart", "../shadow", "../decision", "../settings", "../relay", "../management"} {
+		"../metrics", "../hotrestart", "../shadow", "../decision", "../settings", "../relay", "../admin"} {
 		files, err := filepath.Glob(filepath.Join(dir, "*.go"))
 		if err != nil || len(files) == 0 {
 			t.Fatalf("%s: %d files, %v", dir, len(files), err)
