--- a/internal/fleet/backends.go
+++ b/internal/fleet/backends.go
@@ -60,9 +60,9 @@
 	cfg := r.opt.Fleet.Server
 	cfg.Cores *= size
 	if number%100 >= 100-int(r.opt.Fleet.LateShare*100) {
-		cfg.ReportLate = r.opt.Fleet.LateBy
+		cfg.ReportDelay = r.opt.Fleet.LateBy
 	}
-	cfg.Opens *= size
+	cfg.WarmRequestRate *= size
 	b.model = emulator.New(cfg, r.opt.Seed*1000+uint64(number), r.now())
 	return b
 }
@@ -302,7 +302,7 @@
 		r := s.b.rig
 		r.logged(func(l *measure.Log) { l.End(r.since(), s.id) })
 		if s.b.life == s.life {
-			s.b.model.Release(r.now(), s.id)
+			s.b.model.CloseConnection(r.now(), s.id)
 			s.b.tick()
 		}
 	}
@@ -314,14 +314,14 @@
 	case s.stands:
 		s.n++
 		n := s.n
-		b.after(b.model.Delay(r.now(), r.opt.Fleet.LineWork), func() {
+		b.after(b.model.MessageLatency(r.now(), r.opt.Fleet.LineWork), func() {
 			s.wire.say(fmt.Sprintf("R %s %d %s", s.receipt, n, line))
 		})
 	case line == "PING" || line == "STATS":
 		r.probed(s.wire.relay.who, b.number)
 		answer := "PONG"
 		if line == "STATS" {
-			load := b.model.Report(r.now())
+			load := b.model.LoadReport(r.now())
 			if b.errs > 0 {
 				load = 0 // it fails what it gets at once, and looks empty
 			}
@@ -373,13 +373,13 @@
 	}
 	b.job++
 	id, life := b.job, b.life
-	switch b.model.Arrive(r.now(), emulator.Job{ID: id, Work: r.opt.Fleet.SetUpWork * (0.5 + r.roll())}) {
-	case emulator.Full:
+	switch b.model.Arrive(r.now(), emulator.Request{ID: id, Work: r.opt.Fleet.SetUpWork * (0.5 + r.roll())}) {
+	case emulator.Rejected:
 		s.answer("BUSY", true)
-	case emulator.Toppled:
+	case emulator.Crashed:
 		r.count("cold backend fell over")
 		go b.die()
-	case emulator.Taken, emulator.Waits:
+	case emulator.Accepted, emulator.Queued:
 		b.jobs[id] = func(full bool) {
 			if b.life == life {
 				s.worked(full)
@@ -399,7 +399,7 @@
 		s.wire.end(broken)
 	default:
 		s.counted = true
-		b.model.Hold(r.now(), s.id, s.load, 0)
+		b.model.SetConnection(r.now(), s.id, s.load, 0)
 		r.logged(func(l *measure.Log) {
 			l.Begin(s.id, measure.Conn{Key: s.key, Relay: s.wire.relay.who, Backend: b.number, Load: s.load, From: r.since()})
 		})
@@ -420,7 +420,7 @@
 
 // tick hears from the model when its next request is done.
 func (b *backend) tick() {
-	at, ok := b.model.Next()
+	at, ok := b.model.NextCompletion()
 	if !ok {
 		return
 	}
@@ -432,7 +432,7 @@
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		if b.life == life && b.up {
-			b.finish(b.model.Done(b.rig.now()), false)
+			b.finish(b.model.Complete(b.rig.now()), false)
 			b.tick()
 		}
 	})
@@ -456,7 +456,7 @@
 }
 
 func (b *backend) slowDown(times float64) {
-	b.with(func(now time.Duration) { b.model.Slow(now, times) })
+	b.with(func(now time.Duration) { b.model.SetSlowdown(now, times) })
 }
 
 func (b *backend) pause() {
@@ -486,7 +486,7 @@
 	if !b.up {
 		return -1
 	}
-	return min(b.model.Load(b.rig.now()), math.MaxFloat32)
+	return min(b.model.Utilization(b.rig.now()), math.MaxFloat32)
 }
 
 // wall takes an address out: whoever dials it hears nothing, as across a cut. A queue of one that is full answers no
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -47,10 +47,10 @@
 func small(relays, backends, clients int) world.Fleet {
 	f := world.Fleet{Relays: relays, Backends: backends, Clients: clients, SetUpWork: 0.004, LineWork: 0.0005, Peers: true,
 		Rush: time.Second, Stay: [2]time.Duration{8 * time.Second, 30 * time.Second}, Return: 200 * time.Millisecond,
-		Server: emulator.Config{Cores: 4, Speed: 1, Queue: 200, Backlog: 128, ColdFrom: coldFrom, WarmUp: warmUp, FallTimes: fallMultiple,
-			FallSpan: fallSpan, ReportEvery: 500 * time.Millisecond, ReportNoise: 0.03}}
+		Server: emulator.Config{Cores: 4, Speed: 1, MaxRequests: 200, Backlog: 128, ColdCapacity: coldFrom, WarmUpTime: warmUp, ColdCrashFactor: fallMultiple,
+			ColdCrashWindow: fallSpan, ReportInterval: 500 * time.Millisecond, ReportNoise: 0.03}}
 	usual := float64(clients) / float64(backends)
-	f.Server.Opens = max(4, usual/3)
+	f.Server.WarmRequestRate = max(4, usual/3)
 	f.ConnLoad = 0.6 * f.Server.Cores / usual
 	return f
 }
@@ -96,7 +96,7 @@
 		hard   float64 // the other fleet's deviation at least
 	}{
 		{name: "all relays start in one second", from: 8, most: 0.75, hard: 0.12},
-		{name: "all reports are of the same moment", from: 8, most: 0.85, hard: 0.12, change: func(f *world.Fleet) { f.Server.ReportEvery = 3 * time.Second }},
+		{name: "all reports are of the same moment", from: 8, most: 0.85, hard: 0.12, change: func(f *world.Fleet) { f.Server.ReportInterval = 3 * time.Second }},
 		{name: "one relay has a fifth of the traffic", from: 8, most: 0.75, hard: 0.12, change: func(f *world.Fleet) { f.HotRelay = 0.2 }},
 		{name: "one key has a fifth of the traffic", from: 8, most: 0.5, hard: 0.4, change: func(f *world.Fleet) { f.HotKey = 0.2 }},
 		{name: "half of the relays die, their clients return at once", from: 10, most: 0.8, hard: 0.12,
@@ -551,7 +551,7 @@
 			const backends, started = 8, 3
 			opens := tc.calls / (fallMultiple * coldFrom * fallSpan.Seconds())
 			f := small(tc.relays, backends, int(3*opens*backends))
-			f.Server.Opens = opens
+			f.Server.WarmRequestRate = opens
 			f.Stay = [2]time.Duration{400 * time.Millisecond, 1600 * time.Millisecond} // many come again while they are cold
 			var half []int
 			for i := range tc.relays {
--- a/internal/fleet/settings.go
+++ b/internal/fleet/settings.go
@@ -73,7 +73,7 @@
 	allowed := sockets + Allowance
 	rules := checker.Rules{Attempts: tryLimit, Slack: answerSlack + allowed, Grace: drainGrace + allowed, ToldBy: 6 * time.Second,
 		Held: time.Second + allowed, Silent: 7*time.Second + allowed, Left: 100*time.Millisecond + Allowance, FirstLine: 2*time.Second + answerSlack + allowed,
-		ColdFrom: coldFrom, WarmUp: warmUp, FallTimes: fallMultiple, FallSpan: fallSpan, Opens: f.Server.Opens, Onlooker: Allowance}
+		ColdFrom: coldFrom, WarmUp: warmUp, FallTimes: fallMultiple, FallSpan: fallSpan, Opens: f.Server.WarmRequestRate, Onlooker: Allowance}
 	for _, c := range classes {
 		rules.Classes = append(rules.Classes, checker.Class{Name: c.name, GiveUp: c.giveUp, OnTime: c.onTime, Effect: c.checked,
 			Cell: c.checked == checker.Keyed, Window: dedupWindow})
--- a/internal/rehearsal/rehearsal.go
+++ b/internal/rehearsal/rehearsal.go
@@ -167,9 +167,9 @@
 func (s *Script) fleet() *world.Fleet {
 	sv, fl := &s.Server, &s.Fleet
 	f := &world.Fleet{Relays: fl.Relays, Backends: fl.Backends, Clients: fl.Clients,
-		Server: emulator.Config{Cores: sv.Cores, Speed: sv.Speed, Queue: sv.Queue, Backlog: sv.Backlog, ColdFrom: 0.3,
-			WarmUp: 8 * time.Second, FallTimes: 2.5, FallSpan: 3 * time.Second, ReportEvery: time.Duration(sv.ReportEvery),
-			ReportNoise: sv.ReportNoise, Opens: max(4, float64(fl.Clients)/float64(fl.Backends)/3)},
+		Server: emulator.Config{Cores: sv.Cores, Speed: sv.Speed, MaxRequests: sv.Queue, Backlog: sv.Backlog, ColdCapacity: 0.3,
+			WarmUpTime: 8 * time.Second, ColdCrashFactor: 2.5, ColdCrashWindow: 3 * time.Second, ReportInterval: time.Duration(sv.ReportEvery),
+			ReportNoise: sv.ReportNoise, WarmRequestRate: max(4, float64(fl.Clients)/float64(fl.Backends)/3)},
 		SetUpWork: time.Duration(sv.SetUpWork).Seconds(), LineWork: time.Duration(sv.LineWork).Seconds(), ConnLoad: sv.ConnLoad,
 		PoolPlaces: s.Shared.Places, PoolHold: time.Duration(s.Shared.Hold),
 		Rush: time.Duration(fl.Rush), Return: time.Duration(fl.Return), HotKey: fl.HotKey, HotRelay: fl.HotRelay,
--- a/internal/world/backend.go
+++ b/internal/world/backend.go
@@ -125,7 +125,7 @@
 func (b *backend) slowDown(times float64) {
 	b.slow = times
 	if b.model != nil {
-		b.model.Slow(b.w.now, times)
+		b.model.SetSlowdown(b.w.now, times)
 		b.tick()
 	}
 }
@@ -143,13 +143,13 @@
 func (b *backend) works(work float64, done func(full bool)) {
 	b.job++
 	id, life := b.job, b.life
-	switch b.model.Arrive(b.w.now, emulator.Job{ID: id, Work: work}) {
-	case emulator.Full:
+	switch b.model.Arrive(b.w.now, emulator.Request{ID: id, Work: work}) {
+	case emulator.Rejected:
 		done(true)
-	case emulator.Toppled:
+	case emulator.Crashed:
 		b.run.count("cold backend fell over")
 		b.die()
-	case emulator.Taken, emulator.Waits:
+	case emulator.Accepted, emulator.Queued:
 		b.jobs[id] = func(full bool) {
 			switch {
 			case b.life != life:
@@ -169,7 +169,7 @@
 
 // tick hears from the model when its next request is done.
 func (b *backend) tick() {
-	at, ok := b.model.Next()
+	at, ok := b.model.NextCompletion()
 	if !ok || b.tickAt > b.w.now && b.tickAt <= at {
 		return
 	}
@@ -180,7 +180,7 @@
 			return
 		}
 		b.tickAt = 0
-		b.finish(b.model.Done(b.w.now), false)
+		b.finish(b.model.Complete(b.w.now), false)
 		b.tick()
 	})
 }
@@ -291,7 +291,7 @@
 		s.b.conns--
 		if s.b.model != nil {
 			s.b.run.log.End(s.b.w.now-epoch, uint64(s.e.id))
-			s.b.model.Release(s.b.w.now, uint64(s.e.id))
+			s.b.model.CloseConnection(s.b.w.now, uint64(s.e.id))
 			s.b.tick()
 		}
 	}
@@ -307,7 +307,7 @@
 		n := s.lines
 		took := 100 * time.Microsecond
 		if b.model != nil {
-			took = time.Duration(float64(b.model.Delay(b.w.now, b.run.opt.Fleet.LineWork)) / b.slow / b.run.slow)
+			took = time.Duration(float64(b.model.MessageLatency(b.w.now, b.run.opt.Fleet.LineWork)) / b.slow / b.run.slow)
 		}
 		b.does(took, func() {
 			s.say(fmt.Sprintf("R %s %d %s", s.receipt, n, line))
@@ -335,7 +335,7 @@
 // modelled is the load that the model reports, or what is said without one.
 func (b *backend) modelled(load float64) float64 {
 	if b.model != nil {
-		return b.model.Report(b.w.now)
+		return b.model.LoadReport(b.w.now)
 	}
 	return load
 }
@@ -357,7 +357,7 @@
 				s.counted = true
 				b.conns++
 				load := b.run.opt.Fleet.ConnLoad * (0.5 + b.w.rng.Float64())
-				b.model.Hold(b.w.now, uint64(s.e.id), load, 0)
+				b.model.SetConnection(b.w.now, uint64(s.e.id), load, 0)
 				b.run.log.Begin(uint64(s.e.id), measure.Conn{Key: s.key, Backend: b.id, Load: load, From: b.w.now - epoch})
 				s.answers()
 			}
--- a/internal/world/faults.go
+++ b/internal/world/faults.go
@@ -279,8 +279,8 @@
 	if run.pool == nil {
 		return nil
 	}
-	run.pool.Slow(1 + 20*f.Much)
-	return func() { run.pool.Slow(1) }
+	run.pool.SetSlowdown(1 + 20*f.Much)
+	return func() { run.pool.SetSlowdown(1) }
 }}, {"relays die together", func(run *run, f Fault) func() {
 	struck := f.Hit
 	if struck == nil {
--- a/internal/world/run.go
+++ b/internal/world/run.go
@@ -119,7 +119,7 @@
 	regular  float64 // connections that a backend holds when all is well
 	closing  bool
 	plain    bool // clients keep to the first classes
-	pool     *emulator.Pool
+	pool     *emulator.Dependency
 	poolAt   time.Duration
 	turns    map[uint64]func()
 	turn     uint64
@@ -152,7 +152,7 @@
 		nRelays, nBackends, nClients = f.Relays, f.Backends, f.Clients
 		run.turns = map[uint64]func(){}
 		if f.PoolPlaces > 0 {
-			run.pool = emulator.NewPool(f.PoolPlaces)
+			run.pool = emulator.NewDependency(f.PoolPlaces)
 		}
 		run.byClass = make([]Second, len(run.classes))
 		w.in(time.Second, run.measure)
@@ -268,7 +268,7 @@
 			return 1e9
 		}
 		if b.model != nil {
-			return b.model.Load(run.w.now)
+			return b.model.Utilization(run.w.now)
 		}
 		return float64(b.conns) * b.slow
 	}
@@ -352,9 +352,9 @@
 			b.size = f.Sizes[id%len(f.Sizes)]
 		}
 		cfg := f.Server
-		cfg.Cores, cfg.Opens = cfg.Cores*b.size, cfg.Opens*b.size
+		cfg.Cores, cfg.WarmRequestRate = cfg.Cores*b.size, cfg.WarmRequestRate*b.size
 		if id%100 >= 100-int(f.LateShare*100) {
-			cfg.ReportLate = f.LateBy
+			cfg.ReportDelay = f.LateBy
 		}
 		b.model, b.jobs = emulator.New(cfg, run.w.rng.Uint64(), run.w.now), map[uint64]func(bool){}
 	}
@@ -602,19 +602,19 @@
 func (run *run) shares(then func()) {
 	run.turn++
 	run.turns[run.turn] = then
-	run.pool.Use(run.w.now, run.turn, run.opt.Fleet.PoolHold)
+	run.pool.Acquire(run.w.now, run.turn, run.opt.Fleet.PoolHold)
 	run.poolTick()
 }
 
 func (run *run) poolTick() {
-	at, ok := run.pool.Next()
+	at, ok := run.pool.NextRelease()
 	if !ok || run.poolAt > run.w.now && run.poolAt <= at {
 		return
 	}
 	run.poolAt = max(at, run.w.now)
 	run.w.at(run.poolAt, func() {
 		run.poolAt = 0
-		for _, id := range run.pool.Done(run.w.now) {
+		for _, id := range run.pool.Release(run.w.now) {
 			then := run.turns[id]
 			delete(run.turns, id)
 			then()
