--- a/cmd/aspenlab/golden_test.go
+++ b/cmd/aspenlab/golden_test.go
@@ -17,7 +17,7 @@
 
 	"aspenbarrow/internal/checker"
 	"aspenbarrow/internal/fleet"
-	"aspenbarrow/internal/measure"
+	"aspenbarrow/internal/loadstats"
 	"aspenbarrow/internal/rehearsal"
 	"aspenbarrow/internal/report"
 	"aspenbarrow/internal/seeds"
@@ -249,14 +249,14 @@
 }
 
 var (
-	spread  = measure.Spread{Deviation: 0.1, Least: 0.8, Most: 1.3, Jain: 0.97}
-	second  = measure.Second{Spread: spread, Mean: 0.5, Hashing: 0.2, Even: 0.05, Idle: 0.25, Herd: 1.5, HerdPart: 9.5, Loads: []float64{0.4, -1, 1e-9}, HerdHash: 1.75, Arrivals: 12}
+	spread  = loadstats.Imbalance{Variation: 0.1, MinOverMean: 0.8, MaxOverMean: 1.3, JainIndex: 0.97}
+	second  = loadstats.Second{Imbalance: spread, MeanLoad: 0.5, HashingVariation: 0.2, GreedyVariation: 0.05, IdleSeconds: 0.25, HerdRatio: 1.5, HerdExpected: 9.5, Loads: []float64{0.4, -1, 1e-9}, HashingHerdRatio: 1.75, Arrivals: 12}
 	service = world.Second{Asked: 10.5, Served: 9.25}
 )
 
 func outcome(program string) rehearsal.Outcome {
 	return rehearsal.Outcome{Script: "a <bad> day & night", Seed: 1<<63 + 1, Whole: 0.9, WorstTen: 0.7, WorstAt: 3, Classes: map[string]float64{"fetch": 0.8, "submit": 0.85, "watch": 0.95},
-		Seconds: []world.Second{service, service}, Evenness: []measure.Second{second}, Counts: map[string]int{"attempt": 9, "moved": 2}, Program: program,
+		Seconds: []world.Second{service, service}, Evenness: []loadstats.Second{second}, Counts: map[string]int{"attempt": 9, "moved": 2}, Program: program,
 		Faults:  []fleet.Effect{{Fault: fault("relays paused", 4), Began: 2 * time.Second, Ended: 5 * time.Second, Did: map[string]int{"struck": 3}}},
 		Waits:   &fleet.Waits{Count: 7, P50: 1.5, P99: 120, P999: 180.5, Max: 200},
 		Rates:   &fleet.Rates{Probes: 1.5, ProbesOne: 2, Handshakes: 3.5, HandshakeOne: 4, Datagrams: 5.5, DatagramOne: 6, Calls: 7.5},
@@ -316,12 +316,12 @@
 func TestResults_Golden(t *testing.T) {
 	o := outcome("a")
 	all := struct {
-		Summary measure.Summary  `json:"summary"`
-		Cells   []rehearsal.Cell `json:"cells"`
-		World   world.Result     `json:"world"`
-		Fleet   fleet.Result     `json:"fleet"`
+		Summary loadstats.Summary `json:"summary"`
+		Cells   []rehearsal.Cell  `json:"cells"`
+		World   world.Result      `json:"world"`
+		Fleet   fleet.Result      `json:"fleet"`
 	}{
-		measure.Summary{Spread: spread, Mean: 0.5, Hashing: 0.2, Even: 0.05, Ratio: 0.55, Worst: 0.6, Lowest: 0.3, Idle: 1.25, Herd: 1.5, HerdHash: 1.75},
+		loadstats.Summary{Imbalance: spread, MeanLoad: 0.5, HashingVariation: 0.2, GreedyVariation: 0.05, RelativeVariation: 0.55, WorstVariation: 0.6, LowestOverMean: 0.3, IdleSeconds: 1.25, HerdRatio: 1.5, HashingHerdRatio: 1.75},
 		[]rehearsal.Cell{{Script: "s", Policy: "hash", Whole: 0.9, Ten: 0.8, Diff: -0.01, Bound: 0.005, Broken: 1, Need: 12}},
 		world.Result{Seed: 9, Relays: 2, Backends: 3, Clients: 4, Faults: []world.Fault{fault("relay killed", 1)},
 			Broken: []checker.Broken{{Rule: "drain", At: 3 * time.Second, Text: "sent late"}}, Counts: o.Counts, Pairs: map[string]int{"a + b": 2}, Worth: 5.5,
--- a/internal/fleet/backends.go
+++ b/internal/fleet/backends.go
@@ -20,7 +20,7 @@
 
 	"aspenbarrow/internal/checker"
 	"aspenbarrow/internal/emulator"
-	"aspenbarrow/internal/measure"
+	"aspenbarrow/internal/loadstats"
 	"aspenbarrow/internal/trouble"
 )
 
@@ -106,7 +106,7 @@
 	}
 	e := b.entry()
 	b.mu.Unlock()
-	b.rig.logged(func(l *measure.Log) { l.Up(b.rig.since(), b.number, b.capacity()) })
+	b.rig.logged(func(l *loadstats.Recorder) { l.BackendUp(b.rig.since(), b.number, b.capacity()) })
 	when := later
 	if !cold {
 		when = beforeAll
@@ -184,7 +184,7 @@
 		}
 	}
 	b.mu.Unlock()
-	b.rig.logged(func(l *measure.Log) { l.Down(b.rig.since(), b.number) })
+	b.rig.logged(func(l *loadstats.Recorder) { l.BackendDown(b.rig.since(), b.number) })
 	if !silent {
 		for s := range sessions {
 			s.wire.end(broken)
@@ -207,7 +207,7 @@
 
 // drain takes no new work, and ends after a while.
 func (b *backend) drain(for_ time.Duration) {
-	b.rig.logged(func(l *measure.Log) { l.Down(b.rig.since(), b.number) })
+	b.rig.logged(func(l *loadstats.Recorder) { l.BackendDown(b.rig.since(), b.number) })
 	b.publish("draining")
 	b.rig.in(for_, b.die)
 }
@@ -300,7 +300,7 @@
 	if s.counted {
 		s.counted = false
 		r := s.b.rig
-		r.logged(func(l *measure.Log) { l.End(r.since(), s.id) })
+		r.logged(func(l *loadstats.Recorder) { l.ConnectionClosed(r.since(), s.id) })
 		if s.b.life == s.life {
 			s.b.model.CloseConnection(r.now(), s.id)
 			s.b.tick()
@@ -400,8 +400,8 @@
 	default:
 		s.counted = true
 		b.model.SetConnection(r.now(), s.id, s.load, 0)
-		r.logged(func(l *measure.Log) {
-			l.Begin(s.id, measure.Conn{Key: s.key, Relay: s.wire.relay.who, Backend: b.number, Load: s.load, From: r.since()})
+		r.logged(func(l *loadstats.Recorder) {
+			l.ConnectionOpened(s.id, loadstats.Connection{Key: s.key, Relay: s.wire.relay.who, Backend: b.number, Load: s.load, Opened: r.since()})
 		})
 		b.receipts++
 		s.receipt = fmt.Sprintf("%d-%d-%d", b.number, b.life, b.receipts)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -27,7 +27,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"aspenbarrow/internal/checker"
-	"aspenbarrow/internal/measure"
+	"aspenbarrow/internal/loadstats"
 	"aspenbarrow/internal/trouble"
 	"aspenbarrow/internal/world"
 )
@@ -50,19 +50,19 @@
 
 // Result is what a run came to.
 type Result struct {
-	Program  string           `json:"program"`
-	Seed     uint64           `json:"seed"`
-	Ready    time.Duration    `json:"ready_ns"` // until all relays took clients
-	Service  []world.Second   `json:"service"`
-	Evenness []measure.Second `json:"evenness"`
-	Faults   []Effect         `json:"faults"`
-	Broken   []string         `json:"broken,omitempty"`
-	Counts   map[string]int   `json:"counts"`
-	Waits    Waits            `json:"waits"`
-	Rates    Rates            `json:"rates"`
-	Usage    Usage            `json:"usage"`
-	Machine  []float64        `json:"machine"`  // processor seconds a second, of all relays
-	Attempts []int            `json:"attempts"` // by backend
+	Program  string             `json:"program"`
+	Seed     uint64             `json:"seed"`
+	Ready    time.Duration      `json:"ready_ns"` // until all relays took clients
+	Service  []world.Second     `json:"service"`
+	Evenness []loadstats.Second `json:"evenness"`
+	Faults   []Effect           `json:"faults"`
+	Broken   []string           `json:"broken,omitempty"`
+	Counts   map[string]int     `json:"counts"`
+	Waits    Waits              `json:"waits"`
+	Rates    Rates              `json:"rates"`
+	Usage    Usage              `json:"usage"`
+	Machine  []float64          `json:"machine"`  // processor seconds a second, of all relays
+	Attempts []int              `json:"attempts"` // by backend
 }
 
 // Effect is what a fault really did.
@@ -134,7 +134,7 @@
 	dice     *rand.Rand
 	hist     *hdrhistogram.Histogram
 	logMu    sync.Mutex
-	log      measure.Log
+	log      loadstats.Recorder
 	checkMu  sync.Mutex
 	check    *checker.Checker
 	tally    tally
@@ -167,7 +167,7 @@
 	do()
 }
 
-func (r *rig) logged(do func(l *measure.Log)) {
+func (r *rig) logged(do func(l *loadstats.Recorder)) {
 	r.logMu.Lock()
 	defer r.logMu.Unlock()
 	do(&r.log)
@@ -645,7 +645,7 @@
 	res.Waits = Waits{r.hist.TotalCount(), float64(r.hist.ValueAtQuantile(50)) / 1000, float64(r.hist.ValueAtQuantile(99)) / 1000,
 		float64(r.hist.ValueAtQuantile(99.9)) / 1000, float64(r.hist.Max()) / 1000}
 	r.mu.Unlock()
-	r.logged(func(l *measure.Log) { res.Evenness = l.Seconds(length.Truncate(time.Second)) })
+	r.logged(func(l *loadstats.Recorder) { res.Evenness = l.PerSecond(length.Truncate(time.Second)) })
 	r.checked(func() {
 		for _, b := range r.check.Broken {
 			res.Broken = append(res.Broken, b.String())
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"aspenbarrow/internal/emulator"
-	"aspenbarrow/internal/measure"
+	"aspenbarrow/internal/loadstats"
 	"aspenbarrow/internal/trouble"
 	"aspenbarrow/internal/world"
 )
@@ -106,7 +106,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			var e [2]measure.Summary
+			var e [2]loadstats.Summary
 			var res [2]Result
 			for i := range e {
 				f := small(relays, backends, clients)
@@ -115,18 +115,18 @@
 				}
 				f.Silent = i == 1
 				res[i] = play(t, Options{Length: 20 * time.Second, Fleet: f, Script: tc.script, Seed: 2})
-				e[i] = measure.Summarise(res[i].Evenness, tc.from)
+				e[i] = loadstats.Summarize(res[i].Evenness, tc.from)
 			}
-			t.Logf("deviation %.3f, %.3f without reports, hashing %.3f; least %.2f and %.2f, most %.2f and %.2f", e[0].Deviation, e[1].Deviation,
-				e[0].Hashing, e[0].Lowest, e[1].Lowest, e[0].Most, e[1].Most)
-			if e[0].Deviation > tc.most*e[1].Deviation || e[1].Deviation < tc.hard {
-				t.Errorf("deviation %.3f, without reports %.3f", e[0].Deviation, e[1].Deviation)
+			t.Logf("deviation %.3f, %.3f without reports, hashing %.3f; least %.2f and %.2f, most %.2f and %.2f", e[0].Variation, e[1].Variation,
+				e[0].HashingVariation, e[0].LowestOverMean, e[1].LowestOverMean, e[0].MaxOverMean, e[1].MaxOverMean)
+			if e[0].Variation > tc.most*e[1].Variation || e[1].Variation < tc.hard {
+				t.Errorf("deviation %.3f, without reports %.3f", e[0].Variation, e[1].Variation)
 			}
-			if e[0].Idle > 0 {
-				t.Errorf("backends are idle for %.1f s", e[0].Idle)
+			if e[0].IdleSeconds > 0 {
+				t.Errorf("backends are idle for %.1f s", e[0].IdleSeconds)
 			}
-			if herd := measure.Summarise(res[0].Evenness, 0); herd.Herd > 1.6*max(herd.HerdHash, 1) {
-				t.Errorf("a herd of %.2f times its part, hashing makes %.2f", herd.Herd, herd.HerdHash)
+			if herd := loadstats.Summarize(res[0].Evenness, 0); herd.HerdRatio > 1.6*max(herd.HashingHerdRatio, 1) {
+				t.Errorf("a herd of %.2f times its part, hashing makes %.2f", herd.HerdRatio, herd.HashingHerdRatio)
 			}
 			if s := service(res[0], 3, 20); s < 0.9 {
 				t.Errorf("service %.3f", s)
@@ -181,8 +181,8 @@
 		t.Error("a cold backend was pushed over")
 	}
 	for _, v := range last.Loads[10:] {
-		if v < last.Mean*0.5 || v > last.Mean*1.5 {
-			t.Errorf("23 s after its start one has %.2f where the mean is %.2f", v, last.Mean)
+		if v < last.MeanLoad*0.5 || v > last.MeanLoad*1.5 {
+			t.Errorf("23 s after its start one has %.2f where the mean is %.2f", v, last.MeanLoad)
 		}
 	}
 }
@@ -245,7 +245,7 @@
 		{"list differs", trouble.Fault{Kind: "list differs", Hit: []int{0, 1}}, "struck", 2, nil},
 		{"list late", trouble.Fault{Kind: "list late", Much: 0.2}, "struck", 8, nil},
 		{"burst", trouble.Fault{Kind: "burst", Much: 0.5}, "struck", 40, func(t *testing.T, res Result) {
-			if a, b := res.Evenness[3].Mean, res.Evenness[5].Mean; b < 1.2*a {
+			if a, b := res.Evenness[3].MeanLoad, res.Evenness[5].MeanLoad; b < 1.2*a {
 				t.Errorf("load %.2f, in the burst %.2f", a, b)
 			}
 		}},
--- a/internal/rehearsal/alternate.go
+++ b/internal/rehearsal/alternate.go
@@ -31,7 +31,7 @@
 // Herd is the worst herd of a run from its first second on, and what hashing alone makes of that second.
 func (o *Outcome) Herd() (worst, hashing float64) {
 	e := o.Even(0)
-	return e.Herd, e.HerdHash
+	return e.HerdRatio, e.HashingHerdRatio
 }
 
 // Line returns the run's figures in one line.
@@ -39,7 +39,7 @@
 	e := o.Even(settled)
 	herd, hashed := o.Herd()
 	return fmt.Sprintf("%s seed %d: service %.4f, deviation %.3f (hashing %.3f, an even hand %.3f, ratio %.2f), least %.2f, most %.2f, idle %.1f backend-s, herd %.2f (hashing %.2f), moved %d, refused %d, broken %d",
-		o.Program, o.Seed, o.Whole, e.Deviation, e.Hashing, e.Even, e.Ratio, e.Lowest, e.Most, e.Idle, herd, hashed, o.Counts["moved"], o.Counts["refused"], len(o.Broken))
+		o.Program, o.Seed, o.Whole, e.Variation, e.HashingVariation, e.GreedyVariation, e.RelativeVariation, e.LowestOverMean, e.MaxOverMean, e.IdleSeconds, herd, hashed, o.Counts["moved"], o.Counts["refused"], len(o.Broken))
 }
 
 // figures are what Compare sets side by side.
@@ -49,13 +49,13 @@
 }{
 	{"service", func(o *Outcome) float64 { return o.Whole }},
 	{"worst ten seconds", func(o *Outcome) float64 { return o.WorstTen }},
-	{"deviation", func(o *Outcome) float64 { return o.Even(settled).Deviation }},
-	{"of hashing", func(o *Outcome) float64 { return o.Even(settled).Hashing }},
-	{"ratio", func(o *Outcome) float64 { return o.Even(settled).Ratio }},
-	{"least in any second", func(o *Outcome) float64 { return o.Even(settled).Lowest }},
-	{"idle backend-s", func(o *Outcome) float64 { return o.Even(settled).Idle }},
-	{"worst herd", func(o *Outcome) float64 { return o.Even(0).Herd }},
-	{"of hashing", func(o *Outcome) float64 { return o.Even(0).HerdHash }},
+	{"deviation", func(o *Outcome) float64 { return o.Even(settled).Variation }},
+	{"of hashing", func(o *Outcome) float64 { return o.Even(settled).HashingVariation }},
+	{"ratio", func(o *Outcome) float64 { return o.Even(settled).RelativeVariation }},
+	{"least in any second", func(o *Outcome) float64 { return o.Even(settled).LowestOverMean }},
+	{"idle backend-s", func(o *Outcome) float64 { return o.Even(settled).IdleSeconds }},
+	{"worst herd", func(o *Outcome) float64 { return o.Even(0).HerdRatio }},
+	{"of hashing", func(o *Outcome) float64 { return o.Even(0).HashingHerdRatio }},
 	{"moved", func(o *Outcome) float64 { return float64(o.Counts["moved"]) }},
 	{"refused", func(o *Outcome) float64 { return float64(o.Counts["refused"]) }},
 	{"attempts", func(o *Outcome) float64 { return float64(o.Counts["attempt"]) }},
--- a/internal/rehearsal/rehearsal.go
+++ b/internal/rehearsal/rehearsal.go
@@ -21,7 +21,7 @@
 
 	"aspenbarrow/internal/emulator"
 	"aspenbarrow/internal/fleet"
-	"aspenbarrow/internal/measure"
+	"aspenbarrow/internal/loadstats"
 	"aspenbarrow/internal/trouble"
 	"aspenbarrow/internal/world"
 )
@@ -210,7 +210,7 @@
 	WorstAt  int                `json:"worst_at_s"`        // where these begin
 	Classes  map[string]float64 `json:"classes"`           // service by class; empty for processes
 	Seconds  []world.Second     `json:"seconds"`           // service by second
-	Evenness []measure.Second   `json:"evenness"`          // of the load, by second
+	Evenness []loadstats.Second `json:"evenness"`          // of the load, by second
 	Counts   map[string]int     `json:"counts"`            // how often what came up
 	Program  string             `json:"program,omitempty"` // processes': the relay's; empty: played on the virtual clock
 	Faults   []fleet.Effect     `json:"faults,omitempty"`  // processes': what each really did
@@ -268,7 +268,7 @@
 }
 
 // Even sums up the evenness of the load from a second on.
-func (o *Outcome) Even(from int) measure.Summary { return measure.Summarise(o.Evenness, from) }
+func (o *Outcome) Even(from int) loadstats.Summary { return loadstats.Summarize(o.Evenness, from) }
 
 // share is the service over some seconds: worth served over worth asked for.
 func share(seconds []world.Second) float64 {
@@ -301,7 +301,7 @@
 	fmt.Fprintf(out, "service %.4f, worst ten seconds %.4f from second %d\n", o.Whole, o.WorstTen, o.WorstAt+1)
 	even := o.Even(settled)
 	fmt.Fprintf(out, "load %.2f of capacity; deviation %.3f of it after %d s (hashing alone %.3f, an even hand %.3f), least %.2f, most %.2f, idle %.1f backend-s, herd %.1f\n",
-		even.Mean, even.Deviation, settled, even.Hashing, even.Even, even.Least, even.Most, even.Idle, o.Even(0).Herd)
+		even.MeanLoad, even.Variation, settled, even.HashingVariation, even.GreedyVariation, even.MinOverMean, even.MaxOverMean, even.IdleSeconds, o.Even(0).HerdRatio)
 	for _, name := range []string{"watch", "fetch", "submit"} {
 		if v, ok := o.Classes[name]; ok {
 			fmt.Fprintf(out, "class %-7s %.4f\n", name, v)
--- a/internal/report/plots.go
+++ b/internal/report/plots.go
@@ -58,7 +58,7 @@
 			}, len(o.Seconds)}, true
 		})
 	d.lines("Herds", "The most new connections at one backend in half a second over its part of them; only where that part is eight or more.", true,
-		byEvenness("", false, nil, func(o *rehearsal.Outcome, s int) float64 { return o.Evenness[s].Herd }))
+		byEvenness("", false, nil, func(o *rehearsal.Outcome, s int) float64 { return o.Evenness[s].HerdRatio }))
 	d.lines("Processor time of all relays", "Cores, by second.", true, func(o *rehearsal.Outcome, i int) (series, bool) {
 		return series{o, name(o), lineColours[i%len(lineColours)], false, func(s int) float64 { return o.Machine[s] }, len(o.Machine)}, o.Machine != nil
 	})
@@ -103,11 +103,11 @@
 // evenness adds the plots of how far the load is from its mean.
 func (d *drawing) evenness() {
 	d.lines("Unevenness by second", "Deviation of the load over its mean; grey is hashing alone on the same connections. Lower is better.", true,
-		byEvenness("", false, nil, func(o *rehearsal.Outcome, s int) float64 { return o.Evenness[s].Deviation }),
-		byEvenness("hashing, ", true, hashColour, func(o *rehearsal.Outcome, s int) float64 { return o.Evenness[s].Hashing }))
+		byEvenness("", false, nil, func(o *rehearsal.Outcome, s int) float64 { return o.Evenness[s].Variation }),
+		byEvenness("hashing, ", true, hashColour, func(o *rehearsal.Outcome, s int) float64 { return o.Evenness[s].HashingVariation }))
 	d.lines("Emptiest and fullest backend", "Over the mean; 1 is the mean.", true,
-		byEvenness("fullest, ", false, nil, func(o *rehearsal.Outcome, s int) float64 { return o.Evenness[s].Most }),
-		byEvenness("emptiest, ", true, nil, func(o *rehearsal.Outcome, s int) float64 { return o.Evenness[s].Least }))
+		byEvenness("fullest, ", false, nil, func(o *rehearsal.Outcome, s int) float64 { return o.Evenness[s].MaxOverMean }),
+		byEvenness("emptiest, ", true, nil, func(o *rehearsal.Outcome, s int) float64 { return o.Evenness[s].MinOverMean }))
 }
 
 // lines adds one plot with the series of every run that has them; none if no run has two points.
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -15,7 +15,7 @@
 	"strconv"
 	"time"
 
-	"aspenbarrow/internal/measure"
+	"aspenbarrow/internal/loadstats"
 	"aspenbarrow/internal/rehearsal"
 )
 
@@ -72,7 +72,7 @@
 	for i := range outcomes {
 		o := &outcomes[i]
 		for s := range o.Seconds {
-			var e measure.Second
+			var e loadstats.Second
 			if s < len(o.Evenness) {
 				e = o.Evenness[s]
 			}
@@ -81,8 +81,8 @@
 				cores = o.Machine[s]
 			}
 			line := []string{o.Program, strconv.FormatUint(o.Seed, 10), strconv.Itoa(s + 1)}
-			for _, v := range []float64{o.Seconds[s].Asked, o.Seconds[s].Served, e.Mean, e.Deviation, e.Hashing, e.Even, e.Least, e.Most, e.Jain,
-				e.Idle, e.Herd, e.HerdPart, float64(e.Arrivals), cores} {
+			for _, v := range []float64{o.Seconds[s].Asked, o.Seconds[s].Served, e.MeanLoad, e.Variation, e.HashingVariation, e.GreedyVariation, e.MinOverMean, e.MaxOverMean, e.JainIndex,
+				e.IdleSeconds, e.HerdRatio, e.HerdExpected, float64(e.Arrivals), cores} {
 				line = append(line, strconv.FormatFloat(v, 'g', 6, 64))
 			}
 			_ = w.Write(line)
@@ -103,8 +103,8 @@
 type runView struct {
 	Name    string
 	O       *rehearsal.Outcome
-	E       measure.Summary
-	First   measure.Summary // from the first second on
+	E       loadstats.Summary
+	First   loadstats.Summary // from the first second on
 	Verdict string
 }
 
@@ -173,13 +173,13 @@
 	switch {
 	case len(o.Broken) > 0:
 		return fmt.Sprintf("%d rules broken", len(o.Broken))
-	case e.Hashing == 0:
+	case e.HashingVariation == 0:
 		return "nothing to compare"
-	case e.Idle > 0:
-		return fmt.Sprintf("backends idle for %.0f s in all", e.Idle)
-	case e.Ratio > 0.9:
+	case e.IdleSeconds > 0:
+		return fmt.Sprintf("backends idle for %.0f s in all", e.IdleSeconds)
+	case e.RelativeVariation > 0.9:
 		return "as uneven as hashing alone"
-	case e.Ratio > 0.5:
+	case e.RelativeVariation > 0.5:
 		return "more even than hashing alone"
 	}
 	return "under half of hashing's unevenness"
@@ -199,7 +199,7 @@
 <p>Servers and clients are stand-ins. Load is what connections ask of a backend over what it can do; its deviation is over the mean, from second 10 on.</p>
 {{if .Broken}}<h2 class="bad">Rules broken</h2><ul>{{range .Broken}}<li class="bad">{{.}}</li>{{end}}</ul>{{end}}
 <table><tr><th>run</th><th class="l">in a word</th><th>service</th><th>worst ten s</th><th>deviation</th><th>hashing</th><th>even hand</th><th>least</th><th>most</th><th>idle backend-s</th><th>worst herd (hashing)</th><th>99% wait</th></tr>
-{{range .Runs}}<tr><td>{{.Name}}</td><td class="l{{if .O.Broken}} bad{{end}}">{{.Verdict}}</td><td>{{f 4 .O.Whole}}</td><td>{{f 4 .O.WorstTen}}</td><td>{{f 3 .E.Deviation}}</td><td>{{f 3 .E.Hashing}}</td><td>{{f 3 .E.Even}}</td><td>{{f 2 .E.Lowest}}</td><td>{{f 2 .E.Most}}</td><td>{{f 1 .E.Idle}}</td><td>{{f 2 .First.Herd}} ({{f 2 .First.HerdHash}})</td><td>{{if .O.Waits}}{{f 0 .O.Waits.P99}} ms{{else}}-{{end}}</td></tr>
+{{range .Runs}}<tr><td>{{.Name}}</td><td class="l{{if .O.Broken}} bad{{end}}">{{.Verdict}}</td><td>{{f 4 .O.Whole}}</td><td>{{f 4 .O.WorstTen}}</td><td>{{f 3 .E.Variation}}</td><td>{{f 3 .E.HashingVariation}}</td><td>{{f 3 .E.GreedyVariation}}</td><td>{{f 2 .E.LowestOverMean}}</td><td>{{f 2 .E.MaxOverMean}}</td><td>{{f 1 .E.IdleSeconds}}</td><td>{{f 2 .First.HerdRatio}} ({{f 2 .First.HashingHerdRatio}})</td><td>{{if .O.Waits}}{{f 0 .O.Waits.P99}} ms{{else}}-{{end}}</td></tr>
 {{end}}</table>
 {{if .Faults}}<h2>Faults, and what each really did</h2><table><tr><th>fault</th><th>from</th><th>to</th><th class="l">did</th><th>script line</th></tr>
 {{range .Faults}}<tr><td>{{.Kind}}</td><td>{{.From}}</td><td>{{.To}}</td><td class="l">{{.Did}}</td><td>{{.Line}}</td></tr>{{end}}</table>{{end}}
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"aspenbarrow/internal/fleet"
-	"aspenbarrow/internal/measure"
+	"aspenbarrow/internal/loadstats"
 	"aspenbarrow/internal/rehearsal"
 	"aspenbarrow/internal/trouble"
 	"aspenbarrow/internal/world"
@@ -19,7 +19,7 @@
 		Faults: []fleet.Effect{{Fault: trouble.Fault{Kind: "relays <paused>", Line: 12}, Began: 2 * time.Second, Ended: 5 * time.Second, Did: map[string]int{"struck": 3}}}}
 	for i := range 14 {
 		o.Seconds = append(o.Seconds, world.Second{Asked: 10, Served: 9})
-		o.Evenness = append(o.Evenness, measure.Second{Spread: measure.Spread{Deviation: 0.1, Least: 0.8, Most: 1.2, Jain: 0.99}, Hashing: 0.2, Mean: 0.5,
+		o.Evenness = append(o.Evenness, loadstats.Second{Imbalance: loadstats.Imbalance{Variation: 0.1, MinOverMean: 0.8, MaxOverMean: 1.2, JainIndex: 0.99}, HashingVariation: 0.2, MeanLoad: 0.5,
 			Loads: []float64{0.4, 0.6, -1, float64(i) / 20}})
 		o.Machine = append(o.Machine, 0.5)
 	}
--- a/internal/world/backend.go
+++ b/internal/world/backend.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"aspenbarrow/internal/emulator"
+	"aspenbarrow/internal/loadstats"
 	"aspenbarrow/internal/machine"
-	"aspenbarrow/internal/measure"
 )
 
 const (
@@ -68,7 +68,7 @@
 		b.jobs, b.tickAt = map[uint64]func(bool){}, 0
 	}
 	if b.model != nil {
-		b.run.log.Up(b.w.now-epoch, b.id, b.size*b.run.opt.Fleet.Server.Cores*b.run.opt.Fleet.Server.Speed)
+		b.run.log.BackendUp(b.w.now-epoch, b.id, b.size*b.run.opt.Fleet.Server.Cores*b.run.opt.Fleet.Server.Speed)
 	}
 	if b.w.now > epoch {
 		b.started = b.w.now.Truncate(time.Millisecond)
@@ -83,7 +83,7 @@
 		return
 	}
 	b.state = "draining"
-	b.run.log.Down(b.w.now-epoch, b.id) // it is to have none any more
+	b.run.log.BackendDown(b.w.now-epoch, b.id) // it is to have none any more
 	b.run.catalog.publish(b.entry())
 	life := b.life
 	b.w.in(for_, func() {
@@ -109,7 +109,7 @@
 	if !b.up {
 		return
 	}
-	b.run.log.Down(b.w.now-epoch, b.id)
+	b.run.log.BackendDown(b.w.now-epoch, b.id)
 	b.kill()
 	b.state = "gone"
 	b.run.catalog.publish(b.entry())
@@ -117,7 +117,7 @@
 
 // vanish takes its machine off the network.
 func (b *backend) vanish() {
-	b.run.log.Down(b.w.now-epoch, b.id)
+	b.run.log.BackendDown(b.w.now-epoch, b.id)
 	b.box.vanish()
 }
 
@@ -290,7 +290,7 @@
 		s.counted = false
 		s.b.conns--
 		if s.b.model != nil {
-			s.b.run.log.End(s.b.w.now-epoch, uint64(s.e.id))
+			s.b.run.log.ConnectionClosed(s.b.w.now-epoch, uint64(s.e.id))
 			s.b.model.CloseConnection(s.b.w.now, uint64(s.e.id))
 			s.b.tick()
 		}
@@ -358,7 +358,7 @@
 				b.conns++
 				load := b.run.opt.Fleet.ConnLoad * (0.5 + b.w.rng.Float64())
 				b.model.SetConnection(b.w.now, uint64(s.e.id), load, 0)
-				b.run.log.Begin(uint64(s.e.id), measure.Conn{Key: s.key, Backend: b.id, Load: load, From: b.w.now - epoch})
+				b.run.log.ConnectionOpened(uint64(s.e.id), loadstats.Connection{Key: s.key, Backend: b.id, Load: load, Opened: b.w.now - epoch})
 				s.answers()
 			}
 		})
--- a/internal/world/run.go
+++ b/internal/world/run.go
@@ -14,8 +14,8 @@
 	"aspenbarrow/internal/baseline"
 	"aspenbarrow/internal/checker"
 	"aspenbarrow/internal/emulator"
+	"aspenbarrow/internal/loadstats"
 	"aspenbarrow/internal/machine"
-	"aspenbarrow/internal/measure"
 	"aspenbarrow/internal/route"
 	"aspenbarrow/internal/settings"
 	"aspenbarrow/internal/trouble"
@@ -73,23 +73,23 @@
 
 // Result is what a run came to.
 type Result struct {
-	Seed     uint64           `json:"seed"`
-	Relays   int              `json:"relays"`
-	Backends int              `json:"backends"`
-	Clients  int              `json:"clients"`
-	Faults   []Fault          `json:"faults"`
-	Broken   []checker.Broken `json:"broken,omitempty"`
-	Counts   map[string]int   `json:"counts"`
-	Pairs    map[string]int   `json:"pairs,omitempty"`
-	Worth    float64          `json:"worth"`    // served, by the classes' worths
-	Asked    int              `json:"asked"`    // final answers
-	Refused  int              `json:"refused"`  // of them BUSY
-	Failed   int              `json:"failed"`   // and ERR
-	Attempts int              `json:"attempts"` // OPENs at backends
-	Steps    int              `json:"steps"`
-	Service  []Second         `json:"service,omitempty"`
-	ByClass  []Second         `json:"by_class,omitempty"`
-	Even     []measure.Second `json:"evenness,omitempty"`
+	Seed     uint64             `json:"seed"`
+	Relays   int                `json:"relays"`
+	Backends int                `json:"backends"`
+	Clients  int                `json:"clients"`
+	Faults   []Fault            `json:"faults"`
+	Broken   []checker.Broken   `json:"broken,omitempty"`
+	Counts   map[string]int     `json:"counts"`
+	Pairs    map[string]int     `json:"pairs,omitempty"`
+	Worth    float64            `json:"worth"`    // served, by the classes' worths
+	Asked    int                `json:"asked"`    // final answers
+	Refused  int                `json:"refused"`  // of them BUSY
+	Failed   int                `json:"failed"`   // and ERR
+	Attempts int                `json:"attempts"` // OPENs at backends
+	Steps    int                `json:"steps"`
+	Service  []Second           `json:"service,omitempty"`
+	ByClass  []Second           `json:"by_class,omitempty"`
+	Even     []loadstats.Second `json:"evenness,omitempty"`
 }
 
 type class struct {
@@ -125,7 +125,7 @@
 	turn     uint64
 	service  []Second
 	byClass  []Second
-	log      measure.Log // of what modelled backends hold
+	log      loadstats.Recorder // of what modelled backends hold
 }
 
 func (run *run) count(what string) { run.counts[what]++ }
@@ -721,7 +721,7 @@
 		Broken: run.check.Broken, Counts: run.counts, Pairs: run.pairs, Steps: run.w.steps}
 	res.Service, res.ByClass = run.service, run.byClass
 	if run.opt.Fleet != nil {
-		res.Even = run.log.Seconds(run.opt.Length)
+		res.Even = run.log.PerSecond(run.opt.Length)
 	}
 	for i, n := range run.served {
 		res.Worth += float64(n) * run.classes[i].worth
