--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -16,7 +16,7 @@
 {"name":"order","effect":"idempotency_key","dedup-scope":"all","dedup-window-ms":900,"on-time-ms":500,"give-up-ms":2000,"worth":2}],
 "family-info":{"mode":"proxy","message-aim-ms":[60,60]},"limits":{"try-limit":4,"dial-timeout-ms":250},"rules":{"fall-ms":3000}}}`
 
-// replaced reads a text as a file that is to replace the sound one.
+// replaced loads a text as the file that is to replace the sound one and returns why it may not.
 func replaced(t *testing.T, text string) error {
 	t.Helper()
 	none := func(string) string { return "" }
@@ -25,7 +25,7 @@
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		return Read(path, none, true)
+		return Load(path, none, true)
 	}
 	old, err := read(platform)
 	if err != nil {
@@ -35,10 +35,10 @@
 	if err != nil {
 		return err
 	}
-	return c.Replaces(old)
+	return c.CheckReplacement(old)
 }
 
-func TestEveryPrefixOfASoundFileIsTurnedDown(t *testing.T) {
+func TestCheckReplacement_RefusesTruncatedFiles(t *testing.T) {
 	if err := replaced(t, platform); err != nil {
 		t.Fatal(err)
 	}
@@ -49,7 +49,7 @@
 	}
 }
 
-func TestWhatMayReplaceAFile(t *testing.T) {
+func TestCheckReplacement(t *testing.T) {
 	for _, c := range []struct{ name, from, to, reason string }{
 		{"fewer attempts", `"try-limit":4`, `"try-limit":2`, ""},
 		{"another effect", `"effect":"read_like"`, `"effect":"non_idempotent"`, ""},
@@ -79,32 +79,34 @@
 		{"two classes of one name", `"name":"order"`, `"name":"chat"`, "no name of its own"},
 		{"an unknown effect", `"effect":"read_like"`, `"effect":"none"`, "unknown effect"},
 	} {
-		text := strings.Replace(platform, c.from, c.to, 1)
-		if text == platform {
-			t.Fatalf("%s: %q is not in the file", c.name, c.from)
-		}
-		err := replaced(t, text)
-		if c.name == "attempts without end" { // refused, whichever check is first
-			if err == nil {
-				t.Error("a thousand million attempts are taken")
+		t.Run(c.name, func(t *testing.T) {
+			text := strings.Replace(platform, c.from, c.to, 1)
+			if text == platform {
+				t.Fatalf("%q is not in the file", c.from)
 			}
-			continue
-		}
-		if (err == nil) != (c.reason == "") || err != nil && !strings.Contains(err.Error(), c.reason) {
-			t.Errorf("%s: %v, wanted %q", c.name, err, c.reason)
-		}
+			err := replaced(t, text)
+			if c.name == "attempts without end" { // refused, whichever check is first
+				if err == nil {
+					t.Error("a thousand million attempts are taken")
+				}
+				return
+			}
+			if (err == nil) != (c.reason == "") || err != nil && !strings.Contains(err.Error(), c.reason) {
+				t.Errorf("%v, wanted %q", err, c.reason)
+			}
+		})
 	}
 }
 
-// The shape to watch comes from both forms, is held to what can be, and is off unless it is given.
-func TestTheShapeToWatch(t *testing.T) {
+// Shadow settings come from both forms, are checked against the rest of the file, and are off unless they are given.
+func TestLoad_ShadowSettings(t *testing.T) {
 	parse := func(add string) (Config, error) { return Parse("w.toml", []byte(sound+add), none, false) }
-	if c, err := parse(""); err != nil || c.Relay.Watch != nil {
-		t.Fatalf("%v, %v", c.Relay.Watch, err)
+	if c, err := parse(""); err != nil || c.Relay.Shadow != nil {
+		t.Fatalf("%v, %v", c.Relay.Shadow, err)
 	}
 	c, err := parse("[watch]\non = true\nweights = \"rough\"\n")
-	if w := c.Relay.Watch; err != nil || w == nil || w.Probes || len(w.Report) > 0 || !w.RetryAfter || w.Weights != balance.WeightsRough {
-		t.Errorf("%+v, %v", c.Relay.Watch, err)
+	if w := c.Relay.Shadow; err != nil || w == nil || w.Probes || len(w.Report) > 0 || !w.RetryAfter || w.Weights != balance.WeightsRough {
+		t.Errorf("%+v, %v", c.Relay.Shadow, err)
 	}
 	for add, want := range map[string]string{
 		"[watch]\non = true\nreport = [\"x0\"]\n":                "w.toml:62:1: watch.report",
@@ -126,11 +128,11 @@
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		return Read(path, none, false)
+		return Load(path, none, false)
 	}
 	settings := platform[strings.Index(platform, `"settings":`)+len(`"settings":`) : len(platform)-1]
-	if c, err := of(settings); err != nil || c.Relay.Watch == nil || c.Relay.Watch.Probes {
-		t.Errorf("%+v, %v", c.Relay.Watch, err)
+	if c, err := of(settings); err != nil || c.Relay.Shadow == nil || c.Relay.Shadow.Probes {
+		t.Errorf("%+v, %v", c.Relay.Shadow, err)
 	}
 	if _, err := of(strings.Replace(settings, `"limits":{`, `"limits":{"peers":true,`, 1)); err == nil || !strings.Contains(err.Error(), "peer_listen") {
 		t.Errorf("peers that nobody hears: %v", err)
@@ -140,10 +142,10 @@
 	}
 }
 
-// Reports come with answers to probes. Where none are allowed, a relay that is held to be told would wait in vain.
-func TestWithoutProbesNoReportComes(t *testing.T) {
+// Load reports come with the answers to health checks. Without health checks, a relay would wait for them in vain.
+func TestParse_NoReportsWithoutHealthChecks(t *testing.T) {
 	c, err := Parse("w.toml", []byte(strings.Replace(sound, "peers = true", "peers = true\nprobes = false\ntells-delay = true", 1)), none, false)
-	if s := c.Relay.Settings; err != nil || len(s.ReportFields) > 0 || len(s.FieldNames) > 0 || !s.ReportsMessageDelay {
+	if s := c.Relay.Settings; err != nil || len(s.ReportFields) > 0 || len(s.ReportFieldNames) > 0 || !s.ReportsMessageDelay {
 		t.Errorf("%v, %v", s.ReportFields, err)
 	}
 	if _, err := Parse("w.toml", []byte(strings.Replace(sound, "peers = true", "peers = true\ntells-load = true\ntells-delay = true", 1)), none, false); err == nil ||
--- a/internal/membership/settings.go
+++ b/internal/membership/settings.go
@@ -7,7 +7,7 @@
 
 // Bounds of the settings.
 const (
-	minProtocolPeriod = 100 * time.Millisecond // a tick is a tenth of it, and timers finer than 10 ms cost more than they tell
+	minProtocolPeriod = 100 * time.Millisecond // probe timeouts are 150 ms at least, so shorter periods detect little sooner
 	maxProtocolPeriod = time.Minute
 	maxIndirectProbes = 16 // each is a datagram to, and work for, a relay that has no trouble
 
--- a/internal/world/backend.go
+++ b/internal/world/backend.go
@@ -1,7 +1,3 @@
-// This file owns the backends: stand-ins that speak the lines, take longer the
-// more they hold, start cold, drain, pause, fail and vanish. What they are
-// counts only here; nothing taken with them says anything of real machines.
-
 package world
 
 import (
@@ -14,14 +10,11 @@
 
 	"aspenbarrow/internal/emulator"
 	"aspenbarrow/internal/loadstats"
-	"aspenbarrow/internal/machine"
-)
-
-const (
-	warmUp   = 8 * time.Second
-	coldFrom = 0.3
+	"aspenbarrow/internal/session"
 )
 
+// backend is a server that speaks the protocol's lines, takes longer the more it holds,
+// starts cold, drains, pauses, fails and vanishes.
 type backend struct {
 	*box
 	run     *run
@@ -78,7 +71,7 @@
 }
 
 // drain takes no new work, sends its clients away after a while and ends.
-func (b *backend) drain(for_ time.Duration) {
+func (b *backend) drain(within time.Duration) {
 	if !b.up || b.state != "ready" {
 		return
 	}
@@ -86,7 +79,7 @@
 	b.run.log.BackendDown(b.w.now-epoch, b.id) // it is to have none any more
 	b.run.catalog.publish(b.entry())
 	life := b.life
-	b.w.in(for_, func() {
+	b.w.in(within, func() {
 		if b.life == life {
 			b.die()
 		}
@@ -254,11 +247,11 @@
 }
 
 func (b *backend) accepted(e *end) {
-	s := &session{b: b, e: e}
+	s := &backendSession{b: b, e: e}
 	e.wake = s.heard
 }
 
-type session struct {
+type backendSession struct {
 	b       *backend
 	e       *end
 	stands  bool
@@ -269,7 +262,7 @@
 	key     uint64 // the client's
 }
 
-func (s *session) heard() {
+func (s *backendSession) heard() {
 	for !s.busy && !s.b.deaf {
 		i := bytes.IndexByte(s.e.in, '\n')
 		if i < 0 {
@@ -279,13 +272,13 @@
 		s.e.take(i + 1)
 		s.line(line)
 	}
-	if s.e.got != machine.NoEnd && !s.busy {
+	if s.e.got != session.NoEnd && !s.busy {
 		s.gone()
 		s.e.close()
 	}
 }
 
-func (s *session) gone() {
+func (s *backendSession) gone() {
 	if s.counted {
 		s.counted = false
 		s.b.conns--
@@ -297,9 +290,9 @@
 	}
 }
 
-func (s *session) say(line string) { s.e.write([]byte(line+"\r\n"), func(bool) {}) }
+func (s *backendSession) say(line string) { s.e.write([]byte(line+"\r\n"), func(bool) {}) }
 
-func (s *session) line(line string) {
+func (s *backendSession) line(line string) {
 	b := s.b
 	switch {
 	case s.stands:
@@ -341,14 +334,14 @@
 }
 
 // open works on a request: longer the more the machine holds.
-func (s *session) open() {
+func (s *backendSession) open() {
 	b := s.b
 	if b.model != nil {
 		s.busy = true
 		b.works(b.run.opt.Fleet.SetUpWork*(0.5+b.w.rng.Float64()), func(full bool) {
 			s.busy = false
 			switch {
-			case s.e.got != machine.NoEnd || s.e.dead:
+			case s.e.got != session.NoEnd || s.e.dead:
 				s.heard()
 			case full || b.state != "ready":
 				s.say("BUSY")
@@ -372,7 +365,7 @@
 	crowd := 1 + float64(b.conns)/(2*b.run.fair())
 	b.does(time.Duration(float64(b.service)*crowd), func() {
 		s.busy = false
-		if s.e.got != machine.NoEnd || s.e.dead {
+		if s.e.got != session.NoEnd || s.e.dead {
 			s.heard()
 			return
 		}
@@ -381,7 +374,7 @@
 }
 
 // answers says what becomes of a request that has been worked on.
-func (s *session) answers() {
+func (s *backendSession) answers() {
 	b := s.b
 	rng := b.w.rng
 	ends := true
@@ -418,7 +411,7 @@
 }
 
 // lives ends some connections from the backend's side.
-func (s *session) lives() {
+func (s *backendSession) lives() {
 	b := s.b
 	if b.w.rng.IntN(12) != 0 {
 		return
--- a/internal/world/client.go
+++ b/internal/world/client.go
@@ -1,7 +1,3 @@
-// This file owns the front and the clients: those that ask as they should, stay
-// for a while and come back, and those that do not. A front goes on sending to a
-// relay that has died until it notices.
-
 package world
 
 import (
@@ -11,10 +7,11 @@
 	"strings"
 	"time"
 
-	"aspenbarrow/internal/machine"
+	"aspenbarrow/internal/session"
 )
 
-// front deals connections out among the relays that it takes for good ones.
+// front deals connections out among the relays that it takes for good ones. It goes on
+// sending to a relay that has died until it notices.
 type front struct {
 	run  *run
 	good []bool
@@ -52,7 +49,7 @@
 		}
 		over := false
 		e.wake = func() {
-			if over || !bytes.Contains(e.in, []byte("\n")) && e.got == machine.NoEnd {
+			if over || !bytes.Contains(e.in, []byte("\n")) && e.got == session.NoEnd {
 				return
 			}
 			over = true
@@ -257,7 +254,7 @@
 			return
 		}
 	}
-	if e.got != machine.NoEnd {
+	if e.got != session.NoEnd {
 		if c.up {
 			c.run.count("connection lost")
 			c.back = true
@@ -351,7 +348,7 @@
 		}
 		e.wake = func() {
 			e.take(len(e.in))
-			if e.got != machine.NoEnd {
+			if e.got != session.NoEnd {
 				e.close()
 			}
 		}
--- a/internal/world/run.go
+++ b/internal/world/run.go
@@ -1,6 +1,3 @@
-// This file owns a run: what a seed's world holds, its course, its end and what is
-// reported of it. It must never call a run sound that has not been played to its end.
-
 package world
 
 import (
@@ -13,10 +10,12 @@
 	"aspenbarrow/balance"
 	"aspenbarrow/internal/baseline"
 	"aspenbarrow/internal/checker"
+	"aspenbarrow/internal/controller"
+	"aspenbarrow/internal/discovery"
 	"aspenbarrow/internal/emulator"
 	"aspenbarrow/internal/loadstats"
-	"aspenbarrow/internal/machine"
-	"aspenbarrow/internal/route"
+	"aspenbarrow/internal/routing"
+	"aspenbarrow/internal/session"
 	"aspenbarrow/internal/settings"
 	"aspenbarrow/internal/trouble"
 )
@@ -29,7 +28,7 @@
 	letGo   = 14 * time.Second // after its length a run has so long for everything to end
 )
 
-// Options say how a seed is played.
+// Options say how a seed is played. Only Seed has to be set.
 type Options struct {
 	Seed    uint64
 	Length  time.Duration         // virtual; 0: a minute
@@ -44,25 +43,25 @@
 // Fleet is an installation as a script writes it.
 type Fleet struct {
 	Relays, Backends, Clients int
-	Server                    emulator.Config
-	SetUpWork                 float64 // of a request, in seconds of a nominal core
-	LineWork                  float64 // of a line
-	ConnLoad                  float64 // cores that a standing connection takes
-	PoolPlaces                int     // of a dependency that all set-ups use; 0: none
-	PoolHold                  time.Duration
+	Server                    emulator.Config  // of each backend, but for Sizes
+	SetUpWork                 float64          // of a request, in seconds of a nominal core
+	LineWork                  float64          // of a line
+	ConnLoad                  float64          // cores that a standing connection takes
+	PoolPlaces                int              // of a dependency that all set-ups use; 0: none
+	PoolHold                  time.Duration    // how long a set-up has its place
 	Rush                      time.Duration    // the first clients come within this
 	Stay                      [2]time.Duration // how long one stays: anything between the two
 	Return                    time.Duration    // whose connection broke is back within this
 	HotKey                    float64          // share of the clients that have one key
 	HotRelay                  float64          // share of the clients that come through the first relay; 0: its part
 	LateShare                 float64          // share of the backends whose reports are late by LateBy as well
-	LateBy                    time.Duration
-	Sizes                     []float64     // of backends by turns, in parts of Server.Cores; nil: all the same
-	Weights                   bool          // the list gives them
-	Silent                    bool          // backends report nothing
-	Peers                     bool          // relays may send one another messages
-	Membership                bool          // relays find out who of them is there
-	ConnectTimeout            time.Duration // for a connection to a backend to come up, on processes; 0: 250 ms
+	LateBy                    time.Duration    // how late the reports of those of LateShare are
+	Sizes                     []float64        // of backends by turns, in parts of Server.Cores; nil: all the same
+	Weights                   bool             // the list gives them
+	Silent                    bool             // backends report nothing
+	Peers                     bool             // relays may send one another messages
+	Membership                bool             // relays find out who of them is there
+	ConnectTimeout            time.Duration    // for a connection to a backend to come up, on processes; 0: 250 ms
 }
 
 // Second is the service of one second, in worth.
@@ -77,27 +76,29 @@
 	Relays   int                `json:"relays"`
 	Backends int                `json:"backends"`
 	Clients  int                `json:"clients"`
-	Faults   []Fault            `json:"faults"`
-	Broken   []checker.Broken   `json:"broken,omitempty"`
-	Counts   map[string]int     `json:"counts"`
-	Pairs    map[string]int     `json:"pairs,omitempty"`
-	Worth    float64            `json:"worth"`    // served, by the classes' worths
-	Asked    int                `json:"asked"`    // final answers
-	Refused  int                `json:"refused"`  // of them BUSY
-	Failed   int                `json:"failed"`   // and ERR
-	Attempts int                `json:"attempts"` // OPENs at backends
-	Steps    int                `json:"steps"`
-	Service  []Second           `json:"service,omitempty"`
-	ByClass  []Second           `json:"by_class,omitempty"`
-	Even     []loadstats.Second `json:"evenness,omitempty"`
+	Faults   []Fault            `json:"faults"`             // as they were played
+	Broken   []checker.Broken   `json:"broken,omitempty"`   // rules
+	Counts   map[string]int     `json:"counts"`             // how often what came up
+	Pairs    map[string]int     `json:"pairs,omitempty"`    // how often two kinds of fault overlapped
+	Worth    float64            `json:"worth"`              // served, by the classes' worths
+	Asked    int                `json:"asked"`              // final answers
+	Refused  int                `json:"refused"`            // of them BUSY
+	Failed   int                `json:"failed"`             // and ERR
+	Attempts int                `json:"attempts"`           // OPENs at backends
+	Steps    int                `json:"steps"`              // events
+	Service  []Second           `json:"service,omitempty"`  // by second, of a Fleet
+	ByClass  []Second           `json:"by_class,omitempty"` // of a Fleet: sums of the run
+	Even     []loadstats.Second `json:"evenness,omitempty"` // by second, of a Fleet
 }
 
+// class is a class of requests as clients know it.
 type class struct {
 	name   string
 	giveUp time.Duration
 	worth  float64
 }
 
+// run is what a seed's world holds.
 type run struct {
 	w        *world
 	opt      Options
@@ -137,94 +138,130 @@
 
 func (run *run) backendAt(addr string) *backend { return run.byAddr[addr] }
 
-// Run plays one seed to its end.
+// Run plays one seed to its end and reports what came of it. It panics if the options
+// make no installation, such as timings that contradict one another.
 func Run(opt Options) Result {
 	if opt.Length == 0 {
 		opt.Length = time.Minute
 	}
 	w := newWorld(opt.Seed, opt.Trace)
-	rng := w.rng
 	run := &run{w: w, opt: opt, byAddr: map[string]*backend{}, counts: map[string]int{}, pairs: map[string]int{}, slow: 1}
 	run.settle()
-	w.window = 1 << (9 + rng.IntN(6))
-	nRelays, nBackends, nClients := 2+rng.IntN(6), 6+rng.IntN(27), 100+rng.IntN(41)
-	if f := opt.Fleet; f != nil {
-		nRelays, nBackends, nClients = f.Relays, f.Backends, f.Clients
-		run.turns = map[uint64]func(){}
-		if f.PoolPlaces > 0 {
-			run.pool = emulator.NewDependency(f.PoolPlaces)
-		}
-		run.byClass = make([]Second, len(run.classes))
-		w.in(time.Second, run.measure)
-	}
-	run.regular = float64(nClients) / float64(nBackends)
+	w.window = 1 << (9 + w.rng.IntN(6))
+	n := run.size()
+	if opt.Fleet != nil {
+		run.model(opt.Fleet)
+	}
+	run.watch(n)
+	run.populate(n)
+	script := opt.Script
+	drawn := run.script() // drawn in any case: the rest of the run's chances come after it
+	if script == nil {
+		script = drawn
+	}
+	run.play(script)
+	run.releases(n.backends)
+	w.in(time.Second, run.sweep)
+	end := epoch + opt.Length
+	w.at(end, run.close)
+	for w.step(end + letGo) {
+	}
+	run.audit()
+	if w.trace != nil {
+		w.note("end after %d steps", w.steps)
+		_ = w.trace.Flush()
+	}
+	return run.result(n, script)
+}
+
+// size is how many there are of each party.
+type size struct{ relays, backends, clients int }
+
+// size draws the installation's size, which a script overrules.
+func (run *run) size() size {
+	rng := run.w.rng
+	n := size{relays: 2 + rng.IntN(6), backends: 6 + rng.IntN(27), clients: 100 + rng.IntN(41)}
+	if f := run.opt.Fleet; f != nil {
+		n = size{f.Relays, f.Backends, f.Clients}
+	}
+	return n
+}
+
+// model prepares what only a script's installation has: a shared dependency and the measure of the service.
+func (run *run) model(f *Fleet) {
+	run.turns = map[uint64]func(){}
+	if f.PoolPlaces > 0 {
+		run.pool = emulator.NewDependency(f.PoolPlaces)
+	}
+	run.byClass = make([]Second, len(run.classes))
+	run.w.in(time.Second, run.measure)
+}
+
+// watch starts the checker.
+func (run *run) watch(n size) {
+	w := run.w
+	run.regular = float64(n.clients) / float64(n.backends)
 	rules := run.rules()
-	run.check = checker.New(rules, nRelays, func() time.Duration { return w.now }, func(d time.Duration, do func()) { w.in(d, do) })
+	run.check = checker.New(rules, n.relays, func() time.Duration { return w.now }, func(d time.Duration, do func()) { w.in(d, do) })
+}
+
+// populate brings all parties up: discovery and backends first, then relays, then the clients' first visits.
+func (run *run) populate(n size) {
+	w := run.w
 	run.catalog = &catalog{run: run}
 	run.outside = w.box("outside", "").of(trouble.Clients, 0)
 	run.outside.start()
-	for i := range nRelays {
+	for i := range n.relays {
 		for _, which := range []string{"a", "b"} {
 			run.catalog.agents = append(run.catalog.agents, &agent{c: run.catalog, relay: i,
 				address: fmt.Sprintf("10.2.%s.%d:8500", map[string]string{"a": "0", "b": "1"}[which], i)})
 		}
 	}
-	for range nBackends {
+	for range n.backends {
 		run.addBackend()
 	}
-	run.front = &front{run: run, good: make([]bool, nRelays)}
-	for i := range nRelays {
-		run.addRelay(i, nRelays)
+	run.front = &front{run: run, good: make([]bool, n.relays)}
+	for i := range n.relays {
+		run.addRelay(i, n.relays)
 	}
-	for range nClients {
+	for range n.clients {
 		rush := 2500 * time.Millisecond
-		if f := opt.Fleet; f != nil {
+		if f := run.opt.Fleet; f != nil {
 			rush = f.Rush
 		}
 		run.addClient().come(500*time.Millisecond + w.between(0, rush))
 	}
-	script := opt.Script
-	drawn := run.script() // drawn in any case: the rest of the run's chances come after it
-	if script == nil {
-		script = drawn
-	}
-	run.play(script)
+}
+
+// releases has up to three of the first backends released in an ordinary way, whatever else goes on.
+func (run *run) releases(backends int) {
+	w := run.w
 	releases := w.rng.IntN(4)
-	if opt.Fleet != nil {
+	if run.opt.Fleet != nil {
 		releases = 0 // a script says all that happens
 	}
-	for range releases { // an ordinary release, whatever else goes on
+	for range releases {
 		at, long := w.between(4*time.Second, 36*time.Second), w.between(6*time.Second, 14*time.Second)
-		b := run.backends[w.rng.IntN(nBackends)]
+		b := run.backends[w.rng.IntN(backends)]
 		w.in(at, func() { b.release(long, time.Second) })
 	}
-	var sweep func()
-	sweep = func() {
-		run.check.Sweep()
-		for _, r := range run.relays {
-			if n := len(r.ends); r.up && r.few && n > r.cfg.Sockets {
-				run.fail("descriptors", "%s holds %d sockets of %d", r.name, n, r.cfg.Sockets)
-			}
-			if r.up {
-				if err := books(r.node); err != nil {
-					run.fail("books", "%s: %v", r.name, err)
-				}
+}
+
+// sweep looks, every second, for what should have happened by now and for figures that do not come out even.
+func (run *run) sweep() {
+	run.check.Sweep()
+	for _, r := range run.relays {
+		if n := len(r.ends); r.up && r.few && n > r.cfg.Sockets {
+			run.fail("descriptors", "%s holds %d sockets of %d", r.name, n, r.cfg.Sockets)
+		}
+		if r.up {
+			if err := books(r.node); err != nil {
+				run.fail("books", "%s: %v", r.name, err)
 			}
-			run.figures(r)
 		}
-		w.in(time.Second, sweep)
-	}
-	w.in(time.Second, sweep)
-	end := epoch + opt.Length
-	w.at(end, run.close)
-	for w.step(end + letGo) {
-	}
-	run.audit()
-	if w.trace != nil {
-		w.note("end after %d steps", w.steps)
-		_ = w.trace.Flush()
+		run.figures(r)
 	}
-	return run.result(nRelays, nBackends, nClients, script)
+	run.w.in(time.Second, run.sweep)
 }
 
 // settle draws the settings of an installation.
@@ -236,7 +273,7 @@
 	}
 	run.served = make([]int, len(run.classes))
 	s := settings.Settings{ClassNames: []string{"watch", "fetch", "submit"}, ZoneNames: zones, KindNames: []string{"k"},
-		FieldNames: []string{"x0"}, IdleClose: 5 * time.Second}
+		ReportFieldNames: []string{"x0"}, IdleTimeout: 5 * time.Second}
 	s.Settings = balance.Settings{RelayCount: 1, Tick: 4 * time.Millisecond, HealthChecks: rng.IntN(8) != 0, Gossip: rng.IntN(4) != 0,
 		Cancellation: true, RetryAfter: rng.IntN(4) != 0, MaxRetryAfter: 1500 * time.Millisecond, MaxAttempts: 4,
 		DialTimeout: 250 * time.Millisecond, AnswerSlack: 16 * time.Millisecond, DrainGrace: 250 * time.Millisecond,
@@ -261,7 +298,7 @@
 // network could know it.
 func (run *run) trueLoad(id balance.BackendID) float64 {
 	for _, b := range run.backends {
-		if machine.IDOf(b.name) != id {
+		if discovery.BackendID(b.name) != id {
 			continue
 		}
 		if !b.up || b.paused {
@@ -322,7 +359,7 @@
 		s.RelayIndex, s.RelayCount, s.Zone = r.cfg.Settings.RelayIndex, r.cfg.Settings.RelayCount, r.cfg.Settings.Zone
 		r.cfg.Settings, r.cfg.Routes = s, run.routes()
 		if on && r.cfg.Routes != nil { // the file's classes stand in another order
-			r.cfg.Routes = r.cfg.Routes.Renumber([]int{1, 2, 3})
+			r.cfg.Routes = r.cfg.Routes.RemapClasses([]int{1, 2, 3})
 		}
 		run.check.Retuned(r.number, classes, set.MaxAttempts)
 		if r.up {
@@ -370,7 +407,7 @@
 }
 
 func (run *run) addRelay(i, of int) {
-	cfg := machine.Config{Name: fmt.Sprintf("n%d", i), Discovery: fmt.Sprintf("10.2.0.%d:8500", i), MemoryMB: memory,
+	cfg := controller.Config{Name: fmt.Sprintf("n%d", i), Discovery: fmt.Sprintf("10.2.0.%d:8500", i), MemoryMB: memory,
 		Sockets: sockets, PeersAll: peersAll, Settings: run.set, Management: "here"}
 	cfg.Routes = run.routes()
 	cfg.Decide = baseline.Named(run.opt.Policy, run.trueLoad)
@@ -387,17 +424,17 @@
 }
 
 // routes gives each class its timing.
-func (run *run) routes() *route.Table {
-	var all []route.Route
+func (run *run) routes() *routing.Table {
+	var all []routing.Route
 	for i, t := range run.opt.Timings {
-		m := route.Everything
+		m := routing.MatchAll
 		m.Class = i
-		all = append(all, route.Route{Name: run.classes[i].name, Match: m, RetryPolicy: t})
+		all = append(all, routing.Route{Name: run.classes[i].name, Match: m, RetryPolicy: t})
 	}
 	if all == nil {
 		return nil
 	}
-	table, errs := route.New(all)
+	table, errs := routing.NewTable(all)
 	if len(errs) > 0 {
 		panic(errs[0])
 	}
@@ -471,7 +508,7 @@
 	}
 	r.leaving = true
 	run.count("relay leaves")
-	r.post(r.node.Leave)
+	r.post(r.node.Shutdown)
 	life := r.life
 	var look func()
 	look = func() {
@@ -528,7 +565,7 @@
 	if o := r.old; o != nil && o.up { // what is told to one process is told to both
 		o.node.SetDrained(on)
 		o.soon(func() {
-			o.node.Drain(run.w.now)
+			o.node.ApplyDrain(run.w.now)
 			o.tick()
 		})
 	}
@@ -541,7 +578,7 @@
 	run.check.Drained(r.number, on && !r.leaving)
 	r.node.SetDrained(on)
 	r.soon(func() {
-		r.node.Drain(run.w.now)
+		r.node.ApplyDrain(run.w.now)
 		r.tick()
 	})
 }
@@ -646,7 +683,7 @@
 	if !r.up {
 		return
 	}
-	f, seen := r.node.Ledger().Read(), run.check.Seen(r.number)
+	f, seen := r.node.Metrics().Snapshot(), run.check.Seen(r.number)
 	spare := seen.Loose
 	within := func(what string, told int64, counted int) {
 		over := int(told) - counted
@@ -678,7 +715,7 @@
 }
 
 // books says what does not come out even in the module's books; a baseline's are not held to that.
-func books(n *machine.Node) error {
+func books(n *controller.Controller) error {
 	if b, ok := n.Balancer().(*balance.Balancer); ok {
 		return b.CheckInvariants()
 	}
@@ -691,12 +728,12 @@
 		if !r.up {
 			continue
 		}
-		for _, c := range r.probes.DropAll() {
+		for _, c := range r.probes.DropAllIdle() {
 			c.(*end).close()
 		}
 		fail := func(rule, format string, args ...any) { run.fail(rule, r.name+": "+format, args...) }
-		if n := r.node.Flows(); n != 0 || r.flowing != 0 || r.lobby.Guests() != 0 || len(r.flows) != 0 {
-			fail("leak", "%d flows in the books, %d counted, %d driven, %d guests", n, r.flowing, len(r.flows), r.lobby.Guests())
+		if n := r.node.Sessions(); n != 0 || r.flowing != 0 || r.lobby.Len() != 0 || len(r.flows) != 0 {
+			fail("leak", "%d flows in the books, %d counted, %d driven, %d guests", n, r.flowing, len(r.flows), r.lobby.Len())
 		}
 		if n := run.check.Open(r.number); n != 0 {
 			fail("leak", "%d connections are open", n)
@@ -710,14 +747,15 @@
 		if n := r.node.Timers(); n > 2 { // the module's upkeep and the figures
 			fail("leak", "%d timers", n)
 		}
-		if n := r.node.Ledger().Read().Concurrent; n != 0 {
+		if n := r.node.Metrics().Snapshot().Concurrent; n != 0 {
 			fail("figures", "%d connections are reported when none is left", n)
 		}
 	}
 }
 
-func (run *run) result(relays, backends, clients int, script []Fault) Result {
-	res := Result{Seed: run.opt.Seed, Relays: relays, Backends: backends, Clients: clients, Faults: script,
+// result sums the run up.
+func (run *run) result(n size, script []Fault) Result {
+	res := Result{Seed: run.opt.Seed, Relays: n.relays, Backends: n.backends, Clients: n.clients, Faults: script,
 		Broken: run.check.Broken, Counts: run.counts, Pairs: run.pairs, Steps: run.w.steps}
 	res.Service, res.ByClass = run.service, run.byClass
 	if run.opt.Fleet != nil {
@@ -740,10 +778,10 @@
 // The taps turn the network's words into the checker's own.
 type clientTap struct{ *checker.Client }
 
-func (t clientTap) GotEnd(how machine.End)   { t.Client.GotEnd(int32(how)) }
-func (t clientTap) WroteEnd(how machine.End) { t.Client.WroteEnd(int32(how)) }
+func (t clientTap) GotEnd(how session.EndKind)   { t.Client.GotEnd(int32(how)) }
+func (t clientTap) WroteEnd(how session.EndKind) { t.Client.WroteEnd(int32(how)) }
 
 type backendTap struct{ *checker.Backend }
 
-func (t backendTap) GotEnd(how machine.End)   { t.Backend.GotEnd(int32(how)) }
-func (t backendTap) WroteEnd(how machine.End) { t.Backend.WroteEnd(int32(how)) }
+func (t backendTap) GotEnd(how session.EndKind)   { t.Backend.GotEnd(int32(how)) }
+func (t backendTap) WroteEnd(how session.EndKind) { t.Backend.WroteEnd(int32(how)) }
--- a/internal/world/sabotage.go
+++ b/internal/world/sabotage.go
@@ -1,15 +1,13 @@
-// This file breaks relays on purpose. A checker that has never caught anything
-// proves nothing, so each break must be caught by the rule that it breaks. No
-// break is ever set but by the tests.
-
 package world
 
 import (
 	"aspenbarrow/balance"
-	"aspenbarrow/internal/machine"
+	"aspenbarrow/internal/controller"
 )
 
-// Break names one way to break every relay of a run.
+// Break names one way to break every relay of a run on purpose. A checker that has
+// never caught anything proves nothing, so tests check that each break is caught by
+// the rule that it breaks. Only tests set one.
 type Break string
 
 // The breaks.
@@ -79,7 +77,7 @@
 func (run *run) broken(b Break) bool { return run.opt.Break == b }
 
 // sabotaged is the configuration as a broken relay reads it.
-func (r *relay) sabotaged(cfg machine.Config) machine.Config {
+func (r *relay) sabotaged(cfg controller.Config) controller.Config {
 	s := &cfg.Settings
 	switch r.run.opt.Break {
 	case BreakFifth:
