--- a/internal/membership/codec.go
+++ b/internal/membership/codec.go
@@ -2,7 +2,7 @@
 
 import "google.golang.org/protobuf/encoding/protowire"
 
-// MaxPacketSize is the largest datagram, in bytes. It stays well below any path's MTU, so datagrams are never fragmented.
+// MaxPacketSize is the largest datagram, in bytes. It is far below common MTUs, so datagrams aren't fragmented.
 const MaxPacketSize = 256
 
 const (
--- a/internal/world/run.go
+++ b/internal/world/run.go
@@ -13,7 +13,7 @@
 	"aspenbarrow/internal/controller"
 	"aspenbarrow/internal/discovery"
 	"aspenbarrow/internal/emulator"
-	"aspenbarrow/internal/measure"
+	"aspenbarrow/internal/loadstats"
 	"aspenbarrow/internal/routing"
 	"aspenbarrow/internal/session"
 	"aspenbarrow/internal/settings"
@@ -72,23 +72,23 @@
 
 // Result is what a run came to.
 type Result struct {
-	Seed     uint64           `json:"seed"`
-	Relays   int              `json:"relays"`
-	Backends int              `json:"backends"`
-	Clients  int              `json:"clients"`
-	Faults   []Fault          `json:"faults"`             // as they were played
-	Broken   []checker.Broken `json:"broken,omitempty"`   // rules
-	Counts   map[string]int   `json:"counts"`             // how often what came up
-	Pairs    map[string]int   `json:"pairs,omitempty"`    // how often two kinds of fault overlapped
-	Worth    float64          `json:"worth"`              // served, by the classes' worths
-	Asked    int              `json:"asked"`              // final answers
-	Refused  int              `json:"refused"`            // of them BUSY
-	Failed   int              `json:"failed"`             // and ERR
-	Attempts int              `json:"attempts"`           // OPENs at backends
-	Steps    int              `json:"steps"`              // events
-	Service  []Second         `json:"service,omitempty"`  // by second, of a Fleet
-	ByClass  []Second         `json:"by_class,omitempty"` // of a Fleet: sums of the run
-	Even     []measure.Second `json:"evenness,omitempty"` // by second, of a Fleet
+	Seed     uint64             `json:"seed"`
+	Relays   int                `json:"relays"`
+	Backends int                `json:"backends"`
+	Clients  int                `json:"clients"`
+	Faults   []Fault            `json:"faults"`             // as they were played
+	Broken   []checker.Broken   `json:"broken,omitempty"`   // rules
+	Counts   map[string]int     `json:"counts"`             // how often what came up
+	Pairs    map[string]int     `json:"pairs,omitempty"`    // how often two kinds of fault overlapped
+	Worth    float64            `json:"worth"`              // served, by the classes' worths
+	Asked    int                `json:"asked"`              // final answers
+	Refused  int                `json:"refused"`            // of them BUSY
+	Failed   int                `json:"failed"`             // and ERR
+	Attempts int                `json:"attempts"`           // OPENs at backends
+	Steps    int                `json:"steps"`              // events
+	Service  []Second           `json:"service,omitempty"`  // by second, of a Fleet
+	ByClass  []Second           `json:"by_class,omitempty"` // of a Fleet: sums of the run
+	Even     []loadstats.Second `json:"evenness,omitempty"` // by second, of a Fleet
 }
 
 // class is a class of requests as clients know it.
@@ -120,13 +120,13 @@
 	regular  float64 // connections that a backend holds when all is well
 	closing  bool
 	plain    bool // clients keep to the first classes
-	pool     *emulator.Pool
+	pool     *emulator.Dependency
 	poolAt   time.Duration
 	turns    map[uint64]func()
 	turn     uint64
 	service  []Second
 	byClass  []Second
-	log      measure.Log // of what modelled backends hold
+	log      loadstats.Recorder // of what modelled backends hold
 }
 
 func (run *run) count(what string) { run.counts[what]++ }
@@ -191,7 +191,7 @@
 func (run *run) model(f *Fleet) {
 	run.turns = map[uint64]func(){}
 	if f.PoolPlaces > 0 {
-		run.pool = emulator.NewPool(f.PoolPlaces)
+		run.pool = emulator.NewDependency(f.PoolPlaces)
 	}
 	run.byClass = make([]Second, len(run.classes))
 	run.w.in(time.Second, run.measure)
@@ -305,7 +305,7 @@
 			return 1e9
 		}
 		if b.model != nil {
-			return b.model.Load(run.w.now)
+			return b.model.Utilization(run.w.now)
 		}
 		return float64(b.conns) * b.slow
 	}
@@ -389,9 +389,9 @@
 			b.size = f.Sizes[id%len(f.Sizes)]
 		}
 		cfg := f.Server
-		cfg.Cores, cfg.Opens = cfg.Cores*b.size, cfg.Opens*b.size
+		cfg.Cores, cfg.WarmRequestRate = cfg.Cores*b.size, cfg.WarmRequestRate*b.size
 		if id%100 >= 100-int(f.LateShare*100) {
-			cfg.ReportLate = f.LateBy
+			cfg.ReportDelay = f.LateBy
 		}
 		b.model, b.jobs = emulator.New(cfg, run.w.rng.Uint64(), run.w.now), map[uint64]func(bool){}
 	}
@@ -639,19 +639,19 @@
 func (run *run) shares(then func()) {
 	run.turn++
 	run.turns[run.turn] = then
-	run.pool.Use(run.w.now, run.turn, run.opt.Fleet.PoolHold)
+	run.pool.Acquire(run.w.now, run.turn, run.opt.Fleet.PoolHold)
 	run.poolTick()
 }
 
 func (run *run) poolTick() {
-	at, ok := run.pool.Next()
+	at, ok := run.pool.NextRelease()
 	if !ok || run.poolAt > run.w.now && run.poolAt <= at {
 		return
 	}
 	run.poolAt = max(at, run.w.now)
 	run.w.at(run.poolAt, func() {
 		run.poolAt = 0
-		for _, id := range run.pool.Done(run.w.now) {
+		for _, id := range run.pool.Release(run.w.now) {
 			then := run.turns[id]
 			delete(run.turns, id)
 			then()
@@ -759,7 +759,7 @@
 		Broken: run.check.Broken, Counts: run.counts, Pairs: run.pairs, Steps: run.w.steps}
 	res.Service, res.ByClass = run.service, run.byClass
 	if run.opt.Fleet != nil {
-		res.Even = run.log.Seconds(run.opt.Length)
+		res.Even = run.log.PerSecond(run.opt.Length)
 	}
 	for i, n := range run.served {
 		res.Worth += float64(n) * run.classes[i].worth
