--- a/internal/mesa/codec_test.go
+++ b/internal/simwire/codec_test.go
@@ -1,9 +1,10 @@
-package mesa
+package simwire
 
 import (
 	"bytes"
 	"encoding/binary"
 	"encoding/hex"
+	"errors"
 	"flag"
 	"fmt"
 	"io"
@@ -49,9 +50,9 @@
 	}
 }
 
-// recorded is a run of frames, each of events: a start, a list, requests, ends, and the exit. Every code and every
+// recordedFrames is a run of frames, each of events: a start, a list, requests, ends, and the exit. Every code and every
 // outcome comes, and every field other than 0.
-var recorded = [][]string{
+var recordedFrames = [][]string{
 	{
 		"78 00000003", "1e 0123456789abcdef 00000007 7b2261223a317d", "32 02 00000001 0000000000000029",
 		"46 00000001 00000003 01 0001 0002 3f800000 0a124a07 1b5b 0001 40b7d40000000000 " +
@@ -92,159 +93,198 @@
 }{balance.StatusOK: {"ok", 0}, balance.StatusError: {"error", 5}, balance.StatusOverloaded: {"full", 11}, balance.StatusTimeout: {"timeout", 110},
 	balance.StatusConnectFailed: {"connect failed", 111}, balance.StatusReset: {"reset", 104}, balance.StatusCancelled: {"cancelled", 125}, balance.StatusAbandoned: {"moot", 114}}
 
-func requestWords(r *balance.Request) string {
+func describeRequest(r *balance.Request) string {
 	return fmt.Sprintf("id %x, class %d, tenant %d, key %x, left %v, load %v, group %x, repeat %v, mid-flow %v, back %v",
 		r.ID, r.Class, r.Tenant, r.Key, r.TimeLeft, r.ExpectedLoad, r.Group, r.ClientRetry, r.MidStream, r.Reconnecting)
 }
 
-// words says all that an event holds.
-func words(t *testing.T, e *Event) string {
-	o, r := &e.Outcome, &e.Report
+// describeEvent says all that an event holds.
+func describeEvent(t *testing.T, e *Event) string {
+	o, r := &e.Result, &e.HealthCheck
 	switch e.Code {
-	case About:
+	case EventSelectInstance:
 		return fmt.Sprintf("about: relay %d", e.Instance)
-	case Configure:
-		return fmt.Sprintf("configure: seed %x, settings %q", e.Seed, e.Info)
-	case View:
+	case EventConfigure:
+		return fmt.Sprintf("configure: seed %x, settings %q", e.Seed, e.Settings)
+	case EventEndpointsUpdated:
 		kind := map[balance.EndpointUpdateKind]string{balance.UpdateDelta: "delta", balance.UpdateFull: "full", balance.UpdateCached: "cached", balance.UpdateFailed: "failed"}
-		return fmt.Sprintf("view: %s, slot %d, version %d", kind[e.Kind], e.Slot, e.Version)
-	case Inventory:
-		s := fmt.Sprintf("inventory: slot %d", e.Slot)
+		return fmt.Sprintf("view: %s, slot %d, version %d", kind[e.UpdateKind], e.ListSlot, e.ListVersion)
+	case EventEndpointList:
+		s := fmt.Sprintf("inventory: slot %d", e.ListSlot)
 		state := map[balance.BackendState]string{balance.StateRemoved: "gone", balance.StateReady: "ready", balance.StateDraining: "draining"}
-		for _, b := range e.List {
+		for _, b := range e.Backends {
 			s += fmt.Sprintf("; %x %s, zone %d, cell %d, weight %v, kind %d, ready at %v", uint64(b.ID), state[b.State], b.Zone, b.Cell, b.Weight, b.Kind, b.ReadyAt)
 		}
 		return s
-	case Call:
-		return "call: " + requestWords(&e.Request)
-	case Resumed:
-		return fmt.Sprintf("resumed: %s, at %x", requestWords(&e.Request), uint64(e.Backend))
-	case Begun:
+	case EventRequestArrived:
+		return "call: " + describeRequest(&e.Request)
+	case EventSessionAdopted:
+		return fmt.Sprintf("resumed: %s, at %x", describeRequest(&e.Request), uint64(e.Backend))
+	case EventAttemptSucceeded:
 		return fmt.Sprintf("begun: id %x, attempt %d, at %x, after %v", o.ID, o.Attempt, uint64(o.Backend), o.Latency)
-	case Note:
+	case EventLoadReported:
 		kind := map[balance.LoadSignal]string{balance.SignalConnectionLoad: "load", balance.SignalMessageDelay: "delay"}
-		return fmt.Sprintf("note: id %x, attempt %d, at %x, %s %v", o.ID, o.Attempt, uint64(e.Backend), kind[e.NoteKind], e.Value)
-	case Settled:
+		return fmt.Sprintf("note: id %x, attempt %d, at %x, %s %v", o.ID, o.Attempt, uint64(e.Backend), kind[e.Signal], e.SignalValue)
+	case EventAttemptEnded:
 		return fmt.Sprintf("settled: id %x, attempt %d, at %x, %s after %v, closed %v, load %v", o.ID, o.Attempt, uint64(o.Backend),
 			statuses[o.Status].word, o.Latency, o.Closed, o.Load)
-	case Dropped:
+	case EventClientClosed:
 		return fmt.Sprintf("dropped: id %x", o.ID)
-	case Fired:
-		return fmt.Sprintf("fired: token %d", e.Token)
-	case Probed:
+	case EventTimerFired:
+		return fmt.Sprintf("fired: token %d", e.TimerToken)
+	case EventHealthCheckDone:
 		return fmt.Sprintf("probed: %x, %s after %v, load %v", uint64(r.Backend), statuses[r.Status].word, r.Latency, r.Load)
-	case Datagram:
-		return fmt.Sprintf("datagram: from %d, %q", e.From, e.Data)
-	case Exit:
+	case EventGossipReceived:
+		return fmt.Sprintf("datagram: from %d, %q", e.Peer, e.Payload)
+	case EventExit:
 		return "exit"
 	}
 	t.Fatalf("no words for %d", e.Code)
 	return ""
 }
 
-// record writes an event as the simulator would, from what was read of it alone: what is lost in reading differs. A hint
-// without its flag and flags that nothing reads are not kept by design, so none are recorded.
-func record(t *testing.T, e *Event) []byte {
-	b := []byte{byte(e.Code)}
-	u8 := func(v uint8) { b = append(b, v) }
-	u16 := func(v uint16) { b = binary.BigEndian.AppendUint16(b, v) }
-	u32 := func(v uint32) { b = binary.BigEndian.AppendUint32(b, v) }
-	u64 := func(v uint64) { b = binary.BigEndian.AppendUint64(b, v) }
-	f64 := func(v float64) { u64(math.Float64bits(v)) }
-	ms := func(d time.Duration) { f64(float64(d) / 1e6) }
-	bit := func(on bool, v uint8) uint8 {
-		if on {
-			return v
-		}
-		return 0
+// recordWriter writes records as the simulator does.
+type recordWriter struct{ bytes []byte }
+
+func (w *recordWriter) uint8(v uint8)           { w.bytes = append(w.bytes, v) }
+func (w *recordWriter) uint16(v uint16)         { w.bytes = binary.BigEndian.AppendUint16(w.bytes, v) }
+func (w *recordWriter) uint32(v uint32)         { w.bytes = binary.BigEndian.AppendUint32(w.bytes, v) }
+func (w *recordWriter) uint64(v uint64)         { w.bytes = binary.BigEndian.AppendUint64(w.bytes, v) }
+func (w *recordWriter) float32(v float32)       { w.uint32(math.Float32bits(v)) }
+func (w *recordWriter) float64(v float64)       { w.uint64(math.Float64bits(v)) }
+func (w *recordWriter) wait(d time.Duration)    { w.float64(float64(d) / 1e6) }
+func (w *recordWriter) status(s balance.Status) { w.uint16(statuses[s].code) }
+
+func (w *recordWriter) backend(id balance.BackendID) {
+	w.uint32(uint32(id >> 16))
+	w.uint16(uint16(id))
+}
+
+func (w *recordWriter) load(values []float32) {
+	w.uint8(uint8(len(values)))
+	for _, v := range values {
+		w.float32(v)
 	}
-	backend := func(id balance.BackendID) { u32(uint32(id >> 16)); u16(uint16(id)) }
-	load := func(l []float32) {
-		u8(uint8(len(l)))
-		for _, v := range l {
-			u32(math.Float32bits(v))
+}
+
+// flag8 is the bit if on, else 0.
+func flag8(on bool, bit uint8) uint8 {
+	if on {
+		return bit
+	}
+	return 0
+}
+
+func (w *recordWriter) request(r *balance.Request) {
+	w.uint64(r.ID)
+	w.uint8(uint8(r.Class))
+	w.uint32(uint32(r.Tenant))
+	w.uint64(r.Key)
+	w.wait(r.TimeLeft)
+	w.float64(r.ExpectedLoad / 1000)
+	w.uint64(r.Group)
+	w.uint8(flag8(r.ExpectedLoad > 0, 1) | flag8(r.ClientRetry, 2) | flag8(r.MidStream, 8) | flag8(r.Reconnecting, 16))
+}
+
+func (w *recordWriter) endpoint(b *balance.Backend) {
+	w.uint8(uint8(b.State))
+	w.uint16(uint16(b.Zone))
+	w.uint16(uint16(b.Cell))
+	w.float32(float32(b.Weight))
+	w.backend(b.ID)
+	w.uint16(uint16(b.Kind))
+	w.wait(b.ReadyAt)
+}
+
+// lists writes what process and instances are told of backends, and reports whether e is such an event.
+func (w *recordWriter) lists(e *Event) bool {
+	switch e.Code {
+	case EventEndpointsUpdated:
+		w.uint8(uint8(e.UpdateKind))
+		w.uint32(e.ListSlot)
+		w.uint64(e.ListVersion)
+	case EventEndpointList:
+		w.uint32(e.ListSlot)
+		w.uint32(uint32(len(e.Backends)))
+		for i := range e.Backends {
+			w.endpoint(&e.Backends[i])
 		}
+	case EventHealthCheckDone:
+		w.status(e.HealthCheck.Status)
+		w.wait(e.HealthCheck.Latency)
+		w.backend(e.HealthCheck.Backend)
+		w.load(e.HealthCheck.Load)
+	default:
+		return false
+	}
+	return true
+}
+
+// attempts writes what becomes of requests, and reports whether e is such an event.
+func (w *recordWriter) attempts(e *Event) bool {
+	r := &e.Result
+	switch e.Code {
+	case EventRequestArrived:
+		w.request(&e.Request)
+	case EventSessionAdopted:
+		w.request(&e.Request)
+		w.backend(e.Backend)
+	case EventAttemptSucceeded:
+		w.uint64(r.ID)
+		w.wait(r.Latency)
+		w.backend(r.Backend)
+		w.uint16(uint16(r.Attempt))
+	case EventLoadReported:
+		w.uint64(r.ID)
+		w.uint16(uint16(r.Attempt))
+		w.backend(e.Backend)
+		w.uint8(uint8(e.Signal))
+		w.float32(float32(e.SignalValue))
+	case EventAttemptEnded:
+		w.uint64(r.ID)
+		w.uint16(uint16(r.Attempt))
+		w.backend(r.Backend)
+		w.status(r.Status)
+		w.wait(r.Latency)
+		w.uint8(flag8(r.Closed, 1))
+		w.load(r.Load)
+	case EventClientClosed:
+		w.uint64(r.ID)
+	default:
+		return false
 	}
-	request := func(r *balance.Request) {
-		u64(r.ID)
-		u8(uint8(r.Class))
-		u32(uint32(r.Tenant))
-		u64(r.Key)
-		ms(r.TimeLeft)
-		f64(r.ExpectedLoad / 1000)
-		u64(r.Group)
-		u8(bit(r.ExpectedLoad > 0, 1) | bit(r.ClientRetry, 2) | bit(r.MidStream, 8) | bit(r.Reconnecting, 16))
+	return true
+}
+
+// encodeEvent writes an event as the simulator would, from what was decoded of it alone: what is lost in decoding
+// differs. A hint without its flag and flags that nothing reads are not kept by design, so none are recorded.
+func encodeEvent(t *testing.T, e *Event) []byte {
+	w := &recordWriter{bytes: []byte{byte(e.Code)}}
+	if w.lists(e) || w.attempts(e) {
+		return w.bytes
 	}
-	o, r := &e.Outcome, &e.Report
 	switch e.Code {
-	case About:
-		u32(e.Instance)
-	case Configure:
-		u64(e.Seed)
-		u32(uint32(len(e.Info)))
-		b = append(b, e.Info...)
-	case View:
-		u8(uint8(e.Kind))
-		u32(e.Slot)
-		u64(e.Version)
-	case Inventory:
-		u32(e.Slot)
-		u32(uint32(len(e.List)))
-		for _, x := range e.List {
-			u8(uint8(x.State))
-			u16(uint16(x.Zone))
-			u16(uint16(x.Cell))
-			u32(math.Float32bits(float32(x.Weight)))
-			backend(x.ID)
-			u16(uint16(x.Kind))
-			ms(x.ReadyAt)
-		}
-	case Call, Resumed:
-		request(&e.Request)
-		if e.Code == Resumed {
-			backend(e.Backend)
-		}
-	case Begun:
-		u64(o.ID)
-		ms(o.Latency)
-		backend(o.Backend)
-		u16(uint16(o.Attempt))
-	case Note:
-		u64(o.ID)
-		u16(uint16(o.Attempt))
-		backend(e.Backend)
-		u8(uint8(e.NoteKind))
-		u32(math.Float32bits(float32(e.Value)))
-	case Settled:
-		u64(o.ID)
-		u16(uint16(o.Attempt))
-		backend(o.Backend)
-		u16(statuses[o.Status].code)
-		ms(o.Latency)
-		u8(bit(o.Closed, 1))
-		load(o.Load)
-	case Dropped:
-		u64(o.ID)
-	case Fired:
-		u64(e.Token)
-	case Probed:
-		u16(statuses[r.Status].code)
-		ms(r.Latency)
-		backend(r.Backend)
-		load(r.Load)
-	case Datagram:
-		u32(uint32(e.From))
-		u16(uint16(len(e.Data)))
-		b = append(b, e.Data...)
-	case Exit:
+	case EventSelectInstance:
+		w.uint32(e.Instance)
+	case EventConfigure:
+		w.uint64(e.Seed)
+		w.uint32(uint32(len(e.Settings)))
+		w.bytes = append(w.bytes, e.Settings...)
+	case EventTimerFired:
+		w.uint64(e.TimerToken)
+	case EventGossipReceived:
+		w.uint32(uint32(e.Peer))
+		w.uint16(uint16(len(e.Payload)))
+		w.bytes = append(w.bytes, e.Payload...)
+	case EventExit:
 	default:
-		t.Fatalf("no record for %d", e.Code)
+		t.Fatalf("no encoding of event code %d", e.Code)
 	}
-	return b
+	return w.bytes
 }
 
-// unhexed reads a golden file's lines of nothing but hexadecimal digits.
-func unhexed(t *testing.T, name string) (out [][]byte) {
+// readHexLines reads a golden file's lines of nothing but hexadecimal digits.
+func readHexLines(t *testing.T, name string) (out [][]byte) {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", name))
 	if err != nil {
@@ -259,20 +299,20 @@
 }
 
 // Frames of the simulator as recorded are read to the same events, and those written again are the same bytes.
-func TestCodec_Golden(t *testing.T) {
+func TestCodec_MatchesGoldenFrames(t *testing.T) {
 	if *update {
 		var all strings.Builder
-		for _, events := range recorded {
+		for _, events := range recordedFrames {
 			fmt.Fprintf(&all, "%x\n", frame(uint32(len(events)), unhex(t, strings.Join(events, " "))))
 		}
 		golden(t, "frames.txt", all.String())
 	}
-	frames := unhexed(t, "frames.txt")
-	if len(frames) != len(recorded) {
-		t.Fatalf("%d frames, %d were recorded", len(frames), len(recorded))
+	frames := readHexLines(t, "frames.txt")
+	if len(frames) != len(recordedFrames) {
+		t.Fatalf("%d frames, %d were recorded", len(frames), len(recordedFrames))
 	}
 	var out strings.Builder
-	seen := map[Code]bool{}
+	seen := map[EventCode]bool{}
 	var buf bytes.Buffer
 	stream := bytes.NewReader(slices.Concat(frames...))
 	for _, f := range frames {
@@ -287,18 +327,18 @@
 		var again []byte
 		for i := range events {
 			seen[events[i].Code] = true
-			fmt.Fprintf(&out, "%s\n", words(t, &events[i]))
-			again = append(again, record(t, &events[i])...)
+			fmt.Fprintf(&out, "%s\n", describeEvent(t, &events[i]))
+			again = append(again, encodeEvent(t, &events[i])...)
 		}
 		if again = frame(uint32(len(events)), again); !bytes.Equal(again, f) {
 			t.Errorf("written again\n%x, was\n%x", again, f)
 		}
 	}
-	if err := ReadFrame(stream, &buf); err != io.EOF {
+	if err := ReadFrame(stream, &buf); !errors.Is(err, io.EOF) || errors.Unwrap(err) != nil {
 		t.Errorf("after the last frame: %v", err)
 	}
 	golden(t, "events.txt", out.String())
-	for _, c := range []Code{Note, Fired, Configure, Dropped, View, Datagram, Inventory, Resumed, Probed, Exit, Settled, About, Call, Begun} {
+	for _, c := range []EventCode{EventLoadReported, EventTimerFired, EventConfigure, EventClientClosed, EventEndpointsUpdated, EventGossipReceived, EventEndpointList, EventSessionAdopted, EventHealthCheckDone, EventExit, EventAttemptEnded, EventSelectInstance, EventRequestArrived, EventAttemptSucceeded} {
 		if !seen[c] {
 			t.Errorf("no event %d is recorded", c)
 		}
@@ -306,9 +346,9 @@
 }
 
 // How each frame that is torn or spoilt is refused stays as it is.
-func TestCodec_GoldenRefusals(t *testing.T) {
+func TestDecoder_ErrorTextsMatchGolden(t *testing.T) {
 	var out strings.Builder
-	for i, f := range unhexed(t, "frames.txt") {
+	for i, f := range readHexLines(t, "frames.txt") {
 		for n := range f {
 			cut := slices.Clone(f[:n])
 			if n >= headerSize { // a header that is as long as it says
@@ -334,9 +374,9 @@
 	golden(t, "refusals.txt", out.String())
 }
 
-// actions has every action with figures other than 0, of two instances that take turns.
-func actions(r *Reply) {
-	a, b := Writer{r, 3}, Writer{r, 0xfffffffe}
+// writeEveryAction writes every action with figures other than 0, of two instances that take turns.
+func writeEveryAction(r *Reply) {
+	a, b := ActionWriter{r, 3}, ActionWriter{r, 0xfffffffe}
 	a.WatchEndpoints(true)
 	a.FetchEndpoints()
 	a.Send(0x98b635d3a91c4, 0x0a124a071b5b, 80*time.Millisecond)
@@ -352,13 +392,13 @@
 	a.Log("two servers known")
 	a.WatchEndpoints(false)
 	r.Fatal(9, "broken")
-	b.Log(strings.Repeat("x", maxText+1))
+	b.Log(strings.Repeat("x", maxTextSize+1))
 }
 
-// replay reads a reply's records and has each one written again.
-func replay(t *testing.T, reply []byte, to *Reply) {
+// reencodeReply reads a reply's records and has each one written again.
+func reencodeReply(t *testing.T, reply []byte, to *Reply) {
 	t.Helper()
-	records, b := binary.BigEndian.Uint32(reply), reply[replyHeader:]
+	records, b := binary.BigEndian.Uint32(reply), reply[replyHeaderSize:]
 	if n := binary.BigEndian.Uint32(reply[4:]); int(n) != len(reply) {
 		t.Fatalf("a reply of %d bytes says %d", len(reply), n)
 	}
@@ -370,7 +410,7 @@
 		return balance.BackendID(uint64(binary.BigEndian.Uint32(take(4)))<<16 | uint64(u16()))
 	}
 	to.Reset()
-	w := Writer{Reply: to}
+	w := ActionWriter{Reply: to}
 	for ; len(b) > 0; records-- {
 		switch code := take(1)[0]; code {
 		case 40:
@@ -419,24 +459,24 @@
 }
 
 // A reply has the bytes that it had, and its records written again are the same.
-func TestCodec_GoldenReply(t *testing.T) {
+func TestReply_MatchesGoldenBytes(t *testing.T) {
 	var r Reply
 	r.Reset()
-	actions(&r)
+	writeEveryAction(&r)
 	// The text that is cut to the longest is left out of the file but for its first bytes.
-	got, tail := r.Bytes(), bytes.Repeat([]byte("x"), maxText)
+	got, tail := r.Bytes(), bytes.Repeat([]byte("x"), maxTextSize)
 	short, ok := bytes.CutSuffix(got, tail)
 	if !ok {
 		t.Fatal("the long text is not at the end")
 	}
 	golden(t, "reply.txt", fmt.Sprintf("%x\nand %d times 78\n", short, len(tail)))
-	was := unhexed(t, "reply.txt")
+	was := readHexLines(t, "reply.txt")
 	if len(was) != 1 {
 		t.Fatalf("%d replies in the file", len(was))
 	}
 	whole := append(was[0], tail...)
 	var again Reply
-	replay(t, whole, &again)
+	reencodeReply(t, whole, &again)
 	if !bytes.Equal(again.Bytes(), whole) {
 		t.Error("written again the reply differs")
 	}
--- a/internal/mesa/mesa_test.go
+++ b/internal/simwire/simwire_test.go
@@ -1,4 +1,4 @@
-package mesa
+package simwire
 
 import (
 	"bytes"
@@ -23,8 +23,8 @@
 	return b
 }
 
-// The frame that the wire's page gives as its example.
-const sample = `0000005b 40c06e2000000000 00000005
+// documentedFrame is the example of the protocol's description.
+const documentedFrame = `0000005b 40c06e2000000000 00000005
 78 00000003
 82 00098b635d3a91c4 00 00000000 91f03b7c55d20a64 406e000000000000 4028000000000000 2b8e6401d9f37c10 01
 14 000000000000004d
@@ -55,19 +55,19 @@
 	return append(b, body...)
 }
 
-func TestDecodeSample(t *testing.T) {
-	got, now, err := decodeAll(unhex(t, sample))
+func TestDecoder_DecodesDocumentedFrame(t *testing.T) {
+	got, now, err := decodeAll(unhex(t, documentedFrame))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if want := 8412250 * time.Microsecond; now != want {
 		t.Errorf("clock %v, want %v", now, want)
 	}
-	var codes []Code
+	var codes []EventCode
 	for _, e := range got {
 		codes = append(codes, e.Code)
 	}
-	if want := []Code{About, Call, Fired, About, Dropped}; len(codes) != len(want) {
+	if want := []EventCode{EventSelectInstance, EventRequestArrived, EventTimerFired, EventSelectInstance, EventClientClosed}; len(codes) != len(want) {
 		t.Fatalf("codes %v, want %v", codes, want)
 	}
 	r := got[1].Request
@@ -76,33 +76,33 @@
 	if r != want {
 		t.Errorf("call %+v, want %+v", r, want)
 	}
-	if got[2].Token != 0x4d || got[4].Outcome.ID != 0x243eb0e6f2b19 {
-		t.Errorf("timer %+v, dropped %+v", got[2].Token, got[4].Outcome.ID)
+	if got[2].TimerToken != 0x4d || got[4].Result.ID != 0x243eb0e6f2b19 {
+		t.Errorf("timer %+v, dropped %+v", got[2].TimerToken, got[4].Result.ID)
 	}
 }
 
-func TestDecodeEachEvent(t *testing.T) {
+func TestDecoder_DecodesEachEvent(t *testing.T) {
 	for _, tc := range []struct {
 		name, hex string
 		check     func(e Event) bool
 	}{
 		{"begun", "8c 00098b635d3a91c4 4022800000000000 0a124a07 1b5b 0000", func(e Event) bool {
-			return e.Outcome.Latency == 9250*time.Microsecond && e.Outcome.Backend == 0x0a124a071b5b
+			return e.Result.Latency == 9250*time.Microsecond && e.Result.Backend == 0x0a124a071b5b
 		}},
 		{"note", "0a 00098b635d3a91c4 0000 0a124a07 1b5b 01 3f000000", func(e Event) bool {
-			return e.NoteKind == balance.SignalConnectionLoad && e.Value == 0.5
+			return e.Signal == balance.SignalConnectionLoad && e.SignalValue == 0.5
 		}},
 		{"settled", "6e 00098b635d3a91c4 0002 0a124a07 1b5b 006e 4032800000000000 01 01 3f000000", func(e Event) bool {
-			return e.Outcome.Status == balance.StatusTimeout && e.Outcome.Closed && e.Outcome.Attempt == 2 &&
-				len(e.Outcome.Load) == 1
+			return e.Result.Status == balance.StatusTimeout && e.Result.Closed && e.Result.Attempt == 2 &&
+				len(e.Result.Load) == 1
 		}},
 		{"probed", "5a 0000 3ff6666666666666 0a9011f2 1b84 03 3f1eb8523f0000003ecccccd", func(e Event) bool {
-			return e.Report.Backend == 0x0a9011f21b84 && len(e.Report.Load) == 3 && e.Report.Load[1] == 0.5
+			return e.HealthCheck.Backend == 0x0a9011f21b84 && len(e.HealthCheck.Load) == 3 && e.HealthCheck.Load[1] == 0.5
 		}},
-		{"datagram", "3c 00000002 0004 68692037", func(e Event) bool { return e.From == 2 && string(e.Data) == "hi 7" }},
-		{"exit", "64", func(e Event) bool { return e.Code == Exit }},
+		{"datagram", "3c 00000002 0004 68692037", func(e Event) bool { return e.Peer == 2 && string(e.Payload) == "hi 7" }},
+		{"exit", "64", func(e Event) bool { return e.Code == EventExit }},
 		{"view", "32 02 00000000 0000000000000029", func(e Event) bool {
-			return e.Kind == balance.UpdateCached && e.Version == 41
+			return e.UpdateKind == balance.UpdateCached && e.ListVersion == 41
 		}},
 		{"resumed", "50 000243eb0e6f2b19 00 00000000 91f03b7c55d20a64 406e000000000000 4028000000000000 " +
 			"2b8e6401d9f37c10 18 0a9011f2 1b84", func(e Event) bool {
@@ -110,8 +110,8 @@
 		}},
 		{"inventory", "46 00000000 00000002 01 0000 0000 3f800000 0a124a07 1b5b 0000 0000000000000000 " +
 			"02 0001 0000 3fc00000 0a9011f2 1b84 0003 40b7d40000000000", func(e Event) bool {
-			return len(e.List) == 2 && e.List[1].State == balance.StateDraining && e.List[1].Weight == 1.5 &&
-				e.List[1].ReadyAt == 6100*time.Millisecond && e.List[1].Zone == 1 && e.List[1].Kind == 3
+			return len(e.Backends) == 2 && e.Backends[1].State == balance.StateDraining && e.Backends[1].Weight == 1.5 &&
+				e.Backends[1].ReadyAt == 6100*time.Millisecond && e.Backends[1].Zone == 1 && e.Backends[1].Kind == 3
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -129,7 +129,7 @@
 	}
 }
 
-func TestDecodeRefuses(t *testing.T) {
+func TestDecoder_RejectsMalformedFrames(t *testing.T) {
 	for _, tc := range []struct {
 		name, want string
 		frame      []byte
@@ -150,7 +150,41 @@
 	}
 }
 
-func TestReadFrame(t *testing.T) {
+func TestDecoder_ErrorsCarryKindAndOffset(t *testing.T) {
+	for _, tc := range []struct {
+		name   string
+		frame  []byte
+		kind   ErrorKind
+		offset int
+		record EventCode // 0: the error is of no record
+	}{
+		{"truncated header", frame(0, nil)[:9], Truncated, 9, 0},
+		{"frame length", append(frame(1, []byte{100}), 1), BadFrameLength, 0, 0},
+		{"record count", frame(9000, []byte{100}), BadRecordCount, 12, 0},
+		{"trailing bytes", frame(1, []byte{100, 100}), TrailingBytes, 17, 0},
+		{"unknown event", frame(1, []byte{99}), UnknownEvent, 16, 0},
+		{"truncated record", frame(1, unhex(t, "14 000000")), Truncated, 17, EventTimerFired},
+		{"unknown status", frame(1, unhex(t, "5a 0007 3ff6666666666666 0a9011f2 1b84 00")), BadValue, 17, EventHealthCheckDone},
+		{"list slot", frame(1, unhex(t, "32 00 00000010 0000000000000029")), BadValue, 18, EventEndpointsUpdated},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			_, _, err := decodeAll(tc.frame)
+			var frameError *FrameError
+			if !errors.As(err, &frameError) || frameError.Kind != tc.kind || frameError.Offset != tc.offset {
+				t.Errorf("error %#v, want kind %d at offset %d", err, tc.kind, tc.offset)
+			}
+			var recordError *RecordError
+			if errors.As(err, &recordError) != (tc.record != 0) {
+				t.Fatalf("error %#v, of a record: want %v", err, tc.record != 0)
+			}
+			if recordError != nil && (recordError.Code != tc.record || recordError.Offset != headerSize) {
+				t.Errorf("record error %+v, want event code %d at offset %d", recordError, tc.record, headerSize)
+			}
+		})
+	}
+}
+
+func TestReadFrame_ReturnsWholeFramesAndRejectsTruncated(t *testing.T) {
 	var buf bytes.Buffer
 	whole := frame(1, []byte{100})
 	r := bytes.NewReader(append(bytes.Clone(whole), whole...))
@@ -163,9 +197,14 @@
 		t.Errorf("at the end: %v, want io.EOF", err)
 	}
 	for n := 1; n < len(whole); n++ {
-		if err := ReadFrame(bytes.NewReader(whole[:n]), &buf); !errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, io.EOF) {
+		err := ReadFrame(bytes.NewReader(whole[:n]), &buf)
+		if !errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, io.EOF) {
 			t.Errorf("cut to %d bytes: %v", n, err)
 		}
+		var frameError *FrameError
+		if !errors.As(err, &frameError) || frameError.Kind != Truncated || frameError.Offset != n {
+			t.Errorf("cut to %d bytes: %#v, want the kind Truncated and that offset", n, err)
+		}
 	}
 	huge := append([]byte{0xff, 0xff, 0xff, 0xff}, whole[4:]...)
 	if err := ReadFrame(bytes.NewReader(huge), &buf); err == nil || !strings.Contains(err.Error(), "offset 0") {
@@ -173,10 +212,10 @@
 	}
 }
 
-func TestReplySample(t *testing.T) {
+func TestReply_EncodesDocumentedFrame(t *testing.T) {
 	var r Reply
 	r.Reset()
-	a, b := Writer{&r, 3}, Writer{&r, 5}
+	a, b := ActionWriter{&r, 3}, ActionWriter{&r, 5}
 	a.Send(0x98b635d3a91c4, 0x0a124a071b5b, 80*time.Millisecond)
 	a.SetTimer(0x4d, 500*time.Millisecond)
 	b.Log("two servers known")
@@ -195,37 +234,37 @@
 	}
 }
 
-func TestReplyEachAction(t *testing.T) {
+func TestActionWriter_EncodesEachAction(t *testing.T) {
 	for _, tc := range []struct {
 		name, want string
-		do         func(w Writer)
+		do         func(w ActionWriter)
 	}{
-		{"cancel", "0a 00098b635d3a91c4 0001", func(w Writer) { w.Cancel(0x98b635d3a91c4, 1) }},
-		{"refuse", "1e 000243eb0e6f2b19 406f400000000000", func(w Writer) {
+		{"cancel", "0a 00098b635d3a91c4 0001", func(w ActionWriter) { w.Cancel(0x98b635d3a91c4, 1) }},
+		{"refuse", "1e 000243eb0e6f2b19 406f400000000000", func(w ActionWriter) {
 			w.Reject(0x243eb0e6f2b19, 250*time.Millisecond)
 		}},
-		{"fail", "82 000243eb0e6f2b19", func(w Writer) { w.Fail(0x243eb0e6f2b19) }},
-		{"move", "8c 000243eb0e6f2b19", func(w Writer) { w.Migrate(0x243eb0e6f2b19) }},
-		{"probe", "6e 0a9011f2 1b84", func(w Writer) { w.CheckHealth(0x0a9011f21b84) }},
-		{"release", "50 0a9011f2 1b84", func(w Writer) { w.ReleaseHealthCheck(0x0a9011f21b84) }},
-		{"tell all", "78 ffff 0004 68692037", func(w Writer) { w.SendGossip(-1, []byte("hi 7")) }},
-		{"subscribe", "64 01", func(w Writer) { w.WatchEndpoints(true) }},
-		{"unsubscribe", "64 00", func(w Writer) { w.WatchEndpoints(false) }},
-		{"fetch", "3c", func(w Writer) { w.FetchEndpoints() }},
+		{"fail", "82 000243eb0e6f2b19", func(w ActionWriter) { w.Fail(0x243eb0e6f2b19) }},
+		{"move", "8c 000243eb0e6f2b19", func(w ActionWriter) { w.Migrate(0x243eb0e6f2b19) }},
+		{"probe", "6e 0a9011f2 1b84", func(w ActionWriter) { w.CheckHealth(0x0a9011f21b84) }},
+		{"release", "50 0a9011f2 1b84", func(w ActionWriter) { w.ReleaseHealthCheck(0x0a9011f21b84) }},
+		{"tell all", "78 ffff 0004 68692037", func(w ActionWriter) { w.SendGossip(-1, []byte("hi 7")) }},
+		{"subscribe", "64 01", func(w ActionWriter) { w.WatchEndpoints(true) }},
+		{"unsubscribe", "64 00", func(w ActionWriter) { w.WatchEndpoints(false) }},
+		{"fetch", "3c", func(w ActionWriter) { w.FetchEndpoints() }},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var r Reply
 			r.Reset()
-			tc.do(Writer{&r, 1})
-			if got, want := r.Bytes()[replyHeader+5:], unhex(t, tc.want); !bytes.Equal(got, want) {
+			tc.do(ActionWriter{&r, 1})
+			if got, want := r.Bytes()[replyHeaderSize+5:], unhex(t, tc.want); !bytes.Equal(got, want) {
 				t.Errorf("%x, want %x", got, want)
 			}
 		})
 	}
 }
 
-func FuzzDecode(f *testing.F) {
-	f.Add(unhex(f, sample))
+func FuzzDecoder(f *testing.F) {
+	f.Add(unhex(f, documentedFrame))
 	f.Add(frame(1, unhex(f, "46 00000000 ffffffff")))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		var buf bytes.Buffer
