--- a/cmd/aspenlab/golden_test.go
+++ b/cmd/aspenlab/golden_test.go
@@ -16,12 +16,12 @@
 	"time"
 
 	"aspenbarrow/internal/checker"
+	"aspenbarrow/internal/fault"
 	"aspenbarrow/internal/fleet"
 	"aspenbarrow/internal/measure"
 	"aspenbarrow/internal/rehearsal"
 	"aspenbarrow/internal/report"
 	"aspenbarrow/internal/seeds"
-	"aspenbarrow/internal/trouble"
 	"aspenbarrow/internal/world"
 )
 
@@ -192,24 +192,24 @@
 	}
 }
 
-func fault(kind string, i int) trouble.Fault {
-	return trouble.Fault{Kind: kind, At: time.Duration(i+1) * time.Second, For: 2500 * time.Millisecond, Who: i + 1, Much: 0.25, Hit: []int{1, 2},
-		Link: &trouble.Link{From: trouble.Party{Kind: trouble.Relays, Who: []int{3, 7}}, To: trouble.Party{Kind: trouble.Backends, Who: []int{1}},
-			Both: true, Cut: true, Hold: true, Loss: 0.1, Double: 0.2, Reorder: 0.3, Delay: 20 * time.Millisecond, Jitter: 5 * time.Millisecond},
-		Line: 10 * (i + 1)}
+func everyFieldFault(kind string, i int) fault.Fault {
+	return fault.Fault{Kind: kind, Start: time.Duration(i+1) * time.Second, Duration: 2500 * time.Millisecond, Target: i + 1, Severity: 0.25, Targets: []int{1, 2},
+		Link: &fault.Link{From: fault.NodeSet{Kind: fault.Relays, Indexes: []int{3, 7}}, To: fault.NodeSet{Kind: fault.Backends, Indexes: []int{1}},
+			Bidirectional: true, Partitioned: true, Buffered: true, LossRate: 0.1, DuplicateRate: 0.2, ReorderRate: 0.3, Delay: 20 * time.Millisecond, Jitter: 5 * time.Millisecond},
+		ScriptLine: 10 * (i + 1)}
 }
 
 func TestFaultScript_Golden(t *testing.T) {
-	var script []trouble.Fault
+	var script []fault.Fault
 	for i, k := range rehearsal.Kinds() {
-		script = append(script, fault(k, i))
+		script = append(script, everyFieldFault(k, i))
 	}
 	full(t, "script", reflect.ValueOf(script))
 	text, err := json.MarshalIndent(script, "", " ")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var kept []trouble.Fault
+	var kept []fault.Fault
 	again(t, golden(t, "faults.golden.json", append(text, '\n')), " ", &kept)
 	if !reflect.DeepEqual(kept, script) {
 		t.Errorf("%+v", kept)
@@ -217,7 +217,7 @@
 	golden(t, "faults.golden.txt", []byte(seeds.Script(kept)))
 
 	// What seeds --script takes of it.
-	var played []trouble.Fault
+	var played []fault.Fault
 	for _, f := range kept {
 		if slices.Contains(world.Kinds(), f.Kind) {
 			played = append(played, f)
@@ -242,7 +242,7 @@
 	}
 	for _, p := range paths {
 		f := seedsFlags{script: p}
-		if err := f.options(); err != nil || len(f.opt.Script) == 0 || f.opt.Script[0].At == 0 || f.opt.Script[0].Much == 0 {
+		if err := f.options(); err != nil || len(f.opt.Script) == 0 || f.opt.Script[0].Start == 0 || f.opt.Script[0].Severity == 0 {
 			t.Errorf("%s: %v, %+v", p, err, f.opt.Script)
 		}
 	}
@@ -257,7 +257,7 @@
 func outcome(program string) rehearsal.Outcome {
 	return rehearsal.Outcome{Script: "a <bad> day & night", Seed: 1<<63 + 1, Whole: 0.9, WorstTen: 0.7, WorstAt: 3, Classes: map[string]float64{"fetch": 0.8, "submit": 0.85, "watch": 0.95},
 		Seconds: []world.Second{service, service}, Evenness: []measure.Second{second}, Counts: map[string]int{"attempt": 9, "moved": 2}, Program: program,
-		Faults:  []fleet.Effect{{Fault: fault("relays paused", 4), Began: 2 * time.Second, Ended: 5 * time.Second, Did: map[string]int{"struck": 3}}},
+		Faults:  []fleet.Effect{{Fault: everyFieldFault("relays paused", 4), Began: 2 * time.Second, Ended: 5 * time.Second, Did: map[string]int{"struck": 3}}},
 		Waits:   &fleet.Waits{Count: 7, P50: 1.5, P99: 120, P999: 180.5, Max: 200},
 		Rates:   &fleet.Rates{Probes: 1.5, ProbesOne: 2, Handshakes: 3.5, HandshakeOne: 4, Datagrams: 5.5, DatagramOne: 6, Calls: 7.5},
 		Usage:   &fleet.Usage{CPUMedian: 0.25, CPUMost: 0.75, MemMedian: 1 << 24, MemMost: 1 << 25},
@@ -323,7 +323,7 @@
 	}{
 		measure.Summary{Spread: spread, Mean: 0.5, Hashing: 0.2, Even: 0.05, Ratio: 0.55, Worst: 0.6, Lowest: 0.3, Idle: 1.25, Herd: 1.5, HerdHash: 1.75},
 		[]rehearsal.Cell{{Script: "s", Policy: "hash", Whole: 0.9, Ten: 0.8, Diff: -0.01, Bound: 0.005, Broken: 1, Need: 12}},
-		world.Result{Seed: 9, Relays: 2, Backends: 3, Clients: 4, Faults: []world.Fault{fault("relay killed", 1)},
+		world.Result{Seed: 9, Relays: 2, Backends: 3, Clients: 4, Faults: []world.Fault{everyFieldFault("relay killed", 1)},
 			Broken: []checker.Broken{{Rule: "drain", At: 3 * time.Second, Text: "sent late"}}, Counts: o.Counts, Pairs: map[string]int{"a + b": 2}, Worth: 5.5,
 			Asked: 6, Refused: 7, Failed: 8, Attempts: 10, Steps: 11, Service: o.Seconds, ByClass: o.Seconds, Even: o.Evenness},
 		fleet.Result{Program: "a", Seed: 9, Ready: time.Second, Service: o.Seconds, Evenness: o.Evenness, Faults: o.Faults, Broken: o.Broken, Counts: o.Counts,
--- a/internal/fleet/backends.go
+++ b/internal/fleet/backends.go
@@ -20,8 +20,8 @@
 
 	"aspenbarrow/internal/checker"
 	"aspenbarrow/internal/emulator"
+	"aspenbarrow/internal/fault"
 	"aspenbarrow/internal/measure"
-	"aspenbarrow/internal/trouble"
 )
 
 type backend struct {
@@ -251,7 +251,7 @@
 
 func (b *backend) accepted(c *net.TCPConn, relay int) {
 	r := b.rig
-	from, here := party{trouble.Relays, relay}, party{trouble.Backends, b.number}
+	from, here := party{fault.Relays, relay}, party{fault.Backends, b.number}
 	late, ok := r.ways.opens(from, here)
 	if !ok {
 		_ = c.SetLinger(0)
--- a/internal/fleet/clients.go
+++ b/internal/fleet/clients.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"aspenbarrow/internal/checker"
-	"aspenbarrow/internal/trouble"
+	"aspenbarrow/internal/fault"
 	"aspenbarrow/internal/world"
 )
 
@@ -245,7 +245,7 @@
 	if n < 0 {
 		return 500 * time.Millisecond
 	}
-	us, relay := party{trouble.Clients, n}, party{trouble.Relays, n}
+	us, relay := party{fault.Clients, n}, party{fault.Relays, n}
 	late, ok := r.ways.opens(us, relay)
 	if !ok {
 		wait(ctx, time.Second)
--- a/internal/fleet/discovery.go
+++ b/internal/fleet/discovery.go
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"aspenbarrow/internal/trouble"
+	"aspenbarrow/internal/fault"
 )
 
 // entry is one backend in an agent's list.
@@ -146,7 +146,7 @@
 	}
 	r, ctx := c.rig, q.Context()
 	r.counted(a.relay, &r.tally.calls)
-	relay, discovery := party{trouble.Relays, a.relay}, party{trouble.Discovery, a.relay}
+	relay, discovery := party{fault.Relays, a.relay}, party{fault.Discovery, a.relay}
 	if !r.ways.stream(ctx, relay, discovery) {
 		return
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -27,8 +27,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"aspenbarrow/internal/checker"
+	"aspenbarrow/internal/fault"
 	"aspenbarrow/internal/measure"
-	"aspenbarrow/internal/trouble"
 	"aspenbarrow/internal/world"
 )
 
@@ -43,7 +43,7 @@
 	Seed    uint64
 	Length  time.Duration
 	Fleet   world.Fleet
-	Script  []trouble.Fault
+	Script  []fault.Fault
 	Look    func(v *View) // called now and then while the run takes its course; nil: nobody looks
 	Keep    string        // a folder for the relays' files; empty: a temporary one that is removed
 }
@@ -67,7 +67,7 @@
 
 // Effect is what a fault really did.
 type Effect struct {
-	trouble.Fault
+	fault.Fault
 	Began time.Duration  `json:"began_ns"`
 	Ended time.Duration  `json:"ended_ns"`
 	Did   map[string]int `json:"did"`
@@ -255,7 +255,7 @@
 }
 
 // Check says what of a script this rig can't do.
-func Check(f *trouble.Fault) error {
+func Check(f *fault.Fault) error {
 	if _, ok := kinds[f.Kind]; !ok {
 		return fmt.Errorf("processes can't play %q", f.Kind)
 	}
@@ -339,17 +339,17 @@
 	}
 	for i := range res.Faults {
 		if len(res.Faults[i].Did) == 0 {
-			err = errors.Join(err, fmt.Errorf("%s: the fault %q at %v did nothing", where(&res.Faults[i].Fault), res.Faults[i].Kind, res.Faults[i].At))
+			err = errors.Join(err, fmt.Errorf("%s: the fault %q at %v did nothing", where(&res.Faults[i].Fault), res.Faults[i].Kind, res.Faults[i].Start))
 		}
 	}
 	return res, err
 }
 
-func where(f *trouble.Fault) string {
-	if f.Line == 0 {
+func where(f *fault.Fault) string {
+	if f.ScriptLine == 0 {
 		return "script"
 	}
-	return fmt.Sprintf("script line %d", f.Line)
+	return fmt.Sprintf("script line %d", f.ScriptLine)
 }
 
 // build opens the rig's sockets and sets up what stands around the relays.
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -15,8 +15,8 @@
 	"time"
 
 	"aspenbarrow/internal/emulator"
+	"aspenbarrow/internal/fault"
 	"aspenbarrow/internal/measure"
-	"aspenbarrow/internal/trouble"
 	"aspenbarrow/internal/world"
 )
 
@@ -90,7 +90,7 @@
 	for _, tc := range []struct {
 		name   string
 		change func(f *world.Fleet)
-		script []trouble.Fault
+		script []fault.Fault
 		from   int     // second from which it is measured
 		most   float64 // of the deviation over the other fleet's
 		hard   float64 // the other fleet's deviation at least
@@ -100,7 +100,7 @@
 		{name: "one relay has a fifth of the traffic", from: 8, most: 0.75, hard: 0.12, change: func(f *world.Fleet) { f.HotRelay = 0.2 }},
 		{name: "one key has a fifth of the traffic", from: 8, most: 0.5, hard: 0.4, change: func(f *world.Fleet) { f.HotKey = 0.2 }},
 		{name: "half of the relays die, their clients return at once", from: 10, most: 0.8, hard: 0.12,
-			script: []trouble.Fault{{Kind: "relays die together", At: 8 * time.Second, For: 4 * time.Second, Hit: half}}},
+			script: []fault.Fault{{Kind: "relays die together", Start: 8 * time.Second, Duration: 4 * time.Second, Targets: half}}},
 		{name: "sizes of one and three that no list tells", from: 8, most: 0.6, hard: 0.3, change: func(f *world.Fleet) { f.Sizes = []float64{0.5, 1.5} }},
 		{name: "half of the reports late", from: 8, most: 0.8, hard: 0.12, change: func(f *world.Fleet) { f.LateShare, f.LateBy = 0.5, 2*time.Second }},
 	} {
@@ -140,10 +140,10 @@
 func TestAWayThatIsLongIsNoTrouble(t *testing.T) {
 	t.Parallel()
 	// Up after four times the delay: the opening's way there and back, the line's and its answer's.
-	far := &trouble.Link{From: trouble.Party{Kind: trouble.Relays}, To: trouble.Party{Kind: trouble.Backends}, Both: true, Delay: 52 * time.Millisecond}
+	far := &fault.Link{From: fault.NodeSet{Kind: fault.Relays}, To: fault.NodeSet{Kind: fault.Backends}, Bidirectional: true, Delay: 52 * time.Millisecond}
 	fleet := small(10, 8, 120)
 	fleet.Stay = [2]time.Duration{time.Second, 3 * time.Second}
-	res := play(t, Options{Length: 15 * time.Second, Fleet: fleet, Script: []trouble.Fault{{Kind: "link", At: time.Second, For: 13 * time.Second, Link: far}}})
+	res := play(t, Options{Length: 15 * time.Second, Fleet: fleet, Script: []fault.Fault{{Kind: "link", Start: time.Second, Duration: 13 * time.Second, Link: far}}})
 	t.Logf("%d served, %d refused, %d failed", res.Counts["served"], res.Counts["refused"], res.Counts["failed"])
 	if served, refused := res.Counts["served"], res.Counts["refused"]; served < 500 || 2*refused > served {
 		t.Errorf("%d refused beside %d served, though all backends are well", refused, served)
@@ -153,8 +153,8 @@
 // A backend that fails at once holds nothing and says that it is empty. It must not draw what others would get.
 func TestABrokenBackendThatLooksEmptyDrawsNoHerd(t *testing.T) {
 	t.Parallel()
-	res := play(t, Options{Length: 15 * time.Second, Fleet: small(40, 12, 360), Script: []trouble.Fault{
-		{Kind: "backends failing fast", At: 4 * time.Second, For: 10 * time.Second, Hit: []int{5}, Much: 1}}})
+	res := play(t, Options{Length: 15 * time.Second, Fleet: small(40, 12, 360), Script: []fault.Fault{
+		{Kind: "backends failing fast", Start: 4 * time.Second, Duration: 10 * time.Second, Targets: []int{5}, Severity: 1}}})
 	others := 0
 	for i, n := range res.Attempts {
 		if i != 5 {
@@ -173,8 +173,8 @@
 // Empty backends that join fill up without being pushed over.
 func TestEmptyBackendsFillWithoutFalling(t *testing.T) {
 	t.Parallel()
-	res := play(t, Options{Length: 28 * time.Second, Fleet: small(30, 10, 300), Script: []trouble.Fault{
-		{Kind: "backends start", At: 5 * time.Second, For: 20 * time.Second, Much: 0.4}}})
+	res := play(t, Options{Length: 28 * time.Second, Fleet: small(30, 10, 300), Script: []fault.Fault{
+		{Kind: "backends start", Start: 5 * time.Second, Duration: 20 * time.Second, Severity: 0.4}}})
 	last := res.Evenness[len(res.Evenness)-1]
 	t.Logf("%+v %v", last.Loads, res.Counts["cold backend fell over"])
 	if res.Counts["cold backend fell over"] != 0 {
@@ -189,81 +189,81 @@
 
 // What each kind of fault really does, between processes that serve.
 func TestFaultsDoWhatTheySay(t *testing.T) {
-	all := func(kind string) trouble.Party { return trouble.Party{Kind: kind} }
-	some := func(kind string, who ...int) trouble.Party { return trouble.Party{Kind: kind, Who: who} }
+	all := func(kind fault.NodeKind) fault.NodeSet { return fault.NodeSet{Kind: kind} }
+	some := func(kind fault.NodeKind, who ...int) fault.NodeSet { return fault.NodeSet{Kind: kind, Indexes: who} }
 	for _, tc := range []struct {
 		name  string
-		fault trouble.Fault
+		fault fault.Fault
 		did   string // has to be among what it did
 		least int
 		check func(t *testing.T, res Result)
 	}{
-		{"relays paused", trouble.Fault{Kind: "relays paused", Hit: []int{0, 1}}, "struck", 2, func(t *testing.T, res Result) {
+		{"relays paused", fault.Fault{Kind: "relays paused", Targets: []int{0, 1}}, "struck", 2, func(t *testing.T, res Result) {
 			if service(res, 9, 11) < 0.95 {
 				t.Errorf("service %.3f after the pause", service(res, 9, 11))
 			}
 		}},
-		{"relays killed", trouble.Fault{Kind: "relays die together", Hit: []int{0, 1, 2}}, "struck", 3, func(t *testing.T, res Result) {
+		{"relays killed", fault.Fault{Kind: "relays die together", Targets: []int{0, 1, 2}}, "struck", 3, func(t *testing.T, res Result) {
 			if res.Counts["connection lost"] == 0 {
 				t.Error("nobody lost a connection")
 			}
 		}},
-		{"relays leave", trouble.Fault{Kind: "relays leave", Hit: []int{0, 1}}, "struck", 2, func(t *testing.T, res Result) {
+		{"relays leave", fault.Fault{Kind: "relays leave", Targets: []int{0, 1}}, "struck", 2, func(t *testing.T, res Result) {
 			if res.Counts["moved"] == 0 || res.Counts["connection lost"] > 0 {
 				t.Errorf("%d moved, %d connections lost", res.Counts["moved"], res.Counts["connection lost"])
 			}
 		}},
-		{"relays to backends one way", trouble.Fault{Kind: "link", Link: &trouble.Link{From: some(trouble.Relays, 0, 1), To: all(trouble.Backends), Cut: true}}, "held", 5, nil},
-		{"backends to relays one way", trouble.Fault{Kind: "link", Link: &trouble.Link{From: all(trouble.Backends), To: some(trouble.Relays, 0), Cut: true}}, "held", 3, nil},
-		{"slow way to clients", trouble.Fault{Kind: "link", Link: &trouble.Link{From: all(trouble.Relays), To: all(trouble.Clients), Delay: 200 * time.Millisecond}}, "delayed", 50,
+		{"relays to backends one way", fault.Fault{Kind: "link", Link: &fault.Link{From: some(fault.Relays, 0, 1), To: all(fault.Backends), Partitioned: true}}, "held", 5, nil},
+		{"backends to relays one way", fault.Fault{Kind: "link", Link: &fault.Link{From: all(fault.Backends), To: some(fault.Relays, 0), Partitioned: true}}, "held", 3, nil},
+		{"slow way to clients", fault.Fault{Kind: "link", Link: &fault.Link{From: all(fault.Relays), To: all(fault.Clients), Delay: 200 * time.Millisecond}}, "delayed", 50,
 			func(t *testing.T, res Result) {
 				if s := service(res, 5, 7); s > 0.5 {
 					t.Errorf("service %.3f though every line is late", s)
 				}
 			}},
 		// Nobody waits so long: each of these requests is given up before its line is there.
-		{"way to backends slower than clients wait", trouble.Fault{Kind: "link", Link: &trouble.Link{From: some(trouble.Relays, 0, 1), To: all(trouble.Backends), Delay: 4 * time.Second}}, "delayed", 5, nil},
-		{"lossy way to backends", trouble.Fault{Kind: "link", Link: &trouble.Link{From: all(trouble.Relays), To: all(trouble.Backends), Both: true, Loss: 0.3}}, "datagrams lost", 20, nil},
-		{"discovery held", trouble.Fault{Kind: "list out", Hit: []int{0, 1, 2}}, "struck", 3, nil},
-		{"backends vanish", trouble.Fault{Kind: "backends vanished", Hit: []int{1}}, "struck", 1, func(t *testing.T, res Result) {
+		{"way to backends slower than clients wait", fault.Fault{Kind: "link", Link: &fault.Link{From: some(fault.Relays, 0, 1), To: all(fault.Backends), Delay: 4 * time.Second}}, "delayed", 5, nil},
+		{"lossy way to backends", fault.Fault{Kind: "link", Link: &fault.Link{From: all(fault.Relays), To: all(fault.Backends), Bidirectional: true, LossRate: 0.3}}, "datagrams lost", 20, nil},
+		{"discovery held", fault.Fault{Kind: "list out", Targets: []int{0, 1, 2}}, "struck", 3, nil},
+		{"backends vanish", fault.Fault{Kind: "backends vanished", Targets: []int{1}}, "struck", 1, func(t *testing.T, res Result) {
 			// Back and cold under its old name it may get what relays take it for warm for, and fall over.
 			last := res.Evenness[len(res.Evenness)-1].Loads[1]
 			if during := res.Evenness[5].Loads[1]; during != -1 || last < 0 && res.Counts["cold backend fell over"] == 0 {
 				t.Errorf("its load is %v and then %v", during, last)
 			}
 		}},
-		{"backends die", trouble.Fault{Kind: "backends die", Hit: []int{1}}, "struck", 1, nil},
-		{"backends pause", trouble.Fault{Kind: "backends paused", Hit: []int{1}}, "struck", 1, nil},
-		{"relays start late", trouble.Fault{Kind: "relays start late", Hit: []int{0, 1, 2, 3}}, "struck", 4, func(t *testing.T, res Result) {
+		{"backends die", fault.Fault{Kind: "backends die", Targets: []int{1}}, "struck", 1, nil},
+		{"backends pause", fault.Fault{Kind: "backends paused", Targets: []int{1}}, "struck", 1, nil},
+		{"relays start late", fault.Fault{Kind: "relays start late", Targets: []int{0, 1, 2, 3}}, "struck", 4, func(t *testing.T, res Result) {
 			if s := service(res, 2, 12); s < 0.9 {
 				t.Errorf("service %.3f", s)
 			}
 		}},
-		{"rolling restart", trouble.Fault{Kind: "rolling restart", Hit: []int{0, 1, 2}}, "struck", 3, nil},
-		{"datagrams held and let go", trouble.Fault{Kind: "link", Link: &trouble.Link{From: some(trouble.Relays, 0), To: all(trouble.Backends), Hold: true}}, "held", 1, nil},
-		{"clients cut from a relay", trouble.Fault{Kind: "link", Link: &trouble.Link{From: all(trouble.Clients), To: some(trouble.Relays, 0, 1), Cut: true}}, "held", 1, nil},
-		{"list differs", trouble.Fault{Kind: "list differs", Hit: []int{0, 1}}, "struck", 2, nil},
-		{"list late", trouble.Fault{Kind: "list late", Much: 0.2}, "struck", 8, nil},
-		{"burst", trouble.Fault{Kind: "burst", Much: 0.5}, "struck", 40, func(t *testing.T, res Result) {
+		{"rolling restart", fault.Fault{Kind: "rolling restart", Targets: []int{0, 1, 2}}, "struck", 3, nil},
+		{"datagrams held and let go", fault.Fault{Kind: "link", Link: &fault.Link{From: some(fault.Relays, 0), To: all(fault.Backends), Buffered: true}}, "held", 1, nil},
+		{"clients cut from a relay", fault.Fault{Kind: "link", Link: &fault.Link{From: all(fault.Clients), To: some(fault.Relays, 0, 1), Partitioned: true}}, "held", 1, nil},
+		{"list differs", fault.Fault{Kind: "list differs", Targets: []int{0, 1}}, "struck", 2, nil},
+		{"list late", fault.Fault{Kind: "list late", Severity: 0.2}, "struck", 8, nil},
+		{"burst", fault.Fault{Kind: "burst", Severity: 0.5}, "struck", 40, func(t *testing.T, res Result) {
 			if a, b := res.Evenness[3].Mean, res.Evenness[5].Mean; b < 1.2*a {
 				t.Errorf("load %.2f, in the burst %.2f", a, b)
 			}
 		}},
-		{"backends slow", trouble.Fault{Kind: "backends slow", Hit: []int{2}, Much: 0.5}, "struck", 1, nil},
-		{"backends reset", trouble.Fault{Kind: "backends resetting", Hit: []int{2}, Much: 0.5}, "struck", 1, nil},
-		{"backends full", trouble.Fault{Kind: "backends full", Hit: []int{2}, Much: 0.5}, "struck", 1, nil},
-		{"backends drain", trouble.Fault{Kind: "backends drain", Hit: []int{2}}, "struck", 1, func(t *testing.T, res Result) {
+		{"backends slow", fault.Fault{Kind: "backends slow", Targets: []int{2}, Severity: 0.5}, "struck", 1, nil},
+		{"backends reset", fault.Fault{Kind: "backends resetting", Targets: []int{2}, Severity: 0.5}, "struck", 1, nil},
+		{"backends full", fault.Fault{Kind: "backends full", Targets: []int{2}, Severity: 0.5}, "struck", 1, nil},
+		{"backends drain", fault.Fault{Kind: "backends drain", Targets: []int{2}}, "struck", 1, func(t *testing.T, res Result) {
 			if res.Counts["moved"] == 0 {
 				t.Error("nobody was moved off")
 			}
 		}},
-		{"zone cut off", trouble.Fault{Kind: "zone cut off", Much: 0.2}, "struck", 3, nil},
+		{"zone cut off", fault.Fault{Kind: "zone cut off", Severity: 0.2}, "struck", 3, nil},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			f := tc.fault
-			f.At, f.For = 4*time.Second, 3*time.Second
-			res := play(t, Options{Length: 12 * time.Second, Fleet: small(8, 6, 80), Script: []trouble.Fault{f}})
+			f.Start, f.Duration = 4*time.Second, 3*time.Second
+			res := play(t, Options{Length: 12 * time.Second, Fleet: small(8, 6, 80), Script: []fault.Fault{f}})
 			if got := res.Faults[0]; got.Did[tc.did] < tc.least || got.Began < 3900*time.Millisecond || got.Ended < got.Began+2*time.Second {
 				t.Errorf("it did %v from %v to %v", got.Did, got.Began, got.Ended)
 			}
@@ -276,8 +276,8 @@
 
 func TestAFaultWithoutEffectIsAnError(t *testing.T) {
 	t.Parallel()
-	_, err := Run(context.Background(), Options{Program: program, Seed: 1, Length: 3 * time.Second, Fleet: small(2, 3, 6), Script: []trouble.Fault{
-		{Kind: "link", At: time.Second, For: time.Second, Line: 17, Link: &trouble.Link{From: trouble.Party{Kind: trouble.Relays}, To: trouble.Party{Kind: trouble.Relays}, Loss: 1}}}})
+	_, err := Run(context.Background(), Options{Program: program, Seed: 1, Length: 3 * time.Second, Fleet: small(2, 3, 6), Script: []fault.Fault{
+		{Kind: "link", Start: time.Second, Duration: time.Second, ScriptLine: 17, Link: &fault.Link{From: fault.NodeSet{Kind: fault.Relays}, To: fault.NodeSet{Kind: fault.Relays}, LossRate: 1}}}})
 	if err == nil || !strings.Contains(err.Error(), "line 17") || !strings.Contains(err.Error(), "did nothing") {
 		t.Errorf("a cut where nothing passes: %v", err)
 	}
@@ -299,7 +299,7 @@
 		{"no program", Options{Program: filepath.Join(t.TempDir(), "none"), Fleet: small(2, 2, 4)}, "no such file"},
 		{"not executable", Options{Program: t.TempDir(), Fleet: small(2, 2, 4)}, "cannot be executed"},
 		{"it does not start", Options{Program: script, Fleet: small(2, 2, 4)}, "no such limit"},
-		{"unknown fault", Options{Program: program, Fleet: small(2, 2, 4), Script: []trouble.Fault{{Kind: "shared dependency slow"}}}, "can't play"},
+		{"unknown fault", Options{Program: program, Fleet: small(2, 2, 4), Script: []fault.Fault{{Kind: "shared dependency slow"}}}, "can't play"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if tc.name == "memory" && availableKB() > int64(maxRelays)*24<<10 {
@@ -363,7 +363,7 @@
 		ended := make(chan error, 1)
 		go func() {
 			_, err := Run(ctx, Options{Program: p, Seed: 1, Length: time.Minute, Fleet: small(6, 3, 12),
-				Script: []trouble.Fault{{Kind: "relays paused", At: 100 * time.Millisecond, For: 30 * time.Second, Hit: []int{1, 2}}}})
+				Script: []fault.Fault{{Kind: "relays paused", Start: 100 * time.Millisecond, Duration: 30 * time.Second, Targets: []int{1, 2}}}})
 			ended <- err
 		}()
 		await(t, "six relays do not run", func() bool { return len(left(t, p)) == 6 })
@@ -454,9 +454,9 @@
 
 func TestDatagramsOnTheirWay(t *testing.T) {
 	w := newWays(1)
-	a, b := party{trouble.Relays, 1}, party{trouble.Relays, 2}
-	count := func(l trouble.Link) (arrived, late int, did map[string]int) {
-		l.From, l.To = trouble.Party{Kind: trouble.Relays, Who: []int{1}}, trouble.Party{Kind: trouble.Relays}
+	a, b := party{fault.Relays, 1}, party{fault.Relays, 2}
+	count := func(l fault.Link) (arrived, late int, did map[string]int) {
+		l.From, l.To = fault.NodeSet{Kind: fault.Relays, Indexes: []int{1}}, fault.NodeSet{Kind: fault.Relays}
 		d := &deeds{}
 		end := w.begin(&l, d)
 		defer end()
@@ -474,16 +474,16 @@
 		}
 		return arrived, late, d.counts()
 	}
-	if n, _, did := count(trouble.Link{Cut: true}); n != 0 || did["datagrams lost"] != 1000 {
+	if n, _, did := count(fault.Link{Partitioned: true}); n != 0 || did["datagrams lost"] != 1000 {
 		t.Errorf("a cut let %d pass: %v", n, did)
 	}
-	if n, _, _ := count(trouble.Link{Loss: 0.2}); n < 750 || n > 850 {
+	if n, _, _ := count(fault.Link{LossRate: 0.2}); n < 750 || n > 850 {
 		t.Errorf("%d of 1000 at a loss of a fifth", n)
 	}
-	if n, _, did := count(trouble.Link{Double: 0.1}); n < 1070 || n > 1130 || did["datagrams doubled"] != n-1000 {
+	if n, _, did := count(fault.Link{DuplicateRate: 0.1}); n < 1070 || n > 1130 || did["datagrams doubled"] != n-1000 {
 		t.Errorf("%d of 1000, a tenth doubled: %v", n, did)
 	}
-	if n, late, _ := count(trouble.Link{Reorder: 0.3}); n != 1000 || late < 250 || late > 350 {
+	if n, late, _ := count(fault.Link{ReorderRate: 0.3}); n != 1000 || late < 250 || late > 350 {
 		t.Errorf("%d, %d late", n, late)
 	}
 	if times, held := w.datagram(a, b); len(times) != 1 || held != nil {
@@ -503,8 +503,8 @@
 			t.Parallel()
 			f := small(40, 12, 360)
 			f.Stay, f.ConnectTimeout = [2]time.Duration{2 * time.Second, 6 * time.Second}, tc.connect
-			res := play(t, Options{Length: 20 * time.Second, Fleet: f, Script: []trouble.Fault{
-				{Kind: "backends failing fast", At: 4 * time.Second, For: 14 * time.Second, Hit: []int{2, 5, 9}, Much: 0.3}}})
+			res := play(t, Options{Length: 20 * time.Second, Fleet: f, Script: []fault.Fault{
+				{Kind: "backends failing fast", Start: 4 * time.Second, Duration: 14 * time.Second, Targets: []int{2, 5, 9}, Severity: 0.3}}})
 			lost, asked, errs := res.Counts["failed submit"], res.Counts["request submit"], res.Counts["backend said ERR"]
 			t.Logf("%d of %d that may not be repeated failed, %d errors in all, attempts %v", lost, asked, errs, res.Attempts)
 			if asked < 300 || errs < 50 {
@@ -523,9 +523,9 @@
 	t.Parallel()
 	f := small(60, 10, 300)
 	f.Stay = [2]time.Duration{4 * time.Second, 12 * time.Second}
-	res := play(t, Options{Length: 14 * time.Second, Fleet: f, Script: []trouble.Fault{
-		{Kind: "backends start", At: 4 * time.Second, For: 9 * time.Second, Much: 0.5},
-		{Kind: "backends drain", At: 4500 * time.Millisecond, For: 9 * time.Second, Hit: []int{0, 1, 2, 3, 4}}}})
+	res := play(t, Options{Length: 14 * time.Second, Fleet: f, Script: []fault.Fault{
+		{Kind: "backends start", Start: 4 * time.Second, Duration: 9 * time.Second, Severity: 0.5},
+		{Kind: "backends drain", Start: 4500 * time.Millisecond, Duration: 9 * time.Second, Targets: []int{0, 1, 2, 3, 4}}}})
 	sent := res.Counts["sent to a cold backend"]
 	loads := res.Evenness[11].Loads
 	t.Logf("%d calls to cold backends, %d fell over; loads after seven seconds %.2f; service %.3f", sent, res.Counts["cold backend fell over"], loads, service(res, 6, 13))
@@ -559,9 +559,9 @@
 					half = append(half, i)
 				}
 			}
-			res := play(t, Options{Length: 16 * time.Second, Fleet: f, Script: []trouble.Fault{
-				{Kind: "backends start", At: 4 * time.Second, For: 12 * time.Second, Much: float64(started) / backends},
-				{Kind: "relays die together", At: 6 * time.Second, For: time.Second, Hit: half}}})
+			res := play(t, Options{Length: 16 * time.Second, Fleet: f, Script: []fault.Fault{
+				{Kind: "backends start", Start: 4 * time.Second, Duration: 12 * time.Second, Severity: float64(started) / backends},
+				{Kind: "relays die together", Start: 6 * time.Second, Duration: time.Second, Targets: half}}})
 			sent := res.Counts["sent to a cold backend"]
 			t.Logf("%d calls to cold backends, fell over %d, attempts %v", sent, res.Counts["cold backend fell over"], res.Attempts)
 			if res.Counts["cold backend fell over"] != 0 {
--- a/internal/fleet/links.go
+++ b/internal/fleet/links.go
@@ -10,7 +10,7 @@
 	"sync/atomic"
 	"time"
 
-	"aspenbarrow/internal/trouble"
+	"aspenbarrow/internal/fault"
 )
 
 // retransmission is what a lost segment costs a stream, and a lost opening one that comes up late.
@@ -21,13 +21,13 @@
 
 // party is one end of a way.
 type party struct {
-	kind string
+	kind fault.NodeKind
 	who  int
 }
 
 // active is a fault on ways, in force.
 type active struct {
-	link *trouble.Link
+	link *fault.Link
 	over chan struct{} // closed at its end
 	did  *deeds
 }
@@ -67,7 +67,7 @@
 	return w
 }
 
-func (w *ways) begin(l *trouble.Link, did *deeds) (end func()) {
+func (w *ways) begin(l *fault.Link, did *deeds) (end func()) {
 	a := &active{link: l, over: make(chan struct{}), did: did}
 	w.mu.Lock()
 	w.now = append(w.now, a)
@@ -96,7 +96,7 @@
 	defer w.mu.RUnlock()
 	var out []*active
 	for _, a := range w.now {
-		if a.link.Touches(from.kind, from.who, to.kind, to.who) {
+		if a.link.Affects(from.kind, from.who, to.kind, to.who) {
 			out = append(out, a)
 		}
 	}
@@ -128,7 +128,7 @@
 		late := time.Duration(0)
 		var cut *active
 		for _, a := range w.met(from, to) {
-			if a.link.Cut || a.link.Hold {
+			if a.link.Partitioned || a.link.Buffered {
 				cut = a
 				break
 			}
@@ -136,7 +136,7 @@
 				a.did.delayed.Add(1)
 				late += d
 			}
-			if w.chance(a.link.Loss) {
+			if w.chance(a.link.LossRate) {
 				a.did.lost.Add(1)
 				late += retransmission
 			}
@@ -161,12 +161,12 @@
 func (w *ways) opens(from, to party) (late time.Duration, ok bool) {
 	for _, d := range [2][2]party{{from, to}, {to, from}} {
 		for _, a := range w.met(d[0], d[1]) {
-			if a.link.Cut || a.link.Hold {
+			if a.link.Partitioned || a.link.Buffered {
 				a.did.refused.Add(1)
 				return 0, false
 			}
 			late += a.link.Delay
-			if w.chance(a.link.Loss) {
+			if w.chance(a.link.LossRate) {
 				a.did.delayed.Add(1)
 				late += reopening
 			}
@@ -180,19 +180,19 @@
 	late = []time.Duration{0}
 	for _, a := range w.met(from, to) {
 		switch l := a.link; {
-		case l.Cut, w.chance(l.Loss):
+		case l.Partitioned, w.chance(l.LossRate):
 			a.did.lost.Add(1)
 			return nil, nil
-		case l.Hold:
+		case l.Buffered:
 			a.did.held.Add(1)
 			held = a
 		default:
-			if w.chance(l.Double) {
+			if w.chance(l.DuplicateRate) {
 				a.did.doubled.Add(1)
 				late = append(late, late[0]+w.between(0, 20*time.Millisecond))
 			}
 			d := l.Delay + w.between(0, l.Jitter)
-			if w.chance(l.Reorder) {
+			if w.chance(l.ReorderRate) {
 				d += w.between(5*time.Millisecond, 50*time.Millisecond)
 			}
 			if d > 0 {
--- a/internal/fleet/members_test.go
+++ b/internal/fleet/members_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"aspenbarrow/internal/trouble"
+	"aspenbarrow/internal/fault"
 	"aspenbarrow/internal/world"
 )
 
@@ -77,49 +77,49 @@
 // and can be reached is held dead by anyone, at any time.
 func TestMembersAmongProcesses(t *testing.T) {
 	const relays = 24
-	all := func(kind string) trouble.Party { return trouble.Party{Kind: kind} }
-	one := func(who ...int) trouble.Party { return trouble.Party{Kind: trouble.Relays, Who: who} }
+	all := func(kind fault.NodeKind) fault.NodeSet { return fault.NodeSet{Kind: kind} }
+	one := func(who ...int) fault.NodeSet { return fault.NodeSet{Kind: fault.Relays, Indexes: who} }
 	for _, tc := range []struct {
 		name   string
-		fault  trouble.Fault
+		fault  fault.Fault
 		of     int           // whom it is about
 		during string        // what the others hold of it then, all of them
 		within time.Duration // of the fault's beginning
 		back   time.Duration // alive again to all within this of the fault's end; 0: not asked
-		more   []trouble.Fault
+		more   []fault.Fault
 		apart  func(i, j int) bool // cannot reach one another; nil: all others can
 	}{
-		{name: "killed", fault: trouble.Fault{Kind: "relay killed", Hit: []int{1}}, of: 1, during: "dead", within: 6500 * time.Millisecond, back: 5 * time.Second},
-		{name: "leaves", fault: trouble.Fault{Kind: "relays leave", Hit: []int{1}}, of: 1, during: "left", within: 4 * time.Second, back: 5 * time.Second},
-		{name: "stopped", fault: trouble.Fault{Kind: "relays paused", Hit: []int{1}}, of: 1, during: "dead", within: 6500 * time.Millisecond, back: 4 * time.Second},
-		{name: "heard by nobody", fault: trouble.Fault{Kind: "link", Link: &trouble.Link{From: one(1), To: all(trouble.Relays), Cut: true}}, of: 1, during: "dead", within: 7 * time.Second, back: 5 * time.Second},
-		{name: "hears nobody", fault: trouble.Fault{Kind: "link", Link: &trouble.Link{From: all(trouble.Relays), To: one(1), Cut: true}}, of: 1, back: 5 * time.Second},
-		{name: "a fifth lost, doubled, half a second late", fault: trouble.Fault{Kind: "link", Link: &trouble.Link{From: all(trouble.Relays), To: all(trouble.Relays),
-			Loss: 0.2, Double: 0.1, Jitter: 500 * time.Millisecond}}, of: 1},
-		{name: "a chain", fault: trouble.Fault{Kind: "link", Link: &trouble.Link{From: one(0, 1, 2, 3, 4, 5, 6, 7), To: one(16, 17, 18, 19, 20, 21, 22, 23), Both: true, Cut: true}},
+		{name: "killed", fault: fault.Fault{Kind: "relay killed", Targets: []int{1}}, of: 1, during: "dead", within: 6500 * time.Millisecond, back: 5 * time.Second},
+		{name: "leaves", fault: fault.Fault{Kind: "relays leave", Targets: []int{1}}, of: 1, during: "left", within: 4 * time.Second, back: 5 * time.Second},
+		{name: "stopped", fault: fault.Fault{Kind: "relays paused", Targets: []int{1}}, of: 1, during: "dead", within: 6500 * time.Millisecond, back: 4 * time.Second},
+		{name: "heard by nobody", fault: fault.Fault{Kind: "link", Link: &fault.Link{From: one(1), To: all(fault.Relays), Partitioned: true}}, of: 1, during: "dead", within: 7 * time.Second, back: 5 * time.Second},
+		{name: "hears nobody", fault: fault.Fault{Kind: "link", Link: &fault.Link{From: all(fault.Relays), To: one(1), Partitioned: true}}, of: 1, back: 5 * time.Second},
+		{name: "a fifth lost, doubled, half a second late", fault: fault.Fault{Kind: "link", Link: &fault.Link{From: all(fault.Relays), To: all(fault.Relays),
+			LossRate: 0.2, DuplicateRate: 0.1, Jitter: 500 * time.Millisecond}}, of: 1},
+		{name: "a chain", fault: fault.Fault{Kind: "link", Link: &fault.Link{From: one(0, 1, 2, 3, 4, 5, 6, 7), To: one(16, 17, 18, 19, 20, 21, 22, 23), Bidirectional: true, Partitioned: true}},
 			of: 10, back: 5 * time.Second, apart: func(i, j int) bool { return i < 8 && j >= 16 || j < 8 && i >= 16 }},
-		{name: "a third hears one", fault: trouble.Fault{Kind: "link", Link: &trouble.Link{From: one(1), To: one(8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23), Cut: true}},
+		{name: "a third hears one", fault: fault.Fault{Kind: "link", Link: &fault.Link{From: one(1), To: one(8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23), Partitioned: true}},
 			of: 1, back: 5 * time.Second},
-		{name: "a way that flaps", fault: trouble.Fault{Kind: "link", Link: &trouble.Link{From: one(1), To: all(trouble.Relays), Both: true, Cut: true}}, of: 1, back: 6 * time.Second,
-			more: []trouble.Fault{{Kind: "link", At: 15500 * time.Millisecond, For: time.Second, Link: &trouble.Link{From: one(1), To: all(trouble.Relays), Both: true, Cut: true}}}},
-		{name: "two halves", fault: trouble.Fault{Kind: "link", Link: &trouble.Link{From: one(0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11),
-			To: one(12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23), Both: true, Cut: true}}, of: 3, back: 6 * time.Second, apart: func(i, j int) bool { return (i < 12) != (j < 12) }},
+		{name: "a way that flaps", fault: fault.Fault{Kind: "link", Link: &fault.Link{From: one(1), To: all(fault.Relays), Bidirectional: true, Partitioned: true}}, of: 1, back: 6 * time.Second,
+			more: []fault.Fault{{Kind: "link", Start: 15500 * time.Millisecond, Duration: time.Second, Link: &fault.Link{From: one(1), To: all(fault.Relays), Bidirectional: true, Partitioned: true}}}},
+		{name: "two halves", fault: fault.Fault{Kind: "link", Link: &fault.Link{From: one(0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11),
+			To: one(12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23), Bidirectional: true, Partitioned: true}}, of: 3, back: 6 * time.Second, apart: func(i, j int) bool { return (i < 12) != (j < 12) }},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			f := tc.fault
-			f.At, f.For = 6*time.Second, 9*time.Second
+			f.Start, f.Duration = 6*time.Second, 9*time.Second
 			fl := small(relays, 4, 24)
 			fl.Membership = true
 			var known, back time.Duration
 			s := &views{ask: spread(8, relays), held: map[int][]string{}, at: map[int]time.Duration{}}
 			wrong := map[string]bool{}
 			s.each = func(s *views, now time.Duration) {
-				if n, asked := s.hold(tc.of, tc.during); known == 0 && tc.during != "" && asked >= 7 && n == asked && now > f.At {
-					known = now - f.At
+				if n, asked := s.hold(tc.of, tc.during); known == 0 && tc.during != "" && asked >= 7 && n == asked && now > f.Start {
+					known = now - f.Start
 				}
-				if n, asked := s.hold(tc.of, "alive"); back == 0 && asked >= 7 && n == asked && now > f.At+f.For {
-					back = now - f.At - f.For
+				if n, asked := s.hold(tc.of, "alive"); back == 0 && asked >= 7 && n == asked && now > f.Start+f.Duration {
+					back = now - f.Start - f.Duration
 				}
 				for i, states := range s.held {
 					for j, st := range states {
@@ -129,7 +129,7 @@
 					}
 				}
 			}
-			res := play(t, Options{Length: 22 * time.Second, Fleet: fl, Script: append([]trouble.Fault{f}, tc.more...), Look: s.look})
+			res := play(t, Options{Length: 22 * time.Second, Fleet: fl, Script: append([]fault.Fault{f}, tc.more...), Look: s.look})
 			t.Logf("known after %v, back after %v; %.0f datagrams a second, a relay %.2f%% of a core", known, back, res.Rates.Datagrams, 100*res.Usage.CPUMedian)
 			for w := range wrong {
 				t.Error(w)
@@ -179,7 +179,7 @@
 				}
 			}
 		}
-		res := play(t, Options{Length: 24 * time.Second, Fleet: fl, Seed: seed + 1, Look: s.look, Script: []trouble.Fault{{Kind: "relay killed", Hit: []int{1}, At: 12 * time.Second, For: 10 * time.Second}}})
+		res := play(t, Options{Length: 24 * time.Second, Fleet: fl, Seed: seed + 1, Look: s.look, Script: []fault.Fault{{Kind: "relay killed", Targets: []int{1}, Start: 12 * time.Second, Duration: 10 * time.Second}}})
 		t.Logf("one view %v after the run's beginning, dead to 99%% after %v, to all asked after %v; %.0f datagrams a second, a relay %.2f%% of a core (%.2f%%), ready %v",
 			c, a, b, res.Rates.Datagrams, 100*res.Usage.CPUMedian, 100*res.Usage.CPUMost, res.Ready)
 		most, every, first = append(most, a), append(every, b), append(first, c)
--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -12,7 +12,7 @@
 	"golang.org/x/net/ipv4"
 	"golang.org/x/sys/unix"
 
-	"aspenbarrow/internal/trouble"
+	"aspenbarrow/internal/fault"
 )
 
 // loopbackOnly binds a socket to the loopback device where the system lets it; whoever comes elsewhere is dropped.
@@ -93,7 +93,7 @@
 // pass has a datagram meet what is on its way.
 func (p *post) pass(ctx context.Context, from, to int, data []byte) {
 	r := p.rig
-	late, held := r.ways.datagram(party{trouble.Relays, from}, party{trouble.Relays, to})
+	late, held := r.ways.datagram(party{fault.Relays, from}, party{fault.Relays, to})
 	for _, d := range late {
 		switch {
 		case held != nil:
--- a/internal/rehearsal/golden_test.go
+++ b/internal/rehearsal/golden_test.go
@@ -9,7 +9,7 @@
 	"reflect"
 	"testing"
 
-	"aspenbarrow/internal/trouble"
+	"aspenbarrow/internal/fault"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
@@ -98,7 +98,7 @@
 	if !bytes.Equal(got, want) {
 		t.Errorf("the script comes to\n%s\nstored is\n%s", got, want)
 	}
-	var kept []trouble.Fault
+	var kept []fault.Fault
 	d := json.NewDecoder(bytes.NewReader(want))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&kept); err != nil {
--- a/internal/rehearsal/incidents.go
+++ b/internal/rehearsal/incidents.go
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
+	"aspenbarrow/internal/fault"
 	"aspenbarrow/internal/fleet"
-	"aspenbarrow/internal/trouble"
 	"aspenbarrow/internal/world"
 )
 
@@ -51,21 +51,21 @@
 // group is the relays and backends of a name; nil: none are named.
 type group struct{ relays, backends []int }
 
-// faulter records what is wrong with one table of a script.
-type faulter func(format string, args ...any)
+// rejectFunc records what is wrong with one table of a script.
+type rejectFunc func(format string, args ...any)
 
 // resolve turns the incidents into faults and says all that is wrong with them.
 func (s *Script) resolve(name string, text []byte) (faults []error) {
 	groups := map[string]group{}
 	lines := linesOf(text, "[[group]]")
 	for i, g := range s.Groups {
-		fault := func(format string, args ...any) {
+		reject := func(format string, args ...any) {
 			faults = append(faults, fmt.Errorf("%s:%d: group %q: %s", name, nth(lines, i), g.Name, fmt.Sprintf(format, args...)))
 		}
 		if _, ok := groups[g.Name]; ok || g.Name == "" {
-			fault("a name of its own is wanted")
+			reject("a name of its own is wanted")
 		}
-		groups[g.Name] = s.group(g.Relays, g.Backends, fault)
+		groups[g.Name] = s.group(g.Relays, g.Backends, reject)
 	}
 	lines = linesOf(text, "[[incident]]")
 	for i := range s.Incidents {
@@ -77,7 +77,7 @@
 }
 
 // group reads the numbers of a group's relays and backends.
-func (s *Script) group(relays, backends string, fault faulter) (out group) {
+func (s *Script) group(relays, backends string, reject rejectFunc) (out group) {
 	for _, part := range []struct {
 		key, text string
 		under     int
@@ -88,57 +88,57 @@
 		}
 		v, err := numbers(part.text, part.under)
 		if err != nil {
-			fault("%s: %v", part.key, err)
+			reject("%s: %v", part.key, err)
 		}
 		*part.to = v
 	}
 	if out.relays == nil && out.backends == nil {
-		fault("neither relays nor backends")
+		reject("neither relays nor backends")
 	}
 	return out
 }
 
 // incident turns one incident into a fault.
-func (s *Script) incident(in *incident, line int, groups map[string]group, fault faulter) {
-	f := trouble.Fault{Kind: in.Kind, At: time.Duration(in.At), For: time.Duration(in.For), Who: in.Who, Much: in.Much, Line: line}
+func (s *Script) incident(in *incident, line int, groups map[string]group, reject rejectFunc) {
+	f := fault.Fault{Kind: in.Kind, Start: time.Duration(in.At), Duration: time.Duration(in.For), Target: in.Who, Severity: in.Much, ScriptLine: line}
 	if !slices.Contains(world.Scriptable(), in.Kind) && !slices.Contains(fleet.Kinds(), in.Kind) {
-		fault("kind: there is no %q; one of %s", in.Kind, strings.Join(Kinds(), ", "))
+		reject("kind: there is no %q; one of %s", in.Kind, strings.Join(Kinds(), ", "))
 	}
 	if in.At >= s.Length {
-		fault("at: %v is past the end, %v", time.Duration(in.At), time.Duration(s.Length))
+		reject("at: %v is past the end, %v", time.Duration(in.At), time.Duration(s.Length))
 	} else if in.At+in.For > s.Length {
-		fault("for: it would end at %v, after the run's end at %v", time.Duration(in.At+in.For), time.Duration(s.Length))
+		reject("for: it would end at %v, after the run's end at %v", time.Duration(in.At+in.For), time.Duration(s.Length))
 	}
 	if in.Much < 0 || in.Much > 1 || in.Who < 0 {
-		fault("much is from 0 to 1, who from 0")
+		reject("much is from 0 to 1, who from 0")
 	}
 	if in.Kind == "shared dependency slow" && s.Shared.Places == 0 {
-		fault("kind: nothing is shared (shared.places)")
+		reject("kind: nothing is shared (shared.places)")
 	}
 	if in.Group != "" {
-		f.Hit = in.hit(groups, fault)
+		f.Targets = in.hit(groups, reject)
 	}
 	if in.Kind == "link" {
-		f.Link = in.link(groups, fault)
+		f.Link = in.link(groups, reject)
 	} else if in.shapesLink() {
-		fault("kind: only a link has from, to, both, cut, hold, loss, double, reorder, delay and jitter")
+		reject("kind: only a link has from, to, both, cut, hold, loss, double, reorder, delay and jitter")
 	}
 	in.fault = f
 }
 
 // hit finds which relays or backends of its group the incident strikes.
-func (in *incident) hit(groups map[string]group, fault faulter) (hit []int) {
+func (in *incident) hit(groups map[string]group, reject rejectFunc) (hit []int) {
 	g, ok := groups[in.Group]
 	switch {
 	case !ok:
-		fault("group: there is none of the name %q", in.Group)
+		reject("group: there is none of the name %q", in.Group)
 	case strings.HasPrefix(in.Kind, "backends") || strings.HasPrefix(in.Kind, "zone"):
 		hit = g.backends
 	default:
 		hit = g.relays
 	}
 	if ok && hit == nil {
-		fault("group: %q has none of those that are struck", in.Group)
+		reject("group: %q has none of those that are struck", in.Group)
 	}
 	return hit
 }
@@ -157,16 +157,17 @@
 }
 
 // link reads what becomes of a way between parties, and which parties these are.
-func (in *incident) link(groups map[string]group, fault faulter) *trouble.Link {
-	l := &trouble.Link{Both: in.Both, Cut: in.Cut, Hold: in.Hold, Loss: in.Loss, Double: in.Double, Reorder: in.Reorder,
+func (in *incident) link(groups map[string]group, reject rejectFunc) *fault.Link {
+	l := &fault.Link{Bidirectional: in.Both, Partitioned: in.Cut, Buffered: in.Hold, LossRate: in.Loss, DuplicateRate: in.Double, ReorderRate: in.Reorder,
 		Delay: time.Duration(in.Delay), Jitter: time.Duration(in.Jitter)}
 	for _, end := range []struct {
 		key, text string
-		to        *trouble.Party
+		to        *fault.NodeSet
 	}{{"from", in.From, &l.From}, {"to", in.To, &l.To}} {
-		kind, name, named := strings.Cut(end.text, ":")
-		if !slices.Contains([]string{trouble.Relays, trouble.Backends, trouble.Discovery, trouble.Clients}, kind) {
-			fault("%s: %q; one of relays, backends, discovery, clients is wanted, perhaps with a group behind a colon", end.key, end.text)
+		word, name, named := strings.Cut(end.text, ":")
+		kind := fault.NodeKind(word)
+		if !slices.Contains([]fault.NodeKind{fault.Relays, fault.Backends, fault.Discovery, fault.Clients}, kind) {
+			reject("%s: %q; one of relays, backends, discovery, clients is wanted, perhaps with a group behind a colon", end.key, end.text)
 			continue
 		}
 		end.to.Kind = kind
@@ -174,27 +175,27 @@
 			continue
 		}
 		g, ok := groups[name]
-		if end.to.Who = g.relays; kind == trouble.Backends {
-			end.to.Who = g.backends
+		if end.to.Indexes = g.relays; kind == fault.Backends {
+			end.to.Indexes = g.backends
 		}
-		if !ok || end.to.Who == nil {
-			fault("%s: there is no group %q with %s", end.key, name, kind)
+		if !ok || end.to.Indexes == nil {
+			reject("%s: there is no group %q with %s", end.key, name, kind)
 		}
 	}
-	pair := [2]string{l.From.Kind, l.To.Kind}
-	if !slices.Contains(pair[:], trouble.Relays) {
-		fault("from, to: nothing passes between %s and %s", l.From.Kind, l.To.Kind)
+	pair := [2]fault.NodeKind{l.From.Kind, l.To.Kind}
+	if !slices.Contains(pair[:], fault.Relays) {
+		reject("from, to: nothing passes between %s and %s", l.From.Kind, l.To.Kind)
 	}
 	for _, v := range []float64{in.Loss, in.Double, in.Reorder} {
 		if v < 0 || v > 1 {
-			fault("loss, double, reorder are from 0 to 1")
+			reject("loss, double, reorder are from 0 to 1")
 		}
 	}
-	if pair != [2]string{trouble.Relays, trouble.Relays} && (in.Double != 0 || in.Reorder != 0) {
-		fault("double, reorder: only datagrams between relays come twice or overtake one another")
+	if pair != [2]fault.NodeKind{fault.Relays, fault.Relays} && (in.Double != 0 || in.Reorder != 0) {
+		reject("double, reorder: only datagrams between relays come twice or overtake one another")
 	}
 	if !in.Cut && !in.Hold && in.Loss+in.Double+in.Reorder == 0 && in.Delay+in.Jitter == 0 {
-		fault("kind: a link wants one of cut, hold, loss, double, reorder, delay, jitter")
+		reject("kind: a link wants one of cut, hold, loss, double, reorder, delay, jitter")
 	}
 	return l
 }
@@ -217,11 +218,11 @@
 			err = fleet.Check(f)
 		case !slices.Contains(world.Scriptable(), f.Kind):
 			err = fmt.Errorf("the virtual clock can't play %q", f.Kind)
-		case f.Hit != nil && !world.Groups(f.Kind):
+		case f.Targets != nil && !world.Groups(f.Kind):
 			err = fmt.Errorf("the virtual clock can't strike a group with %q", f.Kind)
 		}
 		if err != nil {
-			faults = append(faults, fmt.Errorf("%s:%d: %w", name, f.Line, err))
+			faults = append(faults, fmt.Errorf("%s:%d: %w", name, f.ScriptLine, err))
 		}
 	}
 	if !processes && s.Fleet.Members {
--- a/internal/rehearsal/incidents_test.go
+++ b/internal/rehearsal/incidents_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"aspenbarrow/internal/trouble"
+	"aspenbarrow/internal/fault"
 )
 
 const sound = `name = "x"
@@ -47,11 +47,11 @@
 		t.Fatal(err)
 	}
 	f := s.faults()
-	if l := f[0].Link; f[0].Line != 17 || !l.Touches(trouble.Relays, 7, trouble.Backends, 1) || l.Touches(trouble.Relays, 3, trouble.Backends, 1) ||
-		l.Touches(trouble.Relays, 7, trouble.Backends, 0) || l.Touches(trouble.Backends, 1, trouble.Relays, 7) {
-		t.Errorf("line %d, %+v", f[0].Line, l)
+	if l := f[0].Link; f[0].ScriptLine != 17 || !l.Affects(fault.Relays, 7, fault.Backends, 1) || l.Affects(fault.Relays, 3, fault.Backends, 1) ||
+		l.Affects(fault.Relays, 7, fault.Backends, 0) || l.Affects(fault.Backends, 1, fault.Relays, 7) {
+		t.Errorf("line %d, %+v", f[0].ScriptLine, l)
 	}
-	if f[1].Line != 24 || !slices.Equal(f[1].Hit, []int{0, 1, 2, 7}) || f[1].At != 9*time.Second {
+	if f[1].ScriptLine != 24 || !slices.Equal(f[1].Targets, []int{0, 1, 2, 7}) || f[1].Start != 9*time.Second {
 		t.Errorf("%+v", f[1])
 	}
 	if faults := s.Playable("s", true); faults != nil {
--- a/internal/rehearsal/rehearsal.go
+++ b/internal/rehearsal/rehearsal.go
@@ -20,9 +20,9 @@
 	"github.com/pelletier/go-toml/v2"
 
 	"aspenbarrow/internal/emulator"
+	"aspenbarrow/internal/fault"
 	"aspenbarrow/internal/fleet"
 	"aspenbarrow/internal/measure"
-	"aspenbarrow/internal/trouble"
 	"aspenbarrow/internal/world"
 )
 
@@ -107,7 +107,7 @@
 	Delay   duration `toml:"delay"`
 	Jitter  duration `toml:"jitter"`
 
-	fault trouble.Fault // what it comes to, with groups resolved
+	fault fault.Fault // what it comes to, with groups resolved
 }
 
 // Parse reads a script. The error joins all that is wrong with it, each with the script's name and, where it is known,
@@ -134,7 +134,7 @@
 		return s, fmt.Errorf("%s: %w", name, err)
 	}
 	var faults []error
-	fault := func(format string, args ...any) { faults = append(faults, fmt.Errorf(name+": "+format, args...)) }
+	reject := func(format string, args ...any) { faults = append(faults, fmt.Errorf(name+": "+format, args...)) }
 	for _, f := range []struct {
 		key         string
 		v           float64
@@ -148,15 +148,15 @@
 		{"fleet.hot-key", s.Fleet.HotKey, 0, 1}, {"fleet.hot-relay", s.Fleet.HotRelay, 0, 1}, {"server.late-share", s.Server.LateShare, 0, 1},
 		{"shared.places", float64(s.Shared.Places), 0, 1e6}} {
 		if f.v < f.least || f.v > f.most {
-			fault("%s is %v, wanted is %v to %v", f.key, f.v, f.least, f.most)
+			reject("%s is %v, wanted is %v to %v", f.key, f.v, f.least, f.most)
 		}
 	}
 	if n := len(s.Fleet.Stay); n != 0 && (n != 2 || s.Fleet.Stay[0] > s.Fleet.Stay[1] || s.Fleet.Stay[1] == 0) {
-		fault("fleet.stay: two times are wanted, the shorter one first")
+		reject("fleet.stay: two times are wanted, the shorter one first")
 	}
 	for _, v := range s.Server.Sizes {
 		if v < 0.01 || v > 100 {
-			fault("server.sizes: %v, wanted is 0.01 to 100", v)
+			reject("server.sizes: %v, wanted is 0.01 to 100", v)
 		}
 	}
 	faults = append(faults, s.resolve(name, text)...)
@@ -185,8 +185,8 @@
 }
 
 // faults are the incidents as drivers play them; never nil, which would have a seed draw its own.
-func (s *Script) faults() []trouble.Fault {
-	out := make([]trouble.Fault, len(s.Incidents))
+func (s *Script) faults() []fault.Fault {
+	out := make([]fault.Fault, len(s.Incidents))
 	for i := range s.Incidents {
 		out[i] = s.Incidents[i].fault
 	}
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -147,7 +147,7 @@
 		for what, n := range f.Did {
 			did += fmt.Sprintf("%s: %d ", what, n)
 		}
-		v.Faults = append(v.Faults, faultView{f.Kind, clock(f.Began), clock(f.Ended), did, strconv.Itoa(f.Line)})
+		v.Faults = append(v.Faults, faultView{f.Kind, clock(f.Began), clock(f.Ended), did, strconv.Itoa(f.ScriptLine)})
 	}
 	var err error
 	if v.Plots, err = plots(drawn); err != nil {
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -7,16 +7,16 @@
 	"testing"
 	"time"
 
+	"aspenbarrow/internal/fault"
 	"aspenbarrow/internal/fleet"
 	"aspenbarrow/internal/measure"
 	"aspenbarrow/internal/rehearsal"
-	"aspenbarrow/internal/trouble"
 	"aspenbarrow/internal/world"
 )
 
 func run(program string, broken ...string) rehearsal.Outcome {
 	o := rehearsal.Outcome{Script: "a <bad> day", Program: program, Seed: 7, Whole: 0.9, Broken: broken, Waits: &fleet.Waits{P99: 120}, Rates: &fleet.Rates{}, Usage: &fleet.Usage{},
-		Faults: []fleet.Effect{{Fault: trouble.Fault{Kind: "relays <paused>", Line: 12}, Began: 2 * time.Second, Ended: 5 * time.Second, Did: map[string]int{"struck": 3}}}}
+		Faults: []fleet.Effect{{Fault: fault.Fault{Kind: "relays <paused>", ScriptLine: 12}, Began: 2 * time.Second, Ended: 5 * time.Second, Did: map[string]int{"struck": 3}}}}
 	for i := range 14 {
 		o.Seconds = append(o.Seconds, world.Second{Asked: 10, Served: 9})
 		o.Evenness = append(o.Evenness, measure.Second{Spread: measure.Spread{Deviation: 0.1, Least: 0.8, Most: 1.2, Jain: 0.99}, Hashing: 0.2, Mean: 0.5,
--- a/internal/seeds/seeds.go
+++ b/internal/seeds/seeds.go
@@ -245,7 +245,7 @@
 func Script(script []world.Fault) string {
 	var b strings.Builder
 	for _, f := range script {
-		fmt.Fprintf(&b, "%9.3f s for %7.3f s  %-24s who %2d  much %.2f\n", f.At.Seconds(), f.For.Seconds(), f.Kind, f.Who, f.Much)
+		fmt.Fprintf(&b, "%9.3f s for %7.3f s  %-24s who %2d  much %.2f\n", f.Start.Seconds(), f.Duration.Seconds(), f.Kind, f.Target, f.Severity)
 	}
 	return b.String()
 }
--- a/internal/world/links.go
+++ b/internal/world/links.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"aspenbarrow/internal/trouble"
+	"aspenbarrow/internal/fault"
 )
 
 // retransmission is what a lost segment costs a stream, reopening a lost opening.
@@ -15,7 +15,7 @@
 // troubledLink is a link fault in force. While there is none no chance is drawn for it, so that runs without such
 // faults go as they would without this code. A stream's bytes are delayed, never lost or reordered.
 type troubledLink struct {
-	link  *trouble.Link
+	link  *fault.Link
 	until time.Duration
 }
 
@@ -25,21 +25,21 @@
 		return nil
 	}
 	a, b := from.who, to.who
-	if from.kind == trouble.Clients { // a relay's own clients
+	if from.kind == fault.Clients { // a relay's own clients
 		a = b
 	}
-	if to.kind == trouble.Clients {
+	if to.kind == fault.Clients {
 		b = a
 	}
 	for _, l := range w.links {
-		if l.until > w.now && l.link.Touches(from.kind, a, to.kind, b) {
+		if l.until > w.now && l.link.Affects(from.kind, a, to.kind, b) {
 			out = append(out, l)
 		}
 	}
 	return out
 }
 
-func (w *world) late(l *trouble.Link) time.Duration {
+func (w *world) late(l *fault.Link) time.Duration {
 	return l.Delay + w.between(0, l.Jitter)
 }
 
@@ -47,9 +47,9 @@
 func (w *world) streamWay(from, to *box) (late time.Duration) {
 	for _, l := range w.met(from, to) {
 		switch {
-		case l.link.Cut || l.link.Hold:
+		case l.link.Partitioned || l.link.Buffered:
 			late = max(late, l.until-w.now)
-		case w.chance(l.link.Loss):
+		case w.chance(l.link.LossRate):
 			late += retransmission + w.late(l.link)
 		default:
 			late += w.late(l.link)
@@ -62,10 +62,10 @@
 func (w *world) opensWay(from, to *box) (late time.Duration, cut bool) {
 	for _, d := range [2][2]*box{{from, to}, {to, from}} {
 		for _, l := range w.met(d[0], d[1]) {
-			if l.link.Cut || l.link.Hold {
+			if l.link.Partitioned || l.link.Buffered {
 				return 0, true
 			}
-			if late += l.link.Delay; w.chance(l.link.Loss) {
+			if late += l.link.Delay; w.chance(l.link.LossRate) {
 				late += reopening
 			}
 		}
@@ -77,12 +77,12 @@
 func (w *world) datagramWay(from, to *box) (late time.Duration, lost bool) {
 	for _, l := range w.met(from, to) {
 		switch {
-		case l.link.Cut, w.chance(l.link.Loss):
+		case l.link.Partitioned, w.chance(l.link.LossRate):
 			return 0, true
-		case l.link.Hold:
+		case l.link.Buffered:
 			late = max(late, l.until-w.now)
 		default:
-			if late += w.late(l.link); w.chance(l.link.Reorder) {
+			if late += w.late(l.link); w.chance(l.link.ReorderRate) {
 				late += w.between(5*time.Millisecond, 50*time.Millisecond)
 			}
 		}
@@ -93,7 +93,7 @@
 // doubledWay says whether a datagram comes once more.
 func (w *world) doubledWay(from, to *box) (twice bool) {
 	for _, l := range w.met(from, to) {
-		twice = w.chance(l.link.Double) || twice
+		twice = w.chance(l.link.DuplicateRate) || twice
 	}
 	return twice
 }
@@ -103,6 +103,6 @@
 	if len(w.links) == 0 {
 		return 0
 	}
-	r, d := &box{kind: trouble.Relays, who: relay}, &box{kind: trouble.Discovery, who: relay}
+	r, d := &box{kind: fault.Relays, who: relay}, &box{kind: fault.Discovery, who: relay}
 	return w.streamWay(r, d) + w.streamWay(d, r)
 }
--- a/internal/world/net.go
+++ b/internal/world/net.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"aspenbarrow/internal/fault"
 	"aspenbarrow/internal/machine"
 )
 
@@ -16,7 +17,7 @@
 	life   int  // counts the processes
 	accept func(*end)
 	ends   []*end // open
-	kind   string // as package trouble names them
+	kind   fault.NodeKind
 	who    int
 }
 
@@ -60,7 +61,7 @@
 func (w *world) box(name, addr string) *box { return &box{w: w, name: name, addr: addr} }
 
 // of says which party the machine is.
-func (b *box) of(kind string, who int) *box {
+func (b *box) of(kind fault.NodeKind, who int) *box {
 	b.kind, b.who = kind, who
 	return b
 }
--- a/internal/world/relay.go
+++ b/internal/world/relay.go
@@ -12,9 +12,9 @@
 	"go.uber.org/zap"
 
 	"aspenbarrow/balance"
+	"aspenbarrow/internal/fault"
 	"aspenbarrow/internal/machine"
 	"aspenbarrow/internal/settings"
-	"aspenbarrow/internal/trouble"
 )
 
 var errNotUp = errors.New("refused, or not up in time")
@@ -990,7 +990,7 @@
 	if err != nil {
 		panic(fmt.Sprintf("a relay has nothing to hand over: %v", err))
 	}
-	n := &relay{box: w.box(r.name, "").of(trouble.Relays, r.number), run: run, number: r.number, cfg: r.cfg, few: r.few, last: r.last, old: r}
+	n := &relay{box: w.box(r.name, "").of(fault.Relays, r.number), run: run, number: r.number, cfg: r.cfg, few: r.few, last: r.last, old: r}
 	n.accept = n.accepted
 	if len(n.last) > 0 {
 		n.cfg.Known = body(0, true, n.last)
--- a/internal/world/run.go
+++ b/internal/world/run.go
@@ -11,11 +11,11 @@
 	"aspenbarrow/internal/baseline"
 	"aspenbarrow/internal/checker"
 	"aspenbarrow/internal/emulator"
+	"aspenbarrow/internal/fault"
 	"aspenbarrow/internal/machine"
 	"aspenbarrow/internal/measure"
 	"aspenbarrow/internal/route"
 	"aspenbarrow/internal/settings"
-	"aspenbarrow/internal/trouble"
 )
 
 var zones = []string{"east", "west"}
@@ -207,7 +207,7 @@
 func (run *run) populate(n size) {
 	w := run.w
 	run.catalog = &catalog{run: run}
-	run.outside = w.box("outside", "").of(trouble.Clients, 0)
+	run.outside = w.box("outside", "").of(fault.Clients, 0)
 	run.outside.start()
 	for i := range n.relays {
 		for _, which := range []string{"a", "b"} {
@@ -380,7 +380,7 @@
 	id := len(run.backends)
 	b := &backend{run: run, id: id, name: fmt.Sprintf("s-%02d", id), zone: id % 2,
 		service: run.w.between(2*time.Millisecond, 30*time.Millisecond),
-		box:     run.w.box(fmt.Sprintf("s-%02d", id), fmt.Sprintf("10.1.0.%d:5000", id)).of(trouble.Backends, id)}
+		box:     run.w.box(fmt.Sprintf("s-%02d", id), fmt.Sprintf("10.1.0.%d:5000", id)).of(fault.Backends, id)}
 	if f := run.opt.Fleet; f != nil {
 		b.size = 1
 		if len(f.Sizes) > 0 {
@@ -413,7 +413,7 @@
 	for j := range of {
 		cfg.Peers = append(cfg.Peers, peerAddr(j).String())
 	}
-	r := &relay{box: run.w.box(cfg.Name, "").of(trouble.Relays, i), run: run, number: i, cfg: cfg}
+	r := &relay{box: run.w.box(cfg.Name, "").of(fault.Relays, i), run: run, number: i, cfg: cfg}
 	r.accept = r.accepted
 	r.few = run.w.rng.IntN(12) == 0 && run.opt.Fleet == nil
 	run.relays = append(run.relays, r)
--- a/internal/world/shrink.go
+++ b/internal/world/shrink.go
@@ -47,14 +47,14 @@
 		}
 		for i := range script { // for half as long, or half as bad
 			s := slices.Clone(script)
-			s[i].For /= 2
-			if s[i].For >= 100*time.Millisecond && fails(s) {
+			s[i].Duration /= 2
+			if s[i].Duration >= 100*time.Millisecond && fails(s) {
 				keep(s)
 				again = true
 			}
 			s = slices.Clone(script)
-			s[i].Much /= 2
-			if s[i].Much > 0.05 && fails(s) {
+			s[i].Severity /= 2
+			if s[i].Severity > 0.05 && fails(s) {
 				keep(s)
 				again = true
 			}
--- a/internal/world/world_test.go
+++ b/internal/world/world_test.go
@@ -60,12 +60,12 @@
 		seed   uint64
 		script []Fault
 	}{
-		{9856, []Fault{{Kind: "relay upgraded", At: 15154 * time.Millisecond, For: 9356 * time.Millisecond, Who: 48, Much: 0.81},
-			{Kind: "rolling restart", At: 20783 * time.Millisecond, For: 8110 * time.Millisecond, Who: 12, Much: 0.1}}},
-		{11496, []Fault{{Kind: "relay upgraded", At: 32277 * time.Millisecond, For: 4595 * time.Millisecond, Who: 8, Much: 0.46},
-			{Kind: "rolling restart", At: 32860 * time.Millisecond, For: 4846 * time.Millisecond, Who: 17, Much: 0.09}}},
-		{11496, []Fault{{Kind: "relay upgraded", At: 20 * time.Second, For: 20 * time.Second, Who: 0, Much: 0.1},
-			{Kind: "relay drained and not", At: 19900 * time.Millisecond, For: 6 * time.Second, Who: 0, Much: 0.9}}},
+		{9856, []Fault{{Kind: "relay upgraded", Start: 15154 * time.Millisecond, Duration: 9356 * time.Millisecond, Target: 48, Severity: 0.81},
+			{Kind: "rolling restart", Start: 20783 * time.Millisecond, Duration: 8110 * time.Millisecond, Target: 12, Severity: 0.1}}},
+		{11496, []Fault{{Kind: "relay upgraded", Start: 32277 * time.Millisecond, Duration: 4595 * time.Millisecond, Target: 8, Severity: 0.46},
+			{Kind: "rolling restart", Start: 32860 * time.Millisecond, Duration: 4846 * time.Millisecond, Target: 17, Severity: 0.09}}},
+		{11496, []Fault{{Kind: "relay upgraded", Start: 20 * time.Second, Duration: 20 * time.Second, Target: 0, Severity: 0.1},
+			{Kind: "relay drained and not", Start: 19900 * time.Millisecond, Duration: 6 * time.Second, Target: 0, Severity: 0.9}}},
 	} {
 		res := Run(Options{Seed: tc.seed, Script: tc.script})
 		for _, b := range res.Broken {
@@ -86,11 +86,11 @@
 	crowded := 0
 	each(30, func(i int) {
 		res := Run(Options{Seed: uint64(i), Script: []Fault{
-			{Kind: "few descriptors", At: 20 * time.Second, For: 22 * time.Second, Who: 0, Much: 0.1},
-			{Kind: "few descriptors", At: 20 * time.Second, For: 22 * time.Second, Who: 1, Much: 0.1},
-			{Kind: "backends paused", At: 29500 * time.Millisecond, For: 5 * time.Second, Much: 0.95},
-			{Kind: "bad clients", At: 30 * time.Second, For: 1500 * time.Millisecond, Much: 0.9},
-			{Kind: "relay upgraded", At: 30200 * time.Millisecond, For: 3 * time.Second, Much: 0.06}}})
+			{Kind: "few descriptors", Start: 20 * time.Second, Duration: 22 * time.Second, Target: 0, Severity: 0.1},
+			{Kind: "few descriptors", Start: 20 * time.Second, Duration: 22 * time.Second, Target: 1, Severity: 0.1},
+			{Kind: "backends paused", Start: 29500 * time.Millisecond, Duration: 5 * time.Second, Severity: 0.95},
+			{Kind: "bad clients", Start: 30 * time.Second, Duration: 1500 * time.Millisecond, Severity: 0.9},
+			{Kind: "relay upgraded", Start: 30200 * time.Millisecond, Duration: 3 * time.Second, Severity: 0.06}}})
 		mu.Lock()
 		defer mu.Unlock()
 		crowded += res.Counts["bad client"]
@@ -191,9 +191,9 @@
 // Shrinking must keep what fails and drop what does not matter.
 func TestAScriptShrinksToWhatFails(t *testing.T) {
 	// Only a reload can make an old watch matter, so of any script that is what must be left.
-	opt := Options{Break: BreakOldWatch, Script: []Fault{{Kind: "datagrams lost", At: 5 * time.Second, For: 5 * time.Second},
-		{Kind: "reload to another agent", At: 6 * time.Second, For: 5 * time.Second},
-		{Kind: "network slow", At: 12 * time.Second, For: 5 * time.Second, Much: 0.1}}}
+	opt := Options{Break: BreakOldWatch, Script: []Fault{{Kind: "datagrams lost", Start: 5 * time.Second, Duration: 5 * time.Second},
+		{Kind: "reload to another agent", Start: 6 * time.Second, Duration: 5 * time.Second},
+		{Kind: "network slow", Start: 12 * time.Second, Duration: 5 * time.Second, Severity: 0.1}}}
 	// On some seeds a slower network is what lets the old watch be caught: one is taken on which the reload
 	// alone is, and with either of the others too.
 	fails := func(script ...Fault) bool {
