--- a/cmd/aspenbarrow/descriptors_test.go
+++ b/cmd/aspenbarrow/descriptors_test.go
@@ -10,7 +10,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"aspenbarrow/internal/standin"
+	"aspenbarrow/internal/fake"
 )
 
 // silence is an agent of discovery that takes calls and answers none, until it is back.
@@ -18,7 +18,7 @@
 	t    *testing.T
 	addr string
 	l    net.Listener
-	back *standin.Discovery
+	back *fake.Discovery
 }
 
 func newSilence(t *testing.T) *silence {
@@ -33,10 +33,10 @@
 }
 
 // returns has it speak again, with a list; calls that were taken before stay without an answer.
-func (s *silence) returns(list ...standin.Entry) {
+func (s *silence) returns(list ...fake.Endpoint) {
 	s.t.Helper()
 	_ = s.l.Close()
-	s.back = &standin.Discovery{}
+	s.back = &fake.Discovery{}
 	if err := s.back.Listen(s.addr, list...); err != nil {
 		s.t.Fatal(err)
 	}
@@ -71,7 +71,7 @@
 // crowdedWhileDiscoveryIsDown is the test at one limit of descriptors, with or without a list of backends from before.
 // Flow ids go on from ids.
 func crowdedWhileDiscoveryIsDown(t *testing.T, limit int, known bool, ids *int) {
-	one, two := &standin.Backend{}, &standin.Backend{}
+	one, two := &fake.Backend{}, &fake.Backend{}
 	unused, list := backends(t, one, two)
 	unused.Close()
 	d := newSilence(t)
@@ -149,9 +149,9 @@
 
 // asksUntilOpenAt sends one OPEN after the other, each of which must be answered, until one reached the backend that
 // discovery told of at the time given.
-func (p crowd) asksUntilOpenAt(b *standin.Backend, told time.Time) {
+func (p crowd) asksUntilOpenAt(b *fake.Backend, told time.Time) {
 	p.t.Helper()
-	for len(b.Opens()) == 0 {
+	for len(b.OpenLines()) == 0 {
 		c := p.asks()
 		if got, err := c.in.ReadString('\n'); err != nil {
 			p.t.Fatalf("an OPEN is without an answer: %q, %v", got, err)
--- a/cmd/aspenbarrow/main_test.go
+++ b/cmd/aspenbarrow/main_test.go
@@ -19,7 +19,7 @@
 	"testing"
 	"time"
 
-	"aspenbarrow/internal/standin"
+	"aspenbarrow/internal/fake"
 )
 
 // The tests start this very binary as the program and speak to it over loopback.
@@ -74,7 +74,7 @@
 	discovery string
 	mode      string // of the settings; "proxy" where not said
 	sockets   int
-	known     []standin.Entry
+	known     []fake.Endpoint
 	replace   [2]string // in the configuration's text
 	env       []string  // beyond what names the file
 	memory    int       // MB; 192 where not said
@@ -116,7 +116,7 @@
 	text, err := json.Marshal(map[string]any{"name": "n0", "listen": "127.0.0.1:0", "discovery": s.discovery,
 		"seed": "8c1f30d27a5be964", "limits": map[string]any{"cores": 1.0, "memory_mb": s.memory, "sockets": s.sockets},
 		"peer_listen": "127.0.0.1:0", "peers": []string{"127.0.0.1:9"}, "peers_all": "127.0.0.1:9",
-		"known":    json.RawMessage(standin.List(1, s.known)),
+		"known":    json.RawMessage(fake.EncodeList(1, s.known)),
 		"settings": json.RawMessage(strings.Replace(settingsText, "MODE", s.mode, 1))})
 	if err != nil {
 		t.Fatal(err)
@@ -260,22 +260,22 @@
 	return fmt.Sprintf("OPEN %016x 7f3a9c21e0b4d655 c=chat,d=2000,g=5c0f6e1a2b3d4c59%s", lastID, more)
 }
 
-// backends starts toy backends and a discovery that lists them as s-0, s-1, ...
-func backends(t *testing.T, b ...*standin.Backend) (*standin.Discovery, []standin.Entry) {
+// backends starts fake backends and a discovery that lists them as s-0, s-1, ...
+func backends(t *testing.T, b ...*fake.Backend) (*fake.Discovery, []fake.Endpoint) {
 	t.Helper()
-	var list []standin.Entry
+	var list []fake.Endpoint
 	for i := range b {
-		if b[i].Report == "" {
-			b[i].Report = "utilization=0.2,x0=0.3"
+		if b[i].LoadReport == "" {
+			b[i].LoadReport = "utilization=0.2,x0=0.3"
 		}
 		if err := b[i].Listen("127.0.0.1:0"); err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(b[i].Close)
-		list = append(list, standin.Entry{ID: "s-" + strconv.Itoa(i), Addr: b[i].Addr(), Zone: "east", Kind: "k",
+		list = append(list, fake.Endpoint{ID: "s-" + strconv.Itoa(i), Addr: b[i].Addr(), Zone: "east", Kind: "k",
 			State: "ready", Weight: 1})
 	}
-	d := &standin.Discovery{}
+	d := &fake.Discovery{}
 	if err := d.Listen("127.0.0.1:0", list...); err != nil {
 		t.Fatal(err)
 	}
@@ -284,7 +284,7 @@
 }
 
 // serving starts a relay with backends and waits until it is ready.
-func serving(t *testing.T, s setup, b ...*standin.Backend) (*program, *standin.Discovery, []standin.Entry) {
+func serving(t *testing.T, s setup, b ...*fake.Backend) (*program, *fake.Discovery, []fake.Endpoint) {
 	t.Helper()
 	d, list := backends(t, b...)
 	s.discovery, s.known = d.Addr(), list
@@ -293,7 +293,7 @@
 }
 
 func TestLinesPassBothWaysUnchanged(t *testing.T) {
-	b := &standin.Backend{}
+	b := &fake.Backend{}
 	p, _, _ := serving(t, setup{}, b)
 	line := open(",r=1,again=1,x-new=1")
 	c := p.up(line)
@@ -301,11 +301,11 @@
 	c.hear("echo hello")
 	c.hear("echo PING")
 	c.hear("echo MOVE along")
-	b.Say("LOAD 12.5", "BYE", "")
+	b.Broadcast("LOAD 12.5", "BYE", "")
 	c.hear("LOAD 12.5")
 	c.hear("BYE")
 	c.ends()
-	got := b.Opens()
+	got := b.OpenLines()
 	if len(got) != 1 {
 		t.Fatalf("the backend saw %q", got)
 	}
@@ -347,13 +347,13 @@
 			}()
 		}
 	}()
-	d := &standin.Discovery{}
-	list := standin.Entry{ID: "s-0", Addr: l.Addr().String(), Zone: "east", State: "ready", Weight: 1}
+	d := &fake.Discovery{}
+	list := fake.Endpoint{ID: "s-0", Addr: l.Addr().String(), Zone: "east", State: "ready", Weight: 1}
 	if err := d.Listen("127.0.0.1:0", list); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(d.Close)
-	return start(t, setup{discovery: d.Addr(), known: []standin.Entry{list}})
+	return start(t, setup{discovery: d.Addr(), known: []fake.Endpoint{list}})
 }
 
 func TestEndsAreHandedOnInKind(t *testing.T) {
@@ -437,44 +437,44 @@
 }
 
 func TestARefusedAttemptGoesOnElsewhereOnce(t *testing.T) {
-	full := &standin.Backend{Answer: func(string) []string { return []string{"BUSY", ""} }}
-	good := &standin.Backend{}
+	full := &fake.Backend{Answer: func(string) []string { return []string{"BUSY", ""} }}
+	good := &fake.Backend{}
 	p, _, _ := serving(t, setup{}, full, good)
 	for range 6 {
 		p.up(open(""))
 	}
-	if n := len(good.Opens()); n != 6 {
+	if n := len(good.OpenLines()); n != 6 {
 		t.Errorf("%d opens where 6 clients are up", n)
 	}
 }
 
 func TestARequestServedToItsEndAtOnceIsNotRepeated(t *testing.T) {
-	b := &standin.Backend{Answer: func(string) []string { return []string{"BYE", ""} }}
+	b := &fake.Backend{Answer: func(string) []string { return []string{"BYE", ""} }}
 	p, _, _ := serving(t, setup{}, b)
 	c := p.dial()
 	c.say(open(""))
 	c.hear("BYE")
 	c.ends()
-	if n := len(b.Opens()); n != 1 {
+	if n := len(b.OpenLines()); n != 1 {
 		t.Errorf("sent %d times", n)
 	}
 }
 
 func TestAnUnsafeRequestIsNotRepeated(t *testing.T) {
-	broken := &standin.Backend{Answer: func(string) []string { return []string{"RESET"} }}
-	also := &standin.Backend{Answer: broken.Answer}
+	broken := &fake.Backend{Answer: func(string) []string { return []string{"RESET"} }}
+	also := &fake.Backend{Answer: broken.Answer}
 	p, _, _ := serving(t, setup{}, broken, also)
 	c := p.dial()
 	c.say(strings.Replace(open(""), "c=chat", "c=order", 1))
 	c.hear("ERR")
 	c.ends()
-	if n := len(broken.Opens()) + len(also.Opens()); n != 1 {
+	if n := len(broken.OpenLines()) + len(also.OpenLines()); n != 1 {
 		t.Errorf("sent %d times", n)
 	}
 }
 
 func TestBadInputIsAnsweredOnceAndSurvived(t *testing.T) {
-	p, _, _ := serving(t, setup{}, &standin.Backend{})
+	p, _, _ := serving(t, setup{}, &fake.Backend{})
 	held := p.dial()
 	first := open("")
 	held.say(first)
@@ -506,12 +506,12 @@
 }
 
 func TestClientsMoveOffADrainingBackendAndNothingNewGoesThere(t *testing.T) {
-	a, b := &standin.Backend{}, &standin.Backend{}
+	a, b := &fake.Backend{}, &fake.Backend{}
 	p, d, list := serving(t, setup{}, a, b)
 	var at []*client
 	for range 8 {
 		c := p.up(strings.Replace(open(""), "7f3a9c21e0b4d655", fmt.Sprintf("%016x", lastID*7919), 1))
-		before := len(a.Opens())
+		before := len(a.OpenLines())
 		if before > len(at) {
 			at = append(at, c)
 		}
@@ -520,25 +520,25 @@
 		t.Fatal("none of 8 keys has the first backend as its home")
 	}
 	list[0].State = "draining"
-	d.Set(list...)
+	d.SetEndpoints(list...)
 	for _, c := range at {
 		c.hear("MOVE")
 		c.ends()
 	}
-	was := len(a.Opens())
+	was := len(a.OpenLines())
 	for range 8 {
 		p.up(strings.Replace(open(""), "7f3a9c21e0b4d655", fmt.Sprintf("%016x", lastID*7919), 1))
 	}
-	if n := len(a.Opens()); n != was {
+	if n := len(a.OpenLines()); n != was {
 		t.Errorf("%d connections to a draining backend", n-was)
 	}
 }
 
 func TestASilentBackendsClientIsMoved(t *testing.T) {
-	b := &standin.Backend{}
+	b := &fake.Backend{}
 	p, _, _ := serving(t, setup{}, b)
 	c := p.up(open(""))
-	b.GoSilent()
+	b.StopResponding()
 	asked := time.Now()
 	c.say("anyone?")
 	c.hear("MOVE")
@@ -549,20 +549,20 @@
 }
 
 func TestAStandingConnectionGoesToItsBackend(t *testing.T) {
-	a, b := &standin.Backend{}, &standin.Backend{}
+	a, b := &fake.Backend{}, &fake.Backend{}
 	p, _, _ := serving(t, setup{mode: "pass"}, a, b)
-	for i, want := range []*standin.Backend{a, b, a, b} {
-		before := len(want.Opens())
+	for i, want := range []*fake.Backend{a, b, a, b} {
+		before := len(want.OpenLines())
 		line := open(",at=s-" + strconv.Itoa(i%2))
 		p.up(line)
-		if len(want.Opens()) != before+1 {
+		if len(want.OpenLines()) != before+1 {
 			t.Errorf("%q went elsewhere", line)
 		}
 	}
 }
 
 func TestTheAnswerComesInTime(t *testing.T) {
-	b := &standin.Backend{Answer: func(string) []string { return nil }} // never answers
+	b := &fake.Backend{Answer: func(string) []string { return nil }} // never answers
 	p, _, _ := serving(t, setup{}, b)
 	c := p.dial()
 	asked := time.Now()
@@ -578,7 +578,7 @@
 // A backend that answers at the very end of the client's patience races with the
 // relay's own time-out: the client hears one of both.
 func TestARaceOfAnswersIsWonByOne(t *testing.T) {
-	b := &standin.Backend{Answer: func(open string) []string {
+	b := &fake.Backend{Answer: func(open string) []string {
 		m := regexp.MustCompile(`,d=(\d+),`).FindStringSubmatch(open)
 		left, _ := strconv.Atoi(m[1])
 		<-time.After(time.Duration(left) * time.Millisecond)
@@ -609,7 +609,7 @@
 }
 
 func TestNearTheLimitOfDescriptorsTheAnswerIsBusy(t *testing.T) {
-	p, _, _ := serving(t, setup{sockets: 64}, &standin.Backend{})
+	p, _, _ := serving(t, setup{sockets: 64}, &fake.Backend{})
 	ups, busy := 0, 0
 	for range 40 {
 		c := p.dial()
@@ -635,7 +635,7 @@
 }
 
 func TestSIGTERMAnswersWhatIsPendingAndMovesTheRest(t *testing.T) {
-	b := &standin.Backend{Answer: func(open string) []string {
+	b := &fake.Backend{Answer: func(open string) []string {
 		if strings.Contains(open, "slow=1") {
 			<-time.After(700 * time.Millisecond)
 		}
@@ -670,7 +670,7 @@
 // A second SIGTERM, and a SIGHUP, while the relay leaves end nothing early: who stands is moved, who waits is answered.
 func TestSignalsWhileItLeavesEndNothingEarly(t *testing.T) {
 	hold := make(chan struct{})
-	b := &standin.Backend{Answer: func(open string) []string {
+	b := &fake.Backend{Answer: func(open string) []string {
 		if strings.Contains(open, "held=1") {
 			<-hold
 		}
@@ -682,7 +682,7 @@
 	c.hear("UP it")
 	waits := p.dial()
 	waits.say(open(",held=1"))
-	until(t, "it is sent", func() bool { return len(b.Opens()) == 2 })
+	until(t, "it is sent", func() bool { return len(b.OpenLines()) == 2 })
 	for _, s := range []syscall.Signal{syscall.SIGTERM, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM} {
 		if err := p.cmd.Process.Signal(s); err != nil {
 			t.Fatal(err)
@@ -706,7 +706,7 @@
 
 // Where packets pass through, a relay that is told to stop goes on for its connections until it is stopped.
 func TestALeavingRelayHoldsWhatPassesThrough(t *testing.T) {
-	p, _, _ := serving(t, setup{mode: "pass"}, &standin.Backend{})
+	p, _, _ := serving(t, setup{mode: "pass"}, &fake.Backend{})
 	c := p.up(open(""))
 	if err := p.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
@@ -722,7 +722,7 @@
 }
 
 func TestKnownBackendsSufficeWhileDiscoveryIsSilent(t *testing.T) {
-	d, list := backends(t, &standin.Backend{})
+	d, list := backends(t, &fake.Backend{})
 	d.Close()
 	p := start(t, setup{discovery: d.Addr(), known: list})
 	c := p.dial()
@@ -736,17 +736,17 @@
 }
 
 func TestABadBodyKeepsTheLastList(t *testing.T) {
-	p, d, _ := serving(t, setup{}, &standin.Backend{})
-	d.SetRaw(`{"version": 9, "full": true, "servers": [{"id": "s-0", "state": "asleep"}]}`)
+	p, d, _ := serving(t, setup{}, &fake.Backend{})
+	d.SetResponse(`{"version": 9, "full": true, "servers": [{"id": "s-0", "state": "asleep"}]}`)
 	p.logs("asleep", 1)
 	p.up(open(""))
 }
 
 func TestAListThatMovesABackendIsFollowed(t *testing.T) {
-	old, moved := &standin.Backend{}, &standin.Backend{}
+	old, moved := &fake.Backend{}, &fake.Backend{}
 	p, d, list := serving(t, setup{}, old, moved)
-	d.Set(standin.Entry{ID: list[0].ID, Addr: list[1].Addr, Zone: "east", State: "ready", Weight: 1})
-	for deadline := time.Now().Add(patience); len(moved.Opens()) == 0; {
+	d.SetEndpoints(fake.Endpoint{ID: list[0].ID, Addr: list[1].Addr, Zone: "east", State: "ready", Weight: 1})
+	for deadline := time.Now().Add(patience); len(moved.OpenLines()) == 0; {
 		p.up(open(""))
 		if time.Now().After(deadline) {
 			t.Fatal("the new address is not used")
@@ -785,18 +785,18 @@
 // After a reload the old agent is left in the middle of its watch, and the whole list comes from the
 // new one, though its version is lower and the environment still names the old one.
 func TestAReloadFollowsTheNewAgentAtOnce(t *testing.T) {
-	before, after := &standin.Backend{}, &standin.Backend{}
+	before, after := &fake.Backend{}, &fake.Backend{}
 	old, list := backends(t, before, after)
 	old.SetVersion(1000)
-	old.Set(list[0])
-	fresh := &standin.Discovery{}
+	old.SetEndpoints(list[0])
+	fresh := &fake.Discovery{}
 	if err := fresh.Listen("127.0.0.1:0", list[1]); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(fresh.Close)
 	p := start(t, setup{discovery: old.Addr(), known: list[:1], env: []string{"PROXY_DISCOVERY=" + old.Addr()}})
 	held := p.up(open(""))
-	until(t, "the old agent is watched", func() bool { return old.Calls() > 0 })
+	until(t, "the old agent is watched", func() bool { return old.WaitingCalls() > 0 })
 	asked := time.Now()
 	p.reload(setup{discovery: fresh.Addr(), known: list[:1]})
 	held.hear("MOVE") // its backend is not in the new list
@@ -804,18 +804,18 @@
 		t.Errorf("the new list was taken after %v", took)
 	}
 	p.up(open(""))
-	if len(after.Opens()) != 1 || len(before.Opens()) != 1 {
-		t.Errorf("%d opens at the old backend, %d at the new", len(before.Opens()), len(after.Opens()))
+	if len(after.OpenLines()) != 1 || len(before.OpenLines()) != 1 {
+		t.Errorf("%d opens at the old backend, %d at the new", len(before.OpenLines()), len(after.OpenLines()))
 	}
-	if n := old.Calls(); n != 0 {
+	if n := old.WaitingCalls(); n != 0 {
 		t.Errorf("%d calls are still out at the old agent", n)
 	}
 }
 
 func TestAReloadUnderLoadDisturbsNobody(t *testing.T) {
-	b := &standin.Backend{}
+	b := &fake.Backend{}
 	p, d, list := serving(t, setup{}, b)
-	other := &standin.Discovery{}
+	other := &fake.Discovery{}
 	if err := other.Listen("127.0.0.1:0", list...); err != nil {
 		t.Fatal(err)
 	}
@@ -850,7 +850,7 @@
 }
 
 func TestAnUnsoundFileOnReloadKeepsTheRunningConfiguration(t *testing.T) {
-	p, d, list := serving(t, setup{}, &standin.Backend{})
+	p, d, list := serving(t, setup{}, &fake.Backend{})
 	for i, r := range [][2]string{{`"seed"`, `seed`}, {`"no`, `"no`}, {`"full":true`, `"full":"yes"`},
 		{`"memory_mb":192`, `"memory_mb":-1`}, {d.Addr(), "nowhere"}} {
 		if i == 1 { // no file at all
@@ -883,7 +883,7 @@
 }
 
 func TestASilentCrowdKeepsNobodyOut(t *testing.T) {
-	p, _, _ := serving(t, setup{sockets: 256, memory: 32}, &standin.Backend{})
+	p, _, _ := serving(t, setup{sockets: 256, memory: 32}, &fake.Backend{})
 	held := p.up(open(""))
 	var crowd []*client
 	for range 300 {
@@ -904,7 +904,7 @@
 }
 
 func TestEndlessInputIsCutOff(t *testing.T) {
-	p, _, _ := serving(t, setup{sockets: 256, memory: 32}, &standin.Backend{})
+	p, _, _ := serving(t, setup{sockets: 256, memory: 32}, &fake.Backend{})
 	held := p.up(open(""))
 	for _, what := range []string{strings.Repeat("k", 64<<10), strings.Repeat("PING\r\n", 8<<10),
 		strings.Repeat("frob 1\r\n", 8<<10), "OPEN " + strings.Repeat("\x00\xff", 32<<10)} {
@@ -940,7 +940,7 @@
 // A client's system that has no room yet for what it was told holds that back at the relay. A relay that closes at once,
 // since the client never stops sending, takes it back.
 func TestAClientThatNeverStopsHearsAllThatItWasTold(t *testing.T) {
-	p, _, _ := serving(t, setup{sockets: 256, memory: 32}, &standin.Backend{})
+	p, _, _ := serving(t, setup{sockets: 256, memory: 32}, &fake.Backend{})
 	narrow := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) (err error) {
 		_ = raw.Control(func(fd uintptr) { err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 1) })
 		return err
@@ -967,17 +967,17 @@
 }
 
 func TestWhatComesBeforeTheAnswerIsBadInput(t *testing.T) {
-	b := &standin.Backend{Answer: func(open string) []string { return nil }}
+	b := &fake.Backend{Answer: func(open string) []string { return nil }}
 	p, _, _ := serving(t, setup{}, b)
 	c := p.dial()
 	c.say(open("") + "\r\n" + open("")) // both at once
 	turnedAway(t, c, 3*time.Second)
-	if n := len(b.Opens()); n != 0 {
+	if n := len(b.OpenLines()); n != 0 {
 		t.Errorf("%d opens came to a backend", n)
 	}
 	c = p.dial()
 	c.say(open(""))
-	until(t, "the open comes to the backend", func() bool { return len(b.Opens()) > 0 })
+	until(t, "the open comes to the backend", func() bool { return len(b.OpenLines()) > 0 })
 	asked := time.Now()
 	c.say("more")
 	c.hear("ERR")
@@ -988,7 +988,7 @@
 }
 
 func TestHalfACommandIsAnswered(t *testing.T) {
-	p, _, _ := serving(t, setup{}, &standin.Backend{})
+	p, _, _ := serving(t, setup{}, &fake.Backend{})
 	c := p.dial()
 	if _, err := io.WriteString(c, "OPEN 9b1f"); err != nil {
 		t.Fatal(err)
@@ -1005,7 +1005,7 @@
 
 // Hundreds come again as soon as they are turned away; usual clients are served all the while.
 func TestAFloodOfBadClientsKeepsNobodyOut(t *testing.T) {
-	p, _, _ := serving(t, setup{sockets: 256, memory: 32}, &standin.Backend{})
+	p, _, _ := serving(t, setup{sockets: 256, memory: 32}, &fake.Backend{})
 	stop := make(chan struct{})
 	var flood sync.WaitGroup
 	for i := range 100 {
@@ -1041,7 +1041,7 @@
 }
 
 func TestAnIdInUseHarmsItsHolderNever(t *testing.T) {
-	b := &standin.Backend{}
+	b := &fake.Backend{}
 	p, _, _ := serving(t, setup{}, b)
 	line := open("")
 	held := p.up(line)
@@ -1053,7 +1053,7 @@
 		held.say("still")
 		held.hear("echo still")
 	}
-	if n := len(b.Opens()); n != 1 {
+	if n := len(b.OpenLines()); n != 1 {
 		t.Errorf("%d opens came to the backend", n)
 	}
 }
--- a/cmd/aspenbarrow/start_test.go
+++ b/cmd/aspenbarrow/start_test.go
@@ -15,16 +15,16 @@
 	"testing"
 	"time"
 
-	"aspenbarrow/internal/standin"
+	"aspenbarrow/internal/fake"
 )
 
 // readyWithin is by when nine in ten restarted relays have to answer PONG on their listen address.
 const readyWithin = 10 * time.Second
 
 // hosts is a list of so many servers that nobody runs.
-func hosts(n int) (list []standin.Entry) {
+func hosts(n int) (list []fake.Endpoint) {
 	for i := range n {
-		list = append(list, standin.Entry{ID: fmt.Sprintf("s-%08x", i), Addr: fmt.Sprintf("127.0.%d.%d:9", 1+i/250, 1+i%250), Zone: "east", State: "ready", Weight: 1})
+		list = append(list, fake.Endpoint{ID: fmt.Sprintf("s-%08x", i), Addr: fmt.Sprintf("127.0.%d.%d:9", 1+i/250, 1+i%250), Zone: "east", State: "ready", Weight: 1})
 	}
 	return list
 }
@@ -67,7 +67,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = mute.Close() })
-	var slow standin.Discovery
+	var slow fake.Discovery
 	if err := slow.Listen("127.0.0.1:0", hosts(1000)...); err != nil {
 		t.Fatal(err)
 	}
@@ -76,7 +76,7 @@
 	for _, tc := range []struct {
 		name      string
 		discovery string
-		known     []standin.Entry
+		known     []fake.Endpoint
 		replace   [2]string
 		standing  int // connections from before the start that come at once
 	}{
@@ -143,14 +143,14 @@
 	d := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		index, _ := strconv.ParseInt(r.URL.Query().Get("index"), 10, 64)
 		if v := version.Load(); index < v {
-			_, _ = w.Write(standin.List(int(v), hosts(2000-int(v))))
+			_, _ = w.Write(fake.EncodeList(int(v), hosts(2000-int(v))))
 			return
 		}
 		heard <- index // it has that list
 		for version.Load() == index && r.Context().Err() == nil {
 			time.Sleep(5 * time.Millisecond) // there is nothing newer yet
 		}
-		_, _ = w.Write(standin.List(int(version.Load()), hosts(2000-int(version.Load()))))
+		_, _ = w.Write(fake.EncodeList(int(version.Load()), hosts(2000-int(version.Load()))))
 	}))
 	t.Cleanup(d.Close)
 	s := setup{discovery: d.Listener.Addr().String(), known: hosts(2000), replace: [2]string{`"peers":["127.0.0.1:9"]`, names(1024)}, memory: 32, sockets: 256}
--- a/cmd/aspenbarrow/upgrade_test.go
+++ b/cmd/aspenbarrow/upgrade_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"aspenbarrow/internal/standin"
+	"aspenbarrow/internal/fake"
 )
 
 // pair is a relay of which one process after the other runs, with the same address and folder.
@@ -24,10 +24,10 @@
 	folder string
 }
 
-func newPair(t *testing.T, s setup, b ...*standin.Backend) *pair {
+func newPair(t *testing.T, s setup, b ...*fake.Backend) *pair {
 	t.Helper()
 	if len(b) == 0 {
-		b = []*standin.Backend{{}, {}, {}}
+		b = []*fake.Backend{{}, {}, {}}
 	}
 	d, list := backends(t, b...)
 	folder, err := os.MkdirTemp("", "ab") // a socket's path is short
@@ -206,7 +206,7 @@
 func TestANextProcessThatDiesWhileTheOldOneLeaves(t *testing.T) {
 	for _, s := range []syscall.Signal{syscall.SIGKILL, syscall.SIGTERM} {
 		hold := make(chan struct{})
-		b := &standin.Backend{Answer: func(open string) []string {
+		b := &fake.Backend{Answer: func(open string) []string {
 			if strings.Contains(open, "held=1") {
 				<-hold
 			}
@@ -216,7 +216,7 @@
 		old := p.next()
 		waits := old.dial()
 		waits.say(open(",held=1"))
-		until(t, "it is sent", func() bool { return len(b.Opens()) == 1 })
+		until(t, "it is sent", func() bool { return len(b.OpenLines()) == 1 })
 		n := p.next()
 		old.signal(syscall.SIGTERM) // it owes an answer, and stays until that is given
 		old.logs(`"msg":"leaving"`, 1)
--- /dev/null
+++ b/internal/fake/backend.go
@@ -0,0 +1,172 @@
+// Package fake provides fake backends and a fake discovery service that speak the relay's protocols on
+// loopback sockets, for tests, the demonstration and the example.
+//
+// They model no load: figures taken with them say nothing of real servers. Package emulator does that.
+package fake
+
+import (
+	"bufio"
+	"io"
+	"net"
+	"net/textproto"
+	"strings"
+	"sync"
+)
+
+// Answers of a Backend that are no lines of the protocol.
+const (
+	EndConnection   = ""      // closes the backend's side of the connection
+	ResetConnection = "RESET" // resets the connection
+)
+
+// Backend is a fake backend, which listens on a socket. Its exported fields are set before Listen.
+type Backend struct {
+	// Answer returns the lines that answer an OPEN line; EndConnection and ResetConnection have a meaning of
+	// their own. If the first one begins with UP, the session is established and every later line is echoed.
+	// If there are none, the backend never answers. Nil establishes every session.
+	Answer func(open string) []string
+	// LoadReport follows PONG in the answer to STATS.
+	LoadReport string
+
+	listener net.Listener
+
+	mu        sync.Mutex
+	openLines []string
+	conns     map[net.Conn]bool
+	silent    bool
+}
+
+// Listen starts the backend on an address.
+func (b *Backend) Listen(addr string) error {
+	if b.Answer == nil {
+		b.Answer = establish
+	}
+	b.conns = map[net.Conn]bool{}
+	var err error
+	if b.listener, err = net.Listen("tcp", addr); err != nil {
+		return err
+	}
+	go b.acceptLoop()
+	return nil
+}
+
+// establish answers OPEN with UP and the request's id.
+func establish(open string) []string { return []string{"UP " + strings.Fields(open)[1]} }
+
+func (b *Backend) acceptLoop() {
+	for {
+		conn, err := b.listener.Accept()
+		if err != nil {
+			return // the listener is closed
+		}
+		b.mu.Lock()
+		b.conns[conn] = true
+		b.mu.Unlock()
+		go b.serve(conn)
+	}
+}
+
+// Addr returns the address that the backend listens on.
+func (b *Backend) Addr() string { return b.listener.Addr().String() }
+
+// OpenLines returns the OPEN lines received so far.
+func (b *Backend) OpenLines() []string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return append([]string(nil), b.openLines...)
+}
+
+// StopResponding leaves all connections open and answers nothing from now on, like a partitioned machine.
+func (b *Backend) StopResponding() {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.silent = true
+}
+
+// Broadcast sends lines to all clients; EndConnection and ResetConnection act on their connections.
+func (b *Backend) Broadcast(lines ...string) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for conn := range b.conns {
+		_ = send(conn, lines)
+	}
+}
+
+// Close closes the listener and all connections.
+func (b *Backend) Close() {
+	_ = b.listener.Close()
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for conn := range b.conns {
+		_ = conn.Close()
+	}
+}
+
+// send writes lines and reports whether the connection goes on.
+func send(conn net.Conn, lines []string) bool {
+	for _, line := range lines {
+		switch line {
+		case EndConnection:
+			_ = conn.(*net.TCPConn).CloseWrite()
+			return false
+		case ResetConnection:
+			_ = conn.(*net.TCPConn).SetLinger(0) // makes Close send RST
+			_ = conn.Close()
+			return false
+		}
+		if _, err := io.WriteString(conn, line+"\r\n"); err != nil {
+			return false
+		}
+	}
+	return true
+}
+
+func (b *Backend) serve(conn net.Conn) {
+	defer func() {
+		b.mu.Lock()
+		delete(b.conns, conn)
+		b.mu.Unlock()
+		_ = conn.Close()
+	}()
+	in := textproto.NewReader(bufio.NewReader(conn))
+	established := false
+	for {
+		line, err := in.ReadLine()
+		if err != nil {
+			return
+		}
+		var answer []string
+		if !b.received(line, established) {
+			answer, established = b.answer(line, established)
+		}
+		if !send(conn, answer) {
+			return
+		}
+	}
+}
+
+// received records a line and reports whether the backend has stopped responding.
+func (b *Backend) received(line string, established bool) (silent bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if strings.HasPrefix(line, "OPEN ") && !established {
+		b.openLines = append(b.openLines, line)
+	}
+	return b.silent
+}
+
+// answer returns the answer to a line, and whether the session is established after it.
+func (b *Backend) answer(line string, established bool) ([]string, bool) {
+	switch {
+	case established:
+		return []string{"echo " + line}, true
+	case line == "PING":
+		return []string{"PONG"}, false
+	case line == "STATS":
+		return []string{strings.TrimSpace("PONG " + b.LoadReport)}, false
+	case strings.HasPrefix(line, "OPEN "):
+		answer := b.Answer(line)
+		return answer, len(answer) > 0 && strings.HasPrefix(answer[0], "UP")
+	}
+	return []string{"SYNTAX", EndConnection}, false
+}
--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -11,7 +11,7 @@
 
 	"go.uber.org/zap"
 
-	"aspenbarrow/internal/standin"
+	"aspenbarrow/internal/fake"
 )
 
 // lean is a backend that costs little beside the relay that is measured: one that echoes what comes after
@@ -65,8 +65,8 @@
 
 // measured starts a relay before one lean backend and returns a way to open connections through it.
 func measured(b *testing.B, idle bool) func() net.Conn {
-	entry := standin.Entry{ID: "s-0", Addr: lean(b, idle), Zone: "east", State: "ready", Weight: 1}
-	var d standin.Discovery
+	entry := fake.Endpoint{ID: "s-0", Addr: lean(b, idle), Zone: "east", State: "ready", Weight: 1}
+	var d fake.Discovery
 	if err := d.Listen("127.0.0.1:0", entry); err != nil {
 		b.Fatal(err)
 	}
--- a/internal/relay/crossings_test.go
+++ b/internal/relay/crossings_test.go
@@ -17,9 +17,9 @@
 	"golang.org/x/sys/unix"
 
 	"aspenbarrow/balance"
+	"aspenbarrow/internal/fake"
 	"aspenbarrow/internal/machine"
 	"aspenbarrow/internal/route"
-	"aspenbarrow/internal/standin"
 )
 
 // Two events that may cross are held at barriers here and let go in a chosen order: every backend, agent and client is
@@ -29,7 +29,7 @@
 const leavingTime = 100 * time.Millisecond
 
 // bare is a configuration without probes and peers on the given backends.
-func bare(discovery string, list ...standin.Entry) Config {
+func bare(discovery string, list ...fake.Endpoint) Config {
 	cfg := config(discovery, list...)
 	cfg.Settings.HealthChecks, cfg.Settings.Gossip, cfg.Settings.ReportFields, cfg.Settings.FieldNames = false, false, nil, nil
 	cfg.PeerListen, cfg.Peers, cfg.Sockets = "", nil, 2048
@@ -159,8 +159,8 @@
 	return &scripted{t, l.(*net.TCPListener)}
 }
 
-func (s *scripted) entry(id string) standin.Entry {
-	return standin.Entry{ID: id, Addr: s.l.Addr().String(), Zone: "east", State: "ready", Weight: 1}
+func (s *scripted) entry(id string) fake.Endpoint {
+	return fake.Endpoint{ID: id, Addr: s.l.Addr().String(), Zone: "east", State: "ready", Weight: 1}
 }
 
 // answersOne answers the probe that the helper attempts has set off, and drops its connection.
@@ -292,7 +292,7 @@
 			c := opens(t, r, 1, "")
 			until(t, "it waits", func() bool { return in(r, r.node.Flows) == 1 })
 			leaves(t, r, c, way.how)
-			first.answers(standin.List(1, []standin.Entry{b.entry("s-0")}))
+			first.answers(fake.EncodeList(1, []fake.Endpoint{b.entry("s-0")}))
 			servesNext(t, r, b, 2)
 		})
 	}
@@ -449,7 +449,7 @@
 		t.Run(way.name, func(t *testing.T) {
 			t.Parallel()
 			addr, empty := full(t)
-			cfg := bare("127.0.0.1:9", standin.Entry{ID: "s-0", Addr: addr, Zone: "east", State: "ready", Weight: 1})
+			cfg := bare("127.0.0.1:9", fake.Endpoint{ID: "s-0", Addr: addr, Zone: "east", State: "ready", Weight: 1})
 			cfg.Settings.DialTimeout = time.Minute
 			r, _, _ := running(t, cfg)
 			c := opens(t, r, 1, "")
@@ -555,11 +555,11 @@
 		for _, busy := range []bool{false, true} {
 			t.Run(fmt.Sprint(way.name, ", lists come ", busy), func(t *testing.T) {
 				b, d := newScripted(t), newAgent(t)
-				list := []standin.Entry{b.entry("s-0")}
+				list := []fake.Endpoint{b.entry("s-0")}
 				r, _, _ := running(t, bare(d.addr(), list...))
 				if busy {
 					for i := range 1000 {
-						list = append(list, standin.Entry{ID: fmt.Sprint("d-", i), Addr: "127.0.0.1:9", Zone: "east", State: "draining", Weight: 1})
+						list = append(list, fake.Endpoint{ID: fmt.Sprint("d-", i), Addr: "127.0.0.1:9", Zone: "east", State: "draining", Weight: 1})
 					}
 					lists, stop := make(chan struct{}), make(chan struct{})
 					go func() {
@@ -567,7 +567,7 @@
 						for version := 1; ; version++ {
 							select {
 							case q := <-d.calls:
-								body := standin.List(version, list)
+								body := fake.EncodeList(version, list)
 								_, _ = fmt.Fprintf(q.c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 							case <-stop:
 								return
@@ -644,7 +644,7 @@
 		t.Run(fmt.Sprint(pass), func(t *testing.T) {
 			t.Parallel()
 			addr, empty := full(t)
-			cfg := bare("127.0.0.1:9", standin.Entry{ID: "s-0", Addr: addr, Zone: "east", State: "ready", Weight: 1})
+			cfg := bare("127.0.0.1:9", fake.Endpoint{ID: "s-0", Addr: addr, Zone: "east", State: "ready", Weight: 1})
 			s := &cfg.Settings
 			s.PassThrough, s.DialTimeout, s.Classes[0].ClientTimeout, s.Classes[0].Idempotency = pass, 9*time.Second, 9*time.Second, balance.NonIdempotent
 			r, term, ended := running(t, cfg)
@@ -673,12 +673,12 @@
 // Short deadlines: every standing client is moved before SIGKILL, which comes a second after SIGTERM.
 func TestSIGTERMMovesAllWithShortDeadlines(t *testing.T) {
 	t.Parallel()
-	b := &standin.Backend{}
+	b := &fake.Backend{}
 	if err := b.Listen("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(b.Close)
-	cfg := bare("127.0.0.1:9", standin.Entry{ID: "s-0", Addr: b.Addr(), Zone: "east", State: "ready", Weight: 1})
+	cfg := bare("127.0.0.1:9", fake.Endpoint{ID: "s-0", Addr: b.Addr(), Zone: "east", State: "ready", Weight: 1})
 	cfg.Settings.PassThrough, cfg.Settings.Classes[0].ClientTimeout = false, 300*time.Millisecond
 	r, term, ended := running(t, cfg)
 	var clients []*caller
@@ -954,7 +954,7 @@
 					if !q.whole() {
 						t.Fatal("a watch before any list")
 					}
-					q.answers(standin.List(1, []standin.Entry{one.entry("s-0"), two.entry("s-1")}))
+					q.answers(fake.EncodeList(1, []fake.Endpoint{one.entry("s-0"), two.entry("s-1")}))
 				}
 				silent, times := time.Now(), 2
 				if strings.HasSuffix(tc.name, "25 times") { // however many in a row, the watch does not lapse and the pause stays short
@@ -997,9 +997,9 @@
 			t.Parallel()
 			d := newAgent(t)
 			one, two := newScripted(t), newScripted(t)
-			list := []standin.Entry{one.entry("s-0"), two.entry("s-1")}
+			list := []fake.Endpoint{one.entry("s-0"), two.entry("s-1")}
 			r, _, _ := running(t, bare(d.addr(), list...))
-			d.call().answers(standin.List(1, list))
+			d.call().answers(fake.EncodeList(1, list))
 			q := d.call()
 			text := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 			for i := range text {
@@ -1024,11 +1024,11 @@
 			t.Parallel()
 			d := newAgent(t)
 			addr, empty := full(t)
-			one := standin.Entry{ID: "s-0", Addr: addr, Zone: "east", State: "ready", Weight: 1}
+			one := fake.Endpoint{ID: "s-0", Addr: addr, Zone: "east", State: "ready", Weight: 1}
 			cfg := bare(d.addr(), one)
 			cfg.Settings.DialTimeout, cfg.Settings.DrainGrace = time.Minute, 20*time.Millisecond // SYNs after 1, 3, 7 and 15 s
 			r, _, _ := running(t, cfg)
-			d.call().answers(standin.List(1, []standin.Entry{one}))
+			d.call().answers(fake.EncodeList(1, []fake.Endpoint{one}))
 			c := opens(t, r, 1, "")
 			until(t, "its dial is out", r.holds(1))
 			d.call().answers(change(2, "s-0", state))
@@ -1087,9 +1087,9 @@
 				cfg := bare("127.0.0.1:9", one.entry("s-0"), two.entry("s-1"))
 				// The other backend is in another zone: a keyed request that may have run has nowhere to go.
 				cfg.Settings.ZoneNames = []string{"east", "west"}
-				list := []standin.Entry{one.entry("s-0"), two.entry("s-1")}
+				list := []fake.Endpoint{one.entry("s-0"), two.entry("s-1")}
 				list[1].Zone = "west"
-				cfg.Known = standin.List(1, list)
+				cfg.Known = fake.EncodeList(1, list)
 				cfg.Settings.Classes[0].Idempotency, cfg.Settings.Classes[0].DedupScope = effect, balance.ScopeZone
 				cfg.Settings.Classes[0].DedupWindow, cfg.Settings.Classes[0].ClientTimeout = time.Minute, 9*time.Second
 				r, _, _ := running(t, cfg)
@@ -1201,7 +1201,7 @@
 		t.Errorf("answered after %v", took)
 	}
 	addr, _ := full(t)
-	cfg.Known = standin.List(1, []standin.Entry{{ID: "s-0", Addr: addr, Zone: "east", State: "ready", Weight: 1}})
+	cfg.Known = fake.EncodeList(1, []fake.Endpoint{{ID: "s-0", Addr: addr, Zone: "east", State: "ready", Weight: 1}})
 	r, _, _ = running(t, cfg)
 	c = opens(t, r, 3, "")
 	came = time.Now()
--- a/internal/relay/management_test.go
+++ b/internal/relay/management_test.go
@@ -12,8 +12,8 @@
 
 	"go.uber.org/zap"
 
+	"aspenbarrow/internal/fake"
 	"aspenbarrow/internal/machine"
-	"aspenbarrow/internal/standin"
 )
 
 // managed is a relay with a second address and one backend.
@@ -25,12 +25,12 @@
 // managedAs is that under a changed configuration, with what the backend reports.
 func managedAs(t *testing.T, report string, change func(*Config)) *Relay {
 	t.Helper()
-	b := &standin.Backend{Report: report}
+	b := &fake.Backend{LoadReport: report}
 	if err := b.Listen("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
-	entry := standin.Entry{ID: "s-0", Addr: b.Addr(), Zone: "east", State: "ready", Weight: 1}
-	var d standin.Discovery
+	entry := fake.Endpoint{ID: "s-0", Addr: b.Addr(), Zone: "east", State: "ready", Weight: 1}
+	var d fake.Discovery
 	if err := d.Listen("127.0.0.1:0", entry); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -14,14 +14,14 @@
 	"go.uber.org/zap"
 
 	"aspenbarrow/balance"
+	"aspenbarrow/internal/fake"
 	"aspenbarrow/internal/machine"
 	"aspenbarrow/internal/settings"
-	"aspenbarrow/internal/standin"
 )
 
 const patience = 15 * time.Second
 
-func config(discovery string, list ...standin.Entry) Config {
+func config(discovery string, list ...fake.Endpoint) Config {
 	s := settings.Settings{ClassNames: []string{"chat"}, ZoneNames: []string{"east"}, KindNames: []string{"k"},
 		FieldNames: []string{"x0"}, IdleClose: 5 * time.Second, Settings: balance.Settings{RelayCount: 2,
 			Tick: 4 * time.Millisecond, HealthChecks: true, Gossip: true, RetryAfter: true, MaxRetryAfter: time.Second,
@@ -30,7 +30,7 @@
 			Classes: []balance.Class{{LatencyObjective: 500 * time.Millisecond, ClientTimeout: time.Second,
 				MessageLatencyObjective: 60 * time.Millisecond}}}}
 	return Config{Name: "n0", Listen: "127.0.0.1:0", Discovery: discovery, Seed: 1, MemoryMB: 64, Sockets: 256,
-		PeerListen: "127.0.0.1:0", Peers: []string{"127.0.0.1:9"}, Known: standin.List(1, list), Settings: s}
+		PeerListen: "127.0.0.1:0", Peers: []string{"127.0.0.1:9"}, Known: fake.EncodeList(1, list), Settings: s}
 }
 
 // until waits for a condition; between two looks it leaves the cores to what it waits for.
@@ -45,12 +45,12 @@
 
 func TestARelayLeavesNoGoroutineBehind(t *testing.T) {
 	before := runtime.NumGoroutine()
-	b := &standin.Backend{Report: "x0=0.1"}
+	b := &fake.Backend{LoadReport: "x0=0.1"}
 	if err := b.Listen("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
-	entry := standin.Entry{ID: "s-0", Addr: b.Addr(), Zone: "east", State: "ready", Weight: 1}
-	var d standin.Discovery
+	entry := fake.Endpoint{ID: "s-0", Addr: b.Addr(), Zone: "east", State: "ready", Weight: 1}
+	var d fake.Discovery
 	if err := d.Listen("127.0.0.1:0", entry); err != nil {
 		t.Fatal(err)
 	}
@@ -103,7 +103,7 @@
 // attempts prepares an attempt of a client's at an address and a relay to make it.
 func attempts(t *testing.T, addr string, patience time.Duration) (*Relay, *machine.Flow, *machine.Attempt) {
 	t.Helper()
-	cfg := config("127.0.0.1:9", standin.Entry{ID: "s", Addr: addr, Zone: "east", State: "ready", Weight: 1})
+	cfg := config("127.0.0.1:9", fake.Endpoint{ID: "s", Addr: addr, Zone: "east", State: "ready", Weight: 1})
 	r, err := New(cfg, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
@@ -128,7 +128,7 @@
 func probed(r *Relay) balance.BackendID { return r.node.Backends()[0].ID }
 
 func TestAnAttemptOnSocketsEndsAsItWent(t *testing.T) {
-	b := &standin.Backend{}
+	b := &fake.Backend{}
 	if err := b.Listen("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
@@ -144,7 +144,7 @@
 		{"no time left", b.Addr(), 0, balance.StatusConnectFailed, 0},
 		{"nobody listens", dead(t), patience, balance.StatusConnectFailed, 0},
 	} {
-		was := len(b.Opens())
+		was := len(b.OpenLines())
 		r, f, a := attempts(t, tc.addr, tc.left)
 		l, n, fail := r.attempt(context.Background(), waiting(t), a)
 		if l != nil {
@@ -154,15 +154,15 @@
 			}
 			_ = l.conn.Close()
 		}
-		if got := f.Tried(r.now(), a, fail).Event.Outcome.Status; got != tc.want || len(b.Opens())-was != tc.sent {
-			t.Errorf("%s: %v (%v), %d sent", tc.name, got, fail, len(b.Opens())-was)
+		if got := f.Tried(r.now(), a, fail).Event.Outcome.Status; got != tc.want || len(b.OpenLines())-was != tc.sent {
+			t.Errorf("%s: %v (%v), %d sent", tc.name, got, fail, len(b.OpenLines())-was)
 		}
 	}
 }
 
 func TestAnAttemptThatIsGivenUpIsCancelled(t *testing.T) {
 	seen := make(chan struct{}, 1)
-	b := &standin.Backend{Answer: func(string) []string { seen <- struct{}{}; return nil }}
+	b := &fake.Backend{Answer: func(string) []string { seen <- struct{}{}; return nil }}
 	if err := b.Listen("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
@@ -369,14 +369,14 @@
 		<-hold
 		_ = c.Close()
 	}()
-	b := &standin.Backend{Report: "x0=0.5"}
+	b := &fake.Backend{LoadReport: "x0=0.5"}
 	if err := b.Listen("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
 	defer b.Close()
-	entries := []standin.Entry{}
+	entries := []fake.Endpoint{}
 	for id, addr := range []string{b.Addr(), silent.Addr().String(), b.Addr()} {
-		entries = append(entries, standin.Entry{ID: fmt.Sprint(id), Addr: addr, Zone: "east", State: "ready", Weight: 1})
+		entries = append(entries, fake.Endpoint{ID: fmt.Sprint(id), Addr: addr, Zone: "east", State: "ready", Weight: 1})
 	}
 	cfg := config("127.0.0.1:9", entries...)
 	cfg.Settings.DialTimeout = patience
--- a/internal/relay/timing_test.go
+++ b/internal/relay/timing_test.go
@@ -14,7 +14,7 @@
 	"go.uber.org/zap"
 
 	conf "aspenbarrow/internal/config"
-	"aspenbarrow/internal/standin"
+	"aspenbarrow/internal/fake"
 )
 
 // stage is backends that answer by a script, whichever of them is asked, and notes in which order OPEN lines came
@@ -23,7 +23,7 @@
 	mu      sync.Mutex
 	script  []string // for each OPEN in turn; empty: no answer
 	seen    []string // "open" and "end"
-	entries []standin.Entry
+	entries []fake.Endpoint
 }
 
 func newStage(t *testing.T, n int, script ...string) *stage {
@@ -34,7 +34,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { _ = l.Close() })
-		s.entries = append(s.entries, standin.Entry{ID: fmt.Sprint("s-", i), Addr: l.Addr().String(), Zone: "local", State: "ready", Weight: 1})
+		s.entries = append(s.entries, fake.Endpoint{ID: fmt.Sprint("s-", i), Addr: l.Addr().String(), Zone: "local", State: "ready", Weight: 1})
 		go func() {
 			for {
 				c, err := l.Accept()
@@ -178,7 +178,7 @@
 				t.Fatal(err)
 			}
 			s := newStage(t, 6, tc.script...)
-			c.Relay.Known = standin.List(1, s.entries)
+			c.Relay.Known = fake.EncodeList(1, s.entries)
 			r, err := New(c.Relay, zap.NewNop())
 			if err != nil {
 				t.Fatal(err)
@@ -224,7 +224,7 @@
 	}
 	s := newStage(t, 6, "", "ERR", "", "UP b", "ERR", "UP never")
 	cfg := parse(timed)
-	cfg.Known = standin.List(1, s.entries)
+	cfg.Known = fake.EncodeList(1, s.entries)
 	r, err := New(cfg, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/tryout/tryout.go
+++ b/internal/tryout/tryout.go
@@ -22,8 +22,8 @@
 	"go.uber.org/zap"
 
 	"aspenbarrow/internal/config"
+	"aspenbarrow/internal/fake"
 	"aspenbarrow/internal/relay"
-	"aspenbarrow/internal/standin"
 )
 
 // Options are the size of the demonstration.
@@ -78,17 +78,17 @@
 	ctx, cancel := context.WithTimeout(ctx, opt.For)
 	defer cancel()
 	s := &show{out: &lines{to: out}, began: time.Now(), at: map[int]string{}}
-	var entries []standin.Entry
+	var entries []fake.Endpoint
 	for i := range opt.Backends {
 		name := fmt.Sprintf("s-%d", i)
-		b := &standin.Backend{Report: "utilization=0.1,errors_per_s=0,x0=0.1", Answer: func(string) []string { return []string{"UP " + name} }}
+		b := &fake.Backend{LoadReport: "utilization=0.1,errors_per_s=0,x0=0.1", Answer: func(string) []string { return []string{"UP " + name} }}
 		if err := b.Listen("127.0.0.1:0"); err != nil {
 			return s.seen, err
 		}
 		defer b.Close()
-		entries = append(entries, standin.Entry{ID: name, Addr: b.Addr(), Zone: "east", Kind: "small", State: "ready", Weight: 1})
+		entries = append(entries, fake.Endpoint{ID: name, Addr: b.Addr(), Zone: "east", Kind: "small", State: "ready", Weight: 1})
 	}
-	var d standin.Discovery
+	var d fake.Discovery
 	if err := d.Listen("127.0.0.1:0", entries...); err != nil {
 		return s.seen, err
 	}
@@ -130,7 +130,7 @@
 }
 
 // course drains the backend that holds most, and takes it back.
-func (s *show) course(ctx context.Context, d *standin.Discovery, entries []standin.Entry, opt Options) {
+func (s *show) course(ctx context.Context, d *fake.Discovery, entries []fake.Endpoint, opt Options) {
 	wait := func(t time.Duration) bool {
 		timer := time.NewTimer(t)
 		defer timer.Stop()
@@ -163,7 +163,7 @@
 		}
 	}
 	s.say("discovery says that %s, with %d connections, drains", most, held[most])
-	d.Set(slices.Clone(entries)...)
+	d.SetEndpoints(slices.Clone(entries)...)
 	s.mu.Lock()
 	s.told = time.Now()
 	s.seen.Drained++
@@ -178,7 +178,7 @@
 	s.drained = ""
 	s.mu.Unlock()
 	s.say("%s is ready again", most)
-	d.Set(entries...)
+	d.SetEndpoints(entries...)
 	wait(opt.For / 6)
 }
 
