--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -1,10 +1,9 @@
-// Package baseline holds simple policies that experiments compare package balance
-// with: random choice, hashing alone, least connections, and an oracle that sees the
-// true load of every backend and so gives an upper bound.
+// Package baseline provides simple policies that experiments compare package balance with: random choice,
+// hashing alone, least connections, and an oracle that knows the true load of every backend and so marks an
+// upper bound.
 //
-// The policies limit attempts, do not repeat a request that may have had an effect,
-// and keep away from draining backends. They have no flow control, probing or
-// warm-up handling and are meant for the test systems only.
+// The policies limit attempts, do not repeat a request that may have had an effect, and avoid draining
+// backends. They have no admission control, health checks or slow start and are for the test systems only.
 package baseline
 
 import (
@@ -17,38 +16,70 @@
 	"aspenbarrow/internal/machine"
 )
 
-// Names returns the names that Named takes.
-func Names() []string { return []string{"random", "hash", "least", "oracle"} }
+// The policies' names.
+const (
+	random           = "random"
+	hash             = "hash"
+	leastConnections = "least"
+	oracle           = "oracle"
+)
+
+// randomStream keeps the policies' random numbers apart from those that package balance draws from the same seed.
+const randomStream = 0xba5e
+
+// maxRetryAfter bounds how long a rejected client is told to wait.
+const maxRetryAfter = time.Second
 
-// Named returns a constructor of the policy with a name of Names, or nil for the
-// empty name. load returns the true load of a backend as a share of its capacity;
-// only the oracle calls it. The constructor panics if the name is unknown.
-func Named(name string, load func(balance.BackendID) float64) func(time.Duration, uint64, balance.Settings, balance.Actions) machine.Decider {
+// Names returns the names that Lookup takes.
+func Names() []string { return []string{random, hash, leastConnections, oracle} }
+
+// NewFunc creates a policy for one relay.
+type NewFunc func(now time.Duration, seed uint64, settings balance.Settings, actions balance.Actions) machine.Decider
+
+// Lookup returns the constructor of the policy with a name of Names, or nil for the empty name. loadOf returns
+// the true load of a backend as a share of its capacity; only the oracle calls it. The constructor panics if
+// the name is unknown.
+func Lookup(name string, loadOf func(balance.BackendID) float64) NewFunc {
 	if name == "" {
 		return nil
 	}
-	return func(_ time.Duration, seed uint64, s balance.Settings, do balance.Actions) machine.Decider {
-		p := &policy{set: s, do: do, rng: rand.New(rand.NewPCG(seed, 0xba5e)), calls: map[uint64]*call{},
-			held: map[balance.BackendID]int{}, state: map[balance.BackendID]balance.BackendState{}}
-		switch name {
-		case "random":
-			p.rank = func(*call, balance.BackendID) float64 { return p.rng.Float64() }
-		case "hash":
-			p.rank = func(c *call, id balance.BackendID) float64 { return float64(mix(c.Key^uint64(id)) >> 11) }
-		case "least":
-			p.rank = func(_ *call, id balance.BackendID) float64 { return float64(p.held[id]) + p.rng.Float64()/2 }
-		case "oracle":
-			p.rank = func(_ *call, id balance.BackendID) float64 { return load(id) }
-		default:
-			panic("there is no policy " + name)
+	return func(_ time.Duration, seed uint64, settings balance.Settings, actions balance.Actions) machine.Decider {
+		p := &policy{
+			settings:    settings,
+			actions:     actions,
+			rng:         rand.New(rand.NewPCG(seed, randomStream)),
+			requests:    map[uint64]*request{},
+			connections: map[balance.BackendID]int{},
+			states:      map[balance.BackendID]balance.BackendState{},
 		}
-		if s.PollEndpoints {
-			do.WatchEndpoints(true)
+		p.rank = p.ranking(name, loadOf)
+		if settings.PollEndpoints {
+			actions.WatchEndpoints(true)
 		}
 		return p
 	}
 }
 
+// rankFunc rates a backend for a request; the least is chosen.
+type rankFunc func(r *request, id balance.BackendID) float64
+
+func (p *policy) ranking(name string, loadOf func(balance.BackendID) float64) rankFunc {
+	switch name {
+	case random:
+		return func(*request, balance.BackendID) float64 { return p.rng.Float64() }
+	case hash:
+		return func(r *request, id balance.BackendID) float64 { return float64(mix(r.Key^uint64(id)) >> 11) } // the 53 bits that a float64 holds
+	case leastConnections:
+		return func(_ *request, id balance.BackendID) float64 {
+			return float64(p.connections[id]) + p.rng.Float64()/2 // under one connection: ties are broken at random
+		}
+	case oracle:
+		return func(_ *request, id balance.BackendID) float64 { return loadOf(id) }
+	}
+	panic("there is no policy " + name)
+}
+
+// mix is the finalizer of SplitMix64.
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
@@ -57,188 +88,217 @@
 	return x ^ x>>31
 }
 
-// call is a request that has no final answer yet, or whose connection stands.
-type call struct {
+// request is a request without a final answer, or one whose session is established.
+type request struct {
 	balance.Request
-	until time.Duration
-	tried []balance.BackendID
-	at    balance.BackendID // of the attempt that is out, or of what stands
-	out   bool
-	began bool
-	done  bool
-	ran   bool
+	deadline        time.Duration
+	tried           []balance.BackendID
+	backend         balance.BackendID // of the pending attempt or the session
+	pending         bool              // an attempt is pending or the session is established
+	established     bool
+	answered        bool
+	mayHaveExecuted bool
 }
 
 // policy is a machine.Decider that sends each request to the ready backend of least rank.
 type policy struct {
-	set   balance.Settings
-	do    balance.Actions
-	rng   *rand.Rand
-	rank  func(c *call, id balance.BackendID) float64 // the least is taken
-	calls map[uint64]*call
-	order []uint64 // of calls, as they came
-	ready []balance.BackendID
-	state map[balance.BackendID]balance.BackendState
-	held  map[balance.BackendID]int
+	settings    balance.Settings
+	actions     balance.Actions
+	rng         *rand.Rand
+	rank        rankFunc
+	requests    map[uint64]*request
+	order       []uint64            // ids of requests, in order of arrival
+	ready       []balance.BackendID // sorted
+	states      map[balance.BackendID]balance.BackendState
+	connections map[balance.BackendID]int
 }
 
 var _ machine.Decider = (*policy)(nil)
 
+// RequestArrived implements machine.Decider.
 func (p *policy) RequestArrived(now time.Duration, r balance.Request) {
-	c := &call{Request: r, until: now + r.TimeLeft}
-	p.calls[r.ID] = c
+	added := &request{Request: r, deadline: now + r.TimeLeft}
+	p.requests[r.ID] = added
 	p.order = append(p.order, r.ID)
-	p.try(now, c)
+	p.attempt(now, added)
 }
 
+// SessionAdopted implements machine.Decider.
 func (p *policy) SessionAdopted(_ time.Duration, r balance.Request, id balance.BackendID) {
-	p.calls[r.ID] = &call{Request: r, at: id, out: true, began: true, tried: []balance.BackendID{id}}
+	p.requests[r.ID] = &request{Request: r, backend: id, pending: true, established: true, tried: []balance.BackendID{id}}
 	p.order = append(p.order, r.ID)
-	p.held[id]++
+	p.connections[id]++
 }
 
-// try sends to the best that has not been tried.
-func (p *policy) try(now time.Duration, c *call) {
-	best, least := balance.BackendID(0), 0.0
-	found := false
+// attempt sends the request to the best backend that it has not tried, or answers it if it may not be sent again.
+func (p *policy) attempt(now time.Duration, r *request) {
+	best, ok := p.best(r) // ranks before any check: policies draw random numbers
+	if !ok || len(r.tried) >= p.settings.MaxAttempts || r.deadline-now <= 2*p.settings.Tick {
+		p.answer(r)
+		return
+	}
+	r.tried = append(r.tried, best)
+	r.backend, r.pending = best, true
+	p.connections[best]++
+	p.actions.Send(r.ID, best, r.deadline-now)
+}
+
+// best returns the ready backend of least rank among those that the request has not tried.
+func (p *policy) best(r *request) (best balance.BackendID, ok bool) {
+	least := 0.0
 	for _, id := range p.ready {
-		if slices.Contains(c.tried, id) {
+		if slices.Contains(r.tried, id) {
 			continue
 		}
-		if v := p.rank(c, id); !found || v < least {
-			best, least, found = id, v, true
+		if rank := p.rank(r, id); !ok || rank < least {
+			best, least, ok = id, rank, true
 		}
 	}
-	if !found || len(c.tried) >= p.set.MaxAttempts || c.until-now <= 2*p.set.Tick {
-		p.answer(c)
-		return
-	}
-	c.tried = append(c.tried, best)
-	c.at, c.out = best, true
-	p.held[best]++
-	p.do.Send(c.ID, best, c.until-now)
+	return best, ok
 }
 
-// answer gives the final answer.
-func (p *policy) answer(c *call) {
-	if c.ran && p.set.Classes[c.Class].Idempotency != balance.Idempotent {
-		p.do.Fail(c.ID)
+// answer gives the final answer: an error if the request may have had an effect that must not be repeated.
+func (p *policy) answer(r *request) {
+	if p.mustNotRepeat(r) {
+		p.actions.Fail(r.ID)
 	} else {
-		after := time.Duration(0)
-		if p.set.RetryAfter {
-			after = min(p.set.MaxRetryAfter, time.Second)
+		retryAfter := time.Duration(0)
+		if p.settings.RetryAfter {
+			retryAfter = min(p.settings.MaxRetryAfter, maxRetryAfter)
 		}
-		p.do.Reject(c.ID, after)
+		p.actions.Reject(r.ID, retryAfter)
 	}
-	p.end(c)
+	p.end(r)
 }
 
-func (p *policy) end(c *call) {
-	c.done = true
-	if !c.out {
-		delete(p.calls, c.ID)
+func (p *policy) mustNotRepeat(r *request) bool {
+	return r.mayHaveExecuted && p.settings.Classes[r.Class].Idempotency != balance.Idempotent
+}
+
+// end forgets a request, unless an attempt is still pending.
+func (p *policy) end(r *request) {
+	r.answered = true
+	if !r.pending {
+		delete(p.requests, r.ID)
 	}
 }
 
-func (p *policy) AttemptSucceeded(_ time.Duration, o balance.AttemptResult) {
-	if c := p.calls[o.ID]; c != nil && c.out {
-		c.began = true
+// AttemptSucceeded implements machine.Decider.
+func (p *policy) AttemptSucceeded(_ time.Duration, result balance.AttemptResult) {
+	if r := p.requests[result.ID]; r != nil && r.pending {
+		r.established = true
 	}
 }
 
-func (p *policy) AttemptEnded(now time.Duration, o balance.AttemptResult) {
-	c := p.calls[o.ID]
-	if c == nil || !c.out || o.Attempt != len(c.tried)-1 {
+// AttemptEnded implements machine.Decider.
+func (p *policy) AttemptEnded(now time.Duration, result balance.AttemptResult) {
+	r := p.requests[result.ID]
+	if r == nil || !r.pending || result.Attempt != len(r.tried)-1 {
 		return
 	}
-	c.out = false
-	p.held[c.at]--
-	c.ran = c.ran || o.Status.MayHaveExecuted()
+	r.pending = false
+	p.connections[r.backend]--
+	r.mayHaveExecuted = r.mayHaveExecuted || result.Status.MayHaveExecuted()
 	switch {
-	case c.done || c.began || o.Closed:
-		p.end(c)
-	case c.ran && p.set.Classes[c.Class].Idempotency != balance.Idempotent:
-		p.answer(c)
+	case r.answered || r.established || result.Closed:
+		p.end(r)
+	case p.mustNotRepeat(r):
+		p.answer(r)
 	default:
-		p.try(now, c)
+		p.attempt(now, r)
 	}
 }
 
+// ClientClosed implements machine.Decider.
 func (p *policy) ClientClosed(_ time.Duration, id uint64) {
-	if c := p.calls[id]; c != nil && !c.done {
-		p.end(c)
+	if r := p.requests[id]; r != nil && !r.answered {
+		p.end(r)
 	}
 }
 
-func (p *policy) EndpointsUpdated(_ time.Duration, kind balance.EndpointUpdateKind, lines []balance.Backend) {
+// EndpointsUpdated implements machine.Decider. Sessions at backends that are not ready any more migrate.
+func (p *policy) EndpointsUpdated(_ time.Duration, kind balance.EndpointUpdateKind, backends []balance.Backend) {
 	if kind == balance.UpdateFailed {
-		p.do.WatchEndpoints(true)
+		p.actions.WatchEndpoints(true)
 		return
 	}
 	if kind != balance.UpdateDelta {
-		clear(p.state)
+		clear(p.states)
 	}
-	for _, l := range lines {
-		p.state[l.ID] = l.State
+	for i := range backends {
+		p.states[backends[i].ID] = backends[i].State
 	}
 	p.ready = p.ready[:0]
-	for id, s := range p.state {
-		if s == balance.StateReady {
+	for id, state := range p.states {
+		if state == balance.StateReady {
 			p.ready = append(p.ready, id)
 		}
 	}
-	slices.SortFunc(p.ready, func(a, b balance.BackendID) int { return cmp.Compare(a, b) })
-	p.move(func(c *call) bool { return p.state[c.at] != balance.StateReady })
+	slices.SortFunc(p.ready, cmp.Compare[balance.BackendID]) // the map's order must not show
+	p.migrate(func(r *request) bool { return p.states[r.backend] != balance.StateReady })
 }
 
-// move asks clients to leave.
-func (p *policy) move(which func(c *call) bool) {
-	p.order = slices.DeleteFunc(p.order, func(id uint64) bool { return p.calls[id] == nil })
+// migrate asks the clients of some sessions to reconnect, in order of arrival.
+func (p *policy) migrate(selected func(r *request) bool) {
+	p.order = slices.DeleteFunc(p.order, func(id uint64) bool { return p.requests[id] == nil })
 	for _, id := range p.order {
-		if c := p.calls[id]; c.began && which(c) {
-			p.do.Migrate(id)
+		if r := p.requests[id]; r.established && selected(r) {
+			p.actions.Migrate(id)
 		}
 	}
 }
 
+// DeadlineExceeded implements machine.Decider.
 func (p *policy) DeadlineExceeded(now time.Duration, id uint64) {
-	switch c := p.calls[id]; {
-	case c == nil || c.done || c.began:
-	case c.out:
-		c.until = now
-		p.do.Cancel(id, len(c.tried)-1)
+	switch r := p.requests[id]; {
+	case r == nil || r.answered || r.established:
+	case r.pending:
+		r.deadline = now
+		p.actions.Cancel(id, len(r.tried)-1)
 	default:
-		p.answer(c)
+		p.answer(r)
 	}
 }
 
+// DrainBy implements machine.Decider.
 func (p *policy) DrainBy(_, at time.Duration) {
 	if at > 0 {
-		p.move(func(*call) bool { return true })
+		p.migrate(func(*request) bool { return true })
 	}
 }
 
-func (p *policy) Connections() (all, byServer int) {
-	for _, c := range p.calls {
-		if c.out {
-			all++
+// Connections implements machine.Decider.
+func (p *policy) Connections() (byRequest, byBackend int) {
+	for _, r := range p.requests {
+		if r.pending {
+			byRequest++
 		}
 	}
-	for _, n := range p.held {
-		byServer += n
+	for _, n := range p.connections {
+		byBackend += n
 	}
-	return all, byServer
+	return byRequest, byBackend
 }
 
+// LoadReported implements machine.Decider; the policies know no load but what they count.
 func (p *policy) LoadReported(time.Duration, uint64, balance.LoadSignal, float64) {}
-func (p *policy) TimerFired(time.Duration, uint64)                                {}
-func (p *policy) HealthCheckDone(time.Duration, balance.HealthCheckResult)        {}
-func (p *policy) GossipReceived(time.Duration, int, []byte)                       {}
 
-func (p *policy) UpdateSettings(s balance.Settings) { p.set = s }
+// TimerFired implements machine.Decider; the policies set no timers.
+func (p *policy) TimerFired(time.Duration, uint64) {}
+
+// HealthCheckDone implements machine.Decider; the policies start no health checks.
+func (p *policy) HealthCheckDone(time.Duration, balance.HealthCheckResult) {}
+
+// GossipReceived implements machine.Decider; the policies send none.
+func (p *policy) GossipReceived(time.Duration, int, []byte) {}
+
+// UpdateSettings implements machine.Decider.
+func (p *policy) UpdateSettings(settings balance.Settings) { p.settings = settings }
 
+// SetActiveRelays implements machine.Decider; the policies decide for one relay alone.
 func (p *policy) SetActiveRelays(int) {}
 
+// CountUnavailable implements machine.Decider.
 func (p *policy) CountUnavailable(time.Duration) (listed, avoided int) {
-	return len(p.state), len(p.state) - len(p.ready)
+	return len(p.states), len(p.states) - len(p.ready)
 }
--- a/internal/baseline/baseline_test.go
+++ b/internal/baseline/baseline_test.go
@@ -8,29 +8,30 @@
 	"aspenbarrow/internal/machine"
 )
 
-type hand struct {
+// recorder records the actions of a policy.
+type recorder struct {
 	balance.Actions
-	sent    []balance.BackendID
-	refused int
-	failed  int
-	moved   []uint64
+	sent     []balance.BackendID
+	rejected int
+	failed   int
+	migrated []uint64
 }
 
-func (h *hand) Send(_ uint64, to balance.BackendID, _ time.Duration) { h.sent = append(h.sent, to) }
-func (h *hand) Reject(uint64, time.Duration)                         { h.refused++ }
-func (h *hand) Fail(uint64)                                          { h.failed++ }
-func (h *hand) Migrate(id uint64)                                    { h.moved = append(h.moved, id) }
+func (r *recorder) Send(_ uint64, to balance.BackendID, _ time.Duration) { r.sent = append(r.sent, to) }
+func (r *recorder) Reject(uint64, time.Duration)                         { r.rejected++ }
+func (r *recorder) Fail(uint64)                                          { r.failed++ }
+func (r *recorder) Migrate(id uint64)                                    { r.migrated = append(r.migrated, id) }
 
-func start(name string, load func(balance.BackendID) float64) (machine.Decider, *hand) {
-	h := &hand{}
+func start(name string, loadOf func(balance.BackendID) float64) (machine.Decider, *recorder) {
+	h := &recorder{}
 	s := balance.Settings{MaxAttempts: 3, Tick: time.Millisecond, Classes: []balance.Class{{Idempotency: balance.Idempotent}, {Idempotency: balance.NonIdempotent}}}
-	p := Named(name, load)(0, 1, s, h)
+	p := Lookup(name, loadOf)(0, 1, s, h)
 	p.EndpointsUpdated(0, balance.UpdateFull, []balance.Backend{{ID: 1, State: balance.StateReady}, {ID: 2, State: balance.StateReady},
 		{ID: 3, State: balance.StateReady}, {ID: 4, State: balance.StateDraining}})
 	return p, h
 }
 
-func TestEachPolicyChoosesAsItsNameSays(t *testing.T) {
+func TestPolicies_ChooseByTheirRank(t *testing.T) {
 	loads := map[balance.BackendID]float64{1: 0.9, 2: 0.1, 3: 0.5, 4: 0}
 	for _, name := range Names() {
 		p, h := start(name, func(id balance.BackendID) float64 { return loads[id] })
@@ -55,21 +56,21 @@
 			t.Errorf("%s: %v, %d connections, %d by server", name, count, all, by)
 		}
 		p.EndpointsUpdated(0, balance.UpdateDelta, []balance.Backend{{ID: h.sent[0], State: balance.StateDraining}})
-		if len(h.moved) != count[h.sent[0]] {
-			t.Errorf("%s: %d moved off a draining server with %d", name, len(h.moved), count[h.sent[0]])
+		if len(h.migrated) != count[h.sent[0]] {
+			t.Errorf("%s: %d moved off a draining server with %d", name, len(h.migrated), count[h.sent[0]])
 		}
 	}
 }
 
-func TestEveryPolicyKeepsAttemptsAndEffects(t *testing.T) {
+func TestPolicies_LimitAttemptsAndRepeats(t *testing.T) {
 	for _, name := range Names() {
-		for class, want := range map[int][3]int{0: {3, 1, 0}, 1: {1, 0, 1}} { // sent, refused, failed
+		for class, want := range map[int][3]int{0: {3, 1, 0}, 1: {1, 0, 1}} { // sent, rejected, failed
 			p, h := start(name, func(balance.BackendID) float64 { return 0 })
 			p.RequestArrived(0, balance.Request{ID: 1, Class: class, TimeLeft: time.Second})
 			for n := 0; n < len(h.sent); n++ {
 				p.AttemptEnded(0, balance.AttemptResult{ID: 1, Attempt: n, Status: balance.StatusError})
 			}
-			if got := [3]int{len(h.sent), h.refused, h.failed}; got != want {
+			if got := [3]int{len(h.sent), h.rejected, h.failed}; got != want {
 				t.Errorf("%s, class %d: %v, want %v", name, class, got, want)
 			}
 			if all, by := p.Connections(); all != 0 || by != 0 {
--- a/internal/world/run.go
+++ b/internal/world/run.go
@@ -408,7 +408,7 @@
 	cfg := machine.Config{Name: fmt.Sprintf("n%d", i), Discovery: fmt.Sprintf("10.2.0.%d:8500", i), MemoryMB: memory,
 		Sockets: sockets, PeersAll: peersAll, Settings: run.set, Management: "here"}
 	cfg.Routes = run.routes()
-	cfg.Decide = baseline.Named(run.opt.Policy, run.trueLoad)
+	cfg.Decide = baseline.Lookup(run.opt.Policy, run.trueLoad)
 	cfg.Settings.RelayIndex, cfg.Settings.RelayCount, cfg.Settings.Zone = i, of, i%2
 	for j := range of {
 		cfg.Peers = append(cfg.Peers, peerAddr(j).String())
