--- a/cmd/aspenlab/golden_test.go
+++ b/cmd/aspenlab/golden_test.go
@@ -15,9 +15,9 @@
 	"testing"
 	"time"
 
-	"aspenbarrow/internal/checker"
 	"aspenbarrow/internal/fault"
 	"aspenbarrow/internal/fleet"
+	"aspenbarrow/internal/invariant"
 	"aspenbarrow/internal/measure"
 	"aspenbarrow/internal/rehearsal"
 	"aspenbarrow/internal/report"
@@ -324,7 +324,7 @@
 		measure.Summary{Spread: spread, Mean: 0.5, Hashing: 0.2, Even: 0.05, Ratio: 0.55, Worst: 0.6, Lowest: 0.3, Idle: 1.25, Herd: 1.5, HerdHash: 1.75},
 		[]rehearsal.Cell{{Script: "s", Policy: "hash", Whole: 0.9, Ten: 0.8, Diff: -0.01, Bound: 0.005, Broken: 1, Need: 12}},
 		world.Result{Seed: 9, Relays: 2, Backends: 3, Clients: 4, Faults: []world.Fault{everyFieldFault("relay killed", 1)},
-			Broken: []checker.Broken{{Rule: "drain", At: 3 * time.Second, Text: "sent late"}}, Counts: o.Counts, Pairs: map[string]int{"a + b": 2}, Worth: 5.5,
+			Broken: []invariant.Violation{{Rule: "drain", At: 3 * time.Second, Detail: "sent late"}}, Counts: o.Counts, Pairs: map[string]int{"a + b": 2}, Worth: 5.5,
 			Asked: 6, Refused: 7, Failed: 8, Attempts: 10, Steps: 11, Service: o.Seconds, ByClass: o.Seconds, Even: o.Evenness},
 		fleet.Result{Program: "a", Seed: 9, Ready: time.Second, Service: o.Seconds, Evenness: o.Evenness, Faults: o.Faults, Broken: o.Broken, Counts: o.Counts,
 			Waits: *o.Waits, Rates: *o.Rates, Usage: *o.Usage, Machine: o.Machine, Attempts: []int{3, 4}},
--- a/internal/fleet/backends.go
+++ b/internal/fleet/backends.go
@@ -14,9 +14,9 @@
 
 	"golang.org/x/sys/unix"
 
-	"aspenbarrow/internal/checker"
 	"aspenbarrow/internal/emulator"
 	"aspenbarrow/internal/fault"
+	"aspenbarrow/internal/invariant"
 	"aspenbarrow/internal/measure"
 )
 
@@ -100,7 +100,7 @@
 	if cold {
 		b.model.Restart(b.rig.now())
 		b.started = b.rig.now().Truncate(time.Millisecond)
-		b.rig.checked(func() { b.rig.check.Started(b.number, b.started) })
+		b.rig.checked(func() { b.rig.check.BackendStarted(b.number, b.started) })
 	}
 	e := b.entry()
 	b.mu.Unlock()
@@ -233,7 +233,7 @@
 type session struct {
 	b       *backend
 	wire    *wire
-	watch   *checker.Backend
+	watch   *invariant.BackendConn
 	life    int
 	id      uint64
 	mute    bool // its machine has vanished
@@ -260,7 +260,7 @@
 	// What the relay writes meanwhile is heard of when it comes: taken for sent only now, a line would seem to go out
 	// for a client that has left since, or into a drain.
 	s := &session{b: b, id: r.ids.Add(1)}
-	r.checked(func() { s.watch = r.check.Backend(int(s.id), relay, b.number) })
+	r.checked(func() { s.watch = r.check.BackendConnected(int(s.id), relay, b.number) })
 	s.wire = newWire(r, c, from, here, s.watch)
 	pieces := s.wire.read()
 	ok = late == 0 || wait(r.ctx, late)
--- a/internal/fleet/clients.go
+++ b/internal/fleet/clients.go
@@ -11,8 +11,8 @@
 	"sync/atomic"
 	"time"
 
-	"aspenbarrow/internal/checker"
 	"aspenbarrow/internal/fault"
+	"aspenbarrow/internal/invariant"
 	"aspenbarrow/internal/world"
 )
 
@@ -242,8 +242,8 @@
 		return pause
 	}
 	id := r.ids.Add(1)
-	var watch *checker.Client
-	r.checked(func() { watch = r.check.Client(int(id), n, r.check.Process(n)) })
+	var watch *invariant.ClientConn
+	r.checked(func() { watch = r.check.ClientAccepted(int(id), n, r.check.RelayProcess(n)) })
 	w := newWire(r, conn, party{fault.Relays, n}, party{fault.Clients, n}, watch)
 	said, read := hear(w)
 	defer c.part(w, said, read)
--- a/internal/fleet/discovery.go
+++ b/internal/fleet/discovery.go
@@ -112,7 +112,7 @@
 	} else {
 		a.list = append(a.list, e)
 	}
-	r.checked(func() { r.check.AgentHas(a.relay, r.ports.agentAddr(a.relay), e.ID, e.State) })
+	r.checked(func() { r.check.AgentLearned(a.relay, r.ports.agentAddr(a.relay), e.ID, e.State) })
 	if !a.out {
 		a.wake()
 	}
@@ -134,7 +134,7 @@
 	if !out {
 		a.wake()
 	}
-	r.checked(func() { r.check.AgentOut(a.relay, r.ports.agentAddr(a.relay), out) })
+	r.checked(func() { r.check.SetAgentSilent(a.relay, r.ports.agentAddr(a.relay), out) })
 }
 
 func (c *catalog) members(w http.ResponseWriter, q *http.Request) {
@@ -197,6 +197,6 @@
 			starts[e.ID] = time.Duration(e.Started) * time.Millisecond
 		}
 	}
-	c.rig.checked(func() { c.rig.check.Told(a.relay, full, states, starts) })
+	c.rig.checked(func() { c.rig.check.EndpointsReceived(a.relay, full, states, starts) })
 	_, _ = w.Write(text)
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -2,7 +2,7 @@
 // service, modelled backends (package emulator) and clients around them, and injects faults on every way between two
 // parties and in every process.
 //
-// Package checker watches the relays' side of every connection; Result.Broken has the rules that were broken. No
+// Package invariant watches the relays' side of every connection; Result.Broken has the rules that were broken. No
 // process outlives the rig, even if it is killed: the system ends them with the thread that started them. A run in
 // which a fault did nothing is an error, since it shows nothing. Linux only.
 package fleet
@@ -28,8 +28,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"aspenbarrow/internal/checker"
 	"aspenbarrow/internal/fault"
+	"aspenbarrow/internal/invariant"
 	"aspenbarrow/internal/measure"
 	"aspenbarrow/internal/world"
 )
@@ -142,7 +142,7 @@
 	logMu    sync.Mutex
 	log      measure.Log
 	checkMu  sync.Mutex
-	check    *checker.Checker
+	check    *invariant.Checker
 	tally    tally
 	clients  clients
 }
@@ -346,7 +346,7 @@
 func (r *rig) shutDown() {
 	r.checked(func() {
 		for i := range r.relays {
-			r.check.RelayDown(i)
+			r.check.RelayStopped(i)
 		}
 	})
 	r.cancel()
@@ -399,7 +399,7 @@
 	}
 	r.ports.agent = agents.Addr().(*net.TCPAddr).Port
 	r.tally = newTally(f.Relays, f.Backends+16, r)
-	r.check = checker.New(rulesOf(f), f.Relays, r.now, func(d time.Duration, do func()) { r.in(d, func() { r.checked(do) }) })
+	r.check = invariant.New(rulesOf(f), f.Relays, r.now, func(d time.Duration, do func()) { r.in(d, func() { r.checked(do) }) })
 	for i := range f.Relays {
 		r.relays = append(r.relays, &relay{number: i, dir: filepath.Join(r.dir, fmt.Sprintf("n%03d", i))})
 	}
@@ -510,7 +510,7 @@
 	if err != nil {
 		return err
 	}
-	r.checked(func() { r.check.RelayUp(x.number, r.ports.agentAddr(x.number), nil) })
+	r.checked(func() { r.check.RelayStarted(x.number, r.ports.agentAddr(x.number), nil) })
 	p, err := r.nursery.start(r.opt.Program, x.dir, x.number, []string{"PROXY_CONFIG=" + path, "TMPDIR=" + filepath.Join(x.dir, "tmp"), "PATH=/usr/bin:/bin"})
 	if err != nil {
 		return err
@@ -524,7 +524,7 @@
 		killed := p.killed
 		r.mu.Unlock()
 		if !killed && r.ctx.Err() == nil {
-			r.checked(func() { r.check.RelayDown(x.number) })
+			r.checked(func() { r.check.RelayStopped(x.number) })
 			r.fail(fmt.Errorf("relay %d ended by itself: %w; its log ends with %s", x.number, p.err, tail(p.log)))
 		}
 	}()
@@ -543,7 +543,7 @@
 	if !ok {
 		return false
 	}
-	r.checked(func() { r.check.RelayDown(x.number) })
+	r.checked(func() { r.check.RelayStopped(x.number) })
 	p.signal(syscall.SIGKILL)
 	<-p.ended
 	r.front.lost(x.number)
@@ -567,7 +567,7 @@
 	r.in(3700*time.Millisecond, func() { p.signal(syscall.SIGKILL) })
 	go func() {
 		<-p.ended
-		r.checked(func() { r.check.RelayDown(x.number) })
+		r.checked(func() { r.check.RelayStopped(x.number) })
 		if r.ctx.Err() == nil {
 			then()
 		}
@@ -607,13 +607,13 @@
 		return false
 	}
 	if on {
-		r.checked(func() { r.check.Paused(x.number, true) })
+		r.checked(func() { r.check.SetRelayPaused(x.number, true) })
 		p.signal(syscall.SIGSTOP)
 		r.front.lost(x.number)
 		return true
 	}
 	p.signal(syscall.SIGCONT)
-	r.checked(func() { r.check.Paused(x.number, false) })
+	r.checked(func() { r.check.SetRelayPaused(x.number, false) })
 	r.in(300*time.Millisecond, func() { r.front.set(x.number, true) })
 	return true
 }
@@ -669,7 +669,7 @@
 	for {
 		select {
 		case <-sweep:
-			r.checked(r.check.Sweep)
+			r.checked(r.check.CheckOverdue)
 			res.Service = append(res.Service, r.clients.measure())
 			now := r.total()
 			res.Machine = append(res.Machine, (now - last).Seconds())
@@ -694,7 +694,7 @@
 	r.mu.Unlock()
 	r.logged(func(l *measure.Log) { res.Evenness = l.Seconds(length.Truncate(time.Second)) })
 	r.checked(func() {
-		for _, b := range r.check.Broken {
+		for _, b := range r.check.Violations {
 			res.Broken = append(res.Broken, b.String())
 		}
 		for what, n := range r.check.Counts {
--- a/internal/fleet/settings.go
+++ b/internal/fleet/settings.go
@@ -4,7 +4,7 @@
 	"cmp"
 	"time"
 
-	"aspenbarrow/internal/checker"
+	"aspenbarrow/internal/invariant"
 	"aspenbarrow/internal/world"
 )
 
@@ -14,14 +14,14 @@
 	giveUp  time.Duration
 	onTime  time.Duration
 	effect  string
-	checked int
+	checked invariant.Idempotency
 	worth   float64
 }
 
 var classes = []class{
-	{"watch", 2 * time.Second, 400 * time.Millisecond, "read_like", checker.Safe, 1},
-	{"fetch", 1800 * time.Millisecond, 400 * time.Millisecond, "idempotency_key", checker.Keyed, 2},
-	{"submit", 3 * time.Second, 600 * time.Millisecond, "non_idempotent", checker.Unsafe, 5},
+	{"watch", 2 * time.Second, 400 * time.Millisecond, "read_like", invariant.Idempotent, 1},
+	{"fetch", 1800 * time.Millisecond, 400 * time.Millisecond, "idempotency_key", invariant.IdempotentWithKey, 2},
+	{"submit", 3 * time.Second, 600 * time.Millisecond, "non_idempotent", invariant.NonIdempotent, 5},
 }
 
 const (
@@ -66,15 +66,15 @@
 }
 
 // rulesOf are the same for the checker, with what an onlooker on a busy machine has to allow.
-func rulesOf(f *world.Fleet) checker.Rules {
+func rulesOf(f *world.Fleet) invariant.Limits {
 	const sockets = 50 * time.Millisecond
 	allowed := sockets + Allowance
-	rules := checker.Rules{Attempts: tryLimit, Slack: answerSlack + allowed, Grace: drainGrace + allowed, ToldBy: 6 * time.Second,
-		Held: time.Second + allowed, Silent: 7*time.Second + allowed, Left: 100*time.Millisecond + Allowance, FirstLine: 2*time.Second + answerSlack + allowed,
-		ColdFrom: coldFrom, WarmUp: warmUp, FallTimes: fallMultiple, FallSpan: fallSpan, Opens: f.Server.Opens, Onlooker: Allowance}
+	rules := invariant.Limits{MaxAttempts: tryLimit, AnswerSlack: answerSlack + allowed, DrainGrace: drainGrace + allowed, DiscoveryDelay: 6 * time.Second,
+		MaxLineDelay: time.Second + allowed, SilenceTimeout: 7*time.Second + allowed, DepartureGrace: 100*time.Millisecond + Allowance, FirstLineTimeout: 2*time.Second + answerSlack + allowed,
+		ColdCapacity: coldFrom, WarmUp: warmUp, OverloadFactor: fallMultiple, OverloadWindow: fallSpan, WarmRate: f.Server.Opens, ObservationDelay: Allowance}
 	for _, c := range classes {
-		rules.Classes = append(rules.Classes, checker.Class{Name: c.name, GiveUp: c.giveUp, OnTime: c.onTime, Effect: c.checked,
-			Cell: c.checked == checker.Keyed, Window: dedupWindow})
+		rules.Classes = append(rules.Classes, invariant.Class{Name: c.name, ClientTimeout: c.giveUp, LatencyObjective: c.onTime, Idempotency: c.checked,
+			ScopedToCell: c.checked == invariant.IdempotentWithKey, DedupWindow: dedupWindow})
 	}
 	return rules
 }
--- a/internal/fleet/wire.go
+++ b/internal/fleet/wire.go
@@ -11,26 +11,28 @@
 	"time"
 
 	"golang.org/x/sys/unix"
+
+	"aspenbarrow/internal/invariant"
 )
 
-// How a side ends, as the checker counts it.
+// How a side ends, as package invariant counts it.
 const (
-	orderly int32 = 1
-	broken  int32 = 2
+	orderly = invariant.Closed
+	broken  = invariant.Reset
 )
 
 // watcher hears what passes on a relay's side of a connection; called with the rig's check locked.
 type watcher interface {
-	Got(b []byte)
-	GotEnd(how int32)
-	Wrote(b []byte)
-	WroteEnd(how int32)
+	Received(b []byte)
+	ReceivedEnd(how invariant.EndKind)
+	Written(b []byte)
+	WrittenEnd(how invariant.EndKind)
 }
 
 // piece is what waits to go out; without bytes it is the end.
 type piece struct {
 	b    []byte
-	how  int32
+	how  invariant.EndKind
 	then chan struct{} // only this is closed: all before it is out
 }
 
@@ -74,7 +76,7 @@
 // finish ends this side after what was said; end at once.
 func (w *wire) finish() { w.put(piece{how: orderly}) }
 
-func (w *wire) end(how int32) {
+func (w *wire) end(how invariant.EndKind) {
 	w.ours(how)
 	w.theirs(how) // nobody looks any more
 	if how == broken {
@@ -85,21 +87,21 @@
 }
 
 // ours and theirs tell the checker of the ends, once each.
-func (w *wire) ours(how int32) {
+func (w *wire) ours(how invariant.EndKind) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !w.said {
 		w.said = true
-		w.rig.checked(func() { w.watch.GotEnd(how) })
+		w.rig.checked(func() { w.watch.ReceivedEnd(how) })
 	}
 }
 
-func (w *wire) theirs(how int32) {
+func (w *wire) theirs(how invariant.EndKind) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !w.heard {
 		w.heard = true
-		w.rig.checked(func() { w.watch.WroteEnd(how) })
+		w.rig.checked(func() { w.watch.WrittenEnd(how) })
 	}
 }
 
@@ -152,7 +154,7 @@
 			_ = w.conn.CloseWrite()
 			continue
 		}
-		w.rig.checked(func() { w.watch.Got(p.b) })
+		w.rig.checked(func() { w.watch.Received(p.b) })
 		if _, err := w.conn.Write(p.b); err != nil {
 			return
 		}
@@ -173,7 +175,7 @@
 			if n > 0 {
 				w.rig.checked(func() { // what was written line by line may come together
 					for part := range bytes.Lines(buf[:n]) {
-						w.watch.Wrote(part)
+						w.watch.Written(part)
 					}
 				})
 				select {
--- /dev/null
+++ b/internal/invariant/invariant_test.go
@@ -0,0 +1,281 @@
+package invariant
+
+import (
+	"slices"
+	"testing"
+	"time"
+)
+
+// network drives a checker of one relay and two backends on a clock of its own.
+type network struct {
+	*Checker
+	clock     time.Duration
+	callbacks []callback
+}
+
+type callback struct {
+	at time.Duration
+	do func()
+}
+
+// start is the clock at the start of each test.
+const start = 10 * time.Second
+
+func newNetwork() *network {
+	n := &network{clock: start}
+	limits := Limits{
+		Classes: []Class{
+			{Name: "read"},
+			{Name: "keyed", Idempotency: IdempotentWithKey, ScopedToCell: true, DedupWindow: time.Second},
+			{Name: "write", Idempotency: NonIdempotent},
+		},
+		MaxAttempts: 2, AnswerSlack: 10 * time.Millisecond, DrainGrace: 250 * time.Millisecond, DiscoveryDelay: time.Second,
+		MaxLineDelay: time.Second, SilenceTimeout: 5 * time.Second, DepartureGrace: 100 * time.Millisecond, FirstLineTimeout: time.Second,
+		ColdCapacity: 0.25, WarmUp: 8 * time.Second, OverloadFactor: 2, OverloadWindow: time.Second, WarmRate: 4,
+	}
+	n.Checker = New(limits, 1, func() time.Duration { return n.clock }, func(d time.Duration, do func()) {
+		n.callbacks = append(n.callbacks, callback{n.clock + d, do})
+	})
+	n.AddBackend("s-0", 0)
+	n.AddBackend("s-1", 1)
+	n.RelayStarted(0, "agent", map[string]string{"s-0": "ready", "s-1": "ready"})
+	return n
+}
+
+// advance lets time pass and calls back who is due, then checks what is overdue.
+func (n *network) advance(d time.Duration) {
+	n.clock += d
+	due := n.callbacks
+	n.callbacks = nil
+	for _, c := range due {
+		if c.at <= n.clock {
+			c.do()
+		} else {
+			n.callbacks = append(n.callbacks, c)
+		}
+	}
+	n.CheckOverdue()
+}
+
+// client connects a client that sends a line.
+func (n *network) client(line string) *ClientConn {
+	x := n.ClientAccepted(1, 0, n.RelayProcess(0))
+	x.Received([]byte(line + "\r\n"))
+	return x
+}
+
+// send has the relay send a line to a backend.
+func (n *network) send(backend int, line string) *BackendConn {
+	b := n.BackendConnected(1, 0, backend)
+	b.Written([]byte(line + "\r\n"))
+	return b
+}
+
+// session establishes a session at the first backend.
+func (n *network) session() (*ClientConn, *BackendConn) {
+	x, b := n.client(openRead), n.send(0, openRead)
+	b.Received([]byte("UP s-0\r\n"))
+	x.Written([]byte("UP s-0\r\n"))
+	return x, b
+}
+
+const (
+	openRead  = "OPEN 1 7 c=read,d=500"
+	openKeyed = "OPEN 1 7 c=keyed,d=5000"
+	openWrite = "OPEN 1 7 c=write,d=500"
+)
+
+// violationTest is a run and the rules that it violates.
+type violationTest struct {
+	name string
+	run  func(n *network)
+	want []string // none: no violation
+}
+
+var violationTests = []violationTest{
+	{"a session from begin to end", func(n *network) {
+		x, b := n.session()
+		x.Received([]byte("hello\r\n"))
+		b.Written([]byte("hello\r\n"))
+		b.Received([]byte("echo hello\r\n"))
+		x.Written([]byte("echo hello\r\n"))
+		x.Written([]byte("MOVE\r\n"))
+		x.ReceivedEnd(Closed)
+		x.WrittenEnd(Closed)
+		b.WrittenEnd(Closed)
+		n.advance(time.Minute)
+	}, nil},
+	{"no first line and no answer", func(n *network) { n.ClientAccepted(1, 0, 1); n.advance(time.Second) }, []string{RuleNoAnswer}},
+	{"no answer by the deadline", func(n *network) { n.client(openRead); n.advance(511 * time.Millisecond) }, []string{RuleNoAnswer}},
+	{"no answer of a paused relay", func(n *network) {
+		n.client(openRead)
+		n.SetRelayPaused(0, true)
+		n.advance(511 * time.Millisecond)
+	}, nil},
+	{"a late answer", func(n *network) {
+		x := n.client(openRead)
+		n.clock += 520 * time.Millisecond
+		x.Written([]byte("BUSY\r\n"))
+	}, []string{RuleLateAnswer}},
+	{"two answers", func(n *network) { n.client(openRead).Written([]byte("BUSY\r\nERR\r\n")) }, []string{RuleAfterAnswer}},
+	{"an answer that no backend gave", func(n *network) { n.client(openRead).Written([]byte("UP s-9\r\n")) }, []string{RuleForged}},
+	{"a request that no client sent", func(n *network) { n.send(0, openRead) }, []string{RuleForged}},
+	{"bytes that the backend did not send", func(n *network) { x, _ := n.session(); x.Written([]byte("hi\r\n")) }, []string{RuleForged}},
+	{"bytes that the client did not send", func(n *network) { _, b := n.session(); b.Written([]byte("hi\r\n")) }, []string{RuleForged}},
+	{"two attempts at once", func(n *network) { n.client(openRead); n.send(0, openRead); n.send(1, openRead) }, []string{RuleOverlap}},
+	{"three attempts of two", func(n *network) {
+		n.client(openRead)
+		for range 3 {
+			n.send(0, openRead).Received([]byte("BUSY\r\n"))
+		}
+	}, []string{RuleAttemptLimit}},
+	{"an attempt after the answer", func(n *network) {
+		n.client(openRead).Written([]byte("BUSY\r\n"))
+		n.send(0, openRead)
+	}, []string{RuleAfterAnswer}},
+	{"an attempt for a client that left", func(n *network) {
+		n.client(openRead).ReceivedEnd(Closed)
+		n.clock += 101 * time.Millisecond
+		n.send(0, openRead)
+	}, []string{RuleLeft}},
+	{"a repeat of what is not idempotent", func(n *network) {
+		n.client(openWrite)
+		n.send(0, openWrite).Received([]byte("ERR\r\n"))
+		n.send(0, openWrite)
+	}, []string{RuleUnsafeRepeat}},
+	{"a repeat of what was not executed", func(n *network) {
+		n.client(openWrite)
+		n.send(0, openWrite).Received([]byte("BUSY\r\n"))
+		n.send(0, openWrite)
+	}, nil},
+	{"a keyed repeat outside its window", func(n *network) {
+		n.client(openKeyed)
+		n.send(0, openKeyed).Received([]byte("ERR\r\n"))
+		n.clock += 1001 * time.Millisecond
+		n.send(0, openKeyed)
+	}, []string{RuleKeyedRepeat}},
+	{"a keyed repeat in another cell", func(n *network) {
+		n.client(openKeyed)
+		n.send(0, openKeyed).Received([]byte("ERR\r\n"))
+		n.send(1, openKeyed)
+	}, []string{RuleKeyedRepeat}},
+	{"a request to a draining backend", func(n *network) {
+		n.client(openRead)
+		n.EndpointsReceived(0, false, map[string]string{"s-0": "draining"}, nil)
+		n.clock += 251 * time.Millisecond
+		n.send(0, openRead)
+	}, []string{RuleDrain}},
+	{"a request to a backend that the agent knows to be gone", func(n *network) {
+		n.AgentLearned(0, "agent", "s-0", "gone")
+		n.clock += 1251 * time.Millisecond
+		n.client(openRead)
+		n.send(0, openRead)
+	}, []string{RuleDrain}},
+	{"too much for a cold backend", func(n *network) {
+		n.BackendStarted(0, n.clock)
+		n.EndpointsReceived(0, false, nil, map[string]time.Duration{"s-0": n.clock})
+		for _, id := range []string{"1", "2", "3"} { // a quarter of four a second, twice: two
+			n.client("OPEN " + id + " 7 c=read,d=500")
+			n.send(0, "OPEN "+id+" 7 c=read,d=500")
+		}
+	}, []string{RuleCold}},
+	{"a client that a drained relay keeps", func(n *network) {
+		n.session()
+		n.SetRelayDraining(0, true)
+		n.advance(drainDeadline)
+	}, []string{RuleDrained}},
+	{"a client that is cut off", func(n *network) { x, _ := n.session(); n.clock += time.Second; x.WrittenEnd(Closed) }, []string{RuleCutOff}},
+	{"MOVE within a line", func(n *network) {
+		x, b := n.session()
+		b.Received([]byte("half"))
+		x.Written([]byte("half"))
+		x.Written([]byte("MOVE\r\n"))
+	}, []string{RuleMoveInLine}},
+	{"a line held back", func(n *network) {
+		_, b := n.session()
+		b.Received([]byte("hi\r\n"))
+		n.advance(1001 * time.Millisecond)
+	}, []string{RuleHeldLine}},
+	{"a line to a client that takes nothing", func(n *network) {
+		x, b := n.session()
+		x.SetBlocked(true)
+		b.Received([]byte("hi\r\n"))
+		n.advance(1001 * time.Millisecond)
+	}, nil},
+	{"the end of a backend held back", func(n *network) {
+		_, b := n.session()
+		b.ReceivedEnd(Closed)
+		n.advance(1001 * time.Millisecond)
+	}, []string{RuleHeldLine}},
+	{"a session at a silent backend", func(n *network) {
+		x, b := n.session()
+		x.Received([]byte("hi\r\n"))
+		b.Written([]byte("hi\r\n"))
+		n.advance(5001 * time.Millisecond)
+	}, []string{RuleSilentBackend}},
+}
+
+func TestChecker_ReportsViolations(t *testing.T) {
+	for _, tc := range violationTests {
+		t.Run(tc.name, func(t *testing.T) {
+			n := newNetwork()
+			tc.run(n)
+			var rules []string
+			for _, v := range n.Violations {
+				rules = append(rules, v.Rule)
+			}
+			if !slices.Equal(rules, tc.want) {
+				t.Errorf("violations %v, want of %q", n.Violations, tc.want)
+			}
+		})
+	}
+}
+
+func TestChecker_KeepsFirstViolations(t *testing.T) {
+	n := newNetwork()
+	for range maxViolations + 5 {
+		n.send(0, openRead)
+	}
+	if len(n.Violations) != maxViolations {
+		t.Errorf("%d violations are kept, want %d", len(n.Violations), maxViolations)
+	}
+}
+
+func TestChecker_ObservedCountsConnectionsAndAnswers(t *testing.T) {
+	n := newNetwork()
+	x, _ := n.session()
+	n.EndpointsReceived(0, false, map[string]string{"s-1": "draining"}, nil)
+	n.clock += listStableAfter + 1
+	got := n.Observed(0)
+	if got.Success["read"] != 1 || got.Attempts != 1 || got.MinConnections != 1 || got.MaxConnections != 1 || got.Listed != 2 ||
+		got.Draining != 1 || !got.ListStable {
+		t.Errorf("observed %+v", got)
+	}
+	x.ReceivedEnd(Closed)
+	if got := n.Observed(0); got.MinConnections != 0 || got.MaxConnections != 1 {
+		t.Errorf("after the client's end %+v", got)
+	}
+	n.RelayUpgraded(0)
+	if got := n.Observed(0); got.Success["read"] != 0 || got.MaxConnections != 0 {
+		t.Errorf("of the next process %+v", got)
+	}
+}
+
+func TestRelayState_TermsAfterReload(t *testing.T) {
+	n := newNetwork()
+	n.RelayReconfigured(0, []Class{{Name: "write", Idempotency: NonIdempotent, ClientTimeout: time.Second}}, 1)
+	r := &n.relays[0]
+	if class, attempts := r.termsFor("write", n.clock); class.Idempotency != Idempotent || class.ClientTimeout != time.Second || attempts != 2 {
+		t.Errorf("within the window: %+v, %d attempts", class, attempts)
+	}
+	if class, _ := r.termsFor("read", n.clock); class == nil {
+		t.Error("within the window a former class is unknown")
+	}
+	later := n.clock + reconfigurationWindow + 1
+	if class, attempts := r.termsFor("write", later); class.Idempotency != NonIdempotent || attempts != 1 {
+		t.Errorf("after the window: %+v, %d attempts", class, attempts)
+	}
+	if class, _ := r.termsFor("read", later); class != nil {
+		t.Errorf("after the window a former class is %+v", class)
+	}
+}
--- a/internal/world/backend.go
+++ b/internal/world/backend.go
@@ -65,7 +65,7 @@
 	}
 	if b.w.now > epoch {
 		b.started = b.w.now.Truncate(time.Millisecond)
-		b.run.check.Started(b.id, b.started)
+		b.run.check.BackendStarted(b.id, b.started)
 		b.run.catalog.publish(b.entry())
 	}
 }
--- a/internal/world/discovery.go
+++ b/internal/world/discovery.go
@@ -83,7 +83,7 @@
 	}
 	a.version++
 	w := a.c.run.w
-	a.c.run.check.AgentHas(a.relay, a.address, e.id, e.state)
+	a.c.run.check.AgentLearned(a.relay, a.address, e.id, e.state)
 	k := known{e, a.version, w.now}
 	for i := range a.list {
 		if a.list[i].id == e.id {
@@ -165,7 +165,7 @@
 	} else {
 		a.flush()
 	}
-	a.c.run.check.AgentOut(a.relay, a.address, out)
+	a.c.run.check.SetAgentSilent(a.relay, a.address, out)
 }
 
 // body is an answer in discovery's form.
--- a/internal/world/net.go
+++ b/internal/world/net.go
@@ -51,11 +51,11 @@
 
 // tap sees what passes on the relay's side of a connection, in bytes.
 type tap interface {
-	Got(b []byte)             // from the other side
-	GotEnd(how machine.End)   //
-	Wrote(b []byte)           // by the relay
-	WroteEnd(how machine.End) //
-	Blocked(on bool)          // the other side takes nothing
+	Received(b []byte)           // from the other side
+	ReceivedEnd(how machine.End) //
+	Written(b []byte)            // by the relay
+	WrittenEnd(how machine.End)  //
+	SetBlocked(on bool)          // the other side takes nothing
 }
 
 func (w *world) box(name, addr string) *box { return &box{w: w, name: name, addr: addr} }
@@ -180,7 +180,7 @@
 		p := &pendingWrite{b: append([]byte(nil), b...), done: done}
 		e.waiting = append(e.waiting, p)
 		if e.tap != nil {
-			e.tap.Blocked(true)
+			e.tap.SetBlocked(true)
 		}
 		return p
 	}
@@ -192,7 +192,7 @@
 // put sends bytes, split anywhere.
 func (e *end) put(b []byte) {
 	if e.tap != nil {
-		e.tap.Wrote(b)
+		e.tap.Written(b)
 	}
 	if e.w.trace != nil {
 		e.w.note("%s %d> %q", e.box.name, e.id, b)
@@ -220,7 +220,7 @@
 		return // what was under way when the connection broke is lost
 	}
 	if e.tap != nil {
-		e.tap.Got(b)
+		e.tap.Received(b)
 	}
 	if len(e.in) == 0 {
 		e.in = e.base[:0]
@@ -272,7 +272,7 @@
 		}
 		p.waiting = p.waiting[1:]
 		if len(p.waiting) == 0 && p.tap != nil {
-			p.tap.Blocked(false)
+			p.tap.SetBlocked(false)
 		}
 		p.put(next.b)
 		next.done(true)
@@ -289,7 +289,7 @@
 		e.w.note("%s %d< end %d", e.box.name, e.id, how)
 	}
 	if e.tap != nil {
-		e.tap.GotEnd(how)
+		e.tap.ReceivedEnd(how)
 	}
 	if how == machine.ByReset {
 		e.in = nil
@@ -323,7 +323,7 @@
 		e.w.note("%s %d> end %d", e.box.name, e.id, how)
 	}
 	if e.tap != nil {
-		e.tap.WroteEnd(how)
+		e.tap.WrittenEnd(how)
 	}
 }
 
@@ -357,7 +357,7 @@
 	e.dead = true
 	e.drop()
 	if e.tap != nil {
-		e.tap.WroteEnd(machine.ByTime) // no reader any more
+		e.tap.WrittenEnd(machine.ByTime) // no reader any more
 	}
 	e.wake, e.waiting = nil, nil
 }
--- a/internal/world/relay.go
+++ b/internal/world/relay.go
@@ -56,7 +56,7 @@
 	r.cfg.Seed = w.rng.Uint64()
 	r.flows, r.queue, r.flowing, r.seq, r.leaving = map[uint64]*flow{}, nil, 0, 0, false
 	r.reloads, r.refusals = 0, 0
-	r.process = r.run.check.Process(r.number)
+	r.process = r.run.check.RelayProcess(r.number)
 	r.postAt, r.timerAt, r.agent = w.now, 0, nil
 	shares := machine.Deal(r.cfg.Sockets, r.cfg.MemoryMB, r.cfg.Management != "")
 	r.room = shares.Flows
@@ -180,7 +180,7 @@
 		r.succeeded()
 		return
 	}
-	r.run.check.RelayDown(r.number)
+	r.run.check.RelayStopped(r.number)
 	r.run.count("relay left")
 }
 
@@ -327,7 +327,7 @@
 	}
 	r.dial(b.box, within, func(e *end) {
 		if e != nil {
-			e.tap = backendTap{r.run.check.Backend(e.id, r.number, b.id)}
+			e.tap = backendTap{r.run.check.BackendConnected(e.id, r.number, b.id)}
 		}
 		done(e)
 	})
@@ -336,7 +336,7 @@
 // --- clients ---------------------------------------------------------------------
 
 func (r *relay) accepted(e *end) {
-	e.tap = clientTap{r.run.check.Client(e.id, r.number, r.process)}
+	e.tap = clientTap{r.run.check.ClientAccepted(e.id, r.number, r.process)}
 	r.queue = append(r.queue, e)
 	if len(r.queue) == 1 {
 		r.admitNext()
@@ -995,7 +995,7 @@
 	if len(n.last) > 0 {
 		n.cfg.Known = body(0, true, n.last)
 	}
-	run.check.Upgraded(r.number)
+	run.check.RelayUpgraded(r.number)
 	n.boot()
 	if err := n.node.Inherit(w.now, text); err != nil {
 		panic(fmt.Sprintf("what a relay hands over is not taken: %v", err))
--- a/internal/world/run.go
+++ b/internal/world/run.go
@@ -9,9 +9,9 @@
 
 	"aspenbarrow/balance"
 	"aspenbarrow/internal/baseline"
-	"aspenbarrow/internal/checker"
 	"aspenbarrow/internal/emulator"
 	"aspenbarrow/internal/fault"
+	"aspenbarrow/internal/invariant"
 	"aspenbarrow/internal/machine"
 	"aspenbarrow/internal/measure"
 	"aspenbarrow/internal/route"
@@ -70,23 +70,23 @@
 
 // Result is what a run came to.
 type Result struct {
-	Seed     uint64           `json:"seed"`
-	Relays   int              `json:"relays"`
-	Backends int              `json:"backends"`
-	Clients  int              `json:"clients"`
-	Faults   []Fault          `json:"faults"`             // as they were played
-	Broken   []checker.Broken `json:"broken,omitempty"`   // rules
-	Counts   map[string]int   `json:"counts"`             // how often what came up
-	Pairs    map[string]int   `json:"pairs,omitempty"`    // how often two kinds of fault overlapped
-	Worth    float64          `json:"worth"`              // served, by the classes' worths
-	Asked    int              `json:"asked"`              // final answers
-	Refused  int              `json:"refused"`            // of them BUSY
-	Failed   int              `json:"failed"`             // and ERR
-	Attempts int              `json:"attempts"`           // OPENs at backends
-	Steps    int              `json:"steps"`              // events
-	Service  []Second         `json:"service,omitempty"`  // by second, of a Fleet
-	ByClass  []Second         `json:"by_class,omitempty"` // of a Fleet: sums of the run
-	Even     []measure.Second `json:"evenness,omitempty"` // by second, of a Fleet
+	Seed     uint64                `json:"seed"`
+	Relays   int                   `json:"relays"`
+	Backends int                   `json:"backends"`
+	Clients  int                   `json:"clients"`
+	Faults   []Fault               `json:"faults"`             // as they were played
+	Broken   []invariant.Violation `json:"broken,omitempty"`   // rules
+	Counts   map[string]int        `json:"counts"`             // how often what came up
+	Pairs    map[string]int        `json:"pairs,omitempty"`    // how often two kinds of fault overlapped
+	Worth    float64               `json:"worth"`              // served, by the classes' worths
+	Asked    int                   `json:"asked"`              // final answers
+	Refused  int                   `json:"refused"`            // of them BUSY
+	Failed   int                   `json:"failed"`             // and ERR
+	Attempts int                   `json:"attempts"`           // OPENs at backends
+	Steps    int                   `json:"steps"`              // events
+	Service  []Second              `json:"service,omitempty"`  // by second, of a Fleet
+	ByClass  []Second              `json:"by_class,omitempty"` // of a Fleet: sums of the run
+	Even     []measure.Second      `json:"evenness,omitempty"` // by second, of a Fleet
 }
 
 // class is a class of requests as clients know it.
@@ -100,7 +100,7 @@
 type run struct {
 	w        *world
 	opt      Options
-	check    *checker.Checker
+	check    *invariant.Checker
 	classes  []class
 	set      settings.Settings
 	relays   []*relay
@@ -200,7 +200,7 @@
 	w := run.w
 	run.regular = float64(n.clients) / float64(n.backends)
 	rules := run.rules()
-	run.check = checker.New(rules, n.relays, func() time.Duration { return w.now }, func(d time.Duration, do func()) { w.in(d, do) })
+	run.check = invariant.New(rules, n.relays, func() time.Duration { return w.now }, func(d time.Duration, do func()) { w.in(d, do) })
 }
 
 // populate brings all parties up: discovery and backends first, then relays, then the clients' first visits.
@@ -247,7 +247,7 @@
 
 // sweep looks, every second, for what should have happened by now and for figures that do not come out even.
 func (run *run) sweep() {
-	run.check.Sweep()
+	run.check.CheckOverdue()
 	for _, r := range run.relays {
 		if n := len(r.ends); r.up && r.few && n > r.cfg.Sockets {
 			run.fail("descriptors", "%s holds %d sockets of %d", r.name, n, r.cfg.Sockets)
@@ -311,26 +311,26 @@
 }
 
 // rules are what the checker holds, from the settings and what sockets are allowed.
-func (run *run) rules() checker.Rules {
+func (run *run) rules() invariant.Limits {
 	const allowed = 50 * time.Millisecond
 	s := &run.set
-	return checker.Rules{Classes: run.classRules(), Attempts: 4, Slack: s.AnswerSlack + allowed, Grace: s.DrainGrace + allowed, ToldBy: 6 * time.Second,
-		Held: time.Second + allowed, Silent: 7*time.Second + allowed, Left: 100 * time.Millisecond,
-		FirstLine: 2*time.Second + s.AnswerSlack + allowed,
-		ColdFrom:  s.SlowStartFloor, WarmUp: s.SlowStartWindow, FallTimes: s.OverloadMultiple, FallSpan: s.OverloadWindow,
-		Opens: run.opens()}
+	return invariant.Limits{Classes: run.classRules(), MaxAttempts: 4, AnswerSlack: s.AnswerSlack + allowed, DrainGrace: s.DrainGrace + allowed, DiscoveryDelay: 6 * time.Second,
+		MaxLineDelay: time.Second + allowed, SilenceTimeout: 7*time.Second + allowed, DepartureGrace: 100 * time.Millisecond,
+		FirstLineTimeout: 2*time.Second + s.AnswerSlack + allowed,
+		ColdCapacity:     s.SlowStartFloor, WarmUp: s.SlowStartWindow, OverloadFactor: s.OverloadMultiple, OverloadWindow: s.OverloadWindow,
+		WarmRate: run.opens()}
 }
 
 // classRules are the classes as the checker holds them.
-func (run *run) classRules() []checker.Class {
+func (run *run) classRules() []invariant.Class {
 	s := &run.set
-	classes := []checker.Class{{Name: "watch", GiveUp: 2 * time.Second, Effect: checker.Safe},
-		{Name: "fetch", GiveUp: 1800 * time.Millisecond, Effect: checker.Keyed, Cell: true, Window: 3 * time.Second},
-		{Name: "submit", GiveUp: 3 * time.Second, Effect: checker.Unsafe}}
+	classes := []invariant.Class{{Name: "watch", ClientTimeout: 2 * time.Second, Idempotency: invariant.Idempotent},
+		{Name: "fetch", ClientTimeout: 1800 * time.Millisecond, Idempotency: invariant.IdempotentWithKey, ScopedToCell: true, DedupWindow: 3 * time.Second},
+		{Name: "submit", ClientTimeout: 3 * time.Second, Idempotency: invariant.NonIdempotent}}
 	for i := range classes {
-		classes[i].OnTime = s.Classes[i].LatencyObjective
+		classes[i].LatencyObjective = s.Classes[i].LatencyObjective
 		if i < len(run.opt.Timings) {
-			classes[i].Attempts, classes[i].Total = run.opt.Timings[i].MaxAttempts, run.opt.Timings[i].RequestTimeout
+			classes[i].MaxAttempts, classes[i].TotalTimeout = run.opt.Timings[i].MaxAttempts, run.opt.Timings[i].RequestTimeout
 		}
 	}
 	return classes
@@ -341,15 +341,15 @@
 func (run *run) retune(on bool, effect balance.Idempotency, attempts int) {
 	classes, set := run.classRules(), run.set
 	if on {
-		effects := map[balance.Idempotency]int{balance.Idempotent: checker.Safe, balance.NonIdempotent: checker.Unsafe}
+		effects := map[balance.Idempotency]invariant.Idempotency{balance.Idempotent: invariant.Idempotent, balance.NonIdempotent: invariant.NonIdempotent}
 		set.ClassNames = append([]string{"extra"}, set.ClassNames...)
 		set.Classes = append([]balance.Class{{LatencyObjective: 400 * time.Millisecond, ClientTimeout: 1500 * time.Millisecond,
 			MessageLatencyObjective: 60 * time.Millisecond, Idempotency: effect, PriorityWeight: 3}}, set.Classes...)
 		set.Classes[1].Idempotency, set.Classes[3].Idempotency = balance.NonIdempotent, balance.Idempotent
 		set.MaxAttempts = attempts
-		classes[0].Effect, classes[2].Effect = checker.Unsafe, checker.Safe
-		classes = append(classes, checker.Class{Name: "extra", GiveUp: 1500 * time.Millisecond, Effect: effects[effect],
-			OnTime: 400 * time.Millisecond})
+		classes[0].Idempotency, classes[2].Idempotency = invariant.NonIdempotent, invariant.Idempotent
+		classes = append(classes, invariant.Class{Name: "extra", ClientTimeout: 1500 * time.Millisecond, Idempotency: effects[effect],
+			LatencyObjective: 400 * time.Millisecond})
 	}
 	run.count("settings changed")
 	for _, r := range run.relays {
@@ -359,7 +359,7 @@
 		if on && r.cfg.Routes != nil { // the file's classes stand in another order
 			r.cfg.Routes = r.cfg.Routes.Renumber([]int{1, 2, 3})
 		}
-		run.check.Retuned(r.number, classes, set.MaxAttempts)
+		run.check.RelayReconfigured(r.number, classes, set.MaxAttempts)
 		if r.up {
 			r.reload(r.cfg)
 		}
@@ -466,7 +466,7 @@
 	for _, e := range r.last {
 		known[e.id] = e.state
 	}
-	run.check.RelayUp(r.number, r.cfg.Discovery, known)
+	run.check.RelayStarted(r.number, r.cfg.Discovery, known)
 	if r.few {
 		r.cfg.Sockets = 80
 	}
@@ -482,7 +482,7 @@
 	if !r.up {
 		return
 	}
-	run.check.RelayDown(r.number)
+	run.check.RelayStopped(r.number)
 	if o := r.old; o != nil && o.up { // it is the same machine's
 		r.old = nil
 		if vanish {
@@ -553,7 +553,7 @@
 	cfg.Sockets, cfg.MemoryMB = descriptors, memoryMB
 	r.cfg = cfg
 	run.count("reload")
-	run.check.Reloaded(r.number, cfg.Discovery)
+	run.check.RelayFollowsAgent(r.number, cfg.Discovery)
 	r.reload(cfg)
 }
 
@@ -573,7 +573,7 @@
 	if on && !r.leaving { // a leaving relay has its own time
 		run.count("relay drained")
 	}
-	run.check.Drained(r.number, on && !r.leaving)
+	run.check.SetRelayDraining(r.number, on && !r.leaving)
 	r.node.SetDrained(on)
 	r.soon(func() {
 		r.node.Drain(run.w.now)
@@ -587,7 +587,7 @@
 	for _, e := range list {
 		states[e.id], starts[e.id] = e.state, e.started
 	}
-	run.check.Told(relay, full, states, starts)
+	run.check.EndpointsReceived(relay, full, states, starts)
 	r := run.relays[relay]
 	if run.w.trace != nil {
 		for _, e := range list {
@@ -672,8 +672,8 @@
 
 // fail is a rule broken that no wire shows.
 func (run *run) fail(rule, format string, args ...any) {
-	run.check.Broken = append(run.check.Broken, checker.Broken{Rule: rule, At: run.w.now - epoch,
-		Text: fmt.Sprintf(format, args...)})
+	run.check.Violations = append(run.check.Violations, invariant.Violation{Rule: rule, At: run.w.now - epoch,
+		Detail: fmt.Sprintf(format, args...)})
 }
 
 // figures holds what a relay reports to what an onlooker counted.
@@ -681,12 +681,12 @@
 	if !r.up {
 		return
 	}
-	f, seen := r.node.Ledger().Read(), run.check.Seen(r.number)
-	spare := seen.Loose
+	f, seen := r.node.Ledger().Read(), run.check.Observed(r.number)
+	spare := seen.Ambiguous
 	within := func(what string, told int64, counted int) {
 		over := int(told) - counted
 		if over < 0 || over > spare {
-			run.fail("figures", "%s reports %d %s, an onlooker counted %d, and %d in any way", r.name, told, what, counted, seen.Loose)
+			run.fail("figures", "%s reports %d %s, an onlooker counted %d, and %d in any way", r.name, told, what, counted, seen.Ambiguous)
 			return
 		}
 		spare -= over
@@ -699,12 +699,12 @@
 	if int(f.Dispatches) != seen.Attempts {
 		run.fail("figures", "%s reports %d dispatches, backends got %d", r.name, f.Dispatches, seen.Attempts)
 	}
-	if n := float64(f.Concurrent); n < 0.9*float64(seen.Standing)-3 || n > 1.1*float64(seen.Open)+3 {
-		run.fail("figures", "%s reports %d connections, an onlooker sees %d to %d", r.name, f.Concurrent, seen.Standing, seen.Open)
+	if n := float64(f.Concurrent); n < 0.9*float64(seen.MinConnections)-3 || n > 1.1*float64(seen.MaxConnections)+3 {
+		run.fail("figures", "%s reports %d connections, an onlooker sees %d to %d", r.name, f.Concurrent, seen.MinConnections, seen.MaxConnections)
 	}
-	if seen.Settled && (int(f.Targets) != seen.Targets || f.TargetsDisabled > f.Targets || int(f.TargetsDisabled) < seen.Draining) {
+	if seen.ListStable && (int(f.Targets) != seen.Listed || f.TargetsDisabled > f.Targets || int(f.TargetsDisabled) < seen.Draining) {
 		run.fail("figures", "%s reports %d backends, %d avoided; it was told of %d, %d draining", r.name, f.Targets,
-			f.TargetsDisabled, seen.Targets, seen.Draining)
+			f.TargetsDisabled, seen.Listed, seen.Draining)
 	}
 	if int(f.ReloadSuccess) != r.reloads || int(f.ReloadFailure) != r.refusals {
 		run.fail("figures", "%s reports %d files taken and %d turned down, of %d and %d", r.name, f.ReloadSuccess,
@@ -733,7 +733,7 @@
 		if n := r.node.Flows(); n != 0 || r.flowing != 0 || r.lobby.Guests() != 0 || len(r.flows) != 0 {
 			fail("leak", "%d flows in the books, %d counted, %d driven, %d guests", n, r.flowing, len(r.flows), r.lobby.Guests())
 		}
-		if n := run.check.Open(r.number); n != 0 {
+		if n := run.check.OpenConnections(r.number); n != 0 {
 			fail("leak", "%d connections are open", n)
 		}
 		if err := books(r.node); err != nil {
@@ -754,7 +754,7 @@
 // result sums the run up.
 func (run *run) result(n size, script []Fault) Result {
 	res := Result{Seed: run.opt.Seed, Relays: n.relays, Backends: n.backends, Clients: n.clients, Faults: script,
-		Broken: run.check.Broken, Counts: run.counts, Pairs: run.pairs, Steps: run.w.steps}
+		Broken: run.check.Violations, Counts: run.counts, Pairs: run.pairs, Steps: run.w.steps}
 	res.Service, res.ByClass = run.service, run.byClass
 	if run.opt.Fleet != nil {
 		res.Even = run.log.Seconds(run.opt.Length)
@@ -774,12 +774,12 @@
 }
 
 // The taps turn the network's words into the checker's own.
-type clientTap struct{ *checker.Client }
+type clientTap struct{ *invariant.ClientConn }
 
-func (t clientTap) GotEnd(how machine.End)   { t.Client.GotEnd(int32(how)) }
-func (t clientTap) WroteEnd(how machine.End) { t.Client.WroteEnd(int32(how)) }
+func (t clientTap) ReceivedEnd(how machine.End) { t.ClientConn.ReceivedEnd(invariant.EndKind(how)) }
+func (t clientTap) WrittenEnd(how machine.End)  { t.ClientConn.WrittenEnd(invariant.EndKind(how)) }
 
-type backendTap struct{ *checker.Backend }
+type backendTap struct{ *invariant.BackendConn }
 
-func (t backendTap) GotEnd(how machine.End)   { t.Backend.GotEnd(int32(how)) }
-func (t backendTap) WroteEnd(how machine.End) { t.Backend.WroteEnd(int32(how)) }
+func (t backendTap) ReceivedEnd(how machine.End) { t.BackendConn.ReceivedEnd(invariant.EndKind(how)) }
+func (t backendTap) WrittenEnd(how machine.End)  { t.BackendConn.WrittenEnd(invariant.EndKind(how)) }
--- a/internal/world/world.go
+++ b/internal/world/world.go
@@ -8,7 +8,7 @@
 // may read the system's clock, depend on the order of a map or draw from any other
 // source of randomness. What a run draws must not depend on whether it is traced.
 //
-// Package checker watches the bytes that pass and reports the rules that are broken.
+// Package invariant watches the bytes that pass and reports the rules that are broken.
 // Break makes relays break one on purpose, for tests of the checker; Shrink reduces a
 // failing script of faults. Backends either answer after drawn delays or, where
 // Options.Fleet is set, follow the model of package emulator. Their figures are those
--- a/internal/world/world_test.go
+++ b/internal/world/world_test.go
@@ -95,7 +95,7 @@
 		defer mu.Unlock()
 		crowded += res.Counts["bad client"]
 		for _, b := range res.Broken {
-			if b.Rule != "no-answer" && b.Rule != "late-answer" || b.Rule == "no-answer" && !strings.Contains(b.Text, "request 00000000") {
+			if b.Rule != "no-answer" && b.Rule != "late-answer" || b.Rule == "no-answer" && !strings.Contains(b.Detail, "request 00000000") {
 				t.Errorf("seed %d: %v", i, b)
 			}
 		}
@@ -171,7 +171,7 @@
 
 // The checker must not fall for the relay's own mistakes.
 func TestTheCheckerSharesNoCodeWithTheRelay(t *testing.T) {
-	files, err := filepath.Glob("../checker/*.go")
+	files, err := filepath.Glob("../invariant/*.go")
 	if err != nil || len(files) == 0 {
 		t.Fatalf("%v, %v", files, err)
 	}
