--- a/cmd/aspenlab/golden_test.go
+++ b/cmd/aspenlab/golden_test.go
@@ -19,9 +19,9 @@
 	"aspenbarrow/internal/fleet"
 	"aspenbarrow/internal/invariant"
 	"aspenbarrow/internal/measure"
-	"aspenbarrow/internal/rehearsal"
 	"aspenbarrow/internal/report"
-	"aspenbarrow/internal/seeds"
+	"aspenbarrow/internal/scenario"
+	"aspenbarrow/internal/simulation/batch"
 	"aspenbarrow/internal/world"
 )
 
@@ -115,23 +115,23 @@
 	}
 }
 
-func batch() seeds.Batch {
-	class := func(n int) seeds.Class {
-		return seeds.Class{Asked: n + 4, Served: n + 3, OnTime: n + 2, Attempts: n + 5}
+func storedBatch() batch.Batch {
+	class := func(n int) batch.ClassResult {
+		return batch.ClassResult{Requests: n + 4, Served: n + 3, OnTime: n + 2, Attempts: n + 5}
 	}
-	seed := func(n int) seeds.Seed {
-		return seeds.Seed{Seed: uint64(n), Worth: float64(n) + 0.1, Answers: 30, Refused: n, Failed: n + 1, Attempts: 40, Steps: 9000,
-			Broken:  []string{"drain at 3.000000: sent <late> & twice"},
-			Classes: map[string]seeds.Class{"watch": class(10), "fetch": class(20), "submit": class(30)}}
+	seed := func(n int) batch.SeedResult {
+		return batch.SeedResult{Seed: uint64(n), Worth: float64(n) + 0.1, Answers: 30, Rejected: n, Failed: n + 1, Attempts: 40, Steps: 9000,
+			Violations: []string{"drain at 3.000000: sent <late> & twice"},
+			Classes:    map[string]batch.ClassResult{"watch": class(10), "fetch": class(20), "submit": class(30)}}
 	}
-	return seeds.Batch{From: 1, Count: 2, Length: 15 * time.Second, Failing: 2, Counts: map[string]int{"attempt": 80, "fault relay killed": 3},
-		Pairs: map[string]int{"relay killed + relay killed": 1}, Seeds: []seeds.Seed{seed(1), seed(2)}}
+	return batch.Batch{FirstSeed: 1, SeedCount: 2, RunLength: 15 * time.Second, FailedSeeds: 2, Counts: map[string]int{"attempt": 80, "fault relay killed": 3},
+		FaultPairs: map[string]int{"relay killed + relay killed": 1}, Results: []batch.SeedResult{seed(1), seed(2)}}
 }
 
 func TestBatch_Golden(t *testing.T) {
-	written := func(b seeds.Batch) []byte {
+	written := func(b batch.Batch) []byte {
 		path := filepath.Join(t.TempDir(), "b.json")
-		if err := b.Write(path); err != nil {
+		if err := b.WriteFile(path); err != nil {
 			t.Fatal(err)
 		}
 		text, err := os.ReadFile(path)
@@ -140,26 +140,26 @@
 		}
 		return text
 	}
-	b := batch()
+	b := storedBatch()
 	full(t, "batch", reflect.ValueOf(b))
 	path := golden(t, "batch.golden.json", written(b))
-	again(t, path, "", &seeds.Batch{})
-	kept, err := seeds.Read(path)
+	again(t, path, "", &batch.Batch{})
+	kept, err := batch.ReadFile(path)
 	if err != nil || !reflect.DeepEqual(kept, b) {
 		t.Fatalf("%v, %+v", err, kept)
 	}
 	golden(t, "batch.golden.json", written(kept))
 
 	// Compared, each measure sees the field that it is of.
-	later := batch()
-	for i := range later.Seeds {
-		s := &later.Seeds[i]
-		s.Worth, s.Refused, s.Failed, s.Attempts = s.Worth+1, s.Refused+3, s.Failed+6, s.Attempts+9
+	later := storedBatch()
+	for i := range later.Results {
+		s := &later.Results[i]
+		s.Worth, s.Rejected, s.Failed, s.Attempts = s.Worth+1, s.Rejected+3, s.Failed+6, s.Attempts+9
 		for name, c := range s.Classes {
-			s.Classes[name] = seeds.Class{Asked: c.Asked, Served: c.Served + 1, OnTime: c.OnTime + 2, Attempts: c.Attempts + 3}
+			s.Classes[name] = batch.ClassResult{Requests: c.Requests, Served: c.Served + 1, OnTime: c.OnTime + 2, Attempts: c.Attempts + 3}
 		}
 	}
-	diffs, err := seeds.Compare(kept, later)
+	diffs, err := batch.Compare(kept, later)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -181,9 +181,9 @@
 		t.Fatal(err)
 	}
 	stored := golden(t, "batch-played.golden.json", text)
-	var b seeds.Batch
+	var b batch.Batch
 	again(t, stored, "", &b)
-	for _, s := range b.Seeds {
+	for _, s := range b.Results {
 		full(t, "classes", reflect.ValueOf(s.Classes))
 	}
 	out, err := lab(t, "--from", "3", "--count", "2", "--length", "15s", "--quiet", "--compare", stored)
@@ -201,7 +201,7 @@
 
 func TestFaultScript_Golden(t *testing.T) {
 	var script []fault.Fault
-	for i, k := range rehearsal.Kinds() {
+	for i, k := range scenario.Kinds() {
 		script = append(script, everyFieldFault(k, i))
 	}
 	full(t, "script", reflect.ValueOf(script))
@@ -214,7 +214,7 @@
 	if !reflect.DeepEqual(kept, script) {
 		t.Errorf("%+v", kept)
 	}
-	golden(t, "faults.golden.txt", []byte(seeds.Script(kept)))
+	golden(t, "faults.golden.txt", []byte(batch.FormatScript(kept)))
 
 	// What seeds --script takes of it.
 	var played []fault.Fault
@@ -254,18 +254,18 @@
 	service = world.Second{Asked: 10.5, Served: 9.25}
 )
 
-func outcome(program string) rehearsal.Outcome {
-	return rehearsal.Outcome{Script: "a <bad> day & night", Seed: 1<<63 + 1, Whole: 0.9, WorstTen: 0.7, WorstAt: 3, Classes: map[string]float64{"fetch": 0.8, "submit": 0.85, "watch": 0.95},
+func outcome(program string) scenario.Outcome {
+	return scenario.Outcome{Script: "a <bad> day & night", Seed: 1<<63 + 1, Service: 0.9, WorstWindow: 0.7, WorstWindowStart: 3, Classes: map[string]float64{"fetch": 0.8, "submit": 0.85, "watch": 0.95},
 		Seconds: []world.Second{service, service}, Evenness: []measure.Second{second}, Counts: map[string]int{"attempt": 9, "moved": 2}, Program: program,
-		Faults:  []fleet.Effect{{Fault: everyFieldFault("relays paused", 4), Began: 2 * time.Second, Ended: 5 * time.Second, Did: map[string]int{"struck": 3}}},
-		Waits:   &fleet.Waits{Count: 7, P50: 1.5, P99: 120, P999: 180.5, Max: 200},
-		Rates:   &fleet.Rates{Probes: 1.5, ProbesOne: 2, Handshakes: 3.5, HandshakeOne: 4, Datagrams: 5.5, DatagramOne: 6, Calls: 7.5},
-		Usage:   &fleet.Usage{CPUMedian: 0.25, CPUMost: 0.75, MemMedian: 1 << 24, MemMost: 1 << 25},
-		Machine: []float64{0.5, 0.625}, Broken: []string{"drain at 3.000000: sent late"}}
+		Faults: []fleet.Effect{{Fault: everyFieldFault("relays paused", 4), Began: 2 * time.Second, Ended: 5 * time.Second, Did: map[string]int{"struck": 3}}},
+		Waits:  &fleet.Waits{Count: 7, P50: 1.5, P99: 120, P999: 180.5, Max: 200},
+		Rates:  &fleet.Rates{Probes: 1.5, ProbesOne: 2, Handshakes: 3.5, HandshakeOne: 4, Datagrams: 5.5, DatagramOne: 6, Calls: 7.5},
+		Usage:  &fleet.Usage{CPUMedian: 0.25, CPUMost: 0.75, MemMedian: 1 << 24, MemMost: 1 << 25},
+		Cores:  []float64{0.5, 0.625}, Violations: []string{"drain at 3.000000: sent late"}}
 }
 
 func TestOutcomes_Golden(t *testing.T) {
-	outcomes := []rehearsal.Outcome{outcome("a"), outcome("b")}
+	outcomes := []scenario.Outcome{outcome("a"), outcome("b")}
 	full(t, "outcomes", reflect.ValueOf(outcomes))
 	dir := t.TempDir()
 	if err := report.Write(dir, outcomes); err != nil {
@@ -279,7 +279,7 @@
 		golden(t, stored, text)
 	}
 	path := filepath.Join("testdata", "outcomes.golden.json")
-	again(t, path, "", &[]rehearsal.Outcome{})
+	again(t, path, "", &[]scenario.Outcome{})
 	if kept, err := report.Read(path); err != nil || !reflect.DeepEqual(kept, outcomes) {
 		t.Errorf("%v, %+v", err, kept)
 	}
@@ -295,7 +295,7 @@
 		t.Fatal(err)
 	}
 	path := golden(t, "rehearsal.golden.json", out.Bytes())
-	var o rehearsal.Outcome
+	var o scenario.Outcome
 	again(t, path, " ", &o)
 	if kept, err := report.Read(path); err != nil || len(kept) != 1 || !reflect.DeepEqual(kept[0], o) {
 		t.Errorf("%v, %+v", err, kept)
@@ -308,7 +308,7 @@
 	if err := c.Execute(); err != nil {
 		t.Fatal(err)
 	}
-	var cells []rehearsal.Cell
+	var cells []scenario.Cell
 	again(t, golden(t, "experiment.golden.json", out.Bytes()), " ", &cells)
 }
 
@@ -316,18 +316,18 @@
 func TestResults_Golden(t *testing.T) {
 	o := outcome("a")
 	all := struct {
-		Summary measure.Summary  `json:"summary"`
-		Cells   []rehearsal.Cell `json:"cells"`
-		World   world.Result     `json:"world"`
-		Fleet   fleet.Result     `json:"fleet"`
+		Summary measure.Summary `json:"summary"`
+		Cells   []scenario.Cell `json:"cells"`
+		World   world.Result    `json:"world"`
+		Fleet   fleet.Result    `json:"fleet"`
 	}{
 		measure.Summary{Spread: spread, Mean: 0.5, Hashing: 0.2, Even: 0.05, Ratio: 0.55, Worst: 0.6, Lowest: 0.3, Idle: 1.25, Herd: 1.5, HerdHash: 1.75},
-		[]rehearsal.Cell{{Script: "s", Policy: "hash", Whole: 0.9, Ten: 0.8, Diff: -0.01, Bound: 0.005, Broken: 1, Need: 12}},
+		[]scenario.Cell{{Script: "s", Policy: "hash", Service: 0.9, WorstWindow: 0.8, Difference: -0.01, ConfidenceBound: 0.005, FailedSeeds: 1, SeedsNeeded: 12}},
 		world.Result{Seed: 9, Relays: 2, Backends: 3, Clients: 4, Faults: []world.Fault{everyFieldFault("relay killed", 1)},
-			Broken: []invariant.Violation{{Rule: "drain", At: 3 * time.Second, Detail: "sent late"}}, Counts: o.Counts, Pairs: map[string]int{"a + b": 2}, Worth: 5.5,
+			Violations: []invariant.Violation{{Rule: "drain", At: 3 * time.Second, Detail: "sent late"}}, Counts: o.Counts, Pairs: map[string]int{"a + b": 2}, Worth: 5.5,
 			Asked: 6, Refused: 7, Failed: 8, Attempts: 10, Steps: 11, Service: o.Seconds, ByClass: o.Seconds, Even: o.Evenness},
-		fleet.Result{Program: "a", Seed: 9, Ready: time.Second, Service: o.Seconds, Evenness: o.Evenness, Faults: o.Faults, Broken: o.Broken, Counts: o.Counts,
-			Waits: *o.Waits, Rates: *o.Rates, Usage: *o.Usage, Machine: o.Machine, Attempts: []int{3, 4}},
+		fleet.Result{Program: "a", Seed: 9, Ready: time.Second, Service: o.Seconds, Evenness: o.Evenness, Faults: o.Faults, Violations: o.Violations, Counts: o.Counts,
+			Waits: *o.Waits, Rates: *o.Rates, Usage: *o.Usage, Machine: o.Cores, Attempts: []int{3, 4}},
 	}
 	full(t, "results", reflect.ValueOf(all))
 	text, err := json.MarshalIndent(all, "", " ")
--- a/cmd/aspenlab/rehearse.go
+++ b/cmd/aspenlab/rehearse.go
@@ -15,16 +15,16 @@
 
 	"aspenbarrow/internal/baseline"
 	"aspenbarrow/internal/fleet"
-	"aspenbarrow/internal/rehearsal"
 	"aspenbarrow/internal/report"
+	"aspenbarrow/internal/scenario"
 )
 
-func readScript(path string) (rehearsal.Script, error) {
+func readScript(path string) (scenario.Script, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return rehearsal.Script{}, err
+		return scenario.Script{}, err
 	}
-	return rehearsal.Parse(path, text)
+	return scenario.Parse(path, text)
 }
 
 func checkScriptsCommand() *cobra.Command {
@@ -56,7 +56,7 @@
 			if err != nil {
 				return err
 			}
-			if faults := s.Playable(args[0], f.processes); faults != nil {
+			if faults := s.CheckPlayable(args[0], f.processes); faults != nil {
 				return errors.Join(faults...)
 			}
 			if f.processes {
@@ -65,8 +65,8 @@
 			if f.program != "" || f.against != "" || f.seeds != 1 || f.keep != "" {
 				return errors.New("--relay, --against, --seeds and --out go with --real")
 			}
-			o := rehearsal.Play(s, f.seed)
-			return told(c, []rehearsal.Outcome{o}, s, f.asJSON)
+			o := scenario.Play(s, f.seed)
+			return told(c, []scenario.Outcome{o}, s, f.asJSON)
 		}}
 	c.Flags().Uint64Var(&f.seed, "seed", 0, "another seed than the script's")
 	c.Flags().BoolVar(&f.asJSON, "json", false, "as JSON")
@@ -80,7 +80,7 @@
 
 // onProcesses plays the script on processes of one program or of two by turns, until it is done or interrupted. What
 // was played by then is written to the folder of --out also when a run failed.
-func (f *rehearseFlags) onProcesses(c *cobra.Command, s rehearsal.Script) error {
+func (f *rehearseFlags) onProcesses(c *cobra.Command, s scenario.Script) error {
 	if f.seeds < 1 {
 		return errors.New("--seeds is 1 at least")
 	}
@@ -105,8 +105,8 @@
 	if seed == 0 {
 		seed = s.Seed
 	}
-	outcomes, err := rehearsal.Alternate(ctx, s, programs, seed, f.seeds, func(o rehearsal.Outcome) {
-		fmt.Fprintln(c.ErrOrStderr(), o.Line())
+	outcomes, err := scenario.Alternate(ctx, s, programs, seed, f.seeds, func(o scenario.Outcome) {
+		fmt.Fprintln(c.ErrOrStderr(), o.Summary())
 	})
 	if f.keep != "" {
 		if e := report.Write(f.keep, outcomes); e != nil {
@@ -120,7 +120,7 @@
 }
 
 // told prints outcomes and fails where a rule was broken.
-func told(c *cobra.Command, outcomes []rehearsal.Outcome, s rehearsal.Script, asJSON bool) (err error) {
+func told(c *cobra.Command, outcomes []scenario.Outcome, s scenario.Script, asJSON bool) (err error) {
 	out := c.OutOrStdout()
 	switch {
 	case asJSON && len(outcomes) == 1:
@@ -132,12 +132,12 @@
 		e.SetIndent("", " ")
 		err = e.Encode(outcomes)
 	case len(outcomes) == 1:
-		outcomes[0].Report(out, s)
+		outcomes[0].WriteReport(out, s)
 	default:
-		rehearsal.Compare(out, outcomes)
+		scenario.WriteComparison(out, outcomes)
 	}
 	for i := range outcomes {
-		if b := outcomes[i].Broken; err == nil && len(b) > 0 {
+		if b := outcomes[i].Violations; err == nil && len(b) > 0 {
 			err = fmt.Errorf("%w: %s", errFailed, b[0])
 		}
 	}
@@ -145,7 +145,7 @@
 }
 
 func experimentCommand() *cobra.Command {
-	e := rehearsal.Experiment{}
+	e := scenario.Experiment{}
 	var asJSON bool
 	c := &cobra.Command{Use: "experiment SCRIPT...", Short: "Set policies against one another on scripts, paired seed by seed",
 		Args: cobra.MinimumNArgs(1), RunE: func(c *cobra.Command, paths []string) error {
@@ -173,7 +173,7 @@
 				enc.SetIndent("", " ")
 				return enc.Encode(cells)
 			}
-			rehearsal.Table(c.OutOrStdout(), cells)
+			scenario.WriteTable(c.OutOrStdout(), cells)
 			return nil
 		}}
 	c.Flags().IntVar(&e.Seeds, "seeds", 20, "how many seeds of each")
--- a/cmd/aspenlab/report.go
+++ b/cmd/aspenlab/report.go
@@ -5,8 +5,8 @@
 
 	"github.com/spf13/cobra"
 
-	"aspenbarrow/internal/rehearsal"
 	"aspenbarrow/internal/report"
+	"aspenbarrow/internal/scenario"
 )
 
 // reportCommand turns the outcomes that "aspenlab rehearse --json" printed into a page with plots.
@@ -14,7 +14,7 @@
 	var dir string
 	c := &cobra.Command{Use: "report RUNS.json...", Short: "Write what rehearsals came to as one page with plots, as JSON and as CSV", Args: cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, paths []string) error {
-			var all []rehearsal.Outcome
+			var all []scenario.Outcome
 			for _, p := range paths {
 				o, err := report.Read(p)
 				if err != nil {
--- a/cmd/aspenlab/seeds.go
+++ b/cmd/aspenlab/seeds.go
@@ -16,7 +16,7 @@
 
 	"aspenbarrow/balance"
 	"aspenbarrow/internal/config"
-	"aspenbarrow/internal/seeds"
+	"aspenbarrow/internal/simulation/batch"
 	"aspenbarrow/internal/world"
 )
 
@@ -118,7 +118,7 @@
 			fmt.Fprintf(out, "seed %d breaks no rule\n", opt.Seed)
 			return nil
 		}
-		fmt.Fprintf(out, "seed %d breaks %s with\n%s", opt.Seed, rule, seeds.Script(script))
+		fmt.Fprintf(out, "seed %d breaks %s with\n%s", opt.Seed, rule, batch.FormatScript(script))
 		return errFailed
 	}
 	if f.trace {
@@ -133,12 +133,12 @@
 	res := world.Run(opt)
 	if !f.trace {
 		fmt.Fprintf(out, "seed %d: %d relays, %d backends, %d clients\n%s", res.Seed, res.Relays, res.Backends, res.Clients,
-			seeds.Script(res.Faults))
+			batch.FormatScript(res.Faults))
 	}
-	for _, b := range res.Broken {
+	for _, b := range res.Violations {
 		fmt.Fprintln(out, b)
 	}
-	if len(res.Broken) > 0 {
+	if len(res.Violations) > 0 {
 		return errFailed
 	}
 	return nil
@@ -146,10 +146,10 @@
 
 // batch plays many.
 func (f *seedsFlags) batch(out, progress io.Writer) error {
-	var told func(done int, s seeds.Seed)
+	var told func(done int, s batch.SeedResult)
 	if info, err := os.Stderr.Stat(); err == nil && info.Mode()&os.ModeCharDevice != 0 && !f.quiet {
-		told = func(done int, s seeds.Seed) {
-			if done%50 == 0 || len(s.Broken) > 0 {
+		told = func(done int, s batch.SeedResult) {
+			if done%50 == 0 || len(s.Violations) > 0 {
 				fmt.Fprintf(progress, "\r%d of %d", done, f.count)
 			}
 			if done == f.count {
@@ -157,27 +157,27 @@
 			}
 		}
 	}
-	b := seeds.Play(f.from, f.count, f.workers, f.opt, told)
+	b := batch.Run(f.from, f.count, f.workers, f.opt, told)
 	if !f.quiet {
-		b.Report(out)
+		b.WriteReport(out)
 	} else {
-		for _, s := range b.Seeds {
-			for _, broken := range s.Broken {
+		for _, s := range b.Results {
+			for _, broken := range s.Violations {
 				fmt.Fprintf(out, "seed %d: %s\n", s.Seed, broken)
 			}
 		}
 	}
 	if f.json != "" {
-		if err := b.Write(f.json); err != nil {
+		if err := b.WriteFile(f.json); err != nil {
 			return err
 		}
 	}
 	if f.compare != "" {
-		was, err := seeds.Read(f.compare)
+		was, err := batch.ReadFile(f.compare)
 		if err != nil {
 			return err
 		}
-		diffs, err := seeds.Compare(was, b)
+		diffs, err := batch.Compare(was, b)
 		if err != nil {
 			return err
 		}
@@ -185,13 +185,13 @@
 			fmt.Fprintln(out, d)
 		}
 	}
-	missing := b.Missing()
+	missing := b.MissingCoverage()
 	for _, m := range missing {
 		fmt.Fprintln(out, "never came up:", m)
 	}
-	fmt.Fprintln(out, b.Closing())
+	fmt.Fprintln(out, b.Summary())
 	switch {
-	case b.Failing > 0:
+	case b.FailedSeeds > 0:
 		return errFailed
 	case f.complete && len(missing) > 0:
 		return fmt.Errorf("%d kinds of trouble never came up", len(missing))
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -54,19 +54,19 @@
 
 // Result is what a run came to.
 type Result struct {
-	Program  string           `json:"program"`
-	Seed     uint64           `json:"seed"`
-	Ready    time.Duration    `json:"ready_ns"` // until all relays took clients
-	Service  []world.Second   `json:"service"`  // by second
-	Evenness []measure.Second `json:"evenness"` // of the load, by second
-	Faults   []Effect         `json:"faults"`
-	Broken   []string         `json:"broken,omitempty"` // rules
-	Counts   map[string]int   `json:"counts"`           // how often what came up
-	Waits    Waits            `json:"waits"`
-	Rates    Rates            `json:"rates"`
-	Usage    Usage            `json:"usage"`
-	Machine  []float64        `json:"machine"`  // processor seconds a second, of all relays
-	Attempts []int            `json:"attempts"` // by backend
+	Program    string           `json:"program"`
+	Seed       uint64           `json:"seed"`
+	Ready      time.Duration    `json:"ready_ns"` // until all relays took clients
+	Service    []world.Second   `json:"service"`  // by second
+	Evenness   []measure.Second `json:"evenness"` // of the load, by second
+	Faults     []Effect         `json:"faults"`
+	Violations []string         `json:"broken,omitempty"` // rules
+	Counts     map[string]int   `json:"counts"`           // how often what came up
+	Waits      Waits            `json:"waits"`
+	Rates      Rates            `json:"rates"`
+	Usage      Usage            `json:"usage"`
+	Machine    []float64        `json:"machine"`  // processor seconds a second, of all relays
+	Attempts   []int            `json:"attempts"` // by backend
 }
 
 // Effect is what a fault really did.
@@ -695,7 +695,7 @@
 	r.logged(func(l *measure.Log) { res.Evenness = l.Seconds(length.Truncate(time.Second)) })
 	r.checked(func() {
 		for _, b := range r.check.Violations {
-			res.Broken = append(res.Broken, b.String())
+			res.Violations = append(res.Violations, b.String())
 		}
 		for what, n := range r.check.Counts {
 			res.Counts[what] += n
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -65,7 +65,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, b := range res.Broken {
+	for _, b := range res.Violations {
 		t.Error("broken:", b)
 	}
 	return res
--- a/internal/report/plots.go
+++ b/internal/report/plots.go
@@ -14,13 +14,13 @@
 	"gonum.org/v1/plot/vg/draw"
 	"gonum.org/v1/plot/vg/vgsvg"
 
-	"aspenbarrow/internal/rehearsal"
+	"aspenbarrow/internal/scenario"
 )
 
 const (
-	wide = 13 * vg.Inch
-	high = 3.2 * vg.Inch
-	cell = 0.065 * vg.Inch // of a backend in the heat map
+	plotWidth        = 13 * vg.Inch
+	plotHeight       = 3.2 * vg.Inch
+	heatMapRowHeight = 0.065 * vg.Inch // of a backend in the heat map
 )
 
 // Colours that differ in lightness as well, for who sees few of them.
@@ -32,7 +32,7 @@
 
 // series is one line of a plot.
 type series struct {
-	of     *rehearsal.Outcome
+	of     *scenario.Outcome
 	label  string
 	colour color.Color
 	dashed bool
@@ -41,15 +41,15 @@
 }
 
 // seriesOf makes the series of one run, the i-th that is drawn; false: the run has no such figures.
-type seriesOf func(o *rehearsal.Outcome, i int) (series, bool)
+type seriesFunc func(o *scenario.Outcome, i int) (series, bool)
 
 // plots draws the runs. Runs that stand over each other share one scale.
-func plots(runs []*rehearsal.Outcome) ([]plotView, error) {
+func plots(runs []*scenario.Outcome) ([]plotData, error) {
 	d := drawing{runs: runs}
 	d.heatMaps()
 	d.evenness()
 	d.lines("Service by second", "Worth of the clients whose lines come back in time over that of all who wanted a connection.", false,
-		func(o *rehearsal.Outcome, i int) (series, bool) {
+		func(o *scenario.Outcome, i int) (series, bool) {
 			return series{o, name(o), lineColours[i%len(lineColours)], false, func(s int) float64 {
 				if o.Seconds[s].Asked == 0 {
 					return 1
@@ -58,17 +58,17 @@
 			}, len(o.Seconds)}, true
 		})
 	d.lines("Herds", "The most new connections at one backend in half a second over its part of them; only where that part is eight or more.", true,
-		byEvenness("", false, nil, func(o *rehearsal.Outcome, s int) float64 { return o.Evenness[s].Herd }))
-	d.lines("Processor time of all relays", "Cores, by second.", true, func(o *rehearsal.Outcome, i int) (series, bool) {
-		return series{o, name(o), lineColours[i%len(lineColours)], false, func(s int) float64 { return o.Machine[s] }, len(o.Machine)}, o.Machine != nil
+		byEvenness("", false, nil, func(o *scenario.Outcome, s int) float64 { return o.Evenness[s].Herd }))
+	d.lines("Processor time of all relays", "Cores, by second.", true, func(o *scenario.Outcome, i int) (series, bool) {
+		return series{o, name(o), lineColours[i%len(lineColours)], false, func(s int) float64 { return o.Cores[s] }, len(o.Cores)}, o.Cores != nil
 	})
 	return d.out, d.err
 }
 
 // drawing collects the plots of some runs, up to the first that cannot be drawn.
 type drawing struct {
-	runs []*rehearsal.Outcome
-	out  []plotView
+	runs []*scenario.Outcome
+	out  []plotData
 	err  error
 }
 
@@ -78,7 +78,7 @@
 	}
 	var svg template.HTML
 	if svg, d.err = draw(); d.err == nil {
-		d.out = append(d.out, plotView{title, note, svg})
+		d.out = append(d.out, plotData{title, note, svg})
 	}
 }
 
@@ -95,7 +95,7 @@
 	for _, o := range d.runs {
 		if len(o.Evenness) > 1 && len(o.Evenness[0].Loads) > 1 {
 			d.add("Load by backend: "+name(o), fmt.Sprintf("A row is a backend, a column a second; dark is empty, bright is full (the brightest is %.0f%% of capacity), white is down. "+
-				"Even load has rows of one colour.", 100*top), func() (template.HTML, error) { return heat(o, top) })
+				"Even load has rows of one colour.", 100*top), func() (template.HTML, error) { return drawHeatMap(o, top) })
 		}
 	}
 }
@@ -103,15 +103,15 @@
 // evenness adds the plots of how far the load is from its mean.
 func (d *drawing) evenness() {
 	d.lines("Unevenness by second", "Deviation of the load over its mean; grey is hashing alone on the same connections. Lower is better.", true,
-		byEvenness("", false, nil, func(o *rehearsal.Outcome, s int) float64 { return o.Evenness[s].Deviation }),
-		byEvenness("hashing, ", true, hashColour, func(o *rehearsal.Outcome, s int) float64 { return o.Evenness[s].Hashing }))
+		byEvenness("", false, nil, func(o *scenario.Outcome, s int) float64 { return o.Evenness[s].Deviation }),
+		byEvenness("hashing, ", true, hashColour, func(o *scenario.Outcome, s int) float64 { return o.Evenness[s].Hashing }))
 	d.lines("Emptiest and fullest backend", "Over the mean; 1 is the mean.", true,
-		byEvenness("fullest, ", false, nil, func(o *rehearsal.Outcome, s int) float64 { return o.Evenness[s].Most }),
-		byEvenness("emptiest, ", true, nil, func(o *rehearsal.Outcome, s int) float64 { return o.Evenness[s].Least }))
+		byEvenness("fullest, ", false, nil, func(o *scenario.Outcome, s int) float64 { return o.Evenness[s].Most }),
+		byEvenness("emptiest, ", true, nil, func(o *scenario.Outcome, s int) float64 { return o.Evenness[s].Least }))
 }
 
 // lines adds one plot with the series of every run that has them; none if no run has two points.
-func (d *drawing) lines(title, note string, zero bool, of ...seriesOf) {
+func (d *drawing) lines(title, note string, zero bool, of ...seriesFunc) {
 	var all []series
 	for i, o := range d.runs {
 		for _, f := range of {
@@ -121,13 +121,13 @@
 		}
 	}
 	if len(all) > 0 {
-		d.add(title, note, func() (template.HTML, error) { return curves(d.runs[0], all, zero) })
+		d.add(title, note, func() (template.HTML, error) { return drawLines(d.runs[0], all, zero) })
 	}
 }
 
 // byEvenness makes a series of a figure of each second's evenness, in the run's own colour if c is nil.
-func byEvenness(label string, dashed bool, c color.Color, f func(o *rehearsal.Outcome, s int) float64) seriesOf {
-	return func(o *rehearsal.Outcome, i int) (series, bool) {
+func byEvenness(label string, dashed bool, c color.Color, f func(o *scenario.Outcome, s int) float64) seriesFunc {
+	return func(o *scenario.Outcome, i int) (series, bool) {
 		colour := c
 		if colour == nil {
 			colour = lineColours[i%len(lineColours)]
@@ -137,7 +137,7 @@
 }
 
 // grid is the load of a run by second and backend, as the heat map wants it.
-type grid struct{ o *rehearsal.Outcome }
+type grid struct{ o *scenario.Outcome }
 
 func (g grid) Dims() (c, r int) {
 	return len(g.o.Evenness), len(g.o.Evenness[len(g.o.Evenness)-1].Loads)
@@ -151,17 +151,17 @@
 	return math.NaN()
 }
 
-func heat(o *rehearsal.Outcome, top float64) (template.HTML, error) {
+func drawHeatMap(o *scenario.Outcome, top float64) (template.HTML, error) {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text = "second", "backend"
 	h := plotter.NewHeatMap(grid{o}, palette.Heat(24, 1))
 	h.Min, h.Max, h.NaN = 0, max(top, 1e-9), color.White
 	p.Add(h)
 	_, rows := grid{o}.Dims()
-	return svg(p, vg.Length(rows)*cell+0.8*vg.Inch)
+	return encodeSVG(p, vg.Length(rows)*heatMapRowHeight+0.8*vg.Inch)
 }
 
-func curves(o *rehearsal.Outcome, all []series, zero bool) (template.HTML, error) {
+func drawLines(o *scenario.Outcome, all []series, zero bool) (template.HTML, error) {
 	p := plot.New()
 	p.X.Label.Text = "second"
 	p.Legend.Top = true
@@ -208,11 +208,11 @@
 	}
 	p.Y.Min, p.Y.Max = least, most
 	p.X.Min = 0
-	return svg(p, high)
+	return encodeSVG(p, plotHeight)
 }
 
-func svg(p *plot.Plot, height vg.Length) (template.HTML, error) {
-	c := vgsvg.New(wide, height)
+func encodeSVG(p *plot.Plot, height vg.Length) (template.HTML, error) {
+	c := vgsvg.New(plotWidth, height)
 	p.Draw(draw.New(c))
 	var out bytes.Buffer
 	if _, err := c.WriteTo(&out); err != nil {
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -16,18 +16,18 @@
 	"time"
 
 	"aspenbarrow/internal/measure"
-	"aspenbarrow/internal/rehearsal"
+	"aspenbarrow/internal/scenario"
 )
 
 // Write writes report.html, report.json and report.csv into a folder, which is made if it is missing.
-func Write(dir string, outcomes []rehearsal.Outcome) error {
+func Write(dir string, outcomes []scenario.Outcome) error {
 	if len(outcomes) == 0 {
 		return fmt.Errorf("report: there is no run")
 	}
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return fmt.Errorf("report: %w", err)
 	}
-	page, err := Page(outcomes)
+	page, err := HTML(outcomes)
 	if err != nil {
 		return fmt.Errorf("report: %w", err)
 	}
@@ -35,7 +35,7 @@
 	if err != nil {
 		return fmt.Errorf("report: %w", err)
 	}
-	for name, b := range map[string][]byte{"report.html": page, "report.json": text, "report.csv": Table(outcomes)} {
+	for name, b := range map[string][]byte{"report.html": page, "report.json": text, "report.csv": CSV(outcomes)} {
 		if err := os.WriteFile(filepath.Join(dir, name), b, 0o644); err != nil {
 			return fmt.Errorf("report: %w", err)
 		}
@@ -44,18 +44,18 @@
 }
 
 // Read reads a report.json, or the one outcome that "aspenlab rehearse --json" prints. A file without a run is an error.
-func Read(path string) ([]rehearsal.Outcome, error) {
+func Read(path string) ([]scenario.Outcome, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	var outcomes []rehearsal.Outcome
+	var outcomes []scenario.Outcome
 	if err := json.Unmarshal(text, &outcomes); err != nil {
-		var one rehearsal.Outcome // what a rehearsal prints with --json
+		var one scenario.Outcome // what a rehearsal prints with --json
 		if json.Unmarshal(text, &one) != nil {
 			return nil, fmt.Errorf("%s: %w", path, err)
 		}
-		outcomes = []rehearsal.Outcome{one}
+		outcomes = []scenario.Outcome{one}
 	}
 	if len(outcomes) == 0 || len(outcomes[0].Seconds) == 0 {
 		return nil, fmt.Errorf("%s: holds no run", path)
@@ -64,7 +64,7 @@
 }
 
 // Table returns the outcomes as CSV, with a header and a line for each second of each run.
-func Table(outcomes []rehearsal.Outcome) []byte {
+func CSV(outcomes []scenario.Outcome) []byte {
 	var out bytes.Buffer
 	w := csv.NewWriter(&out)
 	_ = w.Write([]string{"program", "seed", "second", "asked", "served", "mean_load", "deviation", "hashing", "even_hand", "least", "most", "jain",
@@ -77,8 +77,8 @@
 				e = o.Evenness[s]
 			}
 			cores := 0.0
-			if s < len(o.Machine) {
-				cores = o.Machine[s]
+			if s < len(o.Cores) {
+				cores = o.Cores[s]
 			}
 			line := []string{o.Program, strconv.FormatUint(o.Seed, 10), strconv.Itoa(s + 1)}
 			for _, v := range []float64{o.Seconds[s].Asked, o.Seconds[s].Served, e.Mean, e.Deviation, e.Hashing, e.Even, e.Least, e.Most, e.Jain,
@@ -92,51 +92,51 @@
 	return out.Bytes()
 }
 
-type view struct {
-	Script string
-	Runs   []runView
-	Faults []faultView
-	Plots  []plotView
-	Broken []string
+type pageData struct {
+	Script     string
+	Runs       []runData
+	Faults     []faultData
+	Plots      []plotData
+	Violations []string
 }
 
-type runView struct {
+type runData struct {
 	Name    string
-	O       *rehearsal.Outcome
+	O       *scenario.Outcome
 	E       measure.Summary
 	First   measure.Summary // from the first second on
 	Verdict string
 }
 
-type faultView struct {
+type faultData struct {
 	Kind, From, To, Did, Line string
 }
 
-type plotView struct {
+type plotData struct {
 	Title, Note string
 	SVG         template.HTML
 }
 
 // mostTold is how many broken rules of a run the page names.
-const mostTold = 8
+const maxViolations = 8
 
 // settled is the second from which evenness is summed up.
-const settled = 10
+const warmUpSeconds = 10
 
 // Page returns the HTML page of one outcome or more. The first run of each of the first two programs is drawn; the table has all.
-func Page(outcomes []rehearsal.Outcome) ([]byte, error) {
+func HTML(outcomes []scenario.Outcome) ([]byte, error) {
 	first := &outcomes[0]
-	v := view{Script: first.Script}
-	var drawn []*rehearsal.Outcome
+	v := pageData{Script: first.Script}
+	var drawn []*scenario.Outcome
 	for i := range outcomes {
 		o := &outcomes[i]
-		v.Runs = append(v.Runs, runView{Name: name(o), O: o, E: o.Even(settled), First: o.Even(0), Verdict: verdict(o)})
-		for k, b := range o.Broken {
-			if k == mostTold {
-				v.Broken = append(v.Broken, fmt.Sprintf("%s: and %d more; the JSON has all", name(o), len(o.Broken)-k))
+		v.Runs = append(v.Runs, runData{Name: name(o), O: o, E: o.EvennessFrom(warmUpSeconds), First: o.EvennessFrom(0), Verdict: verdict(o)})
+		for k, b := range o.Violations {
+			if k == maxViolations {
+				v.Violations = append(v.Violations, fmt.Sprintf("%s: and %d more; the JSON has all", name(o), len(o.Violations)-k))
 				break
 			}
-			v.Broken = append(v.Broken, name(o)+": "+b)
+			v.Violations = append(v.Violations, name(o)+": "+b)
 		}
 		if len(drawn) == 0 || len(drawn) == 1 && o.Program != drawn[0].Program {
 			drawn = append(drawn, o)
@@ -147,7 +147,7 @@
 		for what, n := range f.Did {
 			did += fmt.Sprintf("%s: %d ", what, n)
 		}
-		v.Faults = append(v.Faults, faultView{f.Kind, clock(f.Began), clock(f.Ended), did, strconv.Itoa(f.ScriptLine)})
+		v.Faults = append(v.Faults, faultData{f.Kind, clock(f.Began), clock(f.Ended), did, strconv.Itoa(f.ScriptLine)})
 	}
 	var err error
 	if v.Plots, err = plots(drawn); err != nil {
@@ -160,7 +160,7 @@
 
 func clock(d time.Duration) string { return fmt.Sprintf("%.1f s", d.Seconds()) }
 
-func name(o *rehearsal.Outcome) string {
+func name(o *scenario.Outcome) string {
 	if o.Program == "" {
 		return fmt.Sprintf("virtual clock, seed %d", o.Seed)
 	}
@@ -168,11 +168,11 @@
 }
 
 // verdict says in words how even the load is, for who reads no figures.
-func verdict(o *rehearsal.Outcome) string {
-	e := o.Even(settled)
+func verdict(o *scenario.Outcome) string {
+	e := o.EvennessFrom(warmUpSeconds)
 	switch {
-	case len(o.Broken) > 0:
-		return fmt.Sprintf("%d rules broken", len(o.Broken))
+	case len(o.Violations) > 0:
+		return fmt.Sprintf("%d rules broken", len(o.Violations))
 	case e.Hashing == 0:
 		return "nothing to compare"
 	case e.Idle > 0:
@@ -197,9 +197,9 @@
 </style></head><body>
 <h1>{{.Script}}</h1>
 <p>Servers and clients are stand-ins. Load is what connections ask of a backend over what it can do; its deviation is over the mean, from second 10 on.</p>
-{{if .Broken}}<h2 class="bad">Rules broken</h2><ul>{{range .Broken}}<li class="bad">{{.}}</li>{{end}}</ul>{{end}}
+{{if .Violations}}<h2 class="bad">Rules broken</h2><ul>{{range .Violations}}<li class="bad">{{.}}</li>{{end}}</ul>{{end}}
 <table><tr><th>run</th><th class="l">in a word</th><th>service</th><th>worst ten s</th><th>deviation</th><th>hashing</th><th>even hand</th><th>least</th><th>most</th><th>idle backend-s</th><th>worst herd (hashing)</th><th>99% wait</th></tr>
-{{range .Runs}}<tr><td>{{.Name}}</td><td class="l{{if .O.Broken}} bad{{end}}">{{.Verdict}}</td><td>{{f 4 .O.Whole}}</td><td>{{f 4 .O.WorstTen}}</td><td>{{f 3 .E.Deviation}}</td><td>{{f 3 .E.Hashing}}</td><td>{{f 3 .E.Even}}</td><td>{{f 2 .E.Lowest}}</td><td>{{f 2 .E.Most}}</td><td>{{f 1 .E.Idle}}</td><td>{{f 2 .First.Herd}} ({{f 2 .First.HerdHash}})</td><td>{{if .O.Waits}}{{f 0 .O.Waits.P99}} ms{{else}}-{{end}}</td></tr>
+{{range .Runs}}<tr><td>{{.Name}}</td><td class="l{{if .O.Violations}} bad{{end}}">{{.Verdict}}</td><td>{{f 4 .O.Service}}</td><td>{{f 4 .O.WorstWindow}}</td><td>{{f 3 .E.Deviation}}</td><td>{{f 3 .E.Hashing}}</td><td>{{f 3 .E.Even}}</td><td>{{f 2 .E.Lowest}}</td><td>{{f 2 .E.Most}}</td><td>{{f 1 .E.Idle}}</td><td>{{f 2 .First.Herd}} ({{f 2 .First.HerdHash}})</td><td>{{if .O.Waits}}{{f 0 .O.Waits.P99}} ms{{else}}-{{end}}</td></tr>
 {{end}}</table>
 {{if .Faults}}<h2>Faults, and what each really did</h2><table><tr><th>fault</th><th>from</th><th>to</th><th class="l">did</th><th>script line</th></tr>
 {{range .Faults}}<tr><td>{{.Kind}}</td><td>{{.From}}</td><td>{{.To}}</td><td class="l">{{.Did}}</td><td>{{.Line}}</td></tr>{{end}}</table>{{end}}
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -10,18 +10,18 @@
 	"aspenbarrow/internal/fault"
 	"aspenbarrow/internal/fleet"
 	"aspenbarrow/internal/measure"
-	"aspenbarrow/internal/rehearsal"
+	"aspenbarrow/internal/scenario"
 	"aspenbarrow/internal/world"
 )
 
-func run(program string, broken ...string) rehearsal.Outcome {
-	o := rehearsal.Outcome{Script: "a <bad> day", Program: program, Seed: 7, Whole: 0.9, Broken: broken, Waits: &fleet.Waits{P99: 120}, Rates: &fleet.Rates{}, Usage: &fleet.Usage{},
+func run(program string, broken ...string) scenario.Outcome {
+	o := scenario.Outcome{Script: "a <bad> day", Program: program, Seed: 7, Service: 0.9, Violations: broken, Waits: &fleet.Waits{P99: 120}, Rates: &fleet.Rates{}, Usage: &fleet.Usage{},
 		Faults: []fleet.Effect{{Fault: fault.Fault{Kind: "relays <paused>", ScriptLine: 12}, Began: 2 * time.Second, Ended: 5 * time.Second, Did: map[string]int{"struck": 3}}}}
 	for i := range 14 {
 		o.Seconds = append(o.Seconds, world.Second{Asked: 10, Served: 9})
 		o.Evenness = append(o.Evenness, measure.Second{Spread: measure.Spread{Deviation: 0.1, Least: 0.8, Most: 1.2, Jain: 0.99}, Hashing: 0.2, Mean: 0.5,
 			Loads: []float64{0.4, 0.6, -1, float64(i) / 20}})
-		o.Machine = append(o.Machine, 0.5)
+		o.Cores = append(o.Cores, 0.5)
 	}
 	return o
 }
@@ -29,7 +29,7 @@
 func TestAPageHasAllAndNeedsNothing(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "new")
 	broken := strings.Split(strings.Repeat("drain at 3: sent late,", 12), ",")[:12]
-	if err := Write(dir, []rehearsal.Outcome{run("/x/a"), run("/x/b", broken...)}); err != nil {
+	if err := Write(dir, []scenario.Outcome{run("/x/a"), run("/x/b", broken...)}); err != nil {
 		t.Fatal(err)
 	}
 	text, err := os.ReadFile(filepath.Join(dir, "report.html"))
@@ -56,7 +56,7 @@
 		t.Errorf("%v: %s", err, csv)
 	}
 	back, err := Read(filepath.Join(dir, "report.json"))
-	if err != nil || len(back) != 2 || back[1].Broken[3] != broken[3] || back[0].Faults[0].Did["struck"] != 3 {
+	if err != nil || len(back) != 2 || back[1].Violations[3] != broken[3] || back[0].Faults[0].Did["struck"] != 3 {
 		t.Errorf("%v, %+v", err, back)
 	}
 }
--- a/internal/rehearsal/alternate.go
+++ b/internal/scenario/alternate.go
@@ -1,4 +1,4 @@
-package rehearsal
+package scenario
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 func Alternate(ctx context.Context, s Script, programs []string, seed uint64, seeds int, each func(Outcome)) (out []Outcome, err error) {
 	for k := range seeds {
 		for _, p := range programs {
-			o, err := PlayReal(ctx, s, p, seed+uint64(k))
+			o, err := PlayOnProcesses(ctx, s, p, seed+uint64(k))
 			if err != nil && o.Seconds == nil {
 				return out, err
 			}
@@ -30,16 +30,16 @@
 
 // Herd is the worst herd of a run from its first second on, and what hashing alone makes of that second.
 func (o *Outcome) Herd() (worst, hashing float64) {
-	e := o.Even(0)
+	e := o.EvennessFrom(0)
 	return e.Herd, e.HerdHash
 }
 
 // Line returns the run's figures in one line.
-func (o *Outcome) Line() string {
-	e := o.Even(settled)
+func (o *Outcome) Summary() string {
+	e := o.EvennessFrom(warmUpSeconds)
 	herd, hashed := o.Herd()
 	return fmt.Sprintf("%s seed %d: service %.4f, deviation %.3f (hashing %.3f, an even hand %.3f, ratio %.2f), least %.2f, most %.2f, idle %.1f backend-s, herd %.2f (hashing %.2f), moved %d, refused %d, broken %d",
-		o.Program, o.Seed, o.Whole, e.Deviation, e.Hashing, e.Even, e.Ratio, e.Lowest, e.Most, e.Idle, herd, hashed, o.Counts["moved"], o.Counts["refused"], len(o.Broken))
+		o.Program, o.Seed, o.Service, e.Deviation, e.Hashing, e.Even, e.Ratio, e.Lowest, e.Most, e.Idle, herd, hashed, o.Counts["moved"], o.Counts["refused"], len(o.Violations))
 }
 
 // figures are what Compare sets side by side.
@@ -47,15 +47,15 @@
 	name string
 	of   func(o *Outcome) float64
 }{
-	{"service", func(o *Outcome) float64 { return o.Whole }},
-	{"worst ten seconds", func(o *Outcome) float64 { return o.WorstTen }},
-	{"deviation", func(o *Outcome) float64 { return o.Even(settled).Deviation }},
-	{"of hashing", func(o *Outcome) float64 { return o.Even(settled).Hashing }},
-	{"ratio", func(o *Outcome) float64 { return o.Even(settled).Ratio }},
-	{"least in any second", func(o *Outcome) float64 { return o.Even(settled).Lowest }},
-	{"idle backend-s", func(o *Outcome) float64 { return o.Even(settled).Idle }},
-	{"worst herd", func(o *Outcome) float64 { return o.Even(0).Herd }},
-	{"of hashing", func(o *Outcome) float64 { return o.Even(0).HerdHash }},
+	{"service", func(o *Outcome) float64 { return o.Service }},
+	{"worst ten seconds", func(o *Outcome) float64 { return o.WorstWindow }},
+	{"deviation", func(o *Outcome) float64 { return o.EvennessFrom(warmUpSeconds).Deviation }},
+	{"of hashing", func(o *Outcome) float64 { return o.EvennessFrom(warmUpSeconds).Hashing }},
+	{"ratio", func(o *Outcome) float64 { return o.EvennessFrom(warmUpSeconds).Ratio }},
+	{"least in any second", func(o *Outcome) float64 { return o.EvennessFrom(warmUpSeconds).Lowest }},
+	{"idle backend-s", func(o *Outcome) float64 { return o.EvennessFrom(warmUpSeconds).Idle }},
+	{"worst herd", func(o *Outcome) float64 { return o.EvennessFrom(0).Herd }},
+	{"of hashing", func(o *Outcome) float64 { return o.EvennessFrom(0).HerdHash }},
 	{"moved", func(o *Outcome) float64 { return float64(o.Counts["moved"]) }},
 	{"refused", func(o *Outcome) float64 { return float64(o.Counts["refused"]) }},
 	{"attempts", func(o *Outcome) float64 { return float64(o.Counts["attempt"]) }},
@@ -65,11 +65,11 @@
 	{"datagrams a second", func(o *Outcome) float64 { return o.Rates.Datagrams }},
 	{"a relay's core, %", func(o *Outcome) float64 { return 100 * o.Usage.CPUMedian }},
 	{"a relay's memory, MB", func(o *Outcome) float64 { return float64(o.Usage.MemMedian) / 1e6 }},
-	{"rules broken", func(o *Outcome) float64 { return float64(len(o.Broken)) }},
+	{"rules broken", func(o *Outcome) float64 { return float64(len(o.Violations)) }},
 }
 
 // Compare writes medians and ranges of the figures by program. All outcomes are of processes and one script.
-func Compare(out io.Writer, outcomes []Outcome) {
+func WriteComparison(out io.Writer, outcomes []Outcome) {
 	var programs []string
 	for i := range outcomes {
 		if !slices.Contains(programs, outcomes[i].Program) {
--- a/internal/rehearsal/experiment.go
+++ b/internal/scenario/experiment.go
@@ -1,4 +1,4 @@
-package rehearsal
+package scenario
 
 import (
 	"fmt"
@@ -18,14 +18,14 @@
 
 // Cell is one policy on one script.
 type Cell struct {
-	Script string  `json:"script"`
-	Policy string  `json:"policy"`
-	Whole  float64 `json:"whole"`     // mean service
-	Ten    float64 `json:"worst_ten"` // mean of the worst ten seconds
-	Diff   float64 `json:"diff"`      // of the service, against the first policy: mean
-	Bound  float64 `json:"bound"`     // and half of its 95% confidence interval
-	Broken int     `json:"broken"`    // seeds that broke a rule
-	Need   int     `json:"need"`      // seeds that would make a difference of 0.01 significant
+	Script          string  `json:"script"`
+	Policy          string  `json:"policy"`
+	Service         float64 `json:"whole"`     // mean service
+	WorstWindow     float64 `json:"worst_ten"` // mean of the worst ten seconds
+	Difference      float64 `json:"diff"`      // of the service, against the first policy: mean
+	ConfidenceBound float64 `json:"bound"`     // and half of its 95% confidence interval
+	FailedSeeds     int     `json:"broken"`    // seeds that broke a rule
+	SeedsNeeded     int     `json:"need"`      // seeds that would make a difference of 0.01 significant
 }
 
 // Run plays every script with every seed and policy on the virtual clock and returns a cell for each script and
@@ -48,7 +48,7 @@
 		wg.Go(func() {
 			for i := next.Add(1) - 1; i < int64(len(tasks)); i = next.Add(1) - 1 {
 				t := tasks[i]
-				outcomes[i] = PlayBy(e.Scripts[t.script], uint64(t.seed+1), e.Policies[t.policy])
+				outcomes[i] = PlayWithPolicy(e.Scripts[t.script], uint64(t.seed+1), e.Policies[t.policy])
 				if n := done.Add(1); told != nil {
 					mu.Lock()
 					told(int(n), len(tasks))
@@ -77,38 +77,38 @@
 	}
 	n, sum, squares := float64(len(own)), 0.0, 0.0
 	for i := range own {
-		c.Whole += own[i].Whole / n
-		c.Ten += own[i].WorstTen / n
-		d := own[i].Whole - against[i].Whole
+		c.Service += own[i].Service / n
+		c.WorstWindow += own[i].WorstWindow / n
+		d := own[i].Service - against[i].Service
 		sum, squares = sum+d, squares+d*d
-		if len(own[i].Broken) > 0 {
-			c.Broken++
+		if len(own[i].Violations) > 0 {
+			c.FailedSeeds++
 		}
 	}
-	c.Diff = sum / n
+	c.Difference = sum / n
 	if n > 1 {
 		deviation := math.Sqrt(max(0, (squares-sum*sum/n)/(n-1)))
-		c.Bound = 1.96 * deviation / math.Sqrt(n)
+		c.ConfidenceBound = 1.96 * deviation / math.Sqrt(n)
 		part := 1.96 * deviation / 0.01
-		c.Need = int(math.Ceil(part * part))
+		c.SeedsNeeded = int(math.Ceil(part * part))
 	}
 	return c
 }
 
 // Sentence says how a policy compares with the first: better or worse by so much, or, where the difference lies
 // within its 95% confidence interval, not to be told apart.
-func (c *Cell) Sentence(first string) string {
+func (c *Cell) Verdict(first string) string {
 	switch {
-	case math.Abs(c.Diff) <= c.Bound:
+	case math.Abs(c.Difference) <= c.ConfidenceBound:
 		return fmt.Sprintf("no difference from %s that chance would not make", first)
-	case c.Diff > 0:
-		return fmt.Sprintf("better than %s by %.4f", first, c.Diff)
+	case c.Difference > 0:
+		return fmt.Sprintf("better than %s by %.4f", first, c.Difference)
 	}
-	return fmt.Sprintf("worse than %s by %.4f", first, -c.Diff)
+	return fmt.Sprintf("worse than %s by %.4f", first, -c.Difference)
 }
 
 // Table writes the cells as text.
-func Table(out io.Writer, cells []Cell) {
+func WriteTable(out io.Writer, cells []Cell) {
 	first, script := "", ""
 	for i := range cells {
 		c := &cells[i]
@@ -116,12 +116,12 @@
 			first, script = c.Policy, c.Script
 			fmt.Fprintf(out, "%s\n", script)
 		}
-		fmt.Fprintf(out, "  %-8s service %.4f  worst ten %.4f", c.Policy, c.Whole, c.Ten)
+		fmt.Fprintf(out, "  %-8s service %.4f  worst ten %.4f", c.Policy, c.Service, c.WorstWindow)
 		if c.Policy != first {
-			fmt.Fprintf(out, "  %+.4f ± %.4f: %s; a difference of 0.01 needs %d seeds", c.Diff, c.Bound, c.Sentence(first), c.Need)
+			fmt.Fprintf(out, "  %+.4f ± %.4f: %s; a difference of 0.01 needs %d seeds", c.Difference, c.ConfidenceBound, c.Verdict(first), c.SeedsNeeded)
 		}
-		if c.Broken > 0 {
-			fmt.Fprintf(out, "; %d seeds broke a rule", c.Broken)
+		if c.FailedSeeds > 0 {
+			fmt.Fprintf(out, "; %d seeds broke a rule", c.FailedSeeds)
 		}
 		fmt.Fprintln(out)
 	}
--- a/internal/rehearsal/experiment_test.go
+++ b/internal/scenario/experiment_test.go
@@ -1,4 +1,4 @@
-package rehearsal
+package scenario
 
 import (
 	"bytes"
@@ -8,17 +8,17 @@
 )
 
 func TestCellsArePairedAndSayNoMoreThanTheyMay(t *testing.T) {
-	against := []Outcome{{Whole: 0.9}, {Whole: 0.8}, {Whole: 0.7}}
-	own := []Outcome{{Whole: 0.92}, {Whole: 0.82}, {Whole: 0.75, Broken: []string{"x"}}}
+	against := []Outcome{{Service: 0.9}, {Service: 0.8}, {Service: 0.7}}
+	own := []Outcome{{Service: 0.92}, {Service: 0.82}, {Service: 0.75, Violations: []string{"x"}}}
 	c := cell("s", "least", against, own)
 	// Differences 0.02, 0.02, 0.05: mean 0.03, deviation 0.01732, mean's interval 0.0196.
-	if math.Abs(c.Diff-0.03) > 1e-9 || math.Abs(c.Bound-0.0196) > 1e-4 || c.Broken != 1 || c.Need != 12 ||
-		c.Sentence("module") != "better than module by 0.0300" {
-		t.Errorf("%+v, %s", c, c.Sentence("module"))
+	if math.Abs(c.Difference-0.03) > 1e-9 || math.Abs(c.ConfidenceBound-0.0196) > 1e-4 || c.FailedSeeds != 1 || c.SeedsNeeded != 12 ||
+		c.Verdict("module") != "better than module by 0.0300" {
+		t.Errorf("%+v, %s", c, c.Verdict("module"))
 	}
-	c.Diff = 0.01
-	if !strings.HasPrefix(c.Sentence("module"), "no difference") {
-		t.Errorf("%s", c.Sentence("module"))
+	c.Difference = 0.01
+	if !strings.HasPrefix(c.Verdict("module"), "no difference") {
+		t.Errorf("%s", c.Verdict("module"))
 	}
 }
 
@@ -35,8 +35,8 @@
 		}
 	}
 	var out bytes.Buffer
-	Table(&out, many)
-	if len(one) != 3 || told != 6 || one[0].Policy != "module" || one[0].Diff != 0 || strings.Count(out.String(), "service") != 3 {
+	WriteTable(&out, many)
+	if len(one) != 3 || told != 6 || one[0].Policy != "module" || one[0].Difference != 0 || strings.Count(out.String(), "service") != 3 {
 		t.Errorf("%+v\n%s", one, out.String())
 	}
 }
--- a/internal/rehearsal/golden_test.go
+++ b/internal/scenario/golden_test.go
@@ -1,4 +1,4 @@
-package rehearsal
+package scenario
 
 import (
 	"bytes"
--- a/internal/rehearsal/incidents.go
+++ b/internal/scenario/incidents.go
@@ -1,4 +1,4 @@
-package rehearsal
+package scenario
 
 import (
 	"fmt"
@@ -100,16 +100,16 @@
 
 // incident turns one incident into a fault.
 func (s *Script) incident(in *incident, line int, groups map[string]group, reject rejectFunc) {
-	f := fault.Fault{Kind: in.Kind, Start: time.Duration(in.At), Duration: time.Duration(in.For), Target: in.Who, Severity: in.Much, ScriptLine: line}
+	f := fault.Fault{Kind: in.Kind, Start: time.Duration(in.Start), Duration: time.Duration(in.Duration), Target: in.Target, Severity: in.Severity, ScriptLine: line}
 	if !slices.Contains(world.Scriptable(), in.Kind) && !slices.Contains(fleet.Kinds(), in.Kind) {
 		reject("kind: there is no %q; one of %s", in.Kind, strings.Join(Kinds(), ", "))
 	}
-	if in.At >= s.Length {
-		reject("at: %v is past the end, %v", time.Duration(in.At), time.Duration(s.Length))
-	} else if in.At+in.For > s.Length {
-		reject("for: it would end at %v, after the run's end at %v", time.Duration(in.At+in.For), time.Duration(s.Length))
+	if in.Start >= s.Length {
+		reject("at: %v is past the end, %v", time.Duration(in.Start), time.Duration(s.Length))
+	} else if in.Start+in.Duration > s.Length {
+		reject("for: it would end at %v, after the run's end at %v", time.Duration(in.Start+in.Duration), time.Duration(s.Length))
 	}
-	if in.Much < 0 || in.Much > 1 || in.Who < 0 {
+	if in.Severity < 0 || in.Severity > 1 || in.Target < 0 {
 		reject("much is from 0 to 1, who from 0")
 	}
 	if in.Kind == "shared dependency slow" && s.Shared.Places == 0 {
@@ -145,7 +145,7 @@
 
 // shapesLink says whether a key is set that only a link has.
 func (in *incident) shapesLink() bool {
-	return in.From != "" || in.To != "" || in.Cut || in.Hold || in.Loss+in.Double+in.Reorder != 0 || in.Delay+in.Jitter != 0
+	return in.From != "" || in.To != "" || in.Partitioned || in.Buffered || in.LossRate+in.DuplicateRate+in.ReorderRate != 0 || in.Delay+in.Jitter != 0
 }
 
 // nth is the line of the i-th table; 0: not known.
@@ -158,7 +158,7 @@
 
 // link reads what becomes of a way between parties, and which parties these are.
 func (in *incident) link(groups map[string]group, reject rejectFunc) *fault.Link {
-	l := &fault.Link{Bidirectional: in.Both, Partitioned: in.Cut, Buffered: in.Hold, LossRate: in.Loss, DuplicateRate: in.Double, ReorderRate: in.Reorder,
+	l := &fault.Link{Bidirectional: in.Bidirectional, Partitioned: in.Partitioned, Buffered: in.Buffered, LossRate: in.LossRate, DuplicateRate: in.DuplicateRate, ReorderRate: in.ReorderRate,
 		Delay: time.Duration(in.Delay), Jitter: time.Duration(in.Jitter)}
 	for _, end := range []struct {
 		key, text string
@@ -186,15 +186,15 @@
 	if !slices.Contains(pair[:], fault.Relays) {
 		reject("from, to: nothing passes between %s and %s", l.From.Kind, l.To.Kind)
 	}
-	for _, v := range []float64{in.Loss, in.Double, in.Reorder} {
+	for _, v := range []float64{in.LossRate, in.DuplicateRate, in.ReorderRate} {
 		if v < 0 || v > 1 {
 			reject("loss, double, reorder are from 0 to 1")
 		}
 	}
-	if pair != [2]fault.NodeKind{fault.Relays, fault.Relays} && (in.Double != 0 || in.Reorder != 0) {
+	if pair != [2]fault.NodeKind{fault.Relays, fault.Relays} && (in.DuplicateRate != 0 || in.ReorderRate != 0) {
 		reject("double, reorder: only datagrams between relays come twice or overtake one another")
 	}
-	if !in.Cut && !in.Hold && in.Loss+in.Double+in.Reorder == 0 && in.Delay+in.Jitter == 0 {
+	if !in.Partitioned && !in.Buffered && in.LossRate+in.DuplicateRate+in.ReorderRate == 0 && in.Delay+in.Jitter == 0 {
 		reject("kind: a link wants one of cut, hold, loss, double, reorder, delay, jitter")
 	}
 	return l
@@ -209,7 +209,7 @@
 
 // Playable returns an error for each thing in the script that the chosen driver cannot do: processes on sockets, or
 // else the virtual clock. The errors begin with the script's name, as given, and the line.
-func (s *Script) Playable(name string, processes bool) (faults []error) {
+func (s *Script) CheckPlayable(name string, processes bool) (faults []error) {
 	for i := range s.Incidents {
 		f := &s.Incidents[i].fault
 		var err error
--- a/internal/rehearsal/incidents_test.go
+++ b/internal/scenario/incidents_test.go
@@ -1,4 +1,4 @@
-package rehearsal
+package scenario
 
 import (
 	"os"
@@ -54,10 +54,10 @@
 	if f[1].ScriptLine != 24 || !slices.Equal(f[1].Targets, []int{0, 1, 2, 7}) || f[1].Start != 9*time.Second {
 		t.Errorf("%+v", f[1])
 	}
-	if faults := s.Playable("s", true); faults != nil {
+	if faults := s.CheckPlayable("s", true); faults != nil {
 		t.Errorf("processes: %v", faults)
 	}
-	if faults := s.Playable("s", false); len(faults) != 1 || !strings.Contains(faults[0].Error(), "s:24: ") {
+	if faults := s.CheckPlayable("s", false); len(faults) != 1 || !strings.Contains(faults[0].Error(), "s:24: ") {
 		t.Errorf("the virtual clock: %v", faults)
 	}
 }
@@ -103,7 +103,7 @@
 		if err != nil {
 			t.Error(err)
 		}
-		for _, err := range s.Playable(p, true) {
+		for _, err := range s.CheckPlayable(p, true) {
 			t.Error(err)
 		}
 	}
@@ -128,8 +128,8 @@
 		t.Fatal(err)
 	}
 	o := Play(s, 3)
-	before, during := share(o.Seconds[8:12]), share(o.Seconds[14:19])
-	if before < 0.9 || during > before-0.1 || len(o.Broken) > 0 {
-		t.Errorf("service %.3f, then %.3f, broken %v", before, during, o.Broken)
+	before, during := serviceOf(o.Seconds[8:12]), serviceOf(o.Seconds[14:19])
+	if before < 0.9 || during > before-0.1 || len(o.Violations) > 0 {
+		t.Errorf("service %.3f, then %.3f, broken %v", before, during, o.Violations)
 	}
 }
--- a/internal/rehearsal/rehearsal_test.go
+++ b/internal/scenario/scenario_test.go
@@ -1,4 +1,4 @@
-package rehearsal
+package scenario
 
 import (
 	"bytes"
@@ -46,22 +46,22 @@
 			if !bytes.Equal(one, two) {
 				t.Error("two runs differ")
 			}
-			if len(o.Seconds) < 58 || o.Seconds[0].Asked == 0 && o.Seconds[3].Asked == 0 || len(o.Broken) > 0 {
-				t.Errorf("%d seconds, broken %v", len(o.Seconds), o.Broken)
+			if len(o.Seconds) < 58 || o.Seconds[0].Asked == 0 && o.Seconds[3].Asked == 0 || len(o.Violations) > 0 {
+				t.Errorf("%d seconds, broken %v", len(o.Seconds), o.Violations)
 			}
 			calm := s
 			calm.Incidents = nil
 			// Over the ten seconds from its begin on, paired, of the module or of hashing alone.
 			const seeds = 4
-			at := int(time.Duration(s.Incidents[0].At) / time.Second)
+			at := int(time.Duration(s.Incidents[0].Start) / time.Second)
 			cost := map[string]float64{}
 			for _, policy := range []string{"", "hash"} {
 				for seed := uint64(1); seed <= seeds; seed++ {
-					with, without := PlayBy(s, seed, policy), PlayBy(calm, seed, policy)
-					if without.Whole < 0.9 {
-						t.Errorf("seed %d: service %.4f where nothing happens", seed, without.Whole)
+					with, without := PlayWithPolicy(s, seed, policy), PlayWithPolicy(calm, seed, policy)
+					if without.Service < 0.9 {
+						t.Errorf("seed %d: service %.4f where nothing happens", seed, without.Service)
 					}
-					cost[policy] += (share(without.Seconds[at:at+10]) - share(with.Seconds[at:at+10])) / seeds
+					cost[policy] += (serviceOf(without.Seconds[at:at+10]) - serviceOf(with.Seconds[at:at+10])) / seeds
 				}
 			}
 			if max(cost[""], cost["hash"]) < 0.01 {
@@ -99,7 +99,7 @@
 	s := scripts(t)["relays-die.toml"]
 	o := Play(s, 7)
 	var out bytes.Buffer
-	o.Report(&out, s)
+	o.WriteReport(&out, s)
 	lines := strings.Split(out.String(), "\n")
 	if o.Seed != 7 || len(lines) < len(o.Seconds)+5 || strings.Count(out.String(), "relays die together") != 4 {
 		t.Errorf("%s", out.String())
--- a/internal/rehearsal/rehearsal.go
+++ b/internal/scenario/script.go
@@ -1,11 +1,11 @@
-// Package rehearsal plays scripted incidents against an installation and measures the
+// Package scenario plays scripted incidents against an installation and measures the
 // service that its clients get, second by second from the first.
 //
 // A script is a TOML file that describes the installation and its incidents; unknown
 // keys are errors. It is played on the virtual clock (package world) or on processes
 // in real time (package fleet). Experiment compares policies on the virtual clock,
 // Alternate programs on processes, both on the same seeds.
-package rehearsal
+package scenario
 
 import (
 	"bytes"
@@ -88,24 +88,24 @@
 
 // incident is one table [[incident]] of a script.
 type incident struct {
-	Kind  string   `toml:"kind"`
-	At    duration `toml:"at"`
-	For   duration `toml:"for"`
-	Who   int      `toml:"who"`
-	Much  float64  `toml:"much"`
-	Group string   `toml:"group"` // strikes these relays or servers, in place of who and much
+	Kind     string   `toml:"kind"`
+	Start    duration `toml:"at"`
+	Duration duration `toml:"for"`
+	Target   int      `toml:"who"`
+	Severity float64  `toml:"much"`
+	Group    string   `toml:"group"` // strikes these relays or servers, in place of who and much
 
 	// Of a link: relays, backends, discovery or clients, perhaps with a group: "relays:east".
-	From    string   `toml:"from"`
-	To      string   `toml:"to"`
-	Both    bool     `toml:"both"`
-	Cut     bool     `toml:"cut"`
-	Hold    bool     `toml:"hold"`
-	Loss    float64  `toml:"loss"`
-	Double  float64  `toml:"double"`
-	Reorder float64  `toml:"reorder"`
-	Delay   duration `toml:"delay"`
-	Jitter  duration `toml:"jitter"`
+	From          string   `toml:"from"`
+	To            string   `toml:"to"`
+	Bidirectional bool     `toml:"both"`
+	Partitioned   bool     `toml:"cut"`
+	Buffered      bool     `toml:"hold"`
+	LossRate      float64  `toml:"loss"`
+	DuplicateRate float64  `toml:"double"`
+	ReorderRate   float64  `toml:"reorder"`
+	Delay         duration `toml:"delay"`
+	Jitter        duration `toml:"jitter"`
 
 	fault fault.Fault // what it comes to, with groups resolved
 }
@@ -199,34 +199,34 @@
 }
 
 // settled is the second from which the evenness of a run is summed up: a fleet that starts empty has to fill.
-const settled = 10
+const warmUpSeconds = 10
 
 // Outcome is what a rehearsal came to.
 type Outcome struct {
-	Script   string             `json:"script"`
-	Seed     uint64             `json:"seed"`
-	Whole    float64            `json:"whole"`             // service over the whole run, 1 at best
-	WorstTen float64            `json:"worst_ten"`         // over the worst ten seconds in a row
-	WorstAt  int                `json:"worst_at_s"`        // where these begin
-	Classes  map[string]float64 `json:"classes"`           // service by class; empty for processes
-	Seconds  []world.Second     `json:"seconds"`           // service by second
-	Evenness []measure.Second   `json:"evenness"`          // of the load, by second
-	Counts   map[string]int     `json:"counts"`            // how often what came up
-	Program  string             `json:"program,omitempty"` // processes': the relay's; empty: played on the virtual clock
-	Faults   []fleet.Effect     `json:"faults,omitempty"`  // processes': what each really did
-	Waits    *fleet.Waits       `json:"waits,omitempty"`   // processes': of the clients for their answers
-	Rates    *fleet.Rates       `json:"rates,omitempty"`   // processes': of what the relays send beside the clients' lines
-	Usage    *fleet.Usage       `json:"usage,omitempty"`   // processes': of processor and memory
-	Machine  []float64          `json:"machine,omitempty"` // cores that all relays took, by second
-	Broken   []string           `json:"broken,omitempty"`  // rules
+	Script           string             `json:"script"`
+	Seed             uint64             `json:"seed"`
+	Service          float64            `json:"whole"`             // service over the whole run, 1 at best
+	WorstWindow      float64            `json:"worst_ten"`         // over the worst ten seconds in a row
+	WorstWindowStart int                `json:"worst_at_s"`        // where these begin
+	Classes          map[string]float64 `json:"classes"`           // service by class; empty for processes
+	Seconds          []world.Second     `json:"seconds"`           // service by second
+	Evenness         []measure.Second   `json:"evenness"`          // of the load, by second
+	Counts           map[string]int     `json:"counts"`            // how often what came up
+	Program          string             `json:"program,omitempty"` // processes': the relay's; empty: played on the virtual clock
+	Faults           []fleet.Effect     `json:"faults,omitempty"`  // processes': what each really did
+	Waits            *fleet.Waits       `json:"waits,omitempty"`   // processes': of the clients for their answers
+	Rates            *fleet.Rates       `json:"rates,omitempty"`   // processes': of what the relays send beside the clients' lines
+	Usage            *fleet.Usage       `json:"usage,omitempty"`   // processes': of processor and memory
+	Cores            []float64          `json:"machine,omitempty"` // cores that all relays took, by second
+	Violations       []string           `json:"broken,omitempty"`  // rules
 }
 
 // Play plays a script on the virtual clock with a seed, or with the script's own if seed is 0.
-func Play(s Script, seed uint64) Outcome { return PlayBy(s, seed, "") }
+func Play(s Script, seed uint64) Outcome { return PlayWithPolicy(s, seed, "") }
 
 // PlayBy is Play with relays that decide by a policy of baseline.Names instead of
 // package balance. An empty name is package balance.
-func PlayBy(s Script, seed uint64, policy string) Outcome {
+func PlayWithPolicy(s Script, seed uint64, policy string) Outcome {
 	if seed == 0 {
 		seed = s.Seed
 	}
@@ -235,43 +235,43 @@
 	res := world.Run(opt)
 	o := Outcome{Script: s.Name, Seed: seed, Seconds: res.Service, Evenness: res.Even, Counts: res.Counts, Classes: map[string]float64{}}
 	for i, name := range []string{"watch", "fetch", "submit"} {
-		o.Classes[name] = share(res.ByClass[i : i+1])
+		o.Classes[name] = serviceOf(res.ByClass[i : i+1])
 	}
-	o.sum()
-	for _, b := range res.Broken {
-		o.Broken = append(o.Broken, b.String())
+	o.summarize()
+	for _, b := range res.Violations {
+		o.Violations = append(o.Violations, b.String())
 	}
 	return o
 }
 
 // PlayReal plays a script with a seed, its own if 0, on processes of a program. A run that could not be played, or in
 // which a fault did nothing, is an error.
-func PlayReal(ctx context.Context, s Script, program string, seed uint64) (Outcome, error) {
+func PlayOnProcesses(ctx context.Context, s Script, program string, seed uint64) (Outcome, error) {
 	if seed == 0 {
 		seed = s.Seed
 	}
 	res, err := fleet.Run(ctx, fleet.Options{Program: program, Seed: seed, Length: time.Duration(s.Length), Fleet: *s.fleet(), Script: s.faults()})
 	o := Outcome{Script: s.Name, Seed: seed, Program: filepath.Base(program), Seconds: res.Service, Evenness: res.Evenness, Counts: res.Counts,
-		Faults: res.Faults, Broken: res.Broken, Waits: &res.Waits, Rates: &res.Rates, Usage: &res.Usage, Machine: res.Machine}
-	o.sum()
+		Faults: res.Faults, Violations: res.Violations, Waits: &res.Waits, Rates: &res.Rates, Usage: &res.Usage, Cores: res.Machine}
+	o.summarize()
 	return o, err
 }
 
 // sum works out the service over the run and its worst ten seconds.
-func (o *Outcome) sum() {
-	o.Whole, o.WorstTen = share(o.Seconds), 1
+func (o *Outcome) summarize() {
+	o.Service, o.WorstWindow = serviceOf(o.Seconds), 1
 	for i := 0; i+10 <= len(o.Seconds); i++ {
-		if v := share(o.Seconds[i : i+10]); v < o.WorstTen {
-			o.WorstTen, o.WorstAt = v, i
+		if v := serviceOf(o.Seconds[i : i+10]); v < o.WorstWindow {
+			o.WorstWindow, o.WorstWindowStart = v, i
 		}
 	}
 }
 
 // Even sums up the evenness of the load from a second on.
-func (o *Outcome) Even(from int) measure.Summary { return measure.Summarise(o.Evenness, from) }
+func (o *Outcome) EvennessFrom(from int) measure.Summary { return measure.Summarise(o.Evenness, from) }
 
 // share is the service over some seconds: worth served over worth asked for.
-func share(seconds []world.Second) float64 {
+func serviceOf(seconds []world.Second) float64 {
 	asked, served := 0.0, 0.0
 	for _, s := range seconds {
 		asked, served = asked+s.Asked, served+s.Served
@@ -284,24 +284,24 @@
 
 // Report writes an outcome as text: the service of each second with the incidents of
 // the script beside it, then the sums. Errors of out are ignored.
-func (o *Outcome) Report(out io.Writer, s Script) {
+func (o *Outcome) WriteReport(out io.Writer, s Script) {
 	fmt.Fprintf(out, "%s, seed %d\n", o.Script, o.Seed)
 	for i := range o.Seconds {
-		v := share(o.Seconds[i : i+1])
+		v := serviceOf(o.Seconds[i : i+1])
 		bar := strings.Repeat("#", int(v*40+0.5))
 		var on []string
 		for _, in := range s.Incidents {
 			at := time.Duration(i) * time.Second
-			if at+time.Second > time.Duration(in.At) && at < time.Duration(in.At)+time.Duration(in.For) {
+			if at+time.Second > time.Duration(in.Start) && at < time.Duration(in.Start)+time.Duration(in.Duration) {
 				on = append(on, in.Kind)
 			}
 		}
 		fmt.Fprintf(out, "%4d s %.3f %-40s %s\n", i+1, v, bar, strings.Join(on, ", "))
 	}
-	fmt.Fprintf(out, "service %.4f, worst ten seconds %.4f from second %d\n", o.Whole, o.WorstTen, o.WorstAt+1)
-	even := o.Even(settled)
+	fmt.Fprintf(out, "service %.4f, worst ten seconds %.4f from second %d\n", o.Service, o.WorstWindow, o.WorstWindowStart+1)
+	even := o.EvennessFrom(warmUpSeconds)
 	fmt.Fprintf(out, "load %.2f of capacity; deviation %.3f of it after %d s (hashing alone %.3f, an even hand %.3f), least %.2f, most %.2f, idle %.1f backend-s, herd %.1f\n",
-		even.Mean, even.Deviation, settled, even.Hashing, even.Even, even.Least, even.Most, even.Idle, o.Even(0).Herd)
+		even.Mean, even.Deviation, warmUpSeconds, even.Hashing, even.Even, even.Least, even.Most, even.Idle, o.EvennessFrom(0).Herd)
 	for _, name := range []string{"watch", "fetch", "submit"} {
 		if v, ok := o.Classes[name]; ok {
 			fmt.Fprintf(out, "class %-7s %.4f\n", name, v)
@@ -320,7 +320,7 @@
 	for _, k := range []string{"answer UP", "answer BUSY", "answer ERR", "attempt", "moved", "connection lost", "cold backend fell over"} {
 		fmt.Fprintf(out, "%8d %s\n", o.Counts[k], k)
 	}
-	for _, b := range o.Broken {
+	for _, b := range o.Violations {
 		fmt.Fprintln(out, "broken:", b)
 	}
 }
--- /dev/null
+++ b/internal/simulation/batch/batch.go
@@ -0,0 +1,208 @@
+// Package batch runs simulations (package world) for many seeds on several workers and sums them up: violations,
+// how often each kind of fault and each pair of overlapping faults came up, and how one batch differs from an
+// earlier one. It injects nothing and checks nothing by itself.
+//
+// The results of a batch are the same for any number of workers; only Batch.Elapsed differs.
+package batch
+
+import (
+	"encoding/json"
+	"fmt"
+	"io"
+	"maps"
+	"os"
+	"slices"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"aspenbarrow/internal/world"
+)
+
+const (
+	// defaultRunLength is the virtual time of a run whose options name none.
+	defaultRunLength = time.Minute
+	// reportedViolations is how many violations of a seed a report names.
+	reportedViolations = 3
+)
+
+// Batch is the result of a batch. The JSON keys are those of stored batches.
+type Batch struct {
+	FirstSeed   uint64         `json:"from"`
+	SeedCount   int            `json:"count"`     // seeds are consecutive
+	RunLength   time.Duration  `json:"length_ns"` // virtual time
+	FailedSeeds int            `json:"failing"`   // seeds with violations
+	Counts      map[string]int `json:"counts"`    // how often what came up, over all seeds
+	FaultPairs  map[string]int `json:"pairs"`     // how often two faults overlapped
+	Results     []SeedResult   `json:"seeds"`     // by seed
+	Elapsed     time.Duration  `json:"-"`         // by the wall clock
+}
+
+// SeedResult is the result of one seed, without what the batch sums up.
+type SeedResult struct {
+	Seed       uint64                 `json:"seed"`
+	Worth      float64                `json:"worth"`            // as in world.Result
+	Answers    int                    `json:"answers"`          // final ones
+	Rejected   int                    `json:"refused"`          // answers BUSY
+	Failed     int                    `json:"failed"`           // answers ERR
+	Attempts   int                    `json:"attempts"`         // at backends
+	Steps      int                    `json:"steps"`            // events of the run
+	Violations []string               `json:"broken,omitempty"` // of rules
+	Classes    map[string]ClassResult `json:"classes"`          // by name
+}
+
+// ClassResult counts the requests of one class.
+type ClassResult struct {
+	Requests int `json:"Asked"`
+	Served   int `json:"Served"`
+	OnTime   int `json:"OnTime"`   // served within the latency objective
+	Attempts int `json:"Attempts"` // at backends
+}
+
+// classNames are the classes that every run has.
+var classNames = []string{"watch", "fetch", "submit"}
+
+// Run runs count seeds from the first one on, with options that hold but for their seed. progress, if it is not
+// nil, is called after each one, by one worker at a time.
+func Run(firstSeed uint64, count, workers int, options world.Options, progress func(done int, result SeedResult)) Batch {
+	started := time.Now()
+	if options.Length == 0 {
+		options.Length = defaultRunLength
+	}
+	b := Batch{FirstSeed: firstSeed, SeedCount: count, RunLength: options.Length, Counts: map[string]int{}, FaultPairs: map[string]int{},
+		Results: make([]SeedResult, count)}
+	var next atomic.Int64
+	var mu sync.Mutex // of b and done
+	var wg sync.WaitGroup
+	done := 0
+	for range max(1, workers) {
+		wg.Go(func() {
+			for i := next.Add(1) - 1; i < int64(count); i = next.Add(1) - 1 {
+				seedOptions := options
+				seedOptions.Seed = firstSeed + uint64(i)
+				result := world.Run(seedOptions)
+				mu.Lock()
+				b.add(int(i), &result)
+				done++
+				if progress != nil {
+					progress(done, b.Results[i])
+				}
+				mu.Unlock()
+			}
+		})
+	}
+	wg.Wait()
+	b.Elapsed = time.Since(started)
+	return b
+}
+
+// add takes the result of the i-th seed into the batch.
+func (b *Batch) add(i int, result *world.Result) {
+	b.Results[i] = seedResult(result)
+	addCounts(b.Counts, result.Counts)
+	addCounts(b.FaultPairs, result.Pairs)
+	if len(result.Violations) > 0 {
+		b.FailedSeeds++
+	}
+}
+
+func addCounts(to, from map[string]int) {
+	for name, n := range from {
+		to[name] += n
+	}
+}
+
+func seedResult(result *world.Result) SeedResult {
+	s := SeedResult{Seed: result.Seed, Worth: result.Worth, Answers: result.Asked, Rejected: result.Refused, Failed: result.Failed,
+		Attempts: result.Attempts, Steps: result.Steps, Classes: map[string]ClassResult{}}
+	for _, class := range classNames {
+		s.Classes[class] = ClassResult{
+			Requests: result.Counts["request "+class],
+			Served:   result.Counts["served "+class],
+			OnTime:   result.Counts["on time "+class],
+			Attempts: result.Counts["attempt "+class],
+		}
+	}
+	for _, violation := range result.Violations {
+		s.Violations = append(s.Violations, violation.String())
+	}
+	return s
+}
+
+// expectedCounts come up in any batch that is large enough, beside all kinds of faults.
+var expectedCounts = []string{"answer UP", "answer BUSY", "answer ERR", "answer BYE", "moved", "repeated attempt",
+	"drain met an attempt in flight", "sent to a cold backend", "datagram lost", "relay left", "reload", "bad client"}
+
+// MissingCoverage names what never came up in the batch though it should: kinds of faults and expected counts.
+func (b *Batch) MissingCoverage() []string {
+	var missing []string
+	for _, kind := range world.Kinds() {
+		if b.Counts["fault "+kind] == 0 {
+			missing = append(missing, "fault "+kind)
+		}
+	}
+	for _, name := range expectedCounts {
+		if b.Counts[name] == 0 {
+			missing = append(missing, name)
+		}
+	}
+	return missing
+}
+
+// WriteReport writes as text how often everything came up, and the first violations of each seed. Errors of out
+// are ignored.
+func (b *Batch) WriteReport(out io.Writer) {
+	kinds := len(world.Kinds())
+	pairs := kinds * (kinds + 1) / 2 // a kind overlaps itself too
+	fmt.Fprintf(out, "pairs of faults that overlapped: %d of %d\n", len(b.FaultPairs), pairs)
+	for _, name := range slices.Sorted(maps.Keys(b.Counts)) {
+		fmt.Fprintf(out, "%10d  %s\n", b.Counts[name], name)
+	}
+	for _, result := range b.Results {
+		for _, violation := range result.Violations[:min(reportedViolations, len(result.Violations))] {
+			fmt.Fprintf(out, "seed %d: %s\n", result.Seed, violation)
+		}
+	}
+}
+
+// Summary returns the sums of the batch in one line.
+func (b *Batch) Summary() string {
+	answers, steps := 0, 0
+	for _, result := range b.Results {
+		answers += result.Answers
+		steps += result.Steps
+	}
+	return fmt.Sprintf("%d seeds, %d failed, %d answers, %d million steps, %.1f s, %.0f seeds a second",
+		b.SeedCount, b.FailedSeeds, answers, steps/1e6, b.Elapsed.Seconds(), float64(b.SeedCount)/b.Elapsed.Seconds())
+}
+
+// WriteFile writes the batch to a file as JSON, for ReadFile and Compare.
+func (b *Batch) WriteFile(path string) error {
+	text, err := json.Marshal(b)
+	if err != nil {
+		return err
+	}
+	return os.WriteFile(path, append(text, '\n'), 0o644)
+}
+
+// ReadFile reads a file that WriteFile wrote.
+func ReadFile(path string) (b Batch, err error) {
+	text, err := os.ReadFile(path)
+	if err == nil {
+		err = json.Unmarshal(text, &b)
+	}
+	if err != nil {
+		return b, fmt.Errorf("%s: %w", path, err)
+	}
+	return b, nil
+}
+
+// FormatScript returns a script of faults as text, one to a line.
+func FormatScript(script []world.Fault) string {
+	var text strings.Builder
+	for _, f := range script {
+		fmt.Fprintf(&text, "%9.3f s for %7.3f s  %-24s who %2d  much %.2f\n", f.Start.Seconds(), f.Duration.Seconds(), f.Kind, f.Target, f.Severity)
+	}
+	return text.String()
+}
--- a/internal/world/run.go
+++ b/internal/world/run.go
@@ -70,23 +70,23 @@
 
 // Result is what a run came to.
 type Result struct {
-	Seed     uint64                `json:"seed"`
-	Relays   int                   `json:"relays"`
-	Backends int                   `json:"backends"`
-	Clients  int                   `json:"clients"`
-	Faults   []Fault               `json:"faults"`             // as they were played
-	Broken   []invariant.Violation `json:"broken,omitempty"`   // rules
-	Counts   map[string]int        `json:"counts"`             // how often what came up
-	Pairs    map[string]int        `json:"pairs,omitempty"`    // how often two kinds of fault overlapped
-	Worth    float64               `json:"worth"`              // served, by the classes' worths
-	Asked    int                   `json:"asked"`              // final answers
-	Refused  int                   `json:"refused"`            // of them BUSY
-	Failed   int                   `json:"failed"`             // and ERR
-	Attempts int                   `json:"attempts"`           // OPENs at backends
-	Steps    int                   `json:"steps"`              // events
-	Service  []Second              `json:"service,omitempty"`  // by second, of a Fleet
-	ByClass  []Second              `json:"by_class,omitempty"` // of a Fleet: sums of the run
-	Even     []measure.Second      `json:"evenness,omitempty"` // by second, of a Fleet
+	Seed       uint64                `json:"seed"`
+	Relays     int                   `json:"relays"`
+	Backends   int                   `json:"backends"`
+	Clients    int                   `json:"clients"`
+	Faults     []Fault               `json:"faults"`             // as they were played
+	Violations []invariant.Violation `json:"broken,omitempty"`   // rules
+	Counts     map[string]int        `json:"counts"`             // how often what came up
+	Pairs      map[string]int        `json:"pairs,omitempty"`    // how often two kinds of fault overlapped
+	Worth      float64               `json:"worth"`              // served, by the classes' worths
+	Asked      int                   `json:"asked"`              // final answers
+	Refused    int                   `json:"refused"`            // of them BUSY
+	Failed     int                   `json:"failed"`             // and ERR
+	Attempts   int                   `json:"attempts"`           // OPENs at backends
+	Steps      int                   `json:"steps"`              // events
+	Service    []Second              `json:"service,omitempty"`  // by second, of a Fleet
+	ByClass    []Second              `json:"by_class,omitempty"` // of a Fleet: sums of the run
+	Even       []measure.Second      `json:"evenness,omitempty"` // by second, of a Fleet
 }
 
 // class is a class of requests as clients know it.
@@ -754,7 +754,7 @@
 // result sums the run up.
 func (run *run) result(n size, script []Fault) Result {
 	res := Result{Seed: run.opt.Seed, Relays: n.relays, Backends: n.backends, Clients: n.clients, Faults: script,
-		Broken: run.check.Violations, Counts: run.counts, Pairs: run.pairs, Steps: run.w.steps}
+		Violations: run.check.Violations, Counts: run.counts, Pairs: run.pairs, Steps: run.w.steps}
 	res.Service, res.ByClass = run.service, run.byClass
 	if run.opt.Fleet != nil {
 		res.Even = run.log.Seconds(run.opt.Length)
--- a/internal/world/shrink.go
+++ b/internal/world/shrink.go
@@ -12,10 +12,10 @@
 func Shrink(opt Options, told func(script []Fault)) ([]Fault, string) {
 	opt.Trace = nil
 	first := Run(opt)
-	if len(first.Broken) == 0 {
+	if len(first.Violations) == 0 {
 		return nil, ""
 	}
-	rule := first.Broken[0].Rule
+	rule := first.Violations[0].Rule
 	script := slices.Clone(first.Faults)
 	fails := func(s []Fault) bool {
 		o := opt
@@ -23,7 +23,7 @@
 		if s == nil {
 			o.Script = []Fault{}
 		}
-		for _, b := range Run(o).Broken {
+		for _, b := range Run(o).Violations {
 			if b.Rule == rule {
 				return true
 			}
--- a/internal/world/timing_test.go
+++ b/internal/world/timing_test.go
@@ -69,8 +69,8 @@
 			}
 			opt.Timings = append(opt.Timings, timing)
 		}
-		if res := Run(opt); len(res.Broken) > 0 {
-			t.Fatalf("%v\n%s", res.Broken[0], text)
+		if res := Run(opt); len(res.Violations) > 0 {
+			t.Fatalf("%v\n%s", res.Violations[0], text)
 		}
 	})
 	if held["attempt"] < 10 || held["backoff"] < 10 || held["second"] < 10 {
@@ -82,7 +82,7 @@
 func TestATimingThatIsNotKeptIsCaught(t *testing.T) {
 	once := balance.RetryPolicy{MaxAttempts: 1}
 	for seed := uint64(0); seed < 40; seed++ {
-		for _, b := range Run(Options{Seed: seed, Break: BreakTiming, Timings: []balance.RetryPolicy{once, once, once}}).Broken {
+		for _, b := range Run(Options{Seed: seed, Break: BreakTiming, Timings: []balance.RetryPolicy{once, once, once}}).Violations {
 			if b.Rule == "attempt-limit" {
 				return
 			}
--- a/internal/world/trace_test.go
+++ b/internal/world/trace_test.go
@@ -20,7 +20,7 @@
 	if err := f.Close(); err != nil {
 		t.Error(err)
 	}
-	for _, b := range res.Broken {
+	for _, b := range res.Violations {
 		t.Log(b)
 	}
 }
--- a/internal/world/world_test.go
+++ b/internal/world/world_test.go
@@ -42,7 +42,7 @@
 		res := Run(Options{Seed: uint64(i)})
 		mu.Lock()
 		defer mu.Unlock()
-		for i, b := range res.Broken {
+		for i, b := range res.Violations {
 			if i < 2 {
 				t.Errorf("seed %d: %v", res.Seed, b)
 			}
@@ -68,7 +68,7 @@
 			{Kind: "relay drained and not", Start: 19900 * time.Millisecond, Duration: 6 * time.Second, Target: 0, Severity: 0.9}}},
 	} {
 		res := Run(Options{Seed: tc.seed, Script: tc.script})
-		for _, b := range res.Broken {
+		for _, b := range res.Violations {
 			t.Errorf("seed %d: %v", tc.seed, b)
 		}
 		if res.Counts["relay upgraded"] == 0 || res.Counts["relay leaves"] == 0 {
@@ -94,7 +94,7 @@
 		mu.Lock()
 		defer mu.Unlock()
 		crowded += res.Counts["bad client"]
-		for _, b := range res.Broken {
+		for _, b := range res.Violations {
 			if b.Rule != "no-answer" && b.Rule != "late-answer" || b.Rule == "no-answer" && !strings.Contains(b.Detail, "request 00000000") {
 				t.Errorf("seed %d: %v", i, b)
 			}
@@ -125,7 +125,7 @@
 				if int64(i) > first.Load() {
 					return
 				}
-				for _, f := range Run(Options{Seed: uint64(i), Break: b}).Broken {
+				for _, f := range Run(Options{Seed: uint64(i), Break: b}).Violations {
 					if slices.Contains(Breaks[b], f.Rule) {
 						for was := first.Load(); int64(i) < was; was = first.Load() {
 							if first.CompareAndSwap(was, int64(i)) {
@@ -199,7 +199,7 @@
 	fails := func(script ...Fault) bool {
 		o := opt
 		o.Script = script
-		return len(Run(o).Broken) > 0
+		return len(Run(o).Violations) > 0
 	}
 	lost, reload, slow := opt.Script[0], opt.Script[1], opt.Script[2]
 	for opt.Seed = 0; !fails(lost, reload, slow) || !fails(reload, slow) || !fails(reload); opt.Seed++ {
@@ -212,8 +212,8 @@
 		t.Errorf("%s from %+v", rule, small)
 	}
 	opt.Script = small
-	if res := Run(opt); len(res.Broken) == 0 || res.Broken[0].Rule != "drain" {
-		t.Errorf("what is left breaks %v", res.Broken)
+	if res := Run(opt); len(res.Violations) == 0 || res.Violations[0].Rule != "drain" {
+		t.Errorf("what is left breaks %v", res.Violations)
 	}
 	opt.Break = NoBreak
 	if small, rule := Shrink(opt, nil); rule != "" || small != nil {
@@ -224,8 +224,8 @@
 func BenchmarkSeed(b *testing.B) {
 	i := uint64(0)
 	for b.Loop() {
-		if res := Run(Options{Seed: i}); len(res.Broken) > 0 {
-			b.Fatal(fmt.Sprint(res.Broken))
+		if res := Run(Options{Seed: i}); len(res.Violations) > 0 {
+			b.Fatal(fmt.Sprint(res.Violations))
 		}
 		i++
 	}
