--- a/cmd/aspenlab/golden_test.go
+++ b/cmd/aspenlab/golden_test.go
@@ -286,9 +286,9 @@
 }
 
 // Played by the commands on the virtual clock: the same bytes as then, which the report's command reads.
-func TestRehearsal_Golden(t *testing.T) {
+func TestScenario_Golden(t *testing.T) {
 	var out bytes.Buffer
-	c := rehearseCommand()
+	c := scenarioCommand()
 	c.SetOut(&out)
 	c.SetArgs([]string{"testdata/day.toml", "--json"})
 	if err := c.Execute(); err != nil {
--- a/cmd/aspenlab/main.go
+++ b/cmd/aspenlab/main.go
@@ -1,5 +1,5 @@
 // Command aspenlab runs the project's test systems: seeded worlds on a virtual
-// clock, rehearsals of bad days, experiments that compare policies, and a small
+// clock, scenarios of faults, experiments that compare policies, and a small
 // demonstration on loopback addresses. A relay in service does not need it.
 //
 // It exits with 1 when a command fails or a run breaks a rule.
@@ -29,6 +29,6 @@
 func rootCommand() *cobra.Command {
 	root := &cobra.Command{Use: "aspenlab", Short: "Rehearsals and experiments for aspenbarrow", SilenceUsage: true,
 		SilenceErrors: true}
-	root.AddCommand(seedsCommand(), demoCommand(), rehearseCommand(), experimentCommand(), checkScriptsCommand(), reportCommand())
+	root.AddCommand(seedsCommand(), demoCommand(), scenarioCommand(), experimentCommand(), checkScriptsCommand(), reportCommand())
 	return root
 }
--- a/cmd/aspenlab/main_test.go
+++ b/cmd/aspenlab/main_test.go
@@ -53,11 +53,11 @@
 	return lines[len(lines)-1]
 }
 
-func TestRehearseAndCheckCommands(t *testing.T) {
+func TestScenarioAndCheckCommands(t *testing.T) {
 	const script = "../../example/rehearsals/relays-die.toml"
 	run := func(args ...string) (string, error) {
 		var out bytes.Buffer
-		c := rehearseCommand()
+		c := scenarioCommand()
 		if args[0] == "check" {
 			c = checkScriptsCommand()
 		}
@@ -67,12 +67,12 @@
 		err := c.Execute()
 		return out.String(), err
 	}
-	one, err := run("rehearse", script)
-	two, _ := run("rehearse", script)
+	one, err := run("scenario", script)
+	two, _ := run("scenario", script)
 	if err != nil || one != two || !strings.Contains(one, "relays die together") || !strings.Contains(one, "worst ten seconds") {
 		t.Errorf("%v, the same twice: %v\n%s", err, one == two, one)
 	}
-	if other, err := run("rehearse", script, "--seed", "2", "--json"); err != nil || !strings.Contains(other, `"seconds"`) {
+	if other, err := run("scenario", script, "--seed", "2", "--json"); err != nil || !strings.Contains(other, `"seconds"`) {
 		t.Errorf("%v\n%s", err, other)
 	}
 	if _, err := run("check", script); err != nil {
@@ -81,13 +81,13 @@
 	if _, err := run("check", script, "main.go"); err == nil || !strings.Contains(err.Error(), "main.go:1:") {
 		t.Errorf("a program is taken for a script: %v", err)
 	}
-	if _, err := run("rehearse", "nowhere.toml"); err == nil {
+	if _, err := run("scenario", "nowhere.toml"); err == nil {
 		t.Error("a script that is not there is played")
 	}
 }
 
 func TestRootCommand_KeepsFormerNames(t *testing.T) {
-	for former, name := range map[string]string{"try": "demo"} {
+	for former, name := range map[string]string{"try": "demo", "rehearse": "scenario"} {
 		if c, _, err := rootCommand().Find([]string{former}); err != nil || c.Name() != name {
 			t.Errorf("%s is %v, %v; want %s", former, c.Name(), err, name)
 		}
--- a/cmd/aspenlab/report.go
+++ b/cmd/aspenlab/report.go
@@ -9,7 +9,7 @@
 	"aspenbarrow/internal/scenario"
 )
 
-// reportCommand turns the outcomes that "aspenlab rehearse --json" printed into a page with plots.
+// reportCommand turns the outcomes that "aspenlab scenario --json" printed into a page with plots.
 func reportCommand() *cobra.Command {
 	var dir string
 	c := &cobra.Command{Use: "report RUNS.json...", Short: "Write what rehearsals came to as one page with plots, as JSON and as CSV", Args: cobra.MinimumNArgs(1),
--- a/cmd/aspenlab/rehearse.go
+++ b/cmd/aspenlab/scenario.go
@@ -6,14 +6,10 @@
 	"fmt"
 	"os"
 	"os/signal"
-	"runtime"
-	"slices"
-	"strings"
 	"syscall"
 
 	"github.com/spf13/cobra"
 
-	"aspenbarrow/internal/baseline"
 	"aspenbarrow/internal/fleet"
 	"aspenbarrow/internal/report"
 	"aspenbarrow/internal/scenario"
@@ -30,43 +26,46 @@
 func checkScriptsCommand() *cobra.Command {
 	return &cobra.Command{Use: "check SCRIPT...", Short: "Say all that is wrong with rehearsals' scripts", Args: cobra.MinimumNArgs(1),
 		RunE: func(_ *cobra.Command, paths []string) error {
-			var faults []error
+			var errs []error
 			for _, p := range paths {
 				if _, err := readScript(p); err != nil {
-					faults = append(faults, err)
+					errs = append(errs, err)
 				}
 			}
-			return errors.Join(faults...)
+			return errors.Join(errs...)
 		}}
 }
 
-// rehearseFlags are the flags of "aspenlab rehearse".
-type rehearseFlags struct {
-	seed                   uint64
-	seeds                  int
-	asJSON, processes      bool
-	program, against, keep string
+// scenarioFlags are the flags of "aspenlab scenario".
+type scenarioFlags struct {
+	seed      uint64
+	seeds     int
+	asJSON    bool
+	processes bool
+	program   string // the relay's; empty: built from this source
+	against   string // another program, played by turns with the first
+	outDir    string // of the report; empty: none
 }
 
-func rehearseCommand() *cobra.Command {
-	f := &rehearseFlags{}
-	c := &cobra.Command{Use: "rehearse SCRIPT", Short: "Play a bad day on the virtual clock, or on real processes, and measure the service, second by second",
+func scenarioCommand() *cobra.Command {
+	f := &scenarioFlags{}
+	c := &cobra.Command{Use: "scenario SCRIPT", Aliases: []string{"rehearse"}, Short: "Play a bad day on the virtual clock, or on real processes, and measure the service, second by second",
 		Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
 			s, err := readScript(args[0])
 			if err != nil {
 				return err
 			}
-			if faults := s.CheckPlayable(args[0], f.processes); faults != nil {
-				return errors.Join(faults...)
+			if errs := s.CheckPlayable(args[0], f.processes); errs != nil {
+				return errors.Join(errs...)
 			}
 			if f.processes {
 				return f.onProcesses(c, s)
 			}
-			if f.program != "" || f.against != "" || f.seeds != 1 || f.keep != "" {
+			if f.program != "" || f.against != "" || f.seeds != 1 || f.outDir != "" {
 				return errors.New("--relay, --against, --seeds and --out go with --real")
 			}
 			o := scenario.Play(s, f.seed)
-			return told(c, []scenario.Outcome{o}, s, f.asJSON)
+			return writeOutcomes(c, []scenario.Outcome{o}, s, f.asJSON)
 		}}
 	c.Flags().Uint64Var(&f.seed, "seed", 0, "another seed than the script's")
 	c.Flags().BoolVar(&f.asJSON, "json", false, "as JSON")
@@ -74,13 +73,13 @@
 	c.Flags().StringVar(&f.program, "relay", "", "the relay's program; none: it is built from this source")
 	c.Flags().StringVar(&f.against, "against", "", "another program, played by turns with the first on the same seeds")
 	c.Flags().IntVar(&f.seeds, "seeds", 1, "how many seeds, from the first on")
-	c.Flags().StringVar(&f.keep, "out", "", "a folder for report.html, report.json and report.csv")
+	c.Flags().StringVar(&f.outDir, "out", "", "a folder for report.html, report.json and report.csv")
 	return c
 }
 
 // onProcesses plays the script on processes of one program or of two by turns, until it is done or interrupted. What
 // was played by then is written to the folder of --out also when a run failed.
-func (f *rehearseFlags) onProcesses(c *cobra.Command, s scenario.Script) error {
+func (f *scenarioFlags) onProcesses(c *cobra.Command, s scenario.Script) error {
 	if f.seeds < 1 {
 		return errors.New("--seeds is 1 at least")
 	}
@@ -108,19 +107,19 @@
 	outcomes, err := scenario.Alternate(ctx, s, programs, seed, f.seeds, func(o scenario.Outcome) {
 		fmt.Fprintln(c.ErrOrStderr(), o.Summary())
 	})
-	if f.keep != "" {
-		if e := report.Write(f.keep, outcomes); e != nil {
+	if f.outDir != "" {
+		if e := report.Write(f.outDir, outcomes); e != nil {
 			err = errors.Join(err, e)
 		}
 	}
 	if err != nil {
 		return err
 	}
-	return told(c, outcomes, s, f.asJSON)
+	return writeOutcomes(c, outcomes, s, f.asJSON)
 }
 
-// told prints outcomes and fails where a rule was broken.
-func told(c *cobra.Command, outcomes []scenario.Outcome, s scenario.Script, asJSON bool) (err error) {
+// writeOutcomes prints outcomes. It returns an error if one has a violation.
+func writeOutcomes(c *cobra.Command, outcomes []scenario.Outcome, s scenario.Script, asJSON bool) (err error) {
 	out := c.OutOrStdout()
 	switch {
 	case asJSON && len(outcomes) == 1:
@@ -143,42 +142,3 @@
 	}
 	return err
 }
-
-func experimentCommand() *cobra.Command {
-	e := scenario.Experiment{}
-	var asJSON bool
-	c := &cobra.Command{Use: "experiment SCRIPT...", Short: "Set policies against one another on scripts, paired seed by seed",
-		Args: cobra.MinimumNArgs(1), RunE: func(c *cobra.Command, paths []string) error {
-			if e.Seeds < 2 || e.Workers < 1 || len(e.Policies) < 1 {
-				return errors.New("--seeds is 2 at least, --workers and --policies 1")
-			}
-			for i, p := range e.Policies {
-				switch {
-				case p == "module":
-					e.Policies[i] = ""
-				case !slices.Contains(baseline.Names(), p):
-					return fmt.Errorf("there is no policy %q; module, %s", p, strings.Join(baseline.Names(), ", "))
-				}
-			}
-			for _, p := range paths {
-				s, err := readScript(p)
-				if err != nil {
-					return err
-				}
-				e.Scripts = append(e.Scripts, s)
-			}
-			cells := e.Run(nil)
-			if asJSON {
-				enc := json.NewEncoder(c.OutOrStdout())
-				enc.SetIndent("", " ")
-				return enc.Encode(cells)
-			}
-			scenario.WriteTable(c.OutOrStdout(), cells)
-			return nil
-		}}
-	c.Flags().IntVar(&e.Seeds, "seeds", 20, "how many seeds of each")
-	c.Flags().IntVar(&e.Workers, "workers", runtime.GOMAXPROCS(0), "how many at once")
-	c.Flags().StringSliceVar(&e.Policies, "policies", append([]string{"module"}, baseline.Names()...), "what is compared; the others with the first")
-	c.Flags().BoolVar(&asJSON, "json", false, "as JSON")
-	return c
-}
--- a/internal/report/plots.go
+++ b/internal/report/plots.go
@@ -1,29 +1,15 @@
 package report
 
 import (
-	"bytes"
 	"fmt"
 	"html/template"
 	"image/color"
-	"math"
-
-	"gonum.org/v1/plot"
-	"gonum.org/v1/plot/palette"
-	"gonum.org/v1/plot/plotter"
-	"gonum.org/v1/plot/vg"
-	"gonum.org/v1/plot/vg/draw"
-	"gonum.org/v1/plot/vg/vgsvg"
 
+	"aspenbarrow/internal/measure"
 	"aspenbarrow/internal/scenario"
 )
 
-const (
-	plotWidth        = 13 * vg.Inch
-	plotHeight       = 3.2 * vg.Inch
-	heatMapRowHeight = 0.065 * vg.Inch // of a backend in the heat map
-)
-
-// Colours that differ in lightness as well, for who sees few of them.
+// Colours that differ in lightness too, for readers who see few of them.
 var (
 	lineColours = []color.Color{color.RGBA{0x0b, 0x3c, 0x8c, 0xff}, color.RGBA{0xd5, 0x6a, 0x00, 0xff}}
 	hashColour  = color.RGBA{0x88, 0x88, 0x88, 0xff}
@@ -32,44 +18,33 @@
 
 // series is one line of a plot.
 type series struct {
-	of     *scenario.Outcome
-	label  string
-	colour color.Color
-	dashed bool
-	value  func(second int) float64
-	n      int
+	label   string
+	colour  color.Color
+	dashed  bool
+	seconds int // how many there are
+	value   func(second int) float64
 }
 
-// seriesOf makes the series of one run, the i-th that is drawn; false: the run has no such figures.
-type seriesFunc func(o *scenario.Outcome, i int) (series, bool)
+// seriesFunc makes the series of one run in its colour. A run without such figures has one of no seconds.
+type seriesFunc func(o *scenario.Outcome, colour color.Color) series
 
-// plots draws the runs. Runs that stand over each other share one scale.
+// plots draws the runs. Plots of one figure share one scale.
 func plots(runs []*scenario.Outcome) ([]plotData, error) {
 	d := drawing{runs: runs}
-	d.heatMaps()
-	d.evenness()
-	d.lines("Service by second", "Worth of the clients whose lines come back in time over that of all who wanted a connection.", false,
-		func(o *scenario.Outcome, i int) (series, bool) {
-			return series{o, name(o), lineColours[i%len(lineColours)], false, func(s int) float64 {
-				if o.Seconds[s].Asked == 0 {
-					return 1
-				}
-				return o.Seconds[s].Served / o.Seconds[s].Asked
-			}, len(o.Seconds)}, true
-		})
-	d.lines("Herds", "The most new connections at one backend in half a second over its part of them; only where that part is eight or more.", true,
-		byEvenness("", false, nil, func(o *scenario.Outcome, s int) float64 { return o.Evenness[s].Herd }))
-	d.lines("Processor time of all relays", "Cores, by second.", true, func(o *scenario.Outcome, i int) (series, bool) {
-		return series{o, name(o), lineColours[i%len(lineColours)], false, func(s int) float64 { return o.Cores[s] }, len(o.Cores)}, o.Cores != nil
-	})
-	return d.out, d.err
+	d.addHeatMaps()
+	d.addEvenness()
+	d.addLines("Service by second", "Worth of the clients whose lines come back in time over that of all who wanted a connection.", false, serviceSeries)
+	d.addLines("Herds", "The most new connections at one backend in half a second over its part of them; only where that part is eight or more.", true,
+		evennessSeries(func(s *measure.Second) float64 { return s.Herd }))
+	d.addLines("Processor time of all relays", "Cores, by second.", true, coresSeries)
+	return d.plots, d.err
 }
 
 // drawing collects the plots of some runs, up to the first that cannot be drawn.
 type drawing struct {
-	runs []*scenario.Outcome
-	out  []plotData
-	err  error
+	runs  []*scenario.Outcome
+	plots []plotData
+	err   error
 }
 
 func (d *drawing) add(title, note string, draw func() (template.HTML, error)) {
@@ -78,149 +53,93 @@
 	}
 	var svg template.HTML
 	if svg, d.err = draw(); d.err == nil {
-		d.out = append(d.out, plotData{title, note, svg})
+		d.plots = append(d.plots, plotData{title, note, svg})
 	}
 }
 
-// heatMaps adds a map of the load of every backend for each run, all on one scale.
-func (d *drawing) heatMaps() {
-	top := 0.0
+// addHeatMaps adds a map of the load of every backend for each run.
+func (d *drawing) addHeatMaps() {
+	highest := 0.0
 	for _, o := range d.runs {
 		for i := range o.Evenness {
-			for _, v := range o.Evenness[i].Loads {
-				top = max(top, v)
+			for _, load := range o.Evenness[i].Loads {
+				highest = max(highest, load)
 			}
 		}
 	}
+	note := fmt.Sprintf("A row is a backend, a column a second; dark is empty, bright is full (the brightest is %.0f%% of capacity), white is down. "+
+		"Even load has rows of one colour.", 100*highest)
 	for _, o := range d.runs {
 		if len(o.Evenness) > 1 && len(o.Evenness[0].Loads) > 1 {
-			d.add("Load by backend: "+name(o), fmt.Sprintf("A row is a backend, a column a second; dark is empty, bright is full (the brightest is %.0f%% of capacity), white is down. "+
-				"Even load has rows of one colour.", 100*top), func() (template.HTML, error) { return drawHeatMap(o, top) })
+			d.add("Load by backend: "+runName(o), note, func() (template.HTML, error) { return drawHeatMap(o, highest) })
 		}
 	}
 }
 
-// evenness adds the plots of how far the load is from its mean.
-func (d *drawing) evenness() {
-	d.lines("Unevenness by second", "Deviation of the load over its mean; grey is hashing alone on the same connections. Lower is better.", true,
-		byEvenness("", false, nil, func(o *scenario.Outcome, s int) float64 { return o.Evenness[s].Deviation }),
-		byEvenness("hashing, ", true, hashColour, func(o *scenario.Outcome, s int) float64 { return o.Evenness[s].Hashing }))
-	d.lines("Emptiest and fullest backend", "Over the mean; 1 is the mean.", true,
-		byEvenness("fullest, ", false, nil, func(o *scenario.Outcome, s int) float64 { return o.Evenness[s].Most }),
-		byEvenness("emptiest, ", true, nil, func(o *scenario.Outcome, s int) float64 { return o.Evenness[s].Least }))
+// addEvenness adds the plots of how far the load is from its mean.
+func (d *drawing) addEvenness() {
+	d.addLines("Unevenness by second", "Deviation of the load over its mean; grey is hashing alone on the same connections. Lower is better.", true,
+		evennessSeries(func(s *measure.Second) float64 { return s.Deviation }),
+		dashed("hashing, ", hashColour, evennessSeries(func(s *measure.Second) float64 { return s.Hashing })))
+	d.addLines("Emptiest and fullest backend", "Over the mean; 1 is the mean.", true,
+		labelled("fullest, ", evennessSeries(func(s *measure.Second) float64 { return s.Most })),
+		dashed("emptiest, ", nil, evennessSeries(func(s *measure.Second) float64 { return s.Least })))
 }
 
-// lines adds one plot with the series of every run that has them; none if no run has two points.
-func (d *drawing) lines(title, note string, zero bool, of ...seriesFunc) {
-	var all []series
+// addLines adds one plot with the series of every run that has them; none if no run has two points.
+func (d *drawing) addLines(title, note string, fromZero bool, makeSeries ...seriesFunc) {
+	var lines []series
 	for i, o := range d.runs {
-		for _, f := range of {
-			if s, ok := f(o, i); ok && s.n > 1 {
-				all = append(all, s)
+		for _, f := range makeSeries {
+			if s := f(o, lineColours[i%len(lineColours)]); s.seconds > 1 {
+				lines = append(lines, s)
 			}
 		}
 	}
-	if len(all) > 0 {
-		d.add(title, note, func() (template.HTML, error) { return drawLines(d.runs[0], all, zero) })
+	if len(lines) > 0 {
+		d.add(title, note, func() (template.HTML, error) { return drawLines(d.runs[0], lines, fromZero) })
 	}
 }
 
-// byEvenness makes a series of a figure of each second's evenness, in the run's own colour if c is nil.
-func byEvenness(label string, dashed bool, c color.Color, f func(o *scenario.Outcome, s int) float64) seriesFunc {
-	return func(o *scenario.Outcome, i int) (series, bool) {
-		colour := c
-		if colour == nil {
-			colour = lineColours[i%len(lineColours)]
+// serviceSeries is the service by second.
+func serviceSeries(o *scenario.Outcome, colour color.Color) series {
+	return series{label: runName(o), colour: colour, seconds: len(o.Seconds), value: func(second int) float64 {
+		if o.Seconds[second].Asked == 0 {
+			return 1
 		}
-		return series{o, label + name(o), colour, dashed, func(s int) float64 { return f(o, s) }, len(o.Evenness)}, true
-	}
+		return o.Seconds[second].Served / o.Seconds[second].Asked
+	}}
 }
 
-// grid is the load of a run by second and backend, as the heat map wants it.
-type grid struct{ o *scenario.Outcome }
-
-func (g grid) Dims() (c, r int) {
-	return len(g.o.Evenness), len(g.o.Evenness[len(g.o.Evenness)-1].Loads)
-}
-func (g grid) X(c int) float64 { return float64(c) + 0.5 }
-func (g grid) Y(r int) float64 { return float64(r) }
-func (g grid) Z(c, r int) float64 {
-	if v := g.o.Evenness[c].Loads; r < len(v) && v[r] >= 0 {
-		return v[r]
-	}
-	return math.NaN()
+// coresSeries is the processor time by second.
+func coresSeries(o *scenario.Outcome, colour color.Color) series {
+	return series{label: runName(o), colour: colour, seconds: len(o.Cores), value: func(second int) float64 { return o.Cores[second] }}
 }
 
-func drawHeatMap(o *scenario.Outcome, top float64) (template.HTML, error) {
-	p := plot.New()
-	p.X.Label.Text, p.Y.Label.Text = "second", "backend"
-	h := plotter.NewHeatMap(grid{o}, palette.Heat(24, 1))
-	h.Min, h.Max, h.NaN = 0, max(top, 1e-9), color.White
-	p.Add(h)
-	_, rows := grid{o}.Dims()
-	return encodeSVG(p, vg.Length(rows)*heatMapRowHeight+0.8*vg.Inch)
+// evennessSeries is a figure of each second's evenness.
+func evennessSeries(figure func(s *measure.Second) float64) seriesFunc {
+	return func(o *scenario.Outcome, colour color.Color) series {
+		return series{label: runName(o), colour: colour, seconds: len(o.Evenness), value: func(second int) float64 { return figure(&o.Evenness[second]) }}
+	}
 }
 
-func drawLines(o *scenario.Outcome, all []series, zero bool) (template.HTML, error) {
-	p := plot.New()
-	p.X.Label.Text = "second"
-	p.Legend.Top = true
-	p.Legend.TextStyle.Font.Size = vg.Points(10)
-	most, least := 0.0, math.Inf(1)
-	for _, s := range all {
-		for i := range s.n {
-			most, least = max(most, s.value(i)), min(least, s.value(i))
-		}
-	}
-	if zero {
-		least = 0
+// labelled puts a prefix before the label of a series.
+func labelled(prefix string, f seriesFunc) seriesFunc {
+	return func(o *scenario.Outcome, colour color.Color) series {
+		s := f(o, colour)
+		s.label = prefix + s.label
+		return s
 	}
-	most += (most - least) * 0.3 // room for the legend
-	for _, f := range o.Faults {
-		area, err := plotter.NewPolygon(plotter.XYs{{X: f.Began.Seconds(), Y: least}, {X: f.Ended.Seconds(), Y: least},
-			{X: f.Ended.Seconds(), Y: most}, {X: f.Began.Seconds(), Y: most}})
-		if err != nil {
-			return "", err
-		}
-		area.Color, area.Width = faultColour, 0
-		label, err := plotter.NewLabels(plotter.XYLabels{XYs: plotter.XYs{{X: f.Began.Seconds(), Y: most - (most-least)*0.06}}, Labels: []string{f.Kind}})
-		if err != nil {
-			return "", err
-		}
-		p.Add(area, label)
-	}
-	p.Add(plotter.NewGrid())
-	for _, s := range all {
-		points := make(plotter.XYs, s.n)
-		for i := range points {
-			points[i].X, points[i].Y = float64(i)+0.5, s.value(i)
-		}
-		l, err := plotter.NewLine(points)
-		if err != nil {
-			return "", err
-		}
-		l.Color, l.Width = s.colour, vg.Points(1.6)
-		if s.dashed {
-			l.Dashes = []vg.Length{vg.Points(4), vg.Points(3)}
-		}
-		p.Add(l)
-		p.Legend.Add(s.label, l)
-	}
-	p.Y.Min, p.Y.Max = least, most
-	p.X.Min = 0
-	return encodeSVG(p, plotHeight)
 }
 
-func encodeSVG(p *plot.Plot, height vg.Length) (template.HTML, error) {
-	c := vgsvg.New(plotWidth, height)
-	p.Draw(draw.New(c))
-	var out bytes.Buffer
-	if _, err := c.WriteTo(&out); err != nil {
-		return "", err
-	}
-	text := out.Bytes()
-	if i := bytes.Index(text, []byte("<svg")); i > 0 { // the page has its own header
-		text = text[i:]
+// dashed is labelled with a dashed line, in a colour of its own unless that is nil.
+func dashed(prefix string, own color.Color, f seriesFunc) seriesFunc {
+	return func(o *scenario.Outcome, colour color.Color) series {
+		if own != nil {
+			colour = own
+		}
+		s := labelled(prefix, f)(o, colour)
+		s.dashed = true
+		return s
 	}
-	return template.HTML(text), nil // made by the plot library from figures and the kinds of faults
 }
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -26,7 +26,7 @@
 	return o
 }
 
-func TestAPageHasAllAndNeedsNothing(t *testing.T) {
+func TestWrite_PageIsCompleteAndSelfContained(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "new")
 	broken := strings.Split(strings.Repeat("drain at 3: sent late,", 12), ",")[:12]
 	if err := Write(dir, []scenario.Outcome{run("/x/a"), run("/x/b", broken...)}); err != nil {
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestWhatIsNoRunIsRefused(t *testing.T) {
+func TestReadAndWrite_RejectWhatHoldsNoRun(t *testing.T) {
 	if err := Write(t.TempDir(), nil); err == nil {
 		t.Error("a page of nothing")
 	}
--- a/internal/scenario/experiment.go
+++ b/internal/scenario/experiment.go
@@ -8,94 +8,121 @@
 	"sync/atomic"
 )
 
-// Experiment compares policies on scripts, paired seed by seed.
+const (
+	// confidence95 is the number of standard deviations on either side of a mean that hold 95% of a normal
+	// distribution.
+	confidence95 = 1.96
+	// relevantDifference of the service is what an experiment should be able to tell from chance.
+	relevantDifference = 0.01
+	// ownPolicy is what results call package balance, whose name among policies is empty.
+	ownPolicy = "module"
+)
+
+// Experiment compares policies on scripts, paired by seed.
 type Experiment struct {
 	Scripts  []Script
 	Seeds    int      // of each script: 1 to this
-	Policies []string // the first is what the others are set against; empty: the module
-	Workers  int      // runs at once
+	Policies []string // the others are compared with the first; empty: package balance
+	Workers  int      // concurrent runs
 }
 
-// Cell is one policy on one script.
+// Cell is the result of one policy on one script.
 type Cell struct {
 	Script          string  `json:"script"`
 	Policy          string  `json:"policy"`
-	Service         float64 `json:"whole"`     // mean service
-	WorstWindow     float64 `json:"worst_ten"` // mean of the worst ten seconds
-	Difference      float64 `json:"diff"`      // of the service, against the first policy: mean
-	ConfidenceBound float64 `json:"bound"`     // and half of its 95% confidence interval
-	FailedSeeds     int     `json:"broken"`    // seeds that broke a rule
-	SeedsNeeded     int     `json:"need"`      // seeds that would make a difference of 0.01 significant
+	Service         float64 `json:"whole"`     // mean
+	WorstWindow     float64 `json:"worst_ten"` // mean of the service over the worst window
+	Difference      float64 `json:"diff"`      // mean of the service minus that of the first policy
+	ConfidenceBound float64 `json:"bound"`     // half of the 95% confidence interval of Difference
+	FailedSeeds     int     `json:"broken"`    // seeds with violations
+	SeedsNeeded     int     `json:"need"`      // seeds that would make a relevant difference significant
 }
 
 // Run plays every script with every seed and policy on the virtual clock and returns a cell for each script and
-// policy, in their order. told, if it is not nil, is called after each run.
-func (e *Experiment) Run(told func(done, all int)) []Cell {
-	type task struct{ script, policy, seed int }
-	var tasks []task
+// policy, in their order. progress, if it is not nil, is called after each run, by one worker at a time.
+func (e *Experiment) Run(progress func(done, all int)) []Cell {
+	outcomes := e.play(progress)
+	var cells []Cell
 	for s := range e.Scripts {
-		for p := range e.Policies {
-			for seed := range e.Seeds {
-				tasks = append(tasks, task{s, p, seed})
+		ofScript := outcomes[s*len(e.Policies)*e.Seeds:]
+		ofFirstPolicy := ofScript[:e.Seeds]
+		for p, policy := range e.Policies {
+			own := ofScript[p*e.Seeds : (p+1)*e.Seeds]
+			cells = append(cells, newCell(e.Scripts[s].Name, policy, ofFirstPolicy, own))
+		}
+	}
+	return cells
+}
+
+// task is one run of an experiment.
+type task struct {
+	script, policy int // indexes
+	seed           uint64
+}
+
+// tasks returns all runs: by script, then by policy, then by seed.
+func (e *Experiment) tasks() (tasks []task) {
+	for script := range e.Scripts {
+		for policy := range e.Policies {
+			for i := range e.Seeds {
+				tasks = append(tasks, task{script, policy, uint64(i + 1)})
 			}
 		}
 	}
+	return tasks
+}
+
+// play returns the outcomes of all runs, in the order of tasks.
+func (e *Experiment) play(progress func(done, all int)) []Outcome {
+	tasks := e.tasks()
 	outcomes := make([]Outcome, len(tasks))
 	var next, done atomic.Int64
 	var wg sync.WaitGroup
-	var mu sync.Mutex
+	var mu sync.Mutex // of progress
 	for range max(1, e.Workers) {
 		wg.Go(func() {
 			for i := next.Add(1) - 1; i < int64(len(tasks)); i = next.Add(1) - 1 {
 				t := tasks[i]
-				outcomes[i] = PlayWithPolicy(e.Scripts[t.script], uint64(t.seed+1), e.Policies[t.policy])
-				if n := done.Add(1); told != nil {
+				outcomes[i] = PlayWithPolicy(e.Scripts[t.script], t.seed, e.Policies[t.policy])
+				if n := done.Add(1); progress != nil {
 					mu.Lock()
-					told(int(n), len(tasks))
+					progress(int(n), len(tasks))
 					mu.Unlock()
 				}
 			}
 		})
 	}
 	wg.Wait()
-	var cells []Cell
-	for s := range e.Scripts {
-		first := outcomes[s*len(e.Policies)*e.Seeds:]
-		for p, name := range e.Policies {
-			own := first[p*e.Seeds : (p+1)*e.Seeds]
-			cells = append(cells, cell(e.Scripts[s].Name, name, first[:e.Seeds], own))
-		}
-	}
-	return cells
+	return outcomes
 }
 
-// cell sums up one policy's runs of a script against the first policy's, which are of the same seeds.
-func cell(script, policy string, against, own []Outcome) Cell {
+// newCell sums up one policy's runs of a script against the first policy's, which are of the same seeds.
+func newCell(script, policy string, first, own []Outcome) Cell {
 	c := Cell{Script: script, Policy: policy}
 	if policy == "" {
-		c.Policy = "module"
+		c.Policy = ownPolicy
 	}
 	n, sum, squares := float64(len(own)), 0.0, 0.0
 	for i := range own {
 		c.Service += own[i].Service / n
 		c.WorstWindow += own[i].WorstWindow / n
-		d := own[i].Service - against[i].Service
-		sum, squares = sum+d, squares+d*d
+		difference := own[i].Service - first[i].Service
+		sum, squares = sum+difference, squares+difference*difference
 		if len(own[i].Violations) > 0 {
 			c.FailedSeeds++
 		}
 	}
 	c.Difference = sum / n
 	if n > 1 {
-		deviation := math.Sqrt(max(0, (squares-sum*sum/n)/(n-1)))
-		c.ConfidenceBound = 1.96 * deviation / math.Sqrt(n)
-		part := 1.96 * deviation / 0.01
-		c.SeedsNeeded = int(math.Ceil(part * part))
+		deviation := math.Sqrt(max(0, (squares-sum*sum/n)/(n-1))) // rounding may take the variance below 0
+		c.ConfidenceBound = confidence95 * deviation / math.Sqrt(n)
+		rootOfSeeds := confidence95 * deviation / relevantDifference
+		c.SeedsNeeded = int(math.Ceil(rootOfSeeds * rootOfSeeds))
 	}
 	return c
 }
 
-// Sentence says how a policy compares with the first: better or worse by so much, or, where the difference lies
+// Verdict says how a policy compares with the first: better or worse by so much, or, where the difference lies
 // within its 95% confidence interval, not to be told apart.
 func (c *Cell) Verdict(first string) string {
 	switch {
@@ -107,18 +134,18 @@
 	return fmt.Sprintf("worse than %s by %.4f", first, -c.Difference)
 }
 
-// Table writes the cells as text.
+// WriteTable writes the cells as text. Errors of out are ignored.
 func WriteTable(out io.Writer, cells []Cell) {
-	first, script := "", ""
+	firstPolicy, script := "", ""
 	for i := range cells {
 		c := &cells[i]
 		if c.Script != script {
-			first, script = c.Policy, c.Script
+			firstPolicy, script = c.Policy, c.Script
 			fmt.Fprintf(out, "%s\n", script)
 		}
 		fmt.Fprintf(out, "  %-8s service %.4f  worst ten %.4f", c.Policy, c.Service, c.WorstWindow)
-		if c.Policy != first {
-			fmt.Fprintf(out, "  %+.4f ± %.4f: %s; a difference of 0.01 needs %d seeds", c.Difference, c.ConfidenceBound, c.Verdict(first), c.SeedsNeeded)
+		if c.Policy != firstPolicy {
+			fmt.Fprintf(out, "  %+.4f ± %.4f: %s; a difference of 0.01 needs %d seeds", c.Difference, c.ConfidenceBound, c.Verdict(firstPolicy), c.SeedsNeeded)
 		}
 		if c.FailedSeeds > 0 {
 			fmt.Fprintf(out, "; %d seeds broke a rule", c.FailedSeeds)
--- a/internal/scenario/golden_test.go
+++ b/internal/scenario/golden_test.go
@@ -64,7 +64,7 @@
 }
 
 // A stored script with every key comes to the stored faults, and those are read and written again to the same bytes.
-func TestIncidents_Golden(t *testing.T) {
+func TestParse_IncidentsMatchGolden(t *testing.T) {
 	const script, faults = "testdata/everything.golden.toml", "testdata/incidents.golden.json"
 	if *update {
 		if err := os.WriteFile(script, everything(), 0o644); err != nil {
--- /dev/null
+++ b/internal/scenario/incident.go
@@ -0,0 +1,273 @@
+package scenario
+
+import (
+	"fmt"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"aspenbarrow/internal/fault"
+	"aspenbarrow/internal/fleet"
+	"aspenbarrow/internal/world"
+)
+
+// Kinds of incidents that are handled apart.
+const (
+	kindLink             = "link"
+	kindSharedDependency = "shared dependency slow"
+)
+
+// Kinds returns the names of all kinds of incidents, of the virtual clock and of processes, sorted.
+func Kinds() []string {
+	all := append(world.Scriptable(), fleet.Kinds()...)
+	slices.Sort(all)
+	return slices.Compact(all)
+}
+
+// CheckPlayable returns an error for each thing in the script that the chosen driver cannot do: processes on sockets,
+// or else the virtual clock. The errors begin with the script's name, as given, and the line.
+func (s *Script) CheckPlayable(name string, processes bool) (errs []error) {
+	for i := range s.Incidents {
+		f := &s.Incidents[i].fault
+		check := checkSimulated
+		if processes {
+			check = fleet.Check
+		}
+		if err := check(f); err != nil {
+			errs = append(errs, fmt.Errorf("%s:%d: %w", name, f.ScriptLine, err))
+		}
+	}
+	if !processes && s.Fleet.Membership {
+		errs = append(errs, fmt.Errorf("%s: fleet.membership: relays on the virtual clock don't find out who is there", name))
+	}
+	if processes && s.Shared.Places > 0 {
+		errs = append(errs, fmt.Errorf("%s: shared: processes have no shared dependency", name))
+	}
+	return errs
+}
+
+// checkSimulated returns an error if the virtual clock cannot play a fault.
+func checkSimulated(f *fault.Fault) error {
+	switch {
+	case !slices.Contains(world.Scriptable(), f.Kind):
+		return fmt.Errorf("the virtual clock can't play %q", f.Kind)
+	case f.Targets != nil && !world.Groups(f.Kind):
+		return fmt.Errorf("the virtual clock can't strike a group with %q", f.Kind)
+	}
+	return nil
+}
+
+// rejectFunc records what is wrong with one table of a script.
+type rejectFunc func(format string, args ...any)
+
+// members are the relays and backends of a group; nil: the group names none.
+type members struct{ relays, backends []int }
+
+// resolveIncidents turns the incidents into faults and returns an error for everything that is wrong with them.
+func (s *Script) resolveIncidents(name string, text []byte) (errs []error) {
+	groups := map[string]members{}
+	lines := tableLines(text, "[[group]]")
+	for i, g := range s.Groups {
+		reject := func(format string, args ...any) {
+			errs = append(errs, fmt.Errorf("%s:%d: group %q: %s", name, lineOf(lines, i), g.Name, fmt.Sprintf(format, args...)))
+		}
+		if _, ok := groups[g.Name]; ok || g.Name == "" {
+			reject("a name of its own is wanted")
+		}
+		groups[g.Name] = s.parseGroup(&g, reject)
+	}
+	lines = tableLines(text, "[[incident]]")
+	for i := range s.Incidents {
+		s.resolve(&s.Incidents[i], lineOf(lines, i), groups, func(format string, args ...any) {
+			errs = append(errs, fmt.Errorf("%s:%d: incident[%d].%s", name, lineOf(lines, i), i, fmt.Sprintf(format, args...)))
+		})
+	}
+	return errs
+}
+
+// parseGroup reads the indexes of a group's relays and backends.
+func (s *Script) parseGroup(g *Group, reject rejectFunc) (m members) {
+	for _, part := range []struct {
+		key, text string
+		count     int
+		indexes   *[]int
+	}{{"relays", g.Relays, s.Fleet.Relays, &m.relays}, {"backends", g.Backends, s.Fleet.Backends, &m.backends}} {
+		if part.text == "" {
+			continue
+		}
+		indexes, err := parseIndexes(part.text, part.count)
+		if err != nil {
+			reject("%s: %v", part.key, err)
+		}
+		*part.indexes = indexes
+	}
+	if m.relays == nil && m.backends == nil {
+		reject("neither relays nor backends")
+	}
+	return m
+}
+
+// parseIndexes reads a list such as "0-39,77". All indexes are below count.
+func parseIndexes(text string, count int) (indexes []int, err error) {
+	for part := range strings.SplitSeq(text, ",") {
+		first, last, err := parseRange(part)
+		if err != nil {
+			return nil, err
+		}
+		if last >= count {
+			return nil, fmt.Errorf("there is no number %d, the last one is %d", last, count-1)
+		}
+		for i := first; i <= last; i++ {
+			if !slices.Contains(indexes, i) {
+				indexes = append(indexes, i)
+			}
+		}
+	}
+	return indexes, nil
+}
+
+// parseRange reads "77" or "0-39".
+func parseRange(text string) (first, last int, err error) {
+	from, to, isRange := strings.Cut(strings.TrimSpace(text), "-")
+	first, err = strconv.Atoi(from)
+	last = first
+	if err == nil && isRange {
+		last, err = strconv.Atoi(to)
+	}
+	if err != nil || first < 0 || last < first {
+		return 0, 0, fmt.Errorf("%q is no number from 0 and no span of them", text)
+	}
+	return first, last, nil
+}
+
+// resolve turns one incident into a fault.
+func (s *Script) resolve(in *Incident, line int, groups map[string]members, reject rejectFunc) {
+	f := fault.Fault{Kind: in.Kind, Start: time.Duration(in.Start), Duration: time.Duration(in.Duration), Target: in.Target,
+		Severity: in.Severity, ScriptLine: line}
+	s.validateIncident(in, reject)
+	if in.Group != "" {
+		f.Targets = in.targets(groups, reject)
+	}
+	if in.Kind == kindLink {
+		f.Link = in.link(groups, reject)
+	} else if in.hasLinkKeys() {
+		reject("kind: only a link has from, to, both, cut, hold, loss, double, reorder, delay and jitter")
+	}
+	in.fault = f
+}
+
+// validateIncident rejects an unknown kind and figures out of their range.
+func (s *Script) validateIncident(in *Incident, reject rejectFunc) {
+	if !slices.Contains(Kinds(), in.Kind) {
+		reject("kind: there is no %q; one of %s", in.Kind, strings.Join(Kinds(), ", "))
+	}
+	switch end := in.Start + in.Duration; {
+	case in.Start >= s.Length:
+		reject("at: %v is past the end, %v", time.Duration(in.Start), time.Duration(s.Length))
+	case end > s.Length:
+		reject("for: it would end at %v, after the run's end at %v", time.Duration(end), time.Duration(s.Length))
+	}
+	if in.Severity < 0 || in.Severity > 1 || in.Target < 0 {
+		reject("much is from 0 to 1, who from 0")
+	}
+	if in.Kind == kindSharedDependency && s.Shared.Places == 0 {
+		reject("kind: nothing is shared (shared.places)")
+	}
+}
+
+// targets returns which relays or backends of its group the incident affects.
+func (in *Incident) targets(groups map[string]members, reject rejectFunc) (targets []int) {
+	group, ok := groups[in.Group]
+	if !ok {
+		reject("group: there is none of the name %q", in.Group)
+		return nil
+	}
+	targets = group.relays
+	if strings.HasPrefix(in.Kind, "backends") || strings.HasPrefix(in.Kind, "zone") {
+		targets = group.backends
+	}
+	if targets == nil {
+		reject("group: %q has none of those that are struck", in.Group)
+	}
+	return targets
+}
+
+// hasLinkKeys reports whether a key is set that only a link has.
+func (in *Incident) hasLinkKeys() bool {
+	return in.From != "" || in.To != "" || in.changesLink()
+}
+
+// changesLink reports whether the incident does anything to a link.
+func (in *Incident) changesLink() bool {
+	return in.Partitioned || in.Buffered || in.LossRate+in.DuplicateRate+in.ReorderRate != 0 || in.Delay+in.Jitter != 0
+}
+
+// link returns the fault of a link, with its nodes resolved.
+func (in *Incident) link(groups map[string]members, reject rejectFunc) *fault.Link {
+	l := &fault.Link{
+		From: parseNodes("from", in.From, groups, reject), To: parseNodes("to", in.To, groups, reject),
+		Bidirectional: in.Bidirectional, Partitioned: in.Partitioned, Buffered: in.Buffered,
+		LossRate: in.LossRate, DuplicateRate: in.DuplicateRate, ReorderRate: in.ReorderRate,
+		Delay: time.Duration(in.Delay), Jitter: time.Duration(in.Jitter),
+	}
+	if l.From.Kind != fault.Relays && l.To.Kind != fault.Relays {
+		reject("from, to: nothing passes between %s and %s", l.From.Kind, l.To.Kind)
+	}
+	for _, rate := range []float64{in.LossRate, in.DuplicateRate, in.ReorderRate} {
+		if rate < 0 || rate > 1 {
+			reject("loss, double, reorder are from 0 to 1")
+		}
+	}
+	betweenRelays := l.From.Kind == fault.Relays && l.To.Kind == fault.Relays
+	if !betweenRelays && (in.DuplicateRate != 0 || in.ReorderRate != 0) {
+		reject("double, reorder: only datagrams between relays come twice or overtake one another")
+	}
+	if !in.changesLink() {
+		reject("kind: a link wants one of cut, hold, loss, double, reorder, delay, jitter")
+	}
+	return l
+}
+
+// parseNodes reads one end of a link: a kind of nodes, perhaps with a group behind a colon.
+func parseNodes(key, text string, groups map[string]members, reject rejectFunc) (nodes fault.NodeSet) {
+	word, name, named := strings.Cut(text, ":")
+	kind := fault.NodeKind(word)
+	if !slices.Contains([]fault.NodeKind{fault.Relays, fault.Backends, fault.Discovery, fault.Clients}, kind) {
+		reject("%s: %q; one of relays, backends, discovery, clients is wanted, perhaps with a group behind a colon", key, text)
+		return nodes
+	}
+	nodes.Kind = kind
+	if !named {
+		return nodes
+	}
+	group, ok := groups[name]
+	nodes.Indexes = group.relays // for discovery and clients too: those of these relays
+	if kind == fault.Backends {
+		nodes.Indexes = group.backends
+	}
+	if !ok || nodes.Indexes == nil {
+		reject("%s: there is no group %q with %s", key, name, kind)
+	}
+	return nodes
+}
+
+// tableLines returns the lines of a table's headers, in their order.
+func tableLines(text []byte, header string) (lines []int) {
+	n := 0
+	for line := range strings.Lines(string(text)) {
+		n++
+		if strings.HasPrefix(strings.ReplaceAll(line, " ", ""), header) {
+			lines = append(lines, n)
+		}
+	}
+	return lines
+}
+
+// lineOf returns the line of the i-th table; 0: unknown.
+func lineOf(lines []int, i int) int {
+	if i < len(lines) {
+		return lines[i]
+	}
+	return 0
+}
--- a/internal/scenario/incidents_test.go
+++ b/internal/scenario/incident_test.go
@@ -11,7 +11,7 @@
 	"aspenbarrow/internal/fault"
 )
 
-const sound = `name = "x"
+const validScript = `name = "x"
 length = "30s"
 [fleet]
 relays = 10
@@ -25,8 +25,8 @@
 set-up-work = "4ms"
 `
 
-func TestGroupsAndLinks(t *testing.T) {
-	s, err := Parse("s", []byte(sound+`[[group]]
+func TestParse_ResolvesGroupsAndLinks(t *testing.T) {
+	s, err := Parse("s", []byte(validScript+`[[group]]
 name = "east"
 relays = "0-2, 7"
 backends = "1"
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestUnsoundIncidentsAreRefusedWithTheirLine(t *testing.T) {
+func TestParse_RejectsInvalidIncidentsWithLine(t *testing.T) {
 	for _, tc := range []struct{ text, want string }{
 		{"[[incident]]\nkind = \"lnik\"\n", "s:13: incident[0].kind: there is no \"lnik\""},
 		{"[[incident]]\nkind = \"link\"\nfrom = \"relays\"\nto = \"backends\"\ncutt = true\n", "cutt: no such key"},
@@ -82,14 +82,14 @@
 		{"[[incident]]\nkind = \"relays paused\"\ngroup = \"none\"\n", "group: there is none of the name \"none\""},
 		{"[[group]]\nname = \"b\"\nbackends = \"1\"\n[[incident]]\nkind = \"relays paused\"\ngroup = \"b\"\n", "has none of those that are struck"},
 	} {
-		_, err := Parse("s", []byte(sound+tc.text))
+		_, err := Parse("s", []byte(validScript+tc.text))
 		if err == nil || !strings.Contains(err.Error(), tc.want) {
 			t.Errorf("%q: told %v, wanted is %q", tc.text, err, tc.want)
 		}
 	}
 }
 
-func TestScriptsForProcessesAreSound(t *testing.T) {
+func TestScript_ShippedScriptsArePlayableOnProcesses(t *testing.T) {
 	paths, err := filepath.Glob("../../example/rehearsals/fleet/*.toml")
 	if err != nil || len(paths) < 6 {
 		t.Fatalf("%v, %v", paths, err)
@@ -110,8 +110,8 @@
 }
 
 // The same script on the virtual clock: a cut between some relays and some servers costs those and leaves the rest.
-func TestALinkIsCutOnTheVirtualClockToo(t *testing.T) {
-	text := sound + "connection-load = 0.1\nreport-every = \"1s\"\n" + `[[group]]
+func TestPlay_PartitionsLinkOnVirtualClock(t *testing.T) {
+	text := validScript + "connection-load = 0.1\nreport-every = \"1s\"\n" + `[[group]]
 name = "some"
 relays = "0-4"
 [[incident]]
--- /dev/null
+++ b/internal/scenario/outcome.go
@@ -0,0 +1,74 @@
+package scenario
+
+import (
+	"aspenbarrow/internal/fleet"
+	"aspenbarrow/internal/measure"
+	"aspenbarrow/internal/world"
+)
+
+const (
+	// warmUpSeconds are left out where the evenness of a run is summed up: an installation that starts empty has to
+	// fill first.
+	warmUpSeconds = 10
+	// worstWindowSeconds is the length of the window of worst service.
+	worstWindowSeconds = 10
+)
+
+// classNames are the classes of requests of every installation.
+var classNames = []string{"watch", "fetch", "submit"}
+
+// Outcome is the result of playing a script once. The JSON keys are those of stored outcomes.
+type Outcome struct {
+	Script           string             `json:"script"`
+	Seed             uint64             `json:"seed"`
+	Service          float64            `json:"whole"`      // over the whole run, 1 at best
+	WorstWindow      float64            `json:"worst_ten"`  // service over the worst ten consecutive seconds
+	WorstWindowStart int                `json:"worst_at_s"` // the first of these seconds, from 0
+	Classes          map[string]float64 `json:"classes"`    // service by class; empty for processes
+	Seconds          []world.Second     `json:"seconds"`    // service by second
+	Evenness         []measure.Second   `json:"evenness"`   // of the load, by second
+	Counts           map[string]int     `json:"counts"`     // how often what came up
+
+	// Of processes only; a run on the virtual clock has none of these.
+	Program string         `json:"program,omitempty"` // the relays'
+	Faults  []fleet.Effect `json:"faults,omitempty"`  // what each really did
+	Waits   *fleet.Waits   `json:"waits,omitempty"`   // of the clients for their answers
+	Rates   *fleet.Rates   `json:"rates,omitempty"`   // of what the relays send beside the clients' lines
+	Usage   *fleet.Usage   `json:"usage,omitempty"`   // of processor and memory
+	Cores   []float64      `json:"machine,omitempty"` // that all relays used, by second
+
+	Violations []string `json:"broken,omitempty"` // of rules
+}
+
+// summarize computes the service over the run and its worst window.
+func (o *Outcome) summarize() {
+	o.Service, o.WorstWindow = serviceOf(o.Seconds), 1
+	for start := 0; start+worstWindowSeconds <= len(o.Seconds); start++ {
+		if service := serviceOf(o.Seconds[start : start+worstWindowSeconds]); service < o.WorstWindow {
+			o.WorstWindow, o.WorstWindowStart = service, start
+		}
+	}
+}
+
+// serviceOf returns the service over some seconds: the worth served over the worth asked for.
+func serviceOf(seconds []world.Second) float64 {
+	asked, served := 0.0, 0.0
+	for _, s := range seconds {
+		asked, served = asked+s.Asked, served+s.Served
+	}
+	if asked == 0 {
+		return 1
+	}
+	return served / asked
+}
+
+// EvennessFrom sums up the evenness of the load from a second on.
+func (o *Outcome) EvennessFrom(second int) measure.Summary {
+	return measure.Summarise(o.Evenness, second)
+}
+
+// Herd returns the worst herd of a run from its first second on, and what hashing alone makes of that second.
+func (o *Outcome) Herd() (worst, hashing float64) {
+	e := o.EvennessFrom(0)
+	return e.Herd, e.HerdHash
+}
--- /dev/null
+++ b/internal/scenario/play.go
@@ -0,0 +1,66 @@
+package scenario
+
+import (
+	"context"
+	"path/filepath"
+	"time"
+
+	"aspenbarrow/internal/fleet"
+	"aspenbarrow/internal/world"
+)
+
+// Play plays a script on the virtual clock with a seed, or with the script's own if seed is 0.
+func Play(s Script, seed uint64) Outcome { return PlayWithPolicy(s, seed, "") }
+
+// PlayWithPolicy is Play with relays that decide by a policy of baseline.Names instead of package balance. An empty
+// name is package balance.
+func PlayWithPolicy(s Script, seed uint64, policy string) Outcome {
+	if seed == 0 {
+		seed = s.Seed
+	}
+	result := world.Run(world.Options{Seed: seed, Length: time.Duration(s.Length), Script: s.faults(), Fleet: s.installation(), Policy: policy})
+	o := Outcome{Script: s.Name, Seed: seed, Seconds: result.Service, Evenness: result.Even, Counts: result.Counts, Classes: map[string]float64{}}
+	for i, class := range classNames {
+		o.Classes[class] = serviceOf(result.ByClass[i : i+1])
+	}
+	o.summarize()
+	for _, violation := range result.Violations {
+		o.Violations = append(o.Violations, violation.String())
+	}
+	return o
+}
+
+// PlayOnProcesses plays a script with a seed, its own if 0, on processes of a program. It returns an error if the run
+// could not be played or a fault did nothing.
+func PlayOnProcesses(ctx context.Context, s Script, program string, seed uint64) (Outcome, error) {
+	if seed == 0 {
+		seed = s.Seed
+	}
+	result, err := fleet.Run(ctx, fleet.Options{Program: program, Seed: seed, Length: time.Duration(s.Length), Fleet: *s.installation(), Script: s.faults()})
+	o := Outcome{Script: s.Name, Seed: seed, Program: filepath.Base(program), Seconds: result.Service, Evenness: result.Evenness,
+		Counts: result.Counts, Faults: result.Faults, Violations: result.Violations, Waits: &result.Waits, Rates: &result.Rates,
+		Usage: &result.Usage, Cores: result.Machine}
+	o.summarize()
+	return o, err
+}
+
+// Alternate plays a script on processes of each program by turns, on consecutive seeds from the first one on, so that
+// each seed is played with every program. progress is called after each run. On an error the runs up to then are
+// returned too, with the one that failed if it has figures.
+func Alternate(ctx context.Context, s Script, programs []string, firstSeed uint64, seeds int, progress func(Outcome)) (outcomes []Outcome, err error) {
+	for i := range seeds {
+		for _, program := range programs {
+			o, err := PlayOnProcesses(ctx, s, program, firstSeed+uint64(i))
+			if err != nil && o.Seconds == nil {
+				return outcomes, err
+			}
+			o.Program = program
+			outcomes = append(outcomes, o)
+			progress(o)
+			if err != nil {
+				return outcomes, err
+			}
+		}
+	}
+	return outcomes, nil
+}
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -33,7 +33,7 @@
 
 // Each shipped script gives the same bytes twice, measures from the first second, breaks no rule, and its incident
 // costs something: what costs nothing is not modelled.
-func TestShippedScriptsRepeatAndHurt(t *testing.T) {
+func TestPlay_ShippedScriptsRepeatAndCost(t *testing.T) {
 	for name, s := range scripts(t) {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -72,7 +72,7 @@
 	}
 }
 
-func TestBadScriptsAreRefusedWithAReason(t *testing.T) {
+func TestParse_RejectsInvalidScriptsWithReason(t *testing.T) {
 	text, err := os.ReadFile("../../example/rehearsals/slow-backend.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -95,7 +95,7 @@
 	}
 }
 
-func TestTheReportHasEverySecondAndTheIncidents(t *testing.T) {
+func TestOutcome_WriteReportHasEverySecondAndIncident(t *testing.T) {
 	s := scripts(t)["relays-die.toml"]
 	o := Play(s, 7)
 	var out bytes.Buffer
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -1,19 +1,16 @@
-// Package scenario plays scripted incidents against an installation and measures the
-// service that its clients get, second by second from the first.
+// Package scenario plays scripted faults against an installation and measures the service that its clients get,
+// second by second from the first.
 //
-// A script is a TOML file that describes the installation and its incidents; unknown
-// keys are errors. It is played on the virtual clock (package world) or on processes
-// in real time (package fleet). Experiment compares policies on the virtual clock,
-// Alternate programs on processes, both on the same seeds.
+// A script is a TOML file that describes the installation and its incidents; unknown keys are errors. It is played
+// on a virtual clock (package world) or on processes in real time (package fleet). Experiment compares policies on
+// the virtual clock, Alternate programs on processes, both on the same seeds. The package injects no faults and
+// checks no rules by itself; its drivers do.
 package scenario
 
 import (
 	"bytes"
-	"context"
 	"errors"
 	"fmt"
-	"io"
-	"path/filepath"
 	"strings"
 	"time"
 
@@ -21,8 +18,6 @@
 
 	"aspenbarrow/internal/emulator"
 	"aspenbarrow/internal/fault"
-	"aspenbarrow/internal/fleet"
-	"aspenbarrow/internal/measure"
 	"aspenbarrow/internal/world"
 )
 
@@ -39,61 +34,73 @@
 	return err
 }
 
-// Script is one rehearsal.
+// Script is one scenario: an installation and what happens to it.
 type Script struct {
-	Name   string   `toml:"name"`
-	Seed   uint64   `toml:"seed"`
-	Length duration `toml:"length"`
-	Fleet  struct {
-		Relays   int `toml:"relays"`
-		Backends int `toml:"backends"`
-		Clients  int `toml:"clients"`
+	Name      string     `toml:"name"`
+	Seed      uint64     `toml:"seed"`
+	Length    duration   `toml:"length"`
+	Fleet     Fleet      `toml:"fleet"`
+	Server    Server     `toml:"server"`
+	Shared    Dependency `toml:"shared"`
+	Groups    []Group    `toml:"group"`
+	Incidents []Incident `toml:"incident"`
+}
+
+// Fleet is the table [fleet]: how many relays, backends and clients there are, and how they behave.
+type Fleet struct {
+	Relays   int `toml:"relays"`
+	Backends int `toml:"backends"`
+	Clients  int `toml:"clients"`
+
+	ArrivalPeriod    duration   `toml:"rush"`      // the first clients connect within this; 0: defaultArrivalPeriod
+	SessionDuration  []duration `toml:"stay"`      // the shortest and the longest; none: shortestSession and longestSession
+	ReconnectDelay   duration   `toml:"return"`    // a client whose connection broke reconnects within this; 0: 300 ms
+	HotKeyShare      float64    `toml:"hot-key"`   // share of the clients that have one key
+	HotRelayShare    float64    `toml:"hot-relay"` // share of the clients that connect to the first relay
+	NoLoadReports    bool       `toml:"no-reports"`
+	NoGossip         bool       `toml:"no-peers"`
+	Membership       bool       `toml:"membership"` // relays find out which of them are running
+	AdvertiseWeights bool       `toml:"weights"`    // the endpoint list has the servers' sizes
+}
+
+// Server is the table [server]: what the backends' machines can do.
+type Server struct {
+	Cores          float64  `toml:"cores"`
+	Speed          float64  `toml:"speed"`
+	Queue          int      `toml:"queue"`
+	Backlog        int      `toml:"backlog"`
+	SessionWork    duration `toml:"set-up-work"`     // to establish a session, on a nominal core
+	LineWork       duration `toml:"line-work"`       // to answer a line, on a nominal core
+	ConnectionLoad float64  `toml:"connection-load"` // of an established session, in cores
+	ReportEvery    duration `toml:"report-every"`
+	ReportNoise    float64  `toml:"report-noise"`
 
-		Rush      duration   `toml:"rush"`      // the first clients come within this; 0: two and a half seconds
-		Stay      []duration `toml:"stay"`      // how long one stays: anything between two times; none: 2 s to 25 s
-		Return    duration   `toml:"return"`    // whose connection broke is back within this; 0: 300 ms
-		HotKey    float64    `toml:"hot-key"`   // share of the clients that have one key
-		HotRelay  float64    `toml:"hot-relay"` // share of the clients that come through the first relay
-		NoReports bool       `toml:"no-reports"`
-		NoPeers   bool       `toml:"no-peers"`
-		Members   bool       `toml:"membership"` // relays find out who of them is there
-		Weights   bool       `toml:"weights"`    // the list tells the servers' sizes
-	} `toml:"fleet"`
-	Server struct {
-		Cores       float64  `toml:"cores"`
-		Speed       float64  `toml:"speed"`
-		Queue       int      `toml:"queue"`
-		Backlog     int      `toml:"backlog"`
-		SetUpWork   duration `toml:"set-up-work"` // of a nominal core
-		LineWork    duration `toml:"line-work"`
-		ConnLoad    float64  `toml:"connection-load"` // in cores
-		ReportEvery duration `toml:"report-every"`
-		ReportNoise float64  `toml:"report-noise"`
+	Sizes           []float64 `toml:"sizes"`      // by turns, as multiples of Cores
+	LateReportShare float64   `toml:"late-share"` // share of the servers whose reports are late by ReportDelay as well
+	ReportDelay     duration  `toml:"late-by"`
+}
+
+// Dependency is the table [shared]: a dependency that all servers share.
+type Dependency struct {
+	Places int      `toml:"places"` // concurrent uses; 0: there is no such dependency
+	Hold   duration `toml:"hold"`   // of a place, by one use
+}
 
-		Sizes     []float64 `toml:"sizes"`      // by turns, in parts of cores
-		LateShare float64   `toml:"late-share"` // share of the servers whose reports are late by late-by as well
-		LateBy    duration  `toml:"late-by"`
-	} `toml:"server"`
-	Shared struct {
-		Places int      `toml:"places"`
-		Hold   duration `toml:"hold"`
-	} `toml:"shared"`
-	Groups []struct {
-		Name     string `toml:"name"`
-		Relays   string `toml:"relays"`   // numbers from 0 and spans of them: "0-39,77"
-		Backends string `toml:"backends"` // likewise
-	} `toml:"group"`
-	Incidents []incident `toml:"incident"`
+// Group is one table [[group]]: relays and backends under a name.
+type Group struct {
+	Name     string `toml:"name"`
+	Relays   string `toml:"relays"`   // indexes from 0 and ranges of them: "0-39,77"
+	Backends string `toml:"backends"` // likewise
 }
 
-// incident is one table [[incident]] of a script.
-type incident struct {
+// Incident is one table [[incident]]: a fault as scripts write it.
+type Incident struct {
 	Kind     string   `toml:"kind"`
 	Start    duration `toml:"at"`
 	Duration duration `toml:"for"`
 	Target   int      `toml:"who"`
 	Severity float64  `toml:"much"`
-	Group    string   `toml:"group"` // strikes these relays or servers, in place of who and much
+	Group    string   `toml:"group"` // the relays or backends of this group, in place of Target and Severity
 
 	// Of a link: relays, backends, discovery or clients, perhaps with a group: "relays:east".
 	From          string   `toml:"from"`
@@ -107,220 +114,147 @@
 	Delay         duration `toml:"delay"`
 	Jitter        duration `toml:"jitter"`
 
-	fault fault.Fault // what it comes to, with groups resolved
+	fault fault.Fault // with groups resolved
 }
 
 // Parse reads a script. The error joins all that is wrong with it, each with the script's name and, where it is known,
 // the line.
 func Parse(name string, text []byte) (Script, error) {
 	var s Script
-	d := toml.NewDecoder(bytes.NewReader(text))
-	d.DisallowUnknownFields()
-	if err := d.Decode(&s); err != nil {
-		var strict *toml.StrictMissingError
-		var decode *toml.DecodeError
-		switch {
-		case errors.As(err, &strict):
-			var faults []error
-			for _, e := range strict.Errors {
-				line, column := e.Position()
-				faults = append(faults, fmt.Errorf("%s:%d:%d: %s: no such key", name, line, column, strings.Join(e.Key(), ".")))
-			}
-			return s, errors.Join(faults...)
-		case errors.As(err, &decode):
-			line, column := decode.Position()
-			return s, fmt.Errorf("%s:%d:%d: %w", name, line, column, err)
+	decoder := toml.NewDecoder(bytes.NewReader(text))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(&s); err != nil {
+		return s, decodeError(name, err)
+	}
+	errs := s.validate(name)
+	errs = append(errs, s.resolveIncidents(name, text)...)
+	return s, errors.Join(errs...)
+}
+
+// decodeError adds the script's name and the position to an error of the decoder.
+func decodeError(name string, err error) error {
+	var strict *toml.StrictMissingError
+	var decode *toml.DecodeError
+	switch {
+	case errors.As(err, &strict):
+		var errs []error
+		for _, e := range strict.Errors {
+			line, column := e.Position()
+			errs = append(errs, fmt.Errorf("%s:%d:%d: %s: no such key", name, line, column, strings.Join(e.Key(), ".")))
 		}
-		return s, fmt.Errorf("%s: %w", name, err)
+		return errors.Join(errs...)
+	case errors.As(err, &decode):
+		line, column := decode.Position()
+		return fmt.Errorf("%s:%d:%d: %w", name, line, column, err)
 	}
-	var faults []error
-	reject := func(format string, args ...any) { faults = append(faults, fmt.Errorf(name+": "+format, args...)) }
-	for _, f := range []struct {
-		key         string
-		v           float64
-		least, most float64
-	}{{"length in seconds", time.Duration(s.Length).Seconds(), 10, 3600}, {"fleet.relays", float64(s.Fleet.Relays), 1, 1000},
-		{"fleet.backends", float64(s.Fleet.Backends), 1, 1000}, {"fleet.clients", float64(s.Fleet.Clients), 1, 1e6},
-		{"server.cores", s.Server.Cores, 0.1, 1024}, {"server.speed", s.Server.Speed, 0.01, 100},
-		{"server.queue", float64(s.Server.Queue), 1, 1e6}, {"server.backlog", float64(s.Server.Backlog), 0, 1e6},
-		{"server.set-up-work in seconds", time.Duration(s.Server.SetUpWork).Seconds(), 1e-6, 60},
-		{"server.connection-load", s.Server.ConnLoad, 0, 1024}, {"server.report-noise", s.Server.ReportNoise, 0, 1},
-		{"fleet.hot-key", s.Fleet.HotKey, 0, 1}, {"fleet.hot-relay", s.Fleet.HotRelay, 0, 1}, {"server.late-share", s.Server.LateShare, 0, 1},
-		{"shared.places", float64(s.Shared.Places), 0, 1e6}} {
-		if f.v < f.least || f.v > f.most {
-			reject("%s is %v, wanted is %v to %v", f.key, f.v, f.least, f.most)
+	return fmt.Errorf("%s: %w", name, err)
+}
+
+// validate returns an error for each figure of the installation that is out of its range.
+func (s *Script) validate(name string) (errs []error) {
+	reject := func(format string, args ...any) { errs = append(errs, fmt.Errorf(name+": "+format, args...)) }
+	for _, f := range s.ranges() {
+		if f.value < f.least || f.value > f.most {
+			reject("%s is %v, wanted is %v to %v", f.key, f.value, f.least, f.most)
 		}
 	}
-	if n := len(s.Fleet.Stay); n != 0 && (n != 2 || s.Fleet.Stay[0] > s.Fleet.Stay[1] || s.Fleet.Stay[1] == 0) {
+	if d := s.Fleet.SessionDuration; len(d) != 0 && (len(d) != 2 || d[0] > d[1] || d[1] == 0) {
 		reject("fleet.stay: two times are wanted, the shorter one first")
 	}
-	for _, v := range s.Server.Sizes {
-		if v < 0.01 || v > 100 {
-			reject("server.sizes: %v, wanted is 0.01 to 100", v)
+	for _, size := range s.Server.Sizes {
+		if size < 0.01 || size > 100 {
+			reject("server.sizes: %v, wanted is 0.01 to 100", size)
 		}
 	}
-	faults = append(faults, s.resolve(name, text)...)
-	return s, errors.Join(faults...)
+	return errs
 }
 
-// fleet is the installation that the script writes.
-func (s *Script) fleet() *world.Fleet {
-	sv, fl := &s.Server, &s.Fleet
-	f := &world.Fleet{Relays: fl.Relays, Backends: fl.Backends, Clients: fl.Clients,
-		Server: emulator.Config{Cores: sv.Cores, Speed: sv.Speed, Queue: sv.Queue, Backlog: sv.Backlog, ColdFrom: 0.3,
-			WarmUp: 8 * time.Second, FallTimes: 2.5, FallSpan: 3 * time.Second, ReportEvery: time.Duration(sv.ReportEvery),
-			ReportNoise: sv.ReportNoise, Opens: max(4, float64(fl.Clients)/float64(fl.Backends)/3)},
-		SetUpWork: time.Duration(sv.SetUpWork).Seconds(), LineWork: time.Duration(sv.LineWork).Seconds(), ConnLoad: sv.ConnLoad,
-		PoolPlaces: s.Shared.Places, PoolHold: time.Duration(s.Shared.Hold),
-		Rush: time.Duration(fl.Rush), Return: time.Duration(fl.Return), HotKey: fl.HotKey, HotRelay: fl.HotRelay,
-		LateShare: sv.LateShare, LateBy: time.Duration(sv.LateBy), Sizes: sv.Sizes, Weights: fl.Weights, Silent: fl.NoReports, Peers: !fl.NoPeers, Membership: fl.Members}
-	f.Stay = [2]time.Duration{2 * time.Second, 25 * time.Second}
-	if len(fl.Stay) == 2 {
-		f.Stay = [2]time.Duration{time.Duration(fl.Stay[0]), time.Duration(fl.Stay[1])}
-	}
-	if f.Rush == 0 {
-		f.Rush = 2500 * time.Millisecond
-	}
-	return f
+// valueRange is a figure of a script and the range it may be in.
+type valueRange struct {
+	key         string
+	value       float64
+	least, most float64
 }
 
-// faults are the incidents as drivers play them; never nil, which would have a seed draw its own.
-func (s *Script) faults() []fault.Fault {
-	out := make([]fault.Fault, len(s.Incidents))
-	for i := range s.Incidents {
-		out[i] = s.Incidents[i].fault
+func (s *Script) ranges() []valueRange {
+	return []valueRange{
+		{"length in seconds", time.Duration(s.Length).Seconds(), 10, 3600},
+		{"fleet.relays", float64(s.Fleet.Relays), 1, 1000},
+		{"fleet.backends", float64(s.Fleet.Backends), 1, 1000},
+		{"fleet.clients", float64(s.Fleet.Clients), 1, 1e6},
+		{"server.cores", s.Server.Cores, 0.1, 1024},
+		{"server.speed", s.Server.Speed, 0.01, 100},
+		{"server.queue", float64(s.Server.Queue), 1, 1e6},
+		{"server.backlog", float64(s.Server.Backlog), 0, 1e6},
+		{"server.set-up-work in seconds", time.Duration(s.Server.SessionWork).Seconds(), 1e-6, 60},
+		{"server.connection-load", s.Server.ConnectionLoad, 0, 1024},
+		{"server.report-noise", s.Server.ReportNoise, 0, 1},
+		{"fleet.hot-key", s.Fleet.HotKeyShare, 0, 1},
+		{"fleet.hot-relay", s.Fleet.HotRelayShare, 0, 1},
+		{"server.late-share", s.Server.LateReportShare, 0, 1},
+		{"shared.places", float64(s.Shared.Places), 0, 1e6},
 	}
-	return out
-}
-
-// options are how the world plays the script.
-func (s *Script) options(seed uint64) world.Options {
-	return world.Options{Seed: seed, Length: time.Duration(s.Length), Script: s.faults(), Fleet: s.fleet()}
 }
 
-// settled is the second from which the evenness of a run is summed up: a fleet that starts empty has to fill.
-const warmUpSeconds = 10
+// What scripts need not say of an installation.
+const (
+	defaultArrivalPeriod = 2500 * time.Millisecond
+	shortestSession      = 2 * time.Second
+	longestSession       = 25 * time.Second
 
-// Outcome is what a rehearsal came to.
-type Outcome struct {
-	Script           string             `json:"script"`
-	Seed             uint64             `json:"seed"`
-	Service          float64            `json:"whole"`             // service over the whole run, 1 at best
-	WorstWindow      float64            `json:"worst_ten"`         // over the worst ten seconds in a row
-	WorstWindowStart int                `json:"worst_at_s"`        // where these begin
-	Classes          map[string]float64 `json:"classes"`           // service by class; empty for processes
-	Seconds          []world.Second     `json:"seconds"`           // service by second
-	Evenness         []measure.Second   `json:"evenness"`          // of the load, by second
-	Counts           map[string]int     `json:"counts"`            // how often what came up
-	Program          string             `json:"program,omitempty"` // processes': the relay's; empty: played on the virtual clock
-	Faults           []fleet.Effect     `json:"faults,omitempty"`  // processes': what each really did
-	Waits            *fleet.Waits       `json:"waits,omitempty"`   // processes': of the clients for their answers
-	Rates            *fleet.Rates       `json:"rates,omitempty"`   // processes': of what the relays send beside the clients' lines
-	Usage            *fleet.Usage       `json:"usage,omitempty"`   // processes': of processor and memory
-	Cores            []float64          `json:"machine,omitempty"` // cores that all relays took, by second
-	Violations       []string           `json:"broken,omitempty"`  // rules
-}
-
-// Play plays a script on the virtual clock with a seed, or with the script's own if seed is 0.
-func Play(s Script, seed uint64) Outcome { return PlayWithPolicy(s, seed, "") }
+	// A backend that has just started can do coldCapacity of what it can do after warmUp, and falls over if it gets
+	// overloadFactor of that for overloadSpan, as the service's backends do.
+	coldCapacity   = 0.3
+	warmUp         = 8 * time.Second
+	overloadFactor = 2.5
+	overloadSpan   = 3 * time.Second
 
-// PlayBy is Play with relays that decide by a policy of baseline.Names instead of
-// package balance. An empty name is package balance.
-func PlayWithPolicy(s Script, seed uint64, policy string) Outcome {
-	if seed == 0 {
-		seed = s.Seed
-	}
-	opt := s.options(seed)
-	opt.Policy = policy
-	res := world.Run(opt)
-	o := Outcome{Script: s.Name, Seed: seed, Seconds: res.Service, Evenness: res.Even, Counts: res.Counts, Classes: map[string]float64{}}
-	for i, name := range []string{"watch", "fetch", "submit"} {
-		o.Classes[name] = serviceOf(res.ByClass[i : i+1])
-	}
-	o.summarize()
-	for _, b := range res.Violations {
-		o.Violations = append(o.Violations, b.String())
-	}
-	return o
-}
+	// minWarmRate is the least rate of requests, by second, that a warm backend is taken to bear.
+	minWarmRate = 4
+	// clientsPerOpen is how many clients of a backend make up one request a second.
+	clientsPerOpen = 3
+)
 
-// PlayReal plays a script with a seed, its own if 0, on processes of a program. A run that could not be played, or in
-// which a fault did nothing, is an error.
-func PlayOnProcesses(ctx context.Context, s Script, program string, seed uint64) (Outcome, error) {
-	if seed == 0 {
-		seed = s.Seed
+// installation returns the installation that the script describes, as both drivers take it.
+func (s *Script) installation() *world.Fleet {
+	server, fleet := &s.Server, &s.Fleet
+	return &world.Fleet{
+		Relays: fleet.Relays, Backends: fleet.Backends, Clients: fleet.Clients,
+		Server: emulator.Config{
+			Cores: server.Cores, Speed: server.Speed, Queue: server.Queue, Backlog: server.Backlog,
+			ColdFrom: coldCapacity, WarmUp: warmUp, FallTimes: overloadFactor, FallSpan: overloadSpan,
+			ReportEvery: time.Duration(server.ReportEvery), ReportNoise: server.ReportNoise,
+			Opens: max(minWarmRate, float64(fleet.Clients)/float64(fleet.Backends)/clientsPerOpen),
+		},
+		SetUpWork: time.Duration(server.SessionWork).Seconds(), LineWork: time.Duration(server.LineWork).Seconds(),
+		ConnLoad:   server.ConnectionLoad,
+		PoolPlaces: s.Shared.Places, PoolHold: time.Duration(s.Shared.Hold),
+		Rush: fleet.arrivalPeriod(), Stay: fleet.sessionDuration(), Return: time.Duration(fleet.ReconnectDelay),
+		HotKey: fleet.HotKeyShare, HotRelay: fleet.HotRelayShare,
+		LateShare: server.LateReportShare, LateBy: time.Duration(server.ReportDelay), Sizes: server.Sizes,
+		Weights: fleet.AdvertiseWeights, Silent: fleet.NoLoadReports, Peers: !fleet.NoGossip, Membership: fleet.Membership,
 	}
-	res, err := fleet.Run(ctx, fleet.Options{Program: program, Seed: seed, Length: time.Duration(s.Length), Fleet: *s.fleet(), Script: s.faults()})
-	o := Outcome{Script: s.Name, Seed: seed, Program: filepath.Base(program), Seconds: res.Service, Evenness: res.Evenness, Counts: res.Counts,
-		Faults: res.Faults, Violations: res.Violations, Waits: &res.Waits, Rates: &res.Rates, Usage: &res.Usage, Cores: res.Machine}
-	o.summarize()
-	return o, err
 }
 
-// sum works out the service over the run and its worst ten seconds.
-func (o *Outcome) summarize() {
-	o.Service, o.WorstWindow = serviceOf(o.Seconds), 1
-	for i := 0; i+10 <= len(o.Seconds); i++ {
-		if v := serviceOf(o.Seconds[i : i+10]); v < o.WorstWindow {
-			o.WorstWindow, o.WorstWindowStart = v, i
-		}
+func (f *Fleet) arrivalPeriod() time.Duration {
+	if f.ArrivalPeriod == 0 {
+		return defaultArrivalPeriod
 	}
+	return time.Duration(f.ArrivalPeriod)
 }
 
-// Even sums up the evenness of the load from a second on.
-func (o *Outcome) EvennessFrom(from int) measure.Summary { return measure.Summarise(o.Evenness, from) }
-
-// share is the service over some seconds: worth served over worth asked for.
-func serviceOf(seconds []world.Second) float64 {
-	asked, served := 0.0, 0.0
-	for _, s := range seconds {
-		asked, served = asked+s.Asked, served+s.Served
+func (f *Fleet) sessionDuration() [2]time.Duration {
+	if len(f.SessionDuration) != 2 {
+		return [2]time.Duration{shortestSession, longestSession}
 	}
-	if asked == 0 {
-		return 1
-	}
-	return served / asked
+	return [2]time.Duration{time.Duration(f.SessionDuration[0]), time.Duration(f.SessionDuration[1])}
 }
 
-// Report writes an outcome as text: the service of each second with the incidents of
-// the script beside it, then the sums. Errors of out are ignored.
-func (o *Outcome) WriteReport(out io.Writer, s Script) {
-	fmt.Fprintf(out, "%s, seed %d\n", o.Script, o.Seed)
-	for i := range o.Seconds {
-		v := serviceOf(o.Seconds[i : i+1])
-		bar := strings.Repeat("#", int(v*40+0.5))
-		var on []string
-		for _, in := range s.Incidents {
-			at := time.Duration(i) * time.Second
-			if at+time.Second > time.Duration(in.Start) && at < time.Duration(in.Start)+time.Duration(in.Duration) {
-				on = append(on, in.Kind)
-			}
-		}
-		fmt.Fprintf(out, "%4d s %.3f %-40s %s\n", i+1, v, bar, strings.Join(on, ", "))
-	}
-	fmt.Fprintf(out, "service %.4f, worst ten seconds %.4f from second %d\n", o.Service, o.WorstWindow, o.WorstWindowStart+1)
-	even := o.EvennessFrom(warmUpSeconds)
-	fmt.Fprintf(out, "load %.2f of capacity; deviation %.3f of it after %d s (hashing alone %.3f, an even hand %.3f), least %.2f, most %.2f, idle %.1f backend-s, herd %.1f\n",
-		even.Mean, even.Deviation, warmUpSeconds, even.Hashing, even.Even, even.Least, even.Most, even.Idle, o.EvennessFrom(0).Herd)
-	for _, name := range []string{"watch", "fetch", "submit"} {
-		if v, ok := o.Classes[name]; ok {
-			fmt.Fprintf(out, "class %-7s %.4f\n", name, v)
-		}
-	}
-	if o.Waits != nil {
-		fmt.Fprintf(out, "waits of %d: median %.1f ms, 99%% %.0f ms, 99.9%% %.0f ms, longest %.0f ms\n", o.Waits.Count, o.Waits.P50, o.Waits.P99, o.Waits.P999, o.Waits.Max)
-		fmt.Fprintf(out, "a second: %.0f probes (%d at most at one backend), %.0f handshakes (%d), %.0f datagrams (%d of one relay), %.0f calls of discovery\n",
-			o.Rates.Probes, o.Rates.ProbesOne, o.Rates.Handshakes, o.Rates.HandshakeOne, o.Rates.Datagrams, o.Rates.DatagramOne, o.Rates.Calls)
-		fmt.Fprintf(out, "a relay: %.2f%% of a core (%.2f%% at most), %.1f MB (%.1f at most)\n",
-			100*o.Usage.CPUMedian, 100*o.Usage.CPUMost, float64(o.Usage.MemMedian)/1e6, float64(o.Usage.MemMost)/1e6)
-	}
-	for _, f := range o.Faults {
-		fmt.Fprintf(out, "fault %s from %.1f s to %.1f s: %v\n", f.Kind, f.Began.Seconds(), f.Ended.Seconds(), f.Did)
-	}
-	for _, k := range []string{"answer UP", "answer BUSY", "answer ERR", "attempt", "moved", "connection lost", "cold backend fell over"} {
-		fmt.Fprintf(out, "%8d %s\n", o.Counts[k], k)
-	}
-	for _, b := range o.Violations {
-		fmt.Fprintln(out, "broken:", b)
+// faults returns the incidents as drivers play them. It is never nil, with which a driver would draw faults itself.
+func (s *Script) faults() []fault.Fault {
+	faults := make([]fault.Fault, len(s.Incidents))
+	for i := range s.Incidents {
+		faults[i] = s.Incidents[i].fault
 	}
+	return faults
 }
