--- a/internal/fleet/clients.go
+++ b/internal/fleet/clients.go
@@ -11,8 +11,8 @@
 	"sync/atomic"
 	"time"
 
-	"aspenbarrow/internal/checker"
-	"aspenbarrow/internal/trouble"
+	"aspenbarrow/internal/fault"
+	"aspenbarrow/internal/invariant"
 	"aspenbarrow/internal/world"
 )
 
@@ -242,9 +242,9 @@
 		return pause
 	}
 	id := r.ids.Add(1)
-	var watch *checker.Client
-	r.checked(func() { watch = r.check.Client(int(id), n, r.check.Process(n)) })
-	w := newWire(r, conn, party{trouble.Relays, n}, party{trouble.Clients, n}, watch)
+	var watch *invariant.ClientConn
+	r.checked(func() { watch = r.check.ClientAccepted(int(id), n, r.check.RelayProcess(n)) })
+	w := newWire(r, conn, party{fault.Relays, n}, party{fault.Clients, n}, watch)
 	said, read := hear(w)
 	defer c.part(w, said, read)
 	w.say(c.request(id))
@@ -276,7 +276,7 @@
 // wait before the next try.
 func (c *client) dial(ctx context.Context, n int) (conn *net.TCPConn, pause time.Duration) {
 	r := c.rig
-	late, ok := r.ways.opens(party{trouble.Clients, n}, party{trouble.Relays, n})
+	late, ok := r.ways.opens(party{fault.Clients, n}, party{fault.Relays, n})
 	if !ok {
 		wait(ctx, time.Second)
 		return nil, c.soon()
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -2,7 +2,7 @@
 // service, modelled backends (package emulator) and clients around them, and injects faults on every way between two
 // parties and in every process.
 //
-// Package checker watches the relays' side of every connection; Result.Broken has the rules that were broken. No
+// Package invariant watches the relays' side of every connection; Result.Broken has the rules that were broken. No
 // process outlives the rig, even if it is killed: the system ends them with the thread that started them. A run in
 // which a fault did nothing is an error, since it shows nothing. Linux only.
 package fleet
@@ -28,9 +28,9 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"aspenbarrow/internal/checker"
+	"aspenbarrow/internal/fault"
+	"aspenbarrow/internal/invariant"
 	"aspenbarrow/internal/loadstats"
-	"aspenbarrow/internal/trouble"
 	"aspenbarrow/internal/world"
 )
 
@@ -43,35 +43,35 @@
 //
 // Program, Length and Fleet's numbers of parties have to be set.
 type Options struct {
-	Program string          // the relay's, built already
-	Seed    uint64          // of what clients draw and of what faults strike
-	Length  time.Duration   // once all relays are ready
-	Fleet   world.Fleet     // the installation
-	Script  []trouble.Fault // what goes wrong
-	Look    func(v *View)   // called now and then while the run takes its course; nil: nobody looks
-	Keep    string          // a folder for the relays' files; empty: a temporary one that is removed
+	Program string        // the relay's, built already
+	Seed    uint64        // of what clients draw and of what faults strike
+	Length  time.Duration // once all relays are ready
+	Fleet   world.Fleet   // the installation
+	Script  []fault.Fault // what goes wrong
+	Look    func(v *View) // called now and then while the run takes its course; nil: nobody looks
+	Keep    string        // a folder for the relays' files; empty: a temporary one that is removed
 }
 
 // Result is what a run came to.
 type Result struct {
-	Program  string             `json:"program"`
-	Seed     uint64             `json:"seed"`
-	Ready    time.Duration      `json:"ready_ns"` // until all relays took clients
-	Service  []world.Second     `json:"service"`  // by second
-	Evenness []loadstats.Second `json:"evenness"` // of the load, by second
-	Faults   []Effect           `json:"faults"`
-	Broken   []string           `json:"broken,omitempty"` // rules
-	Counts   map[string]int     `json:"counts"`           // how often what came up
-	Waits    Waits              `json:"waits"`
-	Rates    Rates              `json:"rates"`
-	Usage    Usage              `json:"usage"`
-	Machine  []float64          `json:"machine"`  // processor seconds a second, of all relays
-	Attempts []int              `json:"attempts"` // by backend
+	Program    string             `json:"program"`
+	Seed       uint64             `json:"seed"`
+	Ready      time.Duration      `json:"ready_ns"` // until all relays took clients
+	Service    []world.Second     `json:"service"`  // by second
+	Evenness   []loadstats.Second `json:"evenness"` // of the load, by second
+	Faults     []Effect           `json:"faults"`
+	Violations []string           `json:"broken,omitempty"` // rules
+	Counts     map[string]int     `json:"counts"`           // how often what came up
+	Waits      Waits              `json:"waits"`
+	Rates      Rates              `json:"rates"`
+	Usage      Usage              `json:"usage"`
+	Machine    []float64          `json:"machine"`  // processor seconds a second, of all relays
+	Attempts   []int              `json:"attempts"` // by backend
 }
 
 // Effect is what a fault really did.
 type Effect struct {
-	trouble.Fault
+	fault.Fault
 	Began time.Duration  `json:"began_ns"` // since the run began
 	Ended time.Duration  `json:"ended_ns"` // likewise
 	Did   map[string]int `json:"did"`      // how often what; empty: nothing
@@ -142,7 +142,7 @@
 	logMu    sync.Mutex
 	log      loadstats.Recorder
 	checkMu  sync.Mutex
-	check    *checker.Checker
+	check    *invariant.Checker
 	tally    tally
 	clients  clients
 }
@@ -261,7 +261,7 @@
 }
 
 // Check returns an error if processes cannot play a fault of this kind.
-func Check(f *trouble.Fault) error {
+func Check(f *fault.Fault) error {
 	if _, ok := kinds[f.Kind]; !ok {
 		return fmt.Errorf("processes can't play %q", f.Kind)
 	}
@@ -346,7 +346,7 @@
 func (r *rig) shutDown() {
 	r.checked(func() {
 		for i := range r.relays {
-			r.check.RelayDown(i)
+			r.check.RelayStopped(i)
 		}
 	})
 	r.cancel()
@@ -366,18 +366,18 @@
 func idle(faults []Effect) (err error) {
 	for i := range faults {
 		if f := &faults[i]; len(f.Did) == 0 {
-			err = errors.Join(err, fmt.Errorf("%s: the fault %q at %v did nothing", where(&f.Fault), f.Kind, f.At))
+			err = errors.Join(err, fmt.Errorf("%s: the fault %q at %v did nothing", where(&f.Fault), f.Kind, f.Start))
 		}
 	}
 	return err
 }
 
 // where names the line of a script for a message.
-func where(f *trouble.Fault) string {
-	if f.Line == 0 {
+func where(f *fault.Fault) string {
+	if f.ScriptLine == 0 {
 		return "script"
 	}
-	return fmt.Sprintf("script line %d", f.Line)
+	return fmt.Sprintf("script line %d", f.ScriptLine)
 }
 
 // build opens the rig's sockets and sets up what stands around the relays.
@@ -399,7 +399,7 @@
 	}
 	r.ports.agent = agents.Addr().(*net.TCPAddr).Port
 	r.tally = newTally(f.Relays, f.Backends+16, r)
-	r.check = checker.New(rulesOf(f), f.Relays, r.now, func(d time.Duration, do func()) { r.in(d, func() { r.checked(do) }) })
+	r.check = invariant.New(rulesOf(f), f.Relays, r.now, func(d time.Duration, do func()) { r.in(d, func() { r.checked(do) }) })
 	for i := range f.Relays {
 		r.relays = append(r.relays, &relay{number: i, dir: filepath.Join(r.dir, fmt.Sprintf("n%03d", i))})
 	}
@@ -510,7 +510,7 @@
 	if err != nil {
 		return err
 	}
-	r.checked(func() { r.check.RelayUp(x.number, r.ports.agentAddr(x.number), nil) })
+	r.checked(func() { r.check.RelayStarted(x.number, r.ports.agentAddr(x.number), nil) })
 	p, err := r.nursery.start(r.opt.Program, x.dir, x.number, []string{"PROXY_CONFIG=" + path, "TMPDIR=" + filepath.Join(x.dir, "tmp"), "PATH=/usr/bin:/bin"})
 	if err != nil {
 		return err
@@ -524,7 +524,7 @@
 		killed := p.killed
 		r.mu.Unlock()
 		if !killed && r.ctx.Err() == nil {
-			r.checked(func() { r.check.RelayDown(x.number) })
+			r.checked(func() { r.check.RelayStopped(x.number) })
 			r.fail(fmt.Errorf("relay %d ended by itself: %w; its log ends with %s", x.number, p.err, tail(p.log)))
 		}
 	}()
@@ -543,7 +543,7 @@
 	if !ok {
 		return false
 	}
-	r.checked(func() { r.check.RelayDown(x.number) })
+	r.checked(func() { r.check.RelayStopped(x.number) })
 	p.signal(syscall.SIGKILL)
 	<-p.ended
 	r.front.lost(x.number)
@@ -567,7 +567,7 @@
 	r.in(3700*time.Millisecond, func() { p.signal(syscall.SIGKILL) })
 	go func() {
 		<-p.ended
-		r.checked(func() { r.check.RelayDown(x.number) })
+		r.checked(func() { r.check.RelayStopped(x.number) })
 		if r.ctx.Err() == nil {
 			then()
 		}
@@ -607,13 +607,13 @@
 		return false
 	}
 	if on {
-		r.checked(func() { r.check.Paused(x.number, true) })
+		r.checked(func() { r.check.SetRelayPaused(x.number, true) })
 		p.signal(syscall.SIGSTOP)
 		r.front.lost(x.number)
 		return true
 	}
 	p.signal(syscall.SIGCONT)
-	r.checked(func() { r.check.Paused(x.number, false) })
+	r.checked(func() { r.check.SetRelayPaused(x.number, false) })
 	r.in(300*time.Millisecond, func() { r.front.set(x.number, true) })
 	return true
 }
@@ -669,7 +669,7 @@
 	for {
 		select {
 		case <-sweep:
-			r.checked(r.check.Sweep)
+			r.checked(r.check.CheckOverdue)
 			res.Service = append(res.Service, r.clients.measure())
 			now := r.total()
 			res.Machine = append(res.Machine, (now - last).Seconds())
@@ -694,8 +694,8 @@
 	r.mu.Unlock()
 	r.logged(func(l *loadstats.Recorder) { res.Evenness = l.PerSecond(length.Truncate(time.Second)) })
 	r.checked(func() {
-		for _, b := range r.check.Broken {
-			res.Broken = append(res.Broken, b.String())
+		for _, b := range r.check.Violations {
+			res.Violations = append(res.Violations, b.String())
 		}
 		for what, n := range r.check.Counts {
 			res.Counts[what] += n
--- a/internal/rehearsal/golden_test.go
+++ b/internal/scenario/golden_test.go
@@ -1,4 +1,4 @@
-package rehearsal
+package scenario
 
 import (
 	"bytes"
@@ -9,7 +9,7 @@
 	"reflect"
 	"testing"
 
-	"aspenbarrow/internal/trouble"
+	"aspenbarrow/internal/fault"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
@@ -64,7 +64,7 @@
 }
 
 // A stored script with every key comes to the stored faults, and those are read and written again to the same bytes.
-func TestIncidents_Golden(t *testing.T) {
+func TestParse_IncidentsMatchGolden(t *testing.T) {
 	const script, faults = "testdata/everything.golden.toml", "testdata/incidents.golden.json"
 	if *update {
 		if err := os.WriteFile(script, everything(), 0o644); err != nil {
@@ -98,7 +98,7 @@
 	if !bytes.Equal(got, want) {
 		t.Errorf("the script comes to\n%s\nstored is\n%s", got, want)
 	}
-	var kept []trouble.Fault
+	var kept []fault.Fault
 	d := json.NewDecoder(bytes.NewReader(want))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&kept); err != nil {
--- a/internal/rehearsal/incidents_test.go
+++ b/internal/scenario/incident_test.go
@@ -1,4 +1,4 @@
-package rehearsal
+package scenario
 
 import (
 	"os"
@@ -8,10 +8,10 @@
 	"testing"
 	"time"
 
-	"aspenbarrow/internal/trouble"
+	"aspenbarrow/internal/fault"
 )
 
-const sound = `name = "x"
+const validScript = `name = "x"
 length = "30s"
 [fleet]
 relays = 10
@@ -25,8 +25,8 @@
 set-up-work = "4ms"
 `
 
-func TestGroupsAndLinks(t *testing.T) {
-	s, err := Parse("s", []byte(sound+`[[group]]
+func TestParse_ResolvesGroupsAndLinks(t *testing.T) {
+	s, err := Parse("s", []byte(validScript+`[[group]]
 name = "east"
 relays = "0-2, 7"
 backends = "1"
@@ -47,22 +47,22 @@
 		t.Fatal(err)
 	}
 	f := s.faults()
-	if l := f[0].Link; f[0].Line != 17 || !l.Touches(trouble.Relays, 7, trouble.Backends, 1) || l.Touches(trouble.Relays, 3, trouble.Backends, 1) ||
-		l.Touches(trouble.Relays, 7, trouble.Backends, 0) || l.Touches(trouble.Backends, 1, trouble.Relays, 7) {
-		t.Errorf("line %d, %+v", f[0].Line, l)
+	if l := f[0].Link; f[0].ScriptLine != 17 || !l.Affects(fault.Relays, 7, fault.Backends, 1) || l.Affects(fault.Relays, 3, fault.Backends, 1) ||
+		l.Affects(fault.Relays, 7, fault.Backends, 0) || l.Affects(fault.Backends, 1, fault.Relays, 7) {
+		t.Errorf("line %d, %+v", f[0].ScriptLine, l)
 	}
-	if f[1].Line != 24 || !slices.Equal(f[1].Hit, []int{0, 1, 2, 7}) || f[1].At != 9*time.Second {
+	if f[1].ScriptLine != 24 || !slices.Equal(f[1].Targets, []int{0, 1, 2, 7}) || f[1].Start != 9*time.Second {
 		t.Errorf("%+v", f[1])
 	}
-	if faults := s.Playable("s", true); faults != nil {
+	if faults := s.CheckPlayable("s", true); faults != nil {
 		t.Errorf("processes: %v", faults)
 	}
-	if faults := s.Playable("s", false); len(faults) != 1 || !strings.Contains(faults[0].Error(), "s:24: ") {
+	if faults := s.CheckPlayable("s", false); len(faults) != 1 || !strings.Contains(faults[0].Error(), "s:24: ") {
 		t.Errorf("the virtual clock: %v", faults)
 	}
 }
 
-func TestUnsoundIncidentsAreRefusedWithTheirLine(t *testing.T) {
+func TestParse_RejectsInvalidIncidentsWithLine(t *testing.T) {
 	for _, tc := range []struct{ text, want string }{
 		{"[[incident]]\nkind = \"lnik\"\n", "s:13: incident[0].kind: there is no \"lnik\""},
 		{"[[incident]]\nkind = \"link\"\nfrom = \"relays\"\nto = \"backends\"\ncutt = true\n", "cutt: no such key"},
@@ -82,14 +82,14 @@
 		{"[[incident]]\nkind = \"relays paused\"\ngroup = \"none\"\n", "group: there is none of the name \"none\""},
 		{"[[group]]\nname = \"b\"\nbackends = \"1\"\n[[incident]]\nkind = \"relays paused\"\ngroup = \"b\"\n", "has none of those that are struck"},
 	} {
-		_, err := Parse("s", []byte(sound+tc.text))
+		_, err := Parse("s", []byte(validScript+tc.text))
 		if err == nil || !strings.Contains(err.Error(), tc.want) {
 			t.Errorf("%q: told %v, wanted is %q", tc.text, err, tc.want)
 		}
 	}
 }
 
-func TestScriptsForProcessesAreSound(t *testing.T) {
+func TestScript_ShippedScriptsArePlayableOnProcesses(t *testing.T) {
 	paths, err := filepath.Glob("../../example/rehearsals/fleet/*.toml")
 	if err != nil || len(paths) < 6 {
 		t.Fatalf("%v, %v", paths, err)
@@ -103,15 +103,15 @@
 		if err != nil {
 			t.Error(err)
 		}
-		for _, err := range s.Playable(p, true) {
+		for _, err := range s.CheckPlayable(p, true) {
 			t.Error(err)
 		}
 	}
 }
 
 // The same script on the virtual clock: a cut between some relays and some servers costs those and leaves the rest.
-func TestALinkIsCutOnTheVirtualClockToo(t *testing.T) {
-	text := sound + "connection-load = 0.1\nreport-every = \"1s\"\n" + `[[group]]
+func TestPlay_PartitionsLinkOnVirtualClock(t *testing.T) {
+	text := validScript + "connection-load = 0.1\nreport-every = \"1s\"\n" + `[[group]]
 name = "some"
 relays = "0-4"
 [[incident]]
@@ -128,8 +128,8 @@
 		t.Fatal(err)
 	}
 	o := Play(s, 3)
-	before, during := share(o.Seconds[8:12]), share(o.Seconds[14:19])
-	if before < 0.9 || during > before-0.1 || len(o.Broken) > 0 {
-		t.Errorf("service %.3f, then %.3f, broken %v", before, during, o.Broken)
+	before, during := serviceOf(o.Seconds[8:12]), serviceOf(o.Seconds[14:19])
+	if before < 0.9 || during > before-0.1 || len(o.Violations) > 0 {
+		t.Errorf("service %.3f, then %.3f, broken %v", before, during, o.Violations)
 	}
 }
--- /dev/null
+++ b/internal/scenario/script.go
@@ -0,0 +1,260 @@
+// Package scenario plays scripted faults against an installation and measures the service that its clients get,
+// second by second from the first.
+//
+// A script is a TOML file that describes the installation and its incidents; unknown keys are errors. It is played
+// on a virtual clock (package world) or on processes in real time (package fleet). Experiment compares policies on
+// the virtual clock, Alternate programs on processes, both on the same seeds. The package injects no faults and
+// checks no rules by itself; its drivers do.
+package scenario
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"strings"
+	"time"
+
+	"github.com/pelletier/go-toml/v2"
+
+	"aspenbarrow/internal/emulator"
+	"aspenbarrow/internal/fault"
+	"aspenbarrow/internal/world"
+)
+
+// duration is a time as scripts write it: "15s".
+type duration time.Duration
+
+// UnmarshalText reads a time with its unit.
+func (d *duration) UnmarshalText(text []byte) error {
+	v, err := time.ParseDuration(string(text))
+	if err == nil && v < 0 {
+		err = errors.New("less than nothing")
+	}
+	*d = duration(v)
+	return err
+}
+
+// Script is one scenario: an installation and what happens to it.
+type Script struct {
+	Name      string     `toml:"name"`
+	Seed      uint64     `toml:"seed"`
+	Length    duration   `toml:"length"`
+	Fleet     Fleet      `toml:"fleet"`
+	Server    Server     `toml:"server"`
+	Shared    Dependency `toml:"shared"`
+	Groups    []Group    `toml:"group"`
+	Incidents []Incident `toml:"incident"`
+}
+
+// Fleet is the table [fleet]: how many relays, backends and clients there are, and how they behave.
+type Fleet struct {
+	Relays   int `toml:"relays"`
+	Backends int `toml:"backends"`
+	Clients  int `toml:"clients"`
+
+	ArrivalPeriod    duration   `toml:"rush"`      // the first clients connect within this; 0: defaultArrivalPeriod
+	SessionDuration  []duration `toml:"stay"`      // the shortest and the longest; none: shortestSession and longestSession
+	ReconnectDelay   duration   `toml:"return"`    // a client whose connection broke reconnects within this; 0: 300 ms
+	HotKeyShare      float64    `toml:"hot-key"`   // share of the clients that have one key
+	HotRelayShare    float64    `toml:"hot-relay"` // share of the clients that connect to the first relay
+	NoLoadReports    bool       `toml:"no-reports"`
+	NoGossip         bool       `toml:"no-peers"`
+	Membership       bool       `toml:"membership"` // relays find out which of them are running
+	AdvertiseWeights bool       `toml:"weights"`    // the endpoint list has the servers' sizes
+}
+
+// Server is the table [server]: what the backends' machines can do.
+type Server struct {
+	Cores          float64  `toml:"cores"`
+	Speed          float64  `toml:"speed"`
+	Queue          int      `toml:"queue"`
+	Backlog        int      `toml:"backlog"`
+	SessionWork    duration `toml:"set-up-work"`     // to establish a session, on a nominal core
+	LineWork       duration `toml:"line-work"`       // to answer a line, on a nominal core
+	ConnectionLoad float64  `toml:"connection-load"` // of an established session, in cores
+	ReportEvery    duration `toml:"report-every"`
+	ReportNoise    float64  `toml:"report-noise"`
+
+	Sizes           []float64 `toml:"sizes"`      // by turns, as multiples of Cores
+	LateReportShare float64   `toml:"late-share"` // share of the servers whose reports are late by ReportDelay as well
+	ReportDelay     duration  `toml:"late-by"`
+}
+
+// Dependency is the table [shared]: a dependency that all servers share.
+type Dependency struct {
+	Places int      `toml:"places"` // concurrent uses; 0: there is no such dependency
+	Hold   duration `toml:"hold"`   // of a place, by one use
+}
+
+// Group is one table [[group]]: relays and backends under a name.
+type Group struct {
+	Name     string `toml:"name"`
+	Relays   string `toml:"relays"`   // indexes from 0 and ranges of them: "0-39,77"
+	Backends string `toml:"backends"` // likewise
+}
+
+// Incident is one table [[incident]]: a fault as scripts write it.
+type Incident struct {
+	Kind     string   `toml:"kind"`
+	Start    duration `toml:"at"`
+	Duration duration `toml:"for"`
+	Target   int      `toml:"who"`
+	Severity float64  `toml:"much"`
+	Group    string   `toml:"group"` // the relays or backends of this group, in place of Target and Severity
+
+	// Of a link: relays, backends, discovery or clients, perhaps with a group: "relays:east".
+	From          string   `toml:"from"`
+	To            string   `toml:"to"`
+	Bidirectional bool     `toml:"both"`
+	Partitioned   bool     `toml:"cut"`
+	Buffered      bool     `toml:"hold"`
+	LossRate      float64  `toml:"loss"`
+	DuplicateRate float64  `toml:"double"`
+	ReorderRate   float64  `toml:"reorder"`
+	Delay         duration `toml:"delay"`
+	Jitter        duration `toml:"jitter"`
+
+	fault fault.Fault // with groups resolved
+}
+
+// Parse reads a script. The error joins all that is wrong with it, each with the script's name and, where it is known,
+// the line.
+func Parse(name string, text []byte) (Script, error) {
+	var s Script
+	decoder := toml.NewDecoder(bytes.NewReader(text))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(&s); err != nil {
+		return s, decodeError(name, err)
+	}
+	errs := s.validate(name)
+	errs = append(errs, s.resolveIncidents(name, text)...)
+	return s, errors.Join(errs...)
+}
+
+// decodeError adds the script's name and the position to an error of the decoder.
+func decodeError(name string, err error) error {
+	var strict *toml.StrictMissingError
+	var decode *toml.DecodeError
+	switch {
+	case errors.As(err, &strict):
+		var errs []error
+		for _, e := range strict.Errors {
+			line, column := e.Position()
+			errs = append(errs, fmt.Errorf("%s:%d:%d: %s: no such key", name, line, column, strings.Join(e.Key(), ".")))
+		}
+		return errors.Join(errs...)
+	case errors.As(err, &decode):
+		line, column := decode.Position()
+		return fmt.Errorf("%s:%d:%d: %w", name, line, column, err)
+	}
+	return fmt.Errorf("%s: %w", name, err)
+}
+
+// validate returns an error for each figure of the installation that is out of its range.
+func (s *Script) validate(name string) (errs []error) {
+	reject := func(format string, args ...any) { errs = append(errs, fmt.Errorf(name+": "+format, args...)) }
+	for _, f := range s.ranges() {
+		if f.value < f.least || f.value > f.most {
+			reject("%s is %v, wanted is %v to %v", f.key, f.value, f.least, f.most)
+		}
+	}
+	if d := s.Fleet.SessionDuration; len(d) != 0 && (len(d) != 2 || d[0] > d[1] || d[1] == 0) {
+		reject("fleet.stay: two times are wanted, the shorter one first")
+	}
+	for _, size := range s.Server.Sizes {
+		if size < 0.01 || size > 100 {
+			reject("server.sizes: %v, wanted is 0.01 to 100", size)
+		}
+	}
+	return errs
+}
+
+// valueRange is a figure of a script and the range it may be in.
+type valueRange struct {
+	key         string
+	value       float64
+	least, most float64
+}
+
+func (s *Script) ranges() []valueRange {
+	return []valueRange{
+		{"length in seconds", time.Duration(s.Length).Seconds(), 10, 3600},
+		{"fleet.relays", float64(s.Fleet.Relays), 1, 1000},
+		{"fleet.backends", float64(s.Fleet.Backends), 1, 1000},
+		{"fleet.clients", float64(s.Fleet.Clients), 1, 1e6},
+		{"server.cores", s.Server.Cores, 0.1, 1024},
+		{"server.speed", s.Server.Speed, 0.01, 100},
+		{"server.queue", float64(s.Server.Queue), 1, 1e6},
+		{"server.backlog", float64(s.Server.Backlog), 0, 1e6},
+		{"server.set-up-work in seconds", time.Duration(s.Server.SessionWork).Seconds(), 1e-6, 60},
+		{"server.connection-load", s.Server.ConnectionLoad, 0, 1024},
+		{"server.report-noise", s.Server.ReportNoise, 0, 1},
+		{"fleet.hot-key", s.Fleet.HotKeyShare, 0, 1},
+		{"fleet.hot-relay", s.Fleet.HotRelayShare, 0, 1},
+		{"server.late-share", s.Server.LateReportShare, 0, 1},
+		{"shared.places", float64(s.Shared.Places), 0, 1e6},
+	}
+}
+
+// What scripts need not say of an installation.
+const (
+	defaultArrivalPeriod = 2500 * time.Millisecond
+	shortestSession      = 2 * time.Second
+	longestSession       = 25 * time.Second
+
+	// A backend that has just started can do coldCapacity of what it can do after warmUp, and falls over if it gets
+	// overloadFactor of that for overloadSpan, as the service's backends do.
+	coldCapacity   = 0.3
+	warmUp         = 8 * time.Second
+	overloadFactor = 2.5
+	overloadSpan   = 3 * time.Second
+
+	// minWarmRate is the least rate of requests, by second, that a warm backend is taken to bear.
+	minWarmRate = 4
+	// clientsPerOpen is how many clients of a backend make up one request a second.
+	clientsPerOpen = 3
+)
+
+// installation returns the installation that the script describes, as both drivers take it.
+func (s *Script) installation() *world.Fleet {
+	server, fleet := &s.Server, &s.Fleet
+	return &world.Fleet{
+		Relays: fleet.Relays, Backends: fleet.Backends, Clients: fleet.Clients,
+		Server: emulator.Config{
+			Cores: server.Cores, Speed: server.Speed, MaxRequests: server.Queue, Backlog: server.Backlog,
+			ColdCapacity: coldCapacity, WarmUpTime: warmUp, ColdCrashFactor: overloadFactor, ColdCrashWindow: overloadSpan,
+			ReportInterval: time.Duration(server.ReportEvery), ReportNoise: server.ReportNoise,
+			WarmRequestRate: max(minWarmRate, float64(fleet.Clients)/float64(fleet.Backends)/clientsPerOpen),
+		},
+		SetUpWork: time.Duration(server.SessionWork).Seconds(), LineWork: time.Duration(server.LineWork).Seconds(),
+		ConnLoad:   server.ConnectionLoad,
+		PoolPlaces: s.Shared.Places, PoolHold: time.Duration(s.Shared.Hold),
+		Rush: fleet.arrivalPeriod(), Stay: fleet.sessionDuration(), Return: time.Duration(fleet.ReconnectDelay),
+		HotKey: fleet.HotKeyShare, HotRelay: fleet.HotRelayShare,
+		LateShare: server.LateReportShare, LateBy: time.Duration(server.ReportDelay), Sizes: server.Sizes,
+		Weights: fleet.AdvertiseWeights, Silent: fleet.NoLoadReports, Peers: !fleet.NoGossip, Membership: fleet.Membership,
+	}
+}
+
+func (f *Fleet) arrivalPeriod() time.Duration {
+	if f.ArrivalPeriod == 0 {
+		return defaultArrivalPeriod
+	}
+	return time.Duration(f.ArrivalPeriod)
+}
+
+func (f *Fleet) sessionDuration() [2]time.Duration {
+	if len(f.SessionDuration) != 2 {
+		return [2]time.Duration{shortestSession, longestSession}
+	}
+	return [2]time.Duration{time.Duration(f.SessionDuration[0]), time.Duration(f.SessionDuration[1])}
+}
+
+// faults returns the incidents as drivers play them. It is never nil, with which a driver would draw faults itself.
+func (s *Script) faults() []fault.Fault {
+	faults := make([]fault.Fault, len(s.Incidents))
+	for i := range s.Incidents {
+		faults[i] = s.Incidents[i].fault
+	}
+	return faults
+}
--- a/internal/world/shrink.go
+++ b/internal/world/shrink.go
@@ -12,10 +12,10 @@
 func Shrink(opt Options, told func(script []Fault)) ([]Fault, string) {
 	opt.Trace = nil
 	first := Run(opt)
-	if len(first.Broken) == 0 {
+	if len(first.Violations) == 0 {
 		return nil, ""
 	}
-	rule := first.Broken[0].Rule
+	rule := first.Violations[0].Rule
 	script := slices.Clone(first.Faults)
 	fails := func(s []Fault) bool {
 		o := opt
@@ -23,7 +23,7 @@
 		if s == nil {
 			o.Script = []Fault{}
 		}
-		for _, b := range Run(o).Broken {
+		for _, b := range Run(o).Violations {
 			if b.Rule == rule {
 				return true
 			}
@@ -47,14 +47,14 @@
 		}
 		for i := range script { // for half as long, or half as bad
 			s := slices.Clone(script)
-			s[i].For /= 2
-			if s[i].For >= 100*time.Millisecond && fails(s) {
+			s[i].Duration /= 2
+			if s[i].Duration >= 100*time.Millisecond && fails(s) {
 				keep(s)
 				again = true
 			}
 			s = slices.Clone(script)
-			s[i].Much /= 2
-			if s[i].Much > 0.05 && fails(s) {
+			s[i].Severity /= 2
+			if s[i].Severity > 0.05 && fails(s) {
 				keep(s)
 				again = true
 			}
