--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -14,8 +14,8 @@
 	"go.uber.org/zap"
 
 	"aspenbarrow/balance"
-	"aspenbarrow/internal/fake"
 	"aspenbarrow/internal/controller"
+	"aspenbarrow/internal/fake"
 	"aspenbarrow/internal/handshake"
 	"aspenbarrow/internal/session"
 	"aspenbarrow/internal/settings"
