--- a/cmd/aspenbarrow/main_test.go
+++ b/cmd/aspenbarrow/main_test.go
@@ -7,6 +7,7 @@
 	"errors"
 	"fmt"
 	"io"
+	"maps"
 	"net"
 	"os"
 	"os/exec"
@@ -78,6 +79,9 @@
 	replace   [2]string // in the configuration's text
 	env       []string  // beyond what names the file
 	memory    int       // MB; 192 where not said
+
+	program string         // path of another build of the program; the test binary where not said
+	more    map[string]any // keys of the configuration beyond the usual ones, or in place of them
 }
 
 // start runs the program and waits until it says where it listens.
@@ -113,11 +117,13 @@
 	if s.memory == 0 {
 		s.memory = 192
 	}
-	text, err := json.Marshal(map[string]any{"name": "n0", "listen": "127.0.0.1:0", "discovery": s.discovery,
+	config := map[string]any{"name": "n0", "listen": "127.0.0.1:0", "discovery": s.discovery,
 		"seed": "8c1f30d27a5be964", "limits": map[string]any{"cores": 1.0, "memory_mb": s.memory, "sockets": s.sockets},
 		"peer_listen": "127.0.0.1:0", "peers": []string{"127.0.0.1:9"}, "peers_all": "127.0.0.1:9",
 		"known":    json.RawMessage(standin.List(1, s.known)),
-		"settings": json.RawMessage(strings.Replace(settingsText, "MODE", s.mode, 1))})
+		"settings": json.RawMessage(strings.Replace(settingsText, "MODE", s.mode, 1))}
+	maps.Copy(config, s.more)
+	text, err := json.Marshal(config)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -136,11 +142,14 @@
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	s.configure(t, path)
-	self, err := os.Executable()
-	if err != nil {
-		t.Fatal(err)
+	if s.program == "" {
+		self, err := os.Executable()
+		if err != nil {
+			t.Fatal(err)
+		}
+		s.program = self
 	}
-	p := &program{t: t, path: path, cmd: exec.Command(self), log: &syncBuffer{}, done: make(chan error, 1)}
+	p := &program{t: t, path: path, cmd: exec.Command(s.program), log: &syncBuffer{}, done: make(chan error, 1)}
 	p.cmd.Env = append(os.Environ(), "ASPENBARROW_TEST_RUN=1", "PROXY_CONFIG="+path,
 		"PROXY_NAME=", "PROXY_LISTEN=", "PROXY_DISCOVERY=")
 	p.cmd.Env = append(p.cmd.Env, s.env...)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -46,6 +46,10 @@
 	Script  []trouble.Fault
 	Look    func(v *View) // called now and then while the run takes its course; nil: nobody looks
 	Keep    string        // a folder for the relays' files; empty: a temporary one that is removed
+
+	// ProgramOf names the program, by an absolute path, that a relay's process runs: start 0 is the relay's first process,
+	// 1 the one after its first restart. It may be called from several goroutines at once. nil: Program for all.
+	ProgramOf func(relay, start int) string
 }
 
 // Result is what a run came to.
@@ -107,6 +111,7 @@
 	proc   *process
 	paused bool
 	down   bool // killed, or to be started late
+	starts int  // of processes so far
 }
 
 type rig struct {
@@ -483,7 +488,7 @@
 		return err
 	}
 	r.checked(func() { r.check.RelayUp(x.number, r.ports.agentAddr(x.number), nil) })
-	p, err := r.nursery.start(r.opt.Program, x.dir, x.number, []string{"PROXY_CONFIG=" + path, "TMPDIR=" + filepath.Join(x.dir, "tmp"), "PATH=/usr/bin:/bin"})
+	p, err := r.nursery.start(r.programOf(x), x.dir, x.number, []string{"PROXY_CONFIG=" + path, "TMPDIR=" + filepath.Join(x.dir, "tmp"), "PATH=/usr/bin:/bin"})
 	if err != nil {
 		return err
 	}
@@ -503,6 +508,18 @@
 	return nil
 }
 
+// programOf is the program that the relay's next process runs.
+func (r *rig) programOf(x *relay) string {
+	r.mu.Lock()
+	start := x.starts
+	x.starts++
+	r.mu.Unlock()
+	if r.opt.ProgramOf == nil {
+		return r.opt.Program
+	}
+	return r.opt.ProgramOf(x.number, start)
+}
+
 // kill ends a relay's process at once.
 func (r *rig) kill(x *relay) bool {
 	r.mu.Lock()
--- /dev/null
+++ b/internal/fleet/versions_test.go
@@ -0,0 +1,164 @@
+package fleet
+
+import (
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"aspenbarrow/internal/trouble"
+)
+
+// otherProgramVariable names the path of another build of the relay's program, such as that of the release before. Unset,
+// the program under test stands in for both.
+const otherProgramVariable = "ASPENBARROW_OTHER_PROGRAM"
+
+func otherProgram(t *testing.T) string {
+	t.Helper()
+	path := os.Getenv(otherProgramVariable)
+	if path == "" {
+		return program
+	}
+	path, err := filepath.Abs(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if info, err := os.Stat(path); err != nil || info.IsDir() || info.Mode()&0o111 == 0 {
+		t.Fatalf("%s=%s cannot be executed: %v", otherProgramVariable, path, err)
+	}
+	return path
+}
+
+// memberPoll asks all relays for their views of the members, again and again.
+type memberPoll struct {
+	relays int
+	cut    []int // who is cut off from all others for a while
+	mu     sync.Mutex
+	rounds int           // in which all answered
+	one    time.Duration // since when all have had one view, of all alive; 0: they have not
+	views  []string      // of the last round, by relay
+	dead   time.Duration // when all others first held dead who is cut off; 0: they have not
+	wrong  map[int]int   // those whom anybody held dead who was not cut off, as they were not, and how often
+}
+
+// parseMembers reads what a relay answers to MEMBERS: the states by member, and as a text all that has to be the same at
+// all relays, which is member, name, state and incarnation.
+func parseMembers(lines []string) (text string, states []string) {
+	if len(lines) < 3 || lines[0] != "SUCCESS" {
+		return "", nil
+	}
+	var b strings.Builder
+	for _, line := range lines[2:] {
+		for _, field := range strings.Fields(line) {
+			switch key, value, _ := strings.Cut(field, "="); key {
+			case "state":
+				states = append(states, value)
+				b.WriteString(value + " ")
+			case "member", "name", "incarnation":
+				b.WriteString(value + " ")
+			}
+		}
+		b.WriteString("\n")
+	}
+	return b.String(), states
+}
+
+func (c *memberPoll) look(v *View) {
+	views, states := make([]string, c.relays), make([][]string, c.relays)
+	var wg sync.WaitGroup
+	for i := range c.relays {
+		wg.Go(func() {
+			if v.Running(i) {
+				if lines, err := v.Ask(i, "MEMBERS"); err == nil {
+					views[i], states[i] = parseMembers(lines)
+				}
+			}
+		})
+	}
+	wg.Wait()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.views = views
+	one, all, told := true, true, true
+	for i := range c.relays {
+		all = all && views[i] != ""
+		one = one && views[i] == views[0] && len(states[i]) == c.relays
+		for j, state := range states[i] {
+			one = one && state == "alive"
+			switch off := slices.Contains(c.cut, j); {
+			case slices.Contains(c.cut, i): // it hears nobody
+			case off:
+				told = told && state == "dead"
+			case state == "dead":
+				c.wrong[j]++
+			}
+		}
+	}
+	if all {
+		c.rounds++
+	}
+	if all && told && c.dead == 0 {
+		c.dead = v.Since()
+	}
+	switch {
+	case !one:
+		c.one = 0
+	case c.one == 0:
+		c.one = v.Since()
+	}
+}
+
+// Half of a cluster's relays run another version of the program. Under load half of either version restart as the other,
+// then one of either is cut off from all relays. No rule is broken, no client loses its connection to a restart, who is cut
+// off, and nobody else, is held dead, and in the end all come to one view of the members.
+func TestFleet_MixedVersions(t *testing.T) {
+	t.Parallel()
+	const relays, restarted = 12, 6
+	other := otherProgram(t)
+	var mu sync.Mutex
+	var starts [2][2]int // by the program's version, first starts and later ones
+	programOf := func(relay, start int) string {
+		version := (relay + start) % 2
+		mu.Lock()
+		defer mu.Unlock()
+		starts[version][min(start, 1)]++
+		return []string{program, other}[version]
+	}
+	const cutFrom, cutFor = 13 * time.Second, 8 * time.Second
+	c := &memberPoll{relays: relays, cut: []int{1, 2}, wrong: map[int]int{}}
+	script := []trouble.Fault{
+		{Kind: "rolling restart", At: 3 * time.Second, For: 6 * time.Second, Hit: []int{0, 1, 2, 3, 4, 5}},
+		{Kind: "link", At: cutFrom, For: cutFor, Link: &trouble.Link{From: trouble.Party{Kind: trouble.Relays, Who: c.cut},
+			To: trouble.Party{Kind: trouble.Relays}, Both: true, Cut: true}}}
+	f := small(relays, 6, 96)
+	f.Membership = true
+	res := play(t, Options{Length: 28 * time.Second, Fleet: f, Script: script, Look: c.look, ProgramOf: programOf})
+	t.Logf("%d and %d relays of the two programs, %d and %d restarts into them; %d connections up, %d moved, %d lost, %d failed, service %.3f; %.0f datagrams a second, faults did %v and %v",
+		starts[0][0], starts[1][0], starts[0][1], starts[1][1], res.Counts["served"], res.Counts["moved"], res.Counts["connection lost"],
+		res.Counts["failed"], service(res, 3, 28), res.Rates.Datagrams, res.Faults[0].Did, res.Faults[1].Did)
+	t.Logf("dead to all others %v after the cut began, one view %v after its end; %d rounds in which all answered", c.dead-cutFrom, c.one-cutFrom-cutFor, c.rounds)
+	if want := [2][2]int{{relays / 2, restarted / 2}, {relays / 2, restarted / 2}}; starts != want {
+		t.Errorf("starts by program, first and later ones: %v, wanted are %v", starts, want)
+	}
+	if n := res.Faults[0].Did["struck"]; n != restarted {
+		t.Errorf("%d relays were restarted, wanted are %d", n, restarted)
+	}
+	if n := res.Counts["connection lost"]; n > 0 {
+		t.Errorf("%d connections lost", n)
+	}
+	if s := service(res, 3, 28); s < 0.9 {
+		t.Errorf("service %.3f", s)
+	}
+	for i, n := range c.wrong {
+		t.Errorf("relay %d was held dead in %d answers", i, n)
+	}
+	if c.dead < cutFrom || c.dead > cutFrom+7*time.Second {
+		t.Errorf("who was cut off from %v on was held dead by all others at %v", cutFrom, c.dead)
+	}
+	if c.one < cutFrom+cutFor || c.one > cutFrom+cutFor+6*time.Second {
+		t.Errorf("the cut ended at %v, one view since %v; the last views:\n%s", cutFrom+cutFor, c.one, strings.Join(c.views, "\n"))
+	}
+}
