--- a/cmd/aspenlab/seeds.go
+++ b/cmd/aspenlab/seeds.go
@@ -34,10 +34,10 @@
 	opt             world.Options
 }
 
-// errFailed is the result of a command whose runs broke a rule.
+// errFailed is the error of a command whose runs had violations.
 var errFailed = errors.New("a rule is broken")
 
-// seedsCommand plays seeds. It fails when a rule is broken and, with --complete, when a kind of trouble never came up.
+// seedsCommand plays seeds. It fails when a rule is broken and, with --complete, when a kind of fault never came up.
 func seedsCommand() *cobra.Command {
 	f := &seedsFlags{}
 	c := &cobra.Command{Use: "seeds", Short: "Play the relay on a virtual clock, a world from each seed, and hold every rule",
@@ -49,9 +49,9 @@
 				return err
 			}
 			if f.replay >= 0 {
-				return f.again(c.OutOrStdout())
+				return f.replaySeed(c.OutOrStdout())
 			}
-			return f.batch(c.OutOrStdout(), c.ErrOrStderr())
+			return f.runBatch(c.OutOrStdout(), c.ErrOrStderr())
 		}}
 	c.Flags().Uint64Var(&f.from, "from", 0, "the first seed")
 	c.Flags().IntVar(&f.count, "count", 100, "how many seeds")
@@ -69,57 +69,68 @@
 	return c
 }
 
-// options reads what the runs have in common.
-func (f *seedsFlags) options() error {
+// timedClasses are the classes of a --timing file that give those of the simulation their timing, in their order.
+var timedClasses = []string{"watch", "fetch", "submit"}
+
+// options reads the files that the runs have in common.
+func (f *seedsFlags) options() (err error) {
 	f.opt = world.Options{Length: f.length}
 	if f.script != "" {
-		text, err := os.ReadFile(f.script)
-		if err != nil {
+		if f.opt.Script, err = readFaults(f.script); err != nil {
 			return err
 		}
-		d := json.NewDecoder(bytes.NewReader(text))
-		d.DisallowUnknownFields()
-		if err := d.Decode(&f.opt.Script); err != nil {
-			return fmt.Errorf("%s: %w", f.script, err)
-		}
-		for _, s := range f.opt.Script {
-			if !slices.Contains(world.Kinds(), s.Kind) {
-				return fmt.Errorf("%s: there is no fault %q", f.script, s.Kind)
-			}
-		}
 	}
 	if f.timing != "" {
-		cfg, err := config.Read(f.timing, func(string) string { return "" }, false)
+		f.opt.Timings, err = readTimings(f.timing)
+	}
+	return err
+}
+
+// readFaults reads a JSON file with a list of faults.
+func readFaults(path string) (faults []world.Fault, err error) {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return nil, err
+	}
+	d := json.NewDecoder(bytes.NewReader(text))
+	d.DisallowUnknownFields()
+	if err := d.Decode(&faults); err != nil {
+		return nil, fmt.Errorf("%s: %w", path, err)
+	}
+	for i := range faults {
+		if !slices.Contains(world.Kinds(), faults[i].Kind) {
+			return nil, fmt.Errorf("%s: there is no fault %q", path, faults[i].Kind)
+		}
+	}
+	return faults, nil
+}
+
+// readTimings reads the retry policies of timedClasses from a configuration.
+func readTimings(path string) (timings []balance.RetryPolicy, err error) {
+	cfg, err := config.Read(path, func(string) string { return "" }, false)
+	if err != nil {
+		return nil, err
+	}
+	for _, class := range timedClasses {
+		request, err := cfg.Request(class, "", "", "", "line")
 		if err != nil {
-			return err
+			return nil, fmt.Errorf("%s: %w", path, err)
 		}
-		for _, name := range []string{"watch", "fetch", "submit"} {
-			q, err := cfg.Request(name, "", "", "", "line")
-			if err != nil {
-				return fmt.Errorf("%s: %w", f.timing, err)
-			}
-			var t balance.RetryPolicy
-			if r := cfg.Relay.Routes.Pick(q); r != nil {
-				t = r.RetryPolicy
-			}
-			f.opt.Timings = append(f.opt.Timings, t)
+		var timing balance.RetryPolicy
+		if route := cfg.Relay.Routes.Pick(request); route != nil {
+			timing = route.RetryPolicy
 		}
+		timings = append(timings, timing)
 	}
-	return nil
+	return timings, nil
 }
 
-// again plays one seed.
-func (f *seedsFlags) again(out io.Writer) (err error) {
+// replaySeed plays one seed again, or shrinks its faults.
+func (f *seedsFlags) replaySeed(out io.Writer) (err error) {
 	opt := f.opt
 	opt.Seed = uint64(f.replay)
 	if f.shrink {
-		script, rule := world.Shrink(opt, func(s []world.Fault) { fmt.Fprintf(out, "still fails with %d faults\n", len(s)) })
-		if rule == "" {
-			fmt.Fprintf(out, "seed %d breaks no rule\n", opt.Seed)
-			return nil
-		}
-		fmt.Fprintf(out, "seed %d breaks %s with\n%s", opt.Seed, rule, batch.FormatScript(script))
-		return errFailed
+		return shrinkSeed(out, opt)
 	}
 	if f.trace {
 		w := bufio.NewWriter(out)
@@ -130,42 +141,38 @@
 		}()
 		opt.Trace = w
 	}
-	res := world.Run(opt)
+	result := world.Run(opt)
 	if !f.trace {
-		fmt.Fprintf(out, "seed %d: %d relays, %d backends, %d clients\n%s", res.Seed, res.Relays, res.Backends, res.Clients,
-			batch.FormatScript(res.Faults))
+		fmt.Fprintf(out, "seed %d: %d relays, %d backends, %d clients\n%s", result.Seed, result.Relays, result.Backends, result.Clients,
+			batch.FormatScript(result.Faults))
 	}
-	for _, b := range res.Violations {
-		fmt.Fprintln(out, b)
+	for _, violation := range result.Violations {
+		fmt.Fprintln(out, violation)
 	}
-	if len(res.Violations) > 0 {
+	if len(result.Violations) > 0 {
 		return errFailed
 	}
 	return nil
 }
 
-// batch plays many.
-func (f *seedsFlags) batch(out, progress io.Writer) error {
-	var told func(done int, s batch.SeedResult)
-	if info, err := os.Stderr.Stat(); err == nil && info.Mode()&os.ModeCharDevice != 0 && !f.quiet {
-		told = func(done int, s batch.SeedResult) {
-			if done%50 == 0 || len(s.Violations) > 0 {
-				fmt.Fprintf(progress, "\r%d of %d", done, f.count)
-			}
-			if done == f.count {
-				fmt.Fprintln(progress)
-			}
-		}
+// shrinkSeed cuts a seed's faults down to those with which it still fails.
+func shrinkSeed(out io.Writer, opt world.Options) error {
+	script, rule := world.Shrink(opt, func(s []world.Fault) { fmt.Fprintf(out, "still fails with %d faults\n", len(s)) })
+	if rule == "" {
+		fmt.Fprintf(out, "seed %d breaks no rule\n", opt.Seed)
+		return nil
 	}
-	b := batch.Run(f.from, f.count, f.workers, f.opt, told)
-	if !f.quiet {
-		b.WriteReport(out)
+	fmt.Fprintf(out, "seed %d breaks %s with\n%s", opt.Seed, rule, batch.FormatScript(script))
+	return errFailed
+}
+
+// runBatch plays many seeds and reports on them.
+func (f *seedsFlags) runBatch(out, progressOut io.Writer) error {
+	b := batch.Run(f.from, f.count, f.workers, f.opt, f.progress(progressOut))
+	if f.quiet {
+		writeViolations(out, &b)
 	} else {
-		for _, s := range b.Results {
-			for _, broken := range s.Violations {
-				fmt.Fprintf(out, "seed %d: %s\n", s.Seed, broken)
-			}
-		}
+		b.WriteReport(out)
 	}
 	if f.json != "" {
 		if err := b.WriteFile(f.json); err != nil {
@@ -173,21 +180,13 @@
 		}
 	}
 	if f.compare != "" {
-		was, err := batch.ReadFile(f.compare)
-		if err != nil {
+		if err := writeDifferences(out, f.compare, b); err != nil {
 			return err
 		}
-		diffs, err := batch.Compare(was, b)
-		if err != nil {
-			return err
-		}
-		for _, d := range diffs {
-			fmt.Fprintln(out, d)
-		}
 	}
 	missing := b.MissingCoverage()
-	for _, m := range missing {
-		fmt.Fprintln(out, "never came up:", m)
+	for _, name := range missing {
+		fmt.Fprintln(out, "never came up:", name)
 	}
 	fmt.Fprintln(out, b.Summary())
 	switch {
@@ -198,3 +197,47 @@
 	}
 	return nil
 }
+
+// progressInterval is after how many seeds the progress is shown.
+const progressInterval = 50
+
+// progress returns what shows the progress, or nil if standard error is no terminal.
+func (f *seedsFlags) progress(out io.Writer) func(done int, result batch.SeedResult) {
+	info, err := os.Stderr.Stat()
+	if err != nil || info.Mode()&os.ModeCharDevice == 0 || f.quiet {
+		return nil
+	}
+	return func(done int, result batch.SeedResult) {
+		if done%progressInterval == 0 || len(result.Violations) > 0 {
+			fmt.Fprintf(out, "\r%d of %d", done, f.count)
+		}
+		if done == f.count {
+			fmt.Fprintln(out)
+		}
+	}
+}
+
+// writeViolations writes all violations of a batch.
+func writeViolations(out io.Writer, b *batch.Batch) {
+	for _, result := range b.Results {
+		for _, violation := range result.Violations {
+			fmt.Fprintf(out, "seed %d: %s\n", result.Seed, violation)
+		}
+	}
+}
+
+// writeDifferences compares a batch with a stored one.
+func writeDifferences(out io.Writer, path string, b batch.Batch) error {
+	before, err := batch.ReadFile(path)
+	if err != nil {
+		return err
+	}
+	differences, err := batch.Compare(before, b)
+	if err != nil {
+		return err
+	}
+	for _, d := range differences {
+		fmt.Fprintln(out, d)
+	}
+	return nil
+}
