--- a/cmd/aspenlab/seeds.go
+++ b/cmd/aspenlab/seeds.go
@@ -107,17 +107,17 @@
 
 // readTimings reads the retry policies of timedClasses from a configuration.
 func readTimings(path string) (timings []balance.RetryPolicy, err error) {
-	cfg, err := config.Read(path, func(string) string { return "" }, false)
+	cfg, err := config.Load(path, func(string) string { return "" }, false)
 	if err != nil {
 		return nil, err
 	}
 	for _, class := range timedClasses {
-		request, err := cfg.Request(class, "", "", "", "line")
+		request, err := cfg.RoutingRequest(config.RequestDescription{Class: class, Protocol: "line"})
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", path, err)
 		}
 		var timing balance.RetryPolicy
-		if route := cfg.Relay.Routes.Pick(request); route != nil {
+		if route := cfg.Relay.Routes.Lookup(request); route != nil {
 			timing = route.RetryPolicy
 		}
 		timings = append(timings, timing)
--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"aspenbarrow/balance"
-	"aspenbarrow/internal/machine"
+	"aspenbarrow/internal/decision"
 )
 
 // The policies' names.
@@ -34,7 +34,7 @@
 func Names() []string { return []string{random, hash, leastConnections, oracle} }
 
 // NewFunc creates a policy for one relay.
-type NewFunc func(now time.Duration, seed uint64, settings balance.Settings, actions balance.Actions) machine.Decider
+type NewFunc func(now time.Duration, seed uint64, settings balance.Settings, actions balance.Actions) decision.Decider
 
 // Lookup returns the constructor of the policy with a name of Names, or nil for the empty name. loadOf returns
 // the true load of a backend as a share of its capacity; only the oracle calls it. The constructor panics if
@@ -43,7 +43,7 @@
 	if name == "" {
 		return nil
 	}
-	return func(_ time.Duration, seed uint64, settings balance.Settings, actions balance.Actions) machine.Decider {
+	return func(_ time.Duration, seed uint64, settings balance.Settings, actions balance.Actions) decision.Decider {
 		p := &policy{
 			settings:    settings,
 			actions:     actions,
@@ -100,7 +100,7 @@
 	mayHaveExecuted bool
 }
 
-// policy is a machine.Decider that sends each request to the ready backend of least rank.
+// policy is a decision.Decider that sends each request to the ready backend of least rank.
 type policy struct {
 	settings    balance.Settings
 	actions     balance.Actions
@@ -113,9 +113,9 @@
 	connections map[balance.BackendID]int
 }
 
-var _ machine.Decider = (*policy)(nil)
+var _ decision.Decider = (*policy)(nil)
 
-// RequestArrived implements machine.Decider.
+// RequestArrived implements decision.Decider.
 func (p *policy) RequestArrived(now time.Duration, r balance.Request) {
 	added := &request{Request: r, deadline: now + r.TimeLeft}
 	p.requests[r.ID] = added
@@ -123,7 +123,7 @@
 	p.attempt(now, added)
 }
 
-// SessionAdopted implements machine.Decider.
+// SessionAdopted implements decision.Decider.
 func (p *policy) SessionAdopted(_ time.Duration, r balance.Request, id balance.BackendID) {
 	p.requests[r.ID] = &request{Request: r, backend: id, pending: true, established: true, tried: []balance.BackendID{id}}
 	p.order = append(p.order, r.ID)
@@ -183,14 +183,14 @@
 	}
 }
 
-// AttemptSucceeded implements machine.Decider.
+// AttemptSucceeded implements decision.Decider.
 func (p *policy) AttemptSucceeded(_ time.Duration, result balance.AttemptResult) {
 	if r := p.requests[result.ID]; r != nil && r.pending {
 		r.established = true
 	}
 }
 
-// AttemptEnded implements machine.Decider.
+// AttemptEnded implements decision.Decider.
 func (p *policy) AttemptEnded(now time.Duration, result balance.AttemptResult) {
 	r := p.requests[result.ID]
 	if r == nil || !r.pending || result.Attempt != len(r.tried)-1 {
@@ -209,14 +209,14 @@
 	}
 }
 
-// ClientClosed implements machine.Decider.
+// ClientClosed implements decision.Decider.
 func (p *policy) ClientClosed(_ time.Duration, id uint64) {
 	if r := p.requests[id]; r != nil && !r.answered {
 		p.end(r)
 	}
 }
 
-// EndpointsUpdated implements machine.Decider. Sessions at backends that are not ready any more migrate.
+// EndpointsUpdated implements decision.Decider. Sessions at backends that are not ready any more migrate.
 func (p *policy) EndpointsUpdated(_ time.Duration, kind balance.EndpointUpdateKind, backends []balance.Backend) {
 	if kind == balance.UpdateFailed {
 		p.actions.WatchEndpoints(true)
@@ -248,7 +248,7 @@
 	}
 }
 
-// DeadlineExceeded implements machine.Decider.
+// DeadlineExceeded implements decision.Decider.
 func (p *policy) DeadlineExceeded(now time.Duration, id uint64) {
 	switch r := p.requests[id]; {
 	case r == nil || r.answered || r.established:
@@ -260,14 +260,14 @@
 	}
 }
 
-// DrainBy implements machine.Decider.
+// DrainBy implements decision.Decider.
 func (p *policy) DrainBy(_, at time.Duration) {
 	if at > 0 {
 		p.migrate(func(*request) bool { return true })
 	}
 }
 
-// Connections implements machine.Decider.
+// Connections implements decision.Decider.
 func (p *policy) Connections() (byRequest, byBackend int) {
 	for _, r := range p.requests {
 		if r.pending {
@@ -280,25 +280,25 @@
 	return byRequest, byBackend
 }
 
-// LoadReported implements machine.Decider; the policies know no load but what they count.
+// LoadReported implements decision.Decider; the policies know no load but what they count.
 func (p *policy) LoadReported(time.Duration, uint64, balance.LoadSignal, float64) {}
 
-// TimerFired implements machine.Decider; the policies set no timers.
+// TimerFired implements decision.Decider; the policies set no timers.
 func (p *policy) TimerFired(time.Duration, uint64) {}
 
-// HealthCheckDone implements machine.Decider; the policies start no health checks.
+// HealthCheckDone implements decision.Decider; the policies start no health checks.
 func (p *policy) HealthCheckDone(time.Duration, balance.HealthCheckResult) {}
 
-// GossipReceived implements machine.Decider; the policies send none.
+// GossipReceived implements decision.Decider; the policies send none.
 func (p *policy) GossipReceived(time.Duration, int, []byte) {}
 
-// UpdateSettings implements machine.Decider.
+// UpdateSettings implements decision.Decider.
 func (p *policy) UpdateSettings(settings balance.Settings) { p.settings = settings }
 
-// SetActiveRelays implements machine.Decider; the policies decide for one relay alone.
+// SetActiveRelays implements decision.Decider; the policies decide for one relay alone.
 func (p *policy) SetActiveRelays(int) {}
 
-// CountUnavailable implements machine.Decider.
+// CountUnavailable implements decision.Decider.
 func (p *policy) CountUnavailable(time.Duration) (listed, avoided int) {
 	return len(p.states), len(p.states) - len(p.ready)
 }
--- a/internal/baseline/baseline_test.go
+++ b/internal/baseline/baseline_test.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"aspenbarrow/balance"
-	"aspenbarrow/internal/machine"
+	"aspenbarrow/internal/decision"
 )
 
 // recorder records the actions of a policy.
@@ -22,7 +22,7 @@
 func (r *recorder) Fail(uint64)                                          { r.failed++ }
 func (r *recorder) Migrate(id uint64)                                    { r.migrated = append(r.migrated, id) }
 
-func start(name string, loadOf func(balance.BackendID) float64) (machine.Decider, *recorder) {
+func start(name string, loadOf func(balance.BackendID) float64) (decision.Decider, *recorder) {
 	h := &recorder{}
 	s := balance.Settings{MaxAttempts: 3, Tick: time.Millisecond, Classes: []balance.Class{{Idempotency: balance.Idempotent}, {Idempotency: balance.NonIdempotent}}}
 	p := Lookup(name, loadOf)(0, 1, s, h)
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -16,7 +16,7 @@
 
 	"aspenbarrow/internal/emulator"
 	"aspenbarrow/internal/fault"
-	"aspenbarrow/internal/measure"
+	"aspenbarrow/internal/loadstats"
 	"aspenbarrow/internal/world"
 )
 
@@ -47,10 +47,10 @@
 func small(relays, backends, clients int) world.Fleet {
 	f := world.Fleet{Relays: relays, Backends: backends, Clients: clients, SetUpWork: 0.004, LineWork: 0.0005, Peers: true,
 		Rush: time.Second, Stay: [2]time.Duration{8 * time.Second, 30 * time.Second}, Return: 200 * time.Millisecond,
-		Server: emulator.Config{Cores: 4, Speed: 1, Queue: 200, Backlog: 128, ColdFrom: coldFrom, WarmUp: warmUp, FallTimes: fallMultiple,
-			FallSpan: fallSpan, ReportEvery: 500 * time.Millisecond, ReportNoise: 0.03}}
+		Server: emulator.Config{Cores: 4, Speed: 1, MaxRequests: 200, Backlog: 128, ColdCapacity: coldFrom, WarmUpTime: warmUp, ColdCrashFactor: fallMultiple,
+			ColdCrashWindow: fallSpan, ReportInterval: 500 * time.Millisecond, ReportNoise: 0.03}}
 	usual := float64(clients) / float64(backends)
-	f.Server.Opens = max(4, usual/3)
+	f.Server.WarmRequestRate = max(4, usual/3)
 	f.ConnLoad = 0.6 * f.Server.Cores / usual
 	return f
 }
@@ -96,7 +96,7 @@
 		hard   float64 // the other fleet's deviation at least
 	}{
 		{name: "all relays start in one second", from: 8, most: 0.75, hard: 0.12},
-		{name: "all reports are of the same moment", from: 8, most: 0.85, hard: 0.12, change: func(f *world.Fleet) { f.Server.ReportEvery = 3 * time.Second }},
+		{name: "all reports are of the same moment", from: 8, most: 0.85, hard: 0.12, change: func(f *world.Fleet) { f.Server.ReportInterval = 3 * time.Second }},
 		{name: "one relay has a fifth of the traffic", from: 8, most: 0.75, hard: 0.12, change: func(f *world.Fleet) { f.HotRelay = 0.2 }},
 		{name: "one key has a fifth of the traffic", from: 8, most: 0.5, hard: 0.4, change: func(f *world.Fleet) { f.HotKey = 0.2 }},
 		{name: "half of the relays die, their clients return at once", from: 10, most: 0.8, hard: 0.12,
@@ -106,7 +106,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			var e [2]measure.Summary
+			var e [2]loadstats.Summary
 			var res [2]Result
 			for i := range e {
 				f := small(relays, backends, clients)
@@ -115,18 +115,18 @@
 				}
 				f.Silent = i == 1
 				res[i] = play(t, Options{Length: 20 * time.Second, Fleet: f, Script: tc.script, Seed: 2})
-				e[i] = measure.Summarise(res[i].Evenness, tc.from)
+				e[i] = loadstats.Summarize(res[i].Evenness, tc.from)
 			}
-			t.Logf("deviation %.3f, %.3f without reports, hashing %.3f; least %.2f and %.2f, most %.2f and %.2f", e[0].Deviation, e[1].Deviation,
-				e[0].Hashing, e[0].Lowest, e[1].Lowest, e[0].Most, e[1].Most)
-			if e[0].Deviation > tc.most*e[1].Deviation || e[1].Deviation < tc.hard {
-				t.Errorf("deviation %.3f, without reports %.3f", e[0].Deviation, e[1].Deviation)
+			t.Logf("deviation %.3f, %.3f without reports, hashing %.3f; least %.2f and %.2f, most %.2f and %.2f", e[0].Variation, e[1].Variation,
+				e[0].HashingVariation, e[0].LowestOverMean, e[1].LowestOverMean, e[0].MaxOverMean, e[1].MaxOverMean)
+			if e[0].Variation > tc.most*e[1].Variation || e[1].Variation < tc.hard {
+				t.Errorf("deviation %.3f, without reports %.3f", e[0].Variation, e[1].Variation)
 			}
-			if e[0].Idle > 0 {
-				t.Errorf("backends are idle for %.1f s", e[0].Idle)
+			if e[0].IdleSeconds > 0 {
+				t.Errorf("backends are idle for %.1f s", e[0].IdleSeconds)
 			}
-			if herd := measure.Summarise(res[0].Evenness, 0); herd.Herd > 1.6*max(herd.HerdHash, 1) {
-				t.Errorf("a herd of %.2f times its part, hashing makes %.2f", herd.Herd, herd.HerdHash)
+			if herd := loadstats.Summarize(res[0].Evenness, 0); herd.HerdRatio > 1.6*max(herd.HashingHerdRatio, 1) {
+				t.Errorf("a herd of %.2f times its part, hashing makes %.2f", herd.HerdRatio, herd.HashingHerdRatio)
 			}
 			if s := service(res[0], 3, 20); s < 0.9 {
 				t.Errorf("service %.3f", s)
@@ -181,8 +181,8 @@
 		t.Error("a cold backend was pushed over")
 	}
 	for _, v := range last.Loads[10:] {
-		if v < last.Mean*0.5 || v > last.Mean*1.5 {
-			t.Errorf("23 s after its start one has %.2f where the mean is %.2f", v, last.Mean)
+		if v < last.MeanLoad*0.5 || v > last.MeanLoad*1.5 {
+			t.Errorf("23 s after its start one has %.2f where the mean is %.2f", v, last.MeanLoad)
 		}
 	}
 }
@@ -245,7 +245,7 @@
 		{"list differs", fault.Fault{Kind: "list differs", Targets: []int{0, 1}}, "struck", 2, nil},
 		{"list late", fault.Fault{Kind: "list late", Severity: 0.2}, "struck", 8, nil},
 		{"burst", fault.Fault{Kind: "burst", Severity: 0.5}, "struck", 40, func(t *testing.T, res Result) {
-			if a, b := res.Evenness[3].Mean, res.Evenness[5].Mean; b < 1.2*a {
+			if a, b := res.Evenness[3].MeanLoad, res.Evenness[5].MeanLoad; b < 1.2*a {
 				t.Errorf("load %.2f, in the burst %.2f", a, b)
 			}
 		}},
@@ -551,7 +551,7 @@
 			const backends, started = 8, 3
 			opens := tc.calls / (fallMultiple * coldFrom * fallSpan.Seconds())
 			f := small(tc.relays, backends, int(3*opens*backends))
-			f.Server.Opens = opens
+			f.Server.WarmRequestRate = opens
 			f.Stay = [2]time.Duration{400 * time.Millisecond, 1600 * time.Millisecond} // many come again while they are cold
 			var half []int
 			for i := range tc.relays {
--- a/internal/fleet/settings.go
+++ b/internal/fleet/settings.go
@@ -71,7 +71,7 @@
 	allowed := sockets + Allowance
 	rules := invariant.Limits{MaxAttempts: tryLimit, AnswerSlack: answerSlack + allowed, DrainGrace: drainGrace + allowed, DiscoveryDelay: 6 * time.Second,
 		MaxLineDelay: time.Second + allowed, SilenceTimeout: 7*time.Second + allowed, DepartureGrace: 100*time.Millisecond + Allowance, FirstLineTimeout: 2*time.Second + answerSlack + allowed,
-		ColdCapacity: coldFrom, WarmUp: warmUp, OverloadFactor: fallMultiple, OverloadWindow: fallSpan, WarmRate: f.Server.Opens, ObservationDelay: Allowance}
+		ColdCapacity: coldFrom, WarmUp: warmUp, OverloadFactor: fallMultiple, OverloadWindow: fallSpan, WarmRate: f.Server.WarmRequestRate, ObservationDelay: Allowance}
 	for _, c := range classes {
 		rules.Classes = append(rules.Classes, invariant.Class{Name: c.name, ClientTimeout: c.giveUp, LatencyObjective: c.onTime, Idempotency: c.checked,
 			ScopedToCell: c.checked == invariant.IdempotentWithKey, DedupWindow: dedupWindow})
--- /dev/null
+++ b/internal/protocol/protocol.go
@@ -0,0 +1,63 @@
+// Package protocol is the grammar and codec of the operators' line protocol: the lines of clients and backends, the OPEN
+// line, load reports, and the answers to clients. Its readers are fed bytes and leave them in the caller's buffer; they
+// do no I/O.
+package protocol
+
+import "bytes"
+
+// MaxLineLength is the longest line of the protocol in bytes, its CRLF included.
+const MaxLineLength = 4096
+
+const (
+	space = " "
+	crlf  = "\r\n"
+)
+
+// LineKind is what a reader found in the bytes that it was fed.
+type LineKind uint8
+
+// The kinds of line.
+const (
+	KindIncomplete LineKind = iota // no whole line yet
+	KindPing                       // PING or STATS of a client
+	KindOpen                       // OPEN of a client
+	KindForward                    // whole lines to forward to the other side
+	KindUp                         // UP of a backend: the session is established
+	KindBye                        // BYE of a backend
+	KindMove                       // MOVE of a backend
+	KindError                      // ERR of a backend
+	KindBusy                       // BUSY of a backend
+	KindSyntax                     // SYNTAX of a backend: it cannot read what it was sent
+	KindUnknown                    // a first line that the protocol does not have
+)
+
+// cutLine finds the first line of b. It returns the line without its CRLF and its length with it; the length is 0 while
+// the line is not whole.
+func cutLine(b []byte) (line []byte, length int, err error) {
+	end := bytes.IndexByte(b, '\n')
+	switch {
+	case end < 0 && len(b) >= MaxLineLength, end >= MaxLineLength:
+		return nil, 0, LineError{Err: ErrLineTooLong}
+	case end < 0:
+		return nil, 0, nil
+	case end == 0 || b[end-1] != '\r':
+		return nil, 0, LineError{Err: ErrBareLF}
+	}
+	return b[:end-1], end + 1, nil
+}
+
+// WholeLines returns how many bytes of b are whole lines. It fails with ErrLineTooLong where one line fills the buffer. How
+// a line ends, by CRLF or LF, is left to the side that reads it.
+func WholeLines(b []byte) (length int, err error) {
+	length = bytes.LastIndexByte(b, '\n') + 1
+	if length == 0 && len(b) >= MaxLineLength {
+		return 0, LineError{Kind: KindForward, Err: ErrLineTooLong}
+	}
+	return length, nil
+}
+
+// cutWord splits a line at its first space.
+func cutWord(line []byte) (word, rest []byte) {
+	word, rest, _ = bytes.Cut(line, []byte(space))
+	return word, rest
+}
--- a/internal/report/csv.go
+++ b/internal/report/csv.go
@@ -5,7 +5,7 @@
 	"encoding/csv"
 	"strconv"
 
-	"aspenbarrow/internal/measure"
+	"aspenbarrow/internal/loadstats"
 	"aspenbarrow/internal/scenario"
 )
 
@@ -28,7 +28,7 @@
 
 // csvLine returns the fields of one second, in the order of csvHeader. What was not measured is 0.
 func csvLine(o *scenario.Outcome, second int) []string {
-	var e measure.Second
+	var e loadstats.Second
 	if second < len(o.Evenness) {
 		e = o.Evenness[second]
 	}
@@ -37,8 +37,8 @@
 		cores = o.Cores[second]
 	}
 	line := []string{o.Program, strconv.FormatUint(o.Seed, 10), strconv.Itoa(second + 1)}
-	for _, v := range []float64{o.Seconds[second].Asked, o.Seconds[second].Served, e.Mean, e.Deviation, e.Hashing, e.Even, e.Least, e.Most, e.Jain,
-		e.Idle, e.Herd, e.HerdPart, float64(e.Arrivals), cores} {
+	for _, v := range []float64{o.Seconds[second].Asked, o.Seconds[second].Served, e.MeanLoad, e.Variation, e.HashingVariation, e.GreedyVariation, e.MinOverMean, e.MaxOverMean, e.JainIndex,
+		e.IdleSeconds, e.HerdRatio, e.HerdExpected, float64(e.Arrivals), cores} {
 		line = append(line, strconv.FormatFloat(v, 'g', 6, 64))
 	}
 	return line
--- a/internal/report/html.go
+++ b/internal/report/html.go
@@ -9,7 +9,7 @@
 	"strconv"
 	"time"
 
-	"aspenbarrow/internal/measure"
+	"aspenbarrow/internal/loadstats"
 	"aspenbarrow/internal/scenario"
 )
 
@@ -43,8 +43,8 @@
 type runData struct {
 	Name    string
 	O       *scenario.Outcome
-	E       measure.Summary // without the warm-up
-	First   measure.Summary // from the first second on
+	E       loadstats.Summary // without the warm-up
+	First   loadstats.Summary // from the first second on
 	Verdict string
 }
 
@@ -124,13 +124,13 @@
 	switch {
 	case len(o.Violations) > 0:
 		return fmt.Sprintf("%d rules broken", len(o.Violations))
-	case e.Hashing == 0:
+	case e.HashingVariation == 0:
 		return "nothing to compare"
-	case e.Idle > 0:
-		return fmt.Sprintf("backends idle for %.0f s in all", e.Idle)
-	case e.Ratio > unevenRatio:
+	case e.IdleSeconds > 0:
+		return fmt.Sprintf("backends idle for %.0f s in all", e.IdleSeconds)
+	case e.RelativeVariation > unevenRatio:
 		return "as uneven as hashing alone"
-	case e.Ratio > halfRatio:
+	case e.RelativeVariation > halfRatio:
 		return "more even than hashing alone"
 	}
 	return "under half of hashing's unevenness"
--- a/internal/report/plots.go
+++ b/internal/report/plots.go
@@ -5,7 +5,7 @@
 	"html/template"
 	"image/color"
 
-	"aspenbarrow/internal/measure"
+	"aspenbarrow/internal/loadstats"
 	"aspenbarrow/internal/scenario"
 )
 
@@ -35,7 +35,7 @@
 	d.addEvenness()
 	d.addLines("Service by second", "Worth of the clients whose lines come back in time over that of all who wanted a connection.", false, serviceSeries)
 	d.addLines("Herds", "The most new connections at one backend in half a second over its part of them; only where that part is eight or more.", true,
-		evennessSeries(func(s *measure.Second) float64 { return s.Herd }))
+		evennessSeries(func(s *loadstats.Second) float64 { return s.HerdRatio }))
 	d.addLines("Processor time of all relays", "Cores, by second.", true, coresSeries)
 	return d.plots, d.err
 }
@@ -79,11 +79,11 @@
 // addEvenness adds the plots of how far the load is from its mean.
 func (d *drawing) addEvenness() {
 	d.addLines("Unevenness by second", "Deviation of the load over its mean; grey is hashing alone on the same connections. Lower is better.", true,
-		evennessSeries(func(s *measure.Second) float64 { return s.Deviation }),
-		dashed("hashing, ", hashColour, evennessSeries(func(s *measure.Second) float64 { return s.Hashing })))
+		evennessSeries(func(s *loadstats.Second) float64 { return s.Variation }),
+		dashed("hashing, ", hashColour, evennessSeries(func(s *loadstats.Second) float64 { return s.HashingVariation })))
 	d.addLines("Emptiest and fullest backend", "Over the mean; 1 is the mean.", true,
-		labelled("fullest, ", evennessSeries(func(s *measure.Second) float64 { return s.Most })),
-		dashed("emptiest, ", nil, evennessSeries(func(s *measure.Second) float64 { return s.Least })))
+		labelled("fullest, ", evennessSeries(func(s *loadstats.Second) float64 { return s.MaxOverMean })),
+		dashed("emptiest, ", nil, evennessSeries(func(s *loadstats.Second) float64 { return s.MinOverMean })))
 }
 
 // addLines adds one plot with the series of every run that has them; none if no run has two points.
@@ -117,7 +117,7 @@
 }
 
 // evennessSeries is a figure of each second's evenness.
-func evennessSeries(figure func(s *measure.Second) float64) seriesFunc {
+func evennessSeries(figure func(s *loadstats.Second) float64) seriesFunc {
 	return func(o *scenario.Outcome, colour color.Color) series {
 		return series{label: runName(o), colour: colour, seconds: len(o.Evenness), value: func(second int) float64 { return figure(&o.Evenness[second]) }}
 	}
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -9,7 +9,7 @@
 
 	"aspenbarrow/internal/fault"
 	"aspenbarrow/internal/fleet"
-	"aspenbarrow/internal/measure"
+	"aspenbarrow/internal/loadstats"
 	"aspenbarrow/internal/scenario"
 	"aspenbarrow/internal/world"
 )
@@ -19,7 +19,7 @@
 		Faults: []fleet.Effect{{Fault: fault.Fault{Kind: "relays <paused>", ScriptLine: 12}, Began: 2 * time.Second, Ended: 5 * time.Second, Did: map[string]int{"struck": 3}}}}
 	for i := range 14 {
 		o.Seconds = append(o.Seconds, world.Second{Asked: 10, Served: 9})
-		o.Evenness = append(o.Evenness, measure.Second{Spread: measure.Spread{Deviation: 0.1, Least: 0.8, Most: 1.2, Jain: 0.99}, Hashing: 0.2, Mean: 0.5,
+		o.Evenness = append(o.Evenness, loadstats.Second{Imbalance: loadstats.Imbalance{Variation: 0.1, MinOverMean: 0.8, MaxOverMean: 1.2, JainIndex: 0.99}, HashingVariation: 0.2, MeanLoad: 0.5,
 			Loads: []float64{0.4, 0.6, -1, float64(i) / 20}})
 		o.Cores = append(o.Cores, 0.5)
 	}
--- a/internal/scenario/outcome.go
+++ b/internal/scenario/outcome.go
@@ -2,7 +2,7 @@
 
 import (
 	"aspenbarrow/internal/fleet"
-	"aspenbarrow/internal/measure"
+	"aspenbarrow/internal/loadstats"
 	"aspenbarrow/internal/world"
 )
 
@@ -26,7 +26,7 @@
 	WorstWindowStart int                `json:"worst_at_s"` // the first of these seconds, from 0
 	Classes          map[string]float64 `json:"classes"`    // service by class; empty for processes
 	Seconds          []world.Second     `json:"seconds"`    // service by second
-	Evenness         []measure.Second   `json:"evenness"`   // of the load, by second
+	Evenness         []loadstats.Second `json:"evenness"`   // of the load, by second
 	Counts           map[string]int     `json:"counts"`     // how often what came up
 
 	// Of processes only; a run on the virtual clock has none of these.
@@ -63,12 +63,12 @@
 }
 
 // EvennessFrom sums up the evenness of the load from a second on.
-func (o *Outcome) EvennessFrom(second int) measure.Summary {
-	return measure.Summarise(o.Evenness, second)
+func (o *Outcome) EvennessFrom(second int) loadstats.Summary {
+	return loadstats.Summarize(o.Evenness, second)
 }
 
 // Herd returns the worst herd of a run from its first second on, and what hashing alone makes of that second.
 func (o *Outcome) Herd() (worst, hashing float64) {
 	e := o.EvennessFrom(0)
-	return e.Herd, e.HerdHash
+	return e.HerdRatio, e.HashingHerdRatio
 }
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -221,10 +221,10 @@
 	return &world.Fleet{
 		Relays: fleet.Relays, Backends: fleet.Backends, Clients: fleet.Clients,
 		Server: emulator.Config{
-			Cores: server.Cores, Speed: server.Speed, Queue: server.Queue, Backlog: server.Backlog,
-			ColdFrom: coldCapacity, WarmUp: warmUp, FallTimes: overloadFactor, FallSpan: overloadSpan,
-			ReportEvery: time.Duration(server.ReportEvery), ReportNoise: server.ReportNoise,
-			Opens: max(minWarmRate, float64(fleet.Clients)/float64(fleet.Backends)/clientsPerOpen),
+			Cores: server.Cores, Speed: server.Speed, MaxRequests: server.Queue, Backlog: server.Backlog,
+			ColdCapacity: coldCapacity, WarmUpTime: warmUp, ColdCrashFactor: overloadFactor, ColdCrashWindow: overloadSpan,
+			ReportInterval: time.Duration(server.ReportEvery), ReportNoise: server.ReportNoise,
+			WarmRequestRate: max(minWarmRate, float64(fleet.Clients)/float64(fleet.Backends)/clientsPerOpen),
 		},
 		SetUpWork: time.Duration(server.SessionWork).Seconds(), LineWork: time.Duration(server.LineWork).Seconds(),
 		ConnLoad:   server.ConnectionLoad,
--- a/internal/scenario/text.go
+++ b/internal/scenario/text.go
@@ -24,7 +24,7 @@
 	fmt.Fprintf(out, "service %.4f, worst ten seconds %.4f from second %d\n", o.Service, o.WorstWindow, o.WorstWindowStart+1)
 	even := o.EvennessFrom(warmUpSeconds)
 	fmt.Fprintf(out, "load %.2f of capacity; deviation %.3f of it after %d s (hashing alone %.3f, an even hand %.3f), least %.2f, most %.2f, idle %.1f backend-s, herd %.1f\n",
-		even.Mean, even.Deviation, warmUpSeconds, even.Hashing, even.Even, even.Least, even.Most, even.Idle, o.EvennessFrom(0).Herd)
+		even.MeanLoad, even.Variation, warmUpSeconds, even.HashingVariation, even.GreedyVariation, even.MinOverMean, even.MaxOverMean, even.IdleSeconds, o.EvennessFrom(0).HerdRatio)
 	for _, class := range classNames {
 		if service, ok := o.Classes[class]; ok {
 			fmt.Fprintf(out, "class %-7s %.4f\n", class, service)
@@ -82,7 +82,7 @@
 	e := o.EvennessFrom(warmUpSeconds)
 	herd, herdOfHashing := o.Herd()
 	return fmt.Sprintf("%s seed %d: service %.4f, deviation %.3f (hashing %.3f, an even hand %.3f, ratio %.2f), least %.2f, most %.2f, idle %.1f backend-s, herd %.2f (hashing %.2f), moved %d, refused %d, broken %d",
-		o.Program, o.Seed, o.Service, e.Deviation, e.Hashing, e.Even, e.Ratio, e.Lowest, e.Most, e.Idle, herd, herdOfHashing, o.Counts["moved"], o.Counts["refused"], len(o.Violations))
+		o.Program, o.Seed, o.Service, e.Variation, e.HashingVariation, e.GreedyVariation, e.RelativeVariation, e.LowestOverMean, e.MaxOverMean, e.IdleSeconds, herd, herdOfHashing, o.Counts["moved"], o.Counts["refused"], len(o.Violations))
 }
 
 // comparedFigures are what WriteComparison sets side by side, in its order.
@@ -92,13 +92,13 @@
 }{
 	{"service", func(o *Outcome) float64 { return o.Service }},
 	{"worst ten seconds", func(o *Outcome) float64 { return o.WorstWindow }},
-	{"deviation", func(o *Outcome) float64 { return o.EvennessFrom(warmUpSeconds).Deviation }},
-	{"of hashing", func(o *Outcome) float64 { return o.EvennessFrom(warmUpSeconds).Hashing }},
-	{"ratio", func(o *Outcome) float64 { return o.EvennessFrom(warmUpSeconds).Ratio }},
-	{"least in any second", func(o *Outcome) float64 { return o.EvennessFrom(warmUpSeconds).Lowest }},
-	{"idle backend-s", func(o *Outcome) float64 { return o.EvennessFrom(warmUpSeconds).Idle }},
-	{"worst herd", func(o *Outcome) float64 { return o.EvennessFrom(0).Herd }},
-	{"of hashing", func(o *Outcome) float64 { return o.EvennessFrom(0).HerdHash }},
+	{"deviation", func(o *Outcome) float64 { return o.EvennessFrom(warmUpSeconds).Variation }},
+	{"of hashing", func(o *Outcome) float64 { return o.EvennessFrom(warmUpSeconds).HashingVariation }},
+	{"ratio", func(o *Outcome) float64 { return o.EvennessFrom(warmUpSeconds).RelativeVariation }},
+	{"least in any second", func(o *Outcome) float64 { return o.EvennessFrom(warmUpSeconds).LowestOverMean }},
+	{"idle backend-s", func(o *Outcome) float64 { return o.EvennessFrom(warmUpSeconds).IdleSeconds }},
+	{"worst herd", func(o *Outcome) float64 { return o.EvennessFrom(0).HerdRatio }},
+	{"of hashing", func(o *Outcome) float64 { return o.EvennessFrom(0).HashingHerdRatio }},
 	{"moved", func(o *Outcome) float64 { return float64(o.Counts["moved"]) }},
 	{"refused", func(o *Outcome) float64 { return float64(o.Counts["refused"]) }},
 	{"attempts", func(o *Outcome) float64 { return float64(o.Counts["attempt"]) }},
--- a/internal/simwire/decoder.go
+++ b/internal/simwire/decoder.go
@@ -190,7 +190,7 @@
 func (d *Decoder) float32() float32 { return math.Float32frombits(d.uint32()) }
 func (d *Decoder) float64() float64 { return math.Float64frombits(d.uint64()) }
 
-func (d *Decoder) milliseconds() time.Duration { return settings.Duration(d.float64()) }
+func (d *Decoder) milliseconds() time.Duration { return settings.FromMilliseconds(d.float64()) }
 
 // backend decodes an IPv4 address and a port, which together are a backend's id.
 func (d *Decoder) backend() balance.BackendID {
--- a/internal/world/backend.go
+++ b/internal/world/backend.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"aspenbarrow/internal/emulator"
-	"aspenbarrow/internal/machine"
-	"aspenbarrow/internal/measure"
+	"aspenbarrow/internal/loadstats"
+	"aspenbarrow/internal/session"
 )
 
 // backend is a server that speaks the protocol's lines, takes longer the more it holds,
@@ -61,7 +61,7 @@
 		b.jobs, b.tickAt = map[uint64]func(bool){}, 0
 	}
 	if b.model != nil {
-		b.run.log.Up(b.w.now-epoch, b.id, b.size*b.run.opt.Fleet.Server.Cores*b.run.opt.Fleet.Server.Speed)
+		b.run.log.BackendUp(b.w.now-epoch, b.id, b.size*b.run.opt.Fleet.Server.Cores*b.run.opt.Fleet.Server.Speed)
 	}
 	if b.w.now > epoch {
 		b.started = b.w.now.Truncate(time.Millisecond)
@@ -76,7 +76,7 @@
 		return
 	}
 	b.state = "draining"
-	b.run.log.Down(b.w.now-epoch, b.id) // it is to have none any more
+	b.run.log.BackendDown(b.w.now-epoch, b.id) // it is to have none any more
 	b.run.catalog.publish(b.entry())
 	life := b.life
 	b.w.in(within, func() {
@@ -102,7 +102,7 @@
 	if !b.up {
 		return
 	}
-	b.run.log.Down(b.w.now-epoch, b.id)
+	b.run.log.BackendDown(b.w.now-epoch, b.id)
 	b.kill()
 	b.state = "gone"
 	b.run.catalog.publish(b.entry())
@@ -110,7 +110,7 @@
 
 // vanish takes its machine off the network.
 func (b *backend) vanish() {
-	b.run.log.Down(b.w.now-epoch, b.id)
+	b.run.log.BackendDown(b.w.now-epoch, b.id)
 	b.box.vanish()
 }
 
@@ -118,7 +118,7 @@
 func (b *backend) slowDown(times float64) {
 	b.slow = times
 	if b.model != nil {
-		b.model.Slow(b.w.now, times)
+		b.model.SetSlowdown(b.w.now, times)
 		b.tick()
 	}
 }
@@ -136,13 +136,13 @@
 func (b *backend) works(work float64, done func(full bool)) {
 	b.job++
 	id, life := b.job, b.life
-	switch b.model.Arrive(b.w.now, emulator.Job{ID: id, Work: work}) {
-	case emulator.Full:
+	switch b.model.Arrive(b.w.now, emulator.Request{ID: id, Work: work}) {
+	case emulator.Rejected:
 		done(true)
-	case emulator.Toppled:
+	case emulator.Crashed:
 		b.run.count("cold backend fell over")
 		b.die()
-	case emulator.Taken, emulator.Waits:
+	case emulator.Accepted, emulator.Queued:
 		b.jobs[id] = func(full bool) {
 			switch {
 			case b.life != life:
@@ -162,7 +162,7 @@
 
 // tick hears from the model when its next request is done.
 func (b *backend) tick() {
-	at, ok := b.model.Next()
+	at, ok := b.model.NextCompletion()
 	if !ok || b.tickAt > b.w.now && b.tickAt <= at {
 		return
 	}
@@ -173,7 +173,7 @@
 			return
 		}
 		b.tickAt = 0
-		b.finish(b.model.Done(b.w.now), false)
+		b.finish(b.model.Complete(b.w.now), false)
 		b.tick()
 	})
 }
@@ -247,11 +247,11 @@
 }
 
 func (b *backend) accepted(e *end) {
-	s := &session{b: b, e: e}
+	s := &backendSession{b: b, e: e}
 	e.wake = s.heard
 }
 
-type session struct {
+type backendSession struct {
 	b       *backend
 	e       *end
 	stands  bool
@@ -262,7 +262,7 @@
 	key     uint64 // the client's
 }
 
-func (s *session) heard() {
+func (s *backendSession) heard() {
 	for !s.busy && !s.b.deaf {
 		i := bytes.IndexByte(s.e.in, '\n')
 		if i < 0 {
@@ -272,27 +272,27 @@
 		s.e.take(i + 1)
 		s.line(line)
 	}
-	if s.e.got != machine.NoEnd && !s.busy {
+	if s.e.got != session.NoEnd && !s.busy {
 		s.gone()
 		s.e.close()
 	}
 }
 
-func (s *session) gone() {
+func (s *backendSession) gone() {
 	if s.counted {
 		s.counted = false
 		s.b.conns--
 		if s.b.model != nil {
-			s.b.run.log.End(s.b.w.now-epoch, uint64(s.e.id))
-			s.b.model.Release(s.b.w.now, uint64(s.e.id))
+			s.b.run.log.ConnectionClosed(s.b.w.now-epoch, uint64(s.e.id))
+			s.b.model.CloseConnection(s.b.w.now, uint64(s.e.id))
 			s.b.tick()
 		}
 	}
 }
 
-func (s *session) say(line string) { s.e.write([]byte(line+"\r\n"), func(bool) {}) }
+func (s *backendSession) say(line string) { s.e.write([]byte(line+"\r\n"), func(bool) {}) }
 
-func (s *session) line(line string) {
+func (s *backendSession) line(line string) {
 	b := s.b
 	switch {
 	case s.stands:
@@ -300,7 +300,7 @@
 		n := s.lines
 		took := 100 * time.Microsecond
 		if b.model != nil {
-			took = time.Duration(float64(b.model.Delay(b.w.now, b.run.opt.Fleet.LineWork)) / b.slow / b.run.slow)
+			took = time.Duration(float64(b.model.MessageLatency(b.w.now, b.run.opt.Fleet.LineWork)) / b.slow / b.run.slow)
 		}
 		b.does(took, func() {
 			s.say(fmt.Sprintf("R %s %d %s", s.receipt, n, line))
@@ -328,20 +328,20 @@
 // modelled is the load that the model reports, or what is said without one.
 func (b *backend) modelled(load float64) float64 {
 	if b.model != nil {
-		return b.model.Report(b.w.now)
+		return b.model.LoadReport(b.w.now)
 	}
 	return load
 }
 
 // open works on a request: longer the more the machine holds.
-func (s *session) open() {
+func (s *backendSession) open() {
 	b := s.b
 	if b.model != nil {
 		s.busy = true
 		b.works(b.run.opt.Fleet.SetUpWork*(0.5+b.w.rng.Float64()), func(full bool) {
 			s.busy = false
 			switch {
-			case s.e.got != machine.NoEnd || s.e.dead:
+			case s.e.got != session.NoEnd || s.e.dead:
 				s.heard()
 			case full || b.state != "ready":
 				s.say("BUSY")
@@ -350,8 +350,8 @@
 				s.counted = true
 				b.conns++
 				load := b.run.opt.Fleet.ConnLoad * (0.5 + b.w.rng.Float64())
-				b.model.Hold(b.w.now, uint64(s.e.id), load, 0)
-				b.run.log.Begin(uint64(s.e.id), measure.Conn{Key: s.key, Backend: b.id, Load: load, From: b.w.now - epoch})
+				b.model.SetConnection(b.w.now, uint64(s.e.id), load, 0)
+				b.run.log.ConnectionOpened(uint64(s.e.id), loadstats.Connection{Key: s.key, Backend: b.id, Load: load, Opened: b.w.now - epoch})
 				s.answers()
 			}
 		})
@@ -365,7 +365,7 @@
 	crowd := 1 + float64(b.conns)/(2*b.run.fair())
 	b.does(time.Duration(float64(b.service)*crowd), func() {
 		s.busy = false
-		if s.e.got != machine.NoEnd || s.e.dead {
+		if s.e.got != session.NoEnd || s.e.dead {
 			s.heard()
 			return
 		}
@@ -374,7 +374,7 @@
 }
 
 // answers says what becomes of a request that has been worked on.
-func (s *session) answers() {
+func (s *backendSession) answers() {
 	b := s.b
 	rng := b.w.rng
 	ends := true
@@ -411,7 +411,7 @@
 }
 
 // lives ends some connections from the backend's side.
-func (s *session) lives() {
+func (s *backendSession) lives() {
 	b := s.b
 	if b.w.rng.IntN(12) != 0 {
 		return
--- a/internal/world/run.go
+++ b/internal/world/run.go
@@ -9,12 +9,14 @@
 
 	"aspenbarrow/balance"
 	"aspenbarrow/internal/baseline"
+	"aspenbarrow/internal/controller"
+	"aspenbarrow/internal/discovery"
 	"aspenbarrow/internal/emulator"
 	"aspenbarrow/internal/fault"
 	"aspenbarrow/internal/invariant"
-	"aspenbarrow/internal/machine"
-	"aspenbarrow/internal/measure"
-	"aspenbarrow/internal/route"
+	"aspenbarrow/internal/loadstats"
+	"aspenbarrow/internal/routing"
+	"aspenbarrow/internal/session"
 	"aspenbarrow/internal/settings"
 )
 
@@ -86,7 +88,7 @@
 	Steps      int                   `json:"steps"`              // events
 	Service    []Second              `json:"service,omitempty"`  // by second, of a Fleet
 	ByClass    []Second              `json:"by_class,omitempty"` // of a Fleet: sums of the run
-	Even       []measure.Second      `json:"evenness,omitempty"` // by second, of a Fleet
+	Even       []loadstats.Second    `json:"evenness,omitempty"` // by second, of a Fleet
 }
 
 // class is a class of requests as clients know it.
@@ -118,13 +120,13 @@
 	regular  float64 // connections that a backend holds when all is well
 	closing  bool
 	plain    bool // clients keep to the first classes
-	pool     *emulator.Pool
+	pool     *emulator.Dependency
 	poolAt   time.Duration
 	turns    map[uint64]func()
 	turn     uint64
 	service  []Second
 	byClass  []Second
-	log      measure.Log // of what modelled backends hold
+	log      loadstats.Recorder // of what modelled backends hold
 }
 
 func (run *run) count(what string) { run.counts[what]++ }
@@ -189,7 +191,7 @@
 func (run *run) model(f *Fleet) {
 	run.turns = map[uint64]func(){}
 	if f.PoolPlaces > 0 {
-		run.pool = emulator.NewPool(f.PoolPlaces)
+		run.pool = emulator.NewDependency(f.PoolPlaces)
 	}
 	run.byClass = make([]Second, len(run.classes))
 	run.w.in(time.Second, run.measure)
@@ -271,7 +273,7 @@
 	}
 	run.served = make([]int, len(run.classes))
 	s := settings.Settings{ClassNames: []string{"watch", "fetch", "submit"}, ZoneNames: zones, KindNames: []string{"k"},
-		FieldNames: []string{"x0"}, IdleClose: 5 * time.Second}
+		ReportFieldNames: []string{"x0"}, IdleTimeout: 5 * time.Second}
 	s.Settings = balance.Settings{RelayCount: 1, Tick: 4 * time.Millisecond, HealthChecks: rng.IntN(8) != 0, Gossip: rng.IntN(4) != 0,
 		Cancellation: true, RetryAfter: rng.IntN(4) != 0, MaxRetryAfter: 1500 * time.Millisecond, MaxAttempts: 4,
 		DialTimeout: 250 * time.Millisecond, AnswerSlack: 16 * time.Millisecond, DrainGrace: 250 * time.Millisecond,
@@ -296,14 +298,14 @@
 // network could know it.
 func (run *run) trueLoad(id balance.BackendID) float64 {
 	for _, b := range run.backends {
-		if machine.IDOf(b.name) != id {
+		if discovery.BackendID(b.name) != id {
 			continue
 		}
 		if !b.up || b.paused {
 			return 1e9
 		}
 		if b.model != nil {
-			return b.model.Load(run.w.now)
+			return b.model.Utilization(run.w.now)
 		}
 		return float64(b.conns) * b.slow
 	}
@@ -357,7 +359,7 @@
 		s.RelayIndex, s.RelayCount, s.Zone = r.cfg.Settings.RelayIndex, r.cfg.Settings.RelayCount, r.cfg.Settings.Zone
 		r.cfg.Settings, r.cfg.Routes = s, run.routes()
 		if on && r.cfg.Routes != nil { // the file's classes stand in another order
-			r.cfg.Routes = r.cfg.Routes.Renumber([]int{1, 2, 3})
+			r.cfg.Routes = r.cfg.Routes.RemapClasses([]int{1, 2, 3})
 		}
 		run.check.RelayReconfigured(r.number, classes, set.MaxAttempts)
 		if r.up {
@@ -387,9 +389,9 @@
 			b.size = f.Sizes[id%len(f.Sizes)]
 		}
 		cfg := f.Server
-		cfg.Cores, cfg.Opens = cfg.Cores*b.size, cfg.Opens*b.size
+		cfg.Cores, cfg.WarmRequestRate = cfg.Cores*b.size, cfg.WarmRequestRate*b.size
 		if id%100 >= 100-int(f.LateShare*100) {
-			cfg.ReportLate = f.LateBy
+			cfg.ReportDelay = f.LateBy
 		}
 		b.model, b.jobs = emulator.New(cfg, run.w.rng.Uint64(), run.w.now), map[uint64]func(bool){}
 	}
@@ -405,7 +407,7 @@
 }
 
 func (run *run) addRelay(i, of int) {
-	cfg := machine.Config{Name: fmt.Sprintf("n%d", i), Discovery: fmt.Sprintf("10.2.0.%d:8500", i), MemoryMB: memory,
+	cfg := controller.Config{Name: fmt.Sprintf("n%d", i), Discovery: fmt.Sprintf("10.2.0.%d:8500", i), MemoryMB: memory,
 		Sockets: sockets, PeersAll: peersAll, Settings: run.set, Management: "here"}
 	cfg.Routes = run.routes()
 	cfg.Decide = baseline.Lookup(run.opt.Policy, run.trueLoad)
@@ -422,17 +424,17 @@
 }
 
 // routes gives each class its timing.
-func (run *run) routes() *route.Table {
-	var all []route.Route
+func (run *run) routes() *routing.Table {
+	var all []routing.Route
 	for i, t := range run.opt.Timings {
-		m := route.Everything
+		m := routing.MatchAll
 		m.Class = i
-		all = append(all, route.Route{Name: run.classes[i].name, Match: m, RetryPolicy: t})
+		all = append(all, routing.Route{Name: run.classes[i].name, Match: m, RetryPolicy: t})
 	}
 	if all == nil {
 		return nil
 	}
-	table, errs := route.New(all)
+	table, errs := routing.NewTable(all)
 	if len(errs) > 0 {
 		panic(errs[0])
 	}
@@ -506,7 +508,7 @@
 	}
 	r.leaving = true
 	run.count("relay leaves")
-	r.post(r.node.Leave)
+	r.post(r.node.Shutdown)
 	life := r.life
 	var look func()
 	look = func() {
@@ -563,7 +565,7 @@
 	if o := r.old; o != nil && o.up { // what is told to one process is told to both
 		o.node.SetDrained(on)
 		o.soon(func() {
-			o.node.Drain(run.w.now)
+			o.node.ApplyDrain(run.w.now)
 			o.tick()
 		})
 	}
@@ -576,7 +578,7 @@
 	run.check.SetRelayDraining(r.number, on && !r.leaving)
 	r.node.SetDrained(on)
 	r.soon(func() {
-		r.node.Drain(run.w.now)
+		r.node.ApplyDrain(run.w.now)
 		r.tick()
 	})
 }
@@ -637,19 +639,19 @@
 func (run *run) shares(then func()) {
 	run.turn++
 	run.turns[run.turn] = then
-	run.pool.Use(run.w.now, run.turn, run.opt.Fleet.PoolHold)
+	run.pool.Acquire(run.w.now, run.turn, run.opt.Fleet.PoolHold)
 	run.poolTick()
 }
 
 func (run *run) poolTick() {
-	at, ok := run.pool.Next()
+	at, ok := run.pool.NextRelease()
 	if !ok || run.poolAt > run.w.now && run.poolAt <= at {
 		return
 	}
 	run.poolAt = max(at, run.w.now)
 	run.w.at(run.poolAt, func() {
 		run.poolAt = 0
-		for _, id := range run.pool.Done(run.w.now) {
+		for _, id := range run.pool.Release(run.w.now) {
 			then := run.turns[id]
 			delete(run.turns, id)
 			then()
@@ -681,7 +683,7 @@
 	if !r.up {
 		return
 	}
-	f, seen := r.node.Ledger().Read(), run.check.Observed(r.number)
+	f, seen := r.node.Metrics().Snapshot(), run.check.Observed(r.number)
 	spare := seen.Ambiguous
 	within := func(what string, told int64, counted int) {
 		over := int(told) - counted
@@ -713,7 +715,7 @@
 }
 
 // books says what does not come out even in the module's books; a baseline's are not held to that.
-func books(n *machine.Node) error {
+func books(n *controller.Controller) error {
 	if b, ok := n.Balancer().(*balance.Balancer); ok {
 		return b.CheckInvariants()
 	}
@@ -726,12 +728,12 @@
 		if !r.up {
 			continue
 		}
-		for _, c := range r.probes.DropAll() {
+		for _, c := range r.probes.DropAllIdle() {
 			c.(*end).close()
 		}
 		fail := func(rule, format string, args ...any) { run.fail(rule, r.name+": "+format, args...) }
-		if n := r.node.Flows(); n != 0 || r.flowing != 0 || r.lobby.Guests() != 0 || len(r.flows) != 0 {
-			fail("leak", "%d flows in the books, %d counted, %d driven, %d guests", n, r.flowing, len(r.flows), r.lobby.Guests())
+		if n := r.node.Sessions(); n != 0 || r.flowing != 0 || r.lobby.Len() != 0 || len(r.flows) != 0 {
+			fail("leak", "%d flows in the books, %d counted, %d driven, %d guests", n, r.flowing, len(r.flows), r.lobby.Len())
 		}
 		if n := run.check.OpenConnections(r.number); n != 0 {
 			fail("leak", "%d connections are open", n)
@@ -745,7 +747,7 @@
 		if n := r.node.Timers(); n > 2 { // the module's upkeep and the figures
 			fail("leak", "%d timers", n)
 		}
-		if n := r.node.Ledger().Read().Concurrent; n != 0 {
+		if n := r.node.Metrics().Snapshot().Concurrent; n != 0 {
 			fail("figures", "%d connections are reported when none is left", n)
 		}
 	}
@@ -757,7 +759,7 @@
 		Violations: run.check.Violations, Counts: run.counts, Pairs: run.pairs, Steps: run.w.steps}
 	res.Service, res.ByClass = run.service, run.byClass
 	if run.opt.Fleet != nil {
-		res.Even = run.log.Seconds(run.opt.Length)
+		res.Even = run.log.PerSecond(run.opt.Length)
 	}
 	for i, n := range run.served {
 		res.Worth += float64(n) * run.classes[i].worth
@@ -776,10 +778,12 @@
 // The taps turn the network's words into the checker's own.
 type clientTap struct{ *invariant.ClientConn }
 
-func (t clientTap) ReceivedEnd(how machine.End) { t.ClientConn.ReceivedEnd(invariant.EndKind(how)) }
-func (t clientTap) WrittenEnd(how machine.End)  { t.ClientConn.WrittenEnd(invariant.EndKind(how)) }
+func (t clientTap) ReceivedEnd(how session.EndKind) { t.ClientConn.ReceivedEnd(invariant.EndKind(how)) }
+func (t clientTap) WrittenEnd(how session.EndKind)  { t.ClientConn.WrittenEnd(invariant.EndKind(how)) }
 
 type backendTap struct{ *invariant.BackendConn }
 
-func (t backendTap) ReceivedEnd(how machine.End) { t.BackendConn.ReceivedEnd(invariant.EndKind(how)) }
-func (t backendTap) WrittenEnd(how machine.End)  { t.BackendConn.WrittenEnd(invariant.EndKind(how)) }
+func (t backendTap) ReceivedEnd(how session.EndKind) {
+	t.BackendConn.ReceivedEnd(invariant.EndKind(how))
+}
+func (t backendTap) WrittenEnd(how session.EndKind) { t.BackendConn.WrittenEnd(invariant.EndKind(how)) }
--- a/internal/world/timing_test.go
+++ b/internal/world/timing_test.go
@@ -59,12 +59,12 @@
 		}
 		opt := Options{Seed: rapid.Uint64().Draw(t, "seed"), Length: 15 * time.Second}
 		for _, name := range []string{"watch", "fetch", "submit"} {
-			q, err := cfg.Request(name, "", "", "", "line")
+			q, err := cfg.RoutingRequest(config.RequestDescription{Class: name, Protocol: "line"})
 			if err != nil {
 				t.Fatal(err)
 			}
 			timing := balance.RetryPolicy{}
-			if r := cfg.Relay.Routes.Pick(q); r != nil {
+			if r := cfg.Relay.Routes.Lookup(q); r != nil {
 				timing = r.RetryPolicy
 			}
 			opt.Timings = append(opt.Timings, timing)
