--- a/internal/rehearsal/rehearsal.go
+++ b/internal/rehearsal/rehearsal.go
@@ -21,7 +21,7 @@
 
 	"aspenbarrow/internal/emulator"
 	"aspenbarrow/internal/fleet"
-	"aspenbarrow/internal/measure"
+	"aspenbarrow/internal/loadstats"
 	"aspenbarrow/internal/trouble"
 	"aspenbarrow/internal/world"
 )
@@ -167,9 +167,9 @@
 func (s *Script) fleet() *world.Fleet {
 	sv, fl := &s.Server, &s.Fleet
 	f := &world.Fleet{Relays: fl.Relays, Backends: fl.Backends, Clients: fl.Clients,
-		Server: emulator.Config{Cores: sv.Cores, Speed: sv.Speed, Queue: sv.Queue, Backlog: sv.Backlog, ColdFrom: 0.3,
-			WarmUp: 8 * time.Second, FallTimes: 2.5, FallSpan: 3 * time.Second, ReportEvery: time.Duration(sv.ReportEvery),
-			ReportNoise: sv.ReportNoise, Opens: max(4, float64(fl.Clients)/float64(fl.Backends)/3)},
+		Server: emulator.Config{Cores: sv.Cores, Speed: sv.Speed, MaxRequests: sv.Queue, Backlog: sv.Backlog, ColdCapacity: 0.3,
+			WarmUpTime: 8 * time.Second, ColdCrashFactor: 2.5, ColdCrashWindow: 3 * time.Second, ReportInterval: time.Duration(sv.ReportEvery),
+			ReportNoise: sv.ReportNoise, WarmRequestRate: max(4, float64(fl.Clients)/float64(fl.Backends)/3)},
 		SetUpWork: time.Duration(sv.SetUpWork).Seconds(), LineWork: time.Duration(sv.LineWork).Seconds(), ConnLoad: sv.ConnLoad,
 		PoolPlaces: s.Shared.Places, PoolHold: time.Duration(s.Shared.Hold),
 		Rush: time.Duration(fl.Rush), Return: time.Duration(fl.Return), HotKey: fl.HotKey, HotRelay: fl.HotRelay,
@@ -210,7 +210,7 @@
 	WorstAt  int                `json:"worst_at_s"`        // where these begin
 	Classes  map[string]float64 `json:"classes"`           // service by class; empty for processes
 	Seconds  []world.Second     `json:"seconds"`           // service by second
-	Evenness []measure.Second   `json:"evenness"`          // of the load, by second
+	Evenness []loadstats.Second `json:"evenness"`          // of the load, by second
 	Counts   map[string]int     `json:"counts"`            // how often what came up
 	Program  string             `json:"program,omitempty"` // processes': the relay's; empty: played on the virtual clock
 	Faults   []fleet.Effect     `json:"faults,omitempty"`  // processes': what each really did
@@ -268,7 +268,7 @@
 }
 
 // Even sums up the evenness of the load from a second on.
-func (o *Outcome) Even(from int) measure.Summary { return measure.Summarise(o.Evenness, from) }
+func (o *Outcome) Even(from int) loadstats.Summary { return loadstats.Summarize(o.Evenness, from) }
 
 // share is the service over some seconds: worth served over worth asked for.
 func share(seconds []world.Second) float64 {
@@ -301,7 +301,7 @@
 	fmt.Fprintf(out, "service %.4f, worst ten seconds %.4f from second %d\n", o.Whole, o.WorstTen, o.WorstAt+1)
 	even := o.Even(settled)
 	fmt.Fprintf(out, "load %.2f of capacity; deviation %.3f of it after %d s (hashing alone %.3f, an even hand %.3f), least %.2f, most %.2f, idle %.1f backend-s, herd %.1f\n",
-		even.Mean, even.Deviation, settled, even.Hashing, even.Even, even.Least, even.Most, even.Idle, o.Even(0).Herd)
+		even.MeanLoad, even.Variation, settled, even.HashingVariation, even.GreedyVariation, even.MinOverMean, even.MaxOverMean, even.IdleSeconds, o.Even(0).HerdRatio)
 	for _, name := range []string{"watch", "fetch", "submit"} {
 		if v, ok := o.Classes[name]; ok {
 			fmt.Fprintf(out, "class %-7s %.4f\n", name, v)
--- /dev/null
+++ b/internal/session/session_test.go
@@ -0,0 +1,187 @@
+package session
+
+import (
+	"bytes"
+	"errors"
+	"testing"
+	"time"
+
+	"aspenbarrow/balance"
+	"aspenbarrow/internal/handshake"
+	"aspenbarrow/internal/protocol"
+)
+
+func TestAttemptError_StatusAndMayHaveExecuted(t *testing.T) {
+	for _, tc := range []struct {
+		failure         AttemptError
+		want            balance.Status
+		mayHaveExecuted bool
+	}{
+		{AttemptError{stage: stageNotSent}, balance.StatusConnectFailed, false},
+		{AttemptError{stage: stageNotSent, timeout: true}, balance.StatusConnectFailed, false},
+		{AttemptError{stage: stagePartlySent, bytesSent: 12}, balance.StatusConnectFailed, false},
+		{AttemptError{stage: stageSent}, balance.StatusReset, true},
+		{AttemptError{stage: stageSent, timeout: true}, balance.StatusTimeout, true},
+		{AttemptError{stage: stageSent, abandoned: true}, balance.StatusCancelled, true},
+		{AttemptError{stage: stagePartlySent, bytesSent: 12, abandoned: true}, balance.StatusAbandoned, false},
+		{AttemptError{stage: stageNotSent, abandoned: true}, balance.StatusAbandoned, false},
+		{AttemptError{stage: stageAnswered, answer: protocol.KindBusy}, balance.StatusOverloaded, false},
+		{AttemptError{stage: stageAnswered, answer: protocol.KindError}, balance.StatusError, true},
+		{AttemptError{stage: stageAnswered, answer: protocol.KindMove}, balance.StatusCancelled, true},
+		{AttemptError{stage: stageAnswered, answer: protocol.KindBye}, balance.StatusOK, true},
+		{AttemptError{stage: stageAnswered, answer: protocol.KindUnknown}, balance.StatusError, true},
+		{AttemptError{stage: stageAnswered, answer: protocol.KindSyntax}, balance.StatusCancelled, true},
+	} {
+		failure := &tc.failure
+		failure.err = errors.New("cause")
+		if got := failure.Status(); got != tc.want || got.MayHaveExecuted() != tc.mayHaveExecuted {
+			t.Errorf("%v: got status %v, want %v", failure, got, tc.want)
+		}
+		if failure.Error() == "" || !errors.Is(failure, failure.err) {
+			t.Errorf("%+v does not wrap its cause", failure)
+		}
+	}
+}
+
+func TestRetryAfter_OnlyWhereSettingsAllow(t *testing.T) {
+	for allowed, want := range map[bool]string{true: "BUSY 1000\r\n", false: "BUSY\r\n"} {
+		set := sessionSettings()
+		set.RetryAfter = allowed
+		if got := protocol.BusyAnswer(RetryAfter(set)); got != want {
+			t.Errorf("allowed %v: got %q, want %q", allowed, got, want)
+		}
+	}
+}
+
+func TestAttempt_NotSentLateOrToDrainingBackend(t *testing.T) {
+	for _, tc := range []struct {
+		name       string
+		drainedFor time.Duration // 0: the backend is ready
+		timeout    time.Duration
+		want       error
+	}{
+		{"backend ready", 0, time.Second, nil},
+		{"no time left", 0, 0, ErrDeadlineExceeded},
+		{"backend drains, grace not over", 60 * time.Millisecond, time.Second, nil},
+		{"backend drains", 200 * time.Millisecond, time.Second, ErrBackendDraining},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			const line = "OPEN 0000000000000001 0000000000000002 c=chat,d=1000\r\n"
+			backend, now := testBackends()[0], 10*time.Second
+			if tc.drainedFor > 0 {
+				backend.SetState(now-tc.drainedFor, balance.StateDraining)
+			}
+			s := openSession(t, 1, line)
+			attempt := s.Execute(now, Command{Backend: backend, Deadline: now + tc.timeout}).Attempt
+			request, failure := attempt.Connected(now)
+			switch sent := string(bytes.Join(request[:], nil)); {
+			case tc.want == nil && failure != nil, tc.want != nil && !errors.Is(failure, tc.want):
+				t.Errorf("got error %v, want %v", failure, tc.want)
+			case tc.want == nil && sent != line:
+				t.Errorf("got request %q, want %q", sent, line)
+			}
+		})
+	}
+}
+
+// One final answer is given, in whatever order commands and ends of attempts come.
+func TestSession_OneFinalAnswer(t *testing.T) {
+	backends := testBackends()
+	for _, tc := range []struct {
+		name string
+		play func(s *Session, attempt *Attempt) (answers int)
+	}{
+		{"refused, then UP", func(s *Session, attempt *Attempt) (answers int) {
+			answers += finalAnswers(s.Execute(0, Command{Answer: "BUSY\r\n"}))
+			late := s.AttemptDone(0, attempt, nil)
+			if !late.CloseBackend || late.Event.Result.Status != balance.StatusCancelled {
+				answers = -9
+			}
+			return answers + finalAnswers(late)
+		}},
+		{"UP, then refused", func(s *Session, attempt *Attempt) int {
+			return finalAnswers(s.AttemptDone(0, attempt, nil)) + finalAnswers(s.Execute(0, Command{Answer: "BUSY\r\n"}))
+		}},
+		{"BYE, then refused", func(s *Session, attempt *Attempt) int {
+			_, failure := attempt.ReadAnswer([]byte("BYE\r\n"))
+			return finalAnswers(s.AttemptDone(0, attempt, failure)) + finalAnswers(s.Execute(0, Command{Answer: "BUSY\r\n"}))
+		}},
+		{"failed twice", func(s *Session, _ *Attempt) int {
+			return finalAnswers(s.Execute(0, Command{Answer: protocol.AnswerFailed})) +
+				finalAnswers(s.Execute(0, Command{Answer: protocol.AnswerFailed}))
+		}},
+		{"data before the answer, then UP", func(s *Session, attempt *Attempt) int {
+			return finalAnswers(s.ClientClosed(true)) + finalAnswers(s.AttemptDone(0, attempt, nil))
+		}},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			s := openSession(t, 1, "OPEN 0000000000000001 0000000000000002 c=chat,d=1000\r\n")
+			attempt := s.Execute(time.Second, Command{Backend: backends[0], Deadline: 2 * time.Second}).Attempt
+			if second := s.Execute(time.Second, Command{Backend: backends[1], Deadline: 2 * time.Second}); second.Attempt != nil {
+				t.Error("a second attempt while the first is pending")
+			}
+			if _, failure := attempt.Connected(time.Second); failure != nil {
+				t.Fatal(failure)
+			}
+			if got := tc.play(s, attempt); got != 1 {
+				t.Errorf("got %d final answers, want 1", got)
+			}
+			if s.AwaitsCommands() && !s.attemptPending {
+				t.Error("the session still awaits commands")
+			}
+		})
+	}
+}
+
+// finalAnswers is the number of final answers in what the caller is told to do.
+func finalAnswers(actions Actions) (n int) {
+	if actions.Answer != "" {
+		n++
+	}
+	if actions.Establish {
+		n++
+	}
+	return n
+}
+
+// A client whose connection lay in the accept queue has been waiting since before any clock here saw it: its time-out
+// counts from when the queue began to fill, half a second at most. An acceptor that finds nobody has an empty queue.
+func TestSession_TimeoutCountsFromAcceptQueue(t *testing.T) {
+	pool, now := handshake.NewPool(1), time.Second
+	accept := func(name string) *handshake.Connection {
+		for {
+			accepted, _, wait := pool.Add(now, name)
+			now += wait
+			if accepted != nil {
+				return accepted
+			}
+		}
+	}
+	// waited is how long ago a client arrived that sends its OPEN line so long after it was accepted.
+	waited := func(c *handshake.Connection, after time.Duration) time.Duration {
+		s := newTestSession(1)
+		s.Accepted(c)
+		if _, err := s.ReadHandshake(now+after, []byte("OPEN 0000000000000009 0000000000000009 c=chat,d=1000\r\n"), true); err != nil {
+			t.Fatal(err)
+		}
+		return now + after - s.ArrivedAt
+	}
+	for i, want := range []time.Duration{0, 30 * time.Millisecond, 60 * time.Millisecond, 90 * time.Millisecond} {
+		if got := waited(accept("silent"), 0); got != want {
+			t.Errorf("number %d in the queue: got %v, want %v", i, got, want)
+		}
+	}
+	if got := waited(accept("slow"), handshake.EvictionGrace); got != 0 {
+		t.Errorf("a line that was sent after its connection was accepted: got %v, want 0", got)
+	}
+	for range 30 {
+		accept("silent")
+	}
+	if got := waited(accept("long in the queue"), 0); got != handshake.MaxQueueTime {
+		t.Errorf("after a second of crowd: got %v, want %v", got, handshake.MaxQueueTime)
+	}
+	now += handshake.EvictionGrace
+	if got := waited(accept("later"), 0); got != 0 {
+		t.Errorf("with an empty queue again: got %v, want 0", got)
+	}
+}
