--- a/internal/config/builder.go
+++ b/internal/config/builder.go
@@ -54,20 +54,20 @@
 		Cores:    doc.Limits.Cores,
 		LogLevel: doc.Log.Level,
 		Relay: controller.Config{
-			Name:       doc.Relay.Name,
-			Listen:     doc.Relay.Listen,
-			Management: doc.Relay.Management,
-			Discovery:  doc.Discovery.Address,
-			Seed:       seed,
-			MemoryMB:   doc.Limits.MemoryMB,
-			Sockets:    doc.Limits.Sockets,
-			PeerListen: doc.Peers.Listen,
-			Peers:      doc.Peers.Addresses,
-			PeersAll:   doc.Peers.Broadcast,
-			Settings:   installation,
-			Routes:     routes,
-			Shadow:     shape,
-			Membership: detector,
+			Name:           doc.Relay.Name,
+			Listen:         doc.Relay.Listen,
+			AdminListen:    doc.Relay.Management,
+			Discovery:      doc.Discovery.Address,
+			Seed:           seed,
+			MemoryMB:       doc.Limits.MemoryMB,
+			MaxDescriptors: doc.Limits.Sockets,
+			PeerListen:     doc.Peers.Listen,
+			Peers:          doc.Peers.Addresses,
+			BroadcastPeer:  doc.Peers.Broadcast,
+			Settings:       installation,
+			Routes:         routes,
+			Shadow:         shape,
+			Membership:     detector,
 		},
 	}
 }
@@ -201,14 +201,14 @@
 		b.report(keyShadowReport, ErrConflict, "reports come in the form of rules.report, %q: watch that or none", b.doc.Rules.ReportFields)
 	}
 	shape := &shadow.Shape{
-		Probes:     section.HealthChecks,
-		Peers:      section.Gossip,
-		Groups:     section.Groups,
-		RetryAfter: section.RetryAfter,
-		Weights:    weightModes[section.Weights],
+		HealthChecks: section.HealthChecks,
+		Gossip:       section.Gossip,
+		Groups:       section.Groups,
+		RetryAfter:   section.RetryAfter,
+		Weights:      weightModes[section.Weights],
 	}
 	for _, name := range section.ReportFields {
-		shape.Report = append(shape.Report, settings.ReportField(name))
+		shape.ReportFields = append(shape.ReportFields, settings.ReportField(name))
 	}
 	return shape
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -62,7 +62,7 @@
 
 	b := builder{source: src, doc: doc}
 	config := b.config()
-	config.Relay.Scratch = env(variableScratch)
+	config.Relay.RuntimeDir = env(variableScratch)
 	if len(src.problems) > 0 {
 		return Config{}, src.problems.sorted()
 	}
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -68,16 +68,16 @@
 	r, s := &c.Relay, &c.Relay.Settings
 	say("name", r.Name)
 	say("listens at", r.Listen)
-	say("management at", r.Management)
+	say("management at", r.AdminListen)
 	say("discovery at", r.Discovery)
 	say("seed", fmt.Sprintf("%x", r.Seed))
-	say("cores, MB, sockets", c.Cores, r.MemoryMB, r.Sockets)
+	say("cores, MB, sockets", c.Cores, r.MemoryMB, r.MaxDescriptors)
 	say("log level", c.LogLevel)
 	say("hears peers at", r.PeerListen)
 	say("peers", r.Peers)
-	say("all peers at", r.PeersAll)
-	say("known", string(r.Known))
-	say("scratch", r.Scratch)
+	say("all peers at", r.BroadcastPeer)
+	say("known", string(r.CachedEndpoints))
+	say("scratch", r.RuntimeDir)
 	say("relay, of how many, zone", s.RelayIndex, s.RelayCount, s.Zone)
 	say("zones", s.ZoneNames)
 	say("kinds", s.KindNames)
@@ -114,7 +114,7 @@
 	if w := r.Shadow; w == nil {
 		say("watched", "no")
 	} else {
-		say("watched", w.Probes, w.Peers, w.Groups, w.RetryAfter, fieldsWritten(w.Report), weightsWords[w.Weights])
+		say("watched", w.HealthChecks, w.Gossip, w.Groups, w.RetryAfter, fieldsWritten(w.ReportFields), weightsWords[w.Weights])
 	}
 	if m := r.Membership; m == nil {
 		say("membership", "no")
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -72,7 +72,7 @@
 	if err != nil {
 		return Config{}, err
 	}
-	relay.Scratch = env(variableScratch)
+	relay.RuntimeDir = env(variableScratch)
 	return Config{Cores: object.Limits.Cores, Relay: relay, platform: text}, nil
 }
 
@@ -120,20 +120,20 @@
 		return controller.Config{}, err
 	}
 	return controller.Config{
-		Name:       object.Name,
-		Listen:     object.Listen,
-		Discovery:  object.Discovery,
-		Management: object.Management,
-		Seed:       seed,
-		MemoryMB:   object.Limits.MemoryMB,
-		Sockets:    object.Limits.Sockets,
-		PeerListen: object.PeerListen,
-		Peers:      object.Peers,
-		PeersAll:   object.PeersAll,
-		Known:      p.known(),
-		Settings:   installation,
-		Shadow:     shape,
-		Membership: detector,
+		Name:            object.Name,
+		Listen:          object.Listen,
+		Discovery:       object.Discovery,
+		AdminListen:     object.Management,
+		Seed:            seed,
+		MemoryMB:        object.Limits.MemoryMB,
+		MaxDescriptors:  object.Limits.Sockets,
+		PeerListen:      object.PeerListen,
+		Peers:           object.Peers,
+		BroadcastPeer:   object.PeersAll,
+		CachedEndpoints: p.known(),
+		Settings:        installation,
+		Shadow:          shape,
+		Membership:      detector,
 	}, nil
 }
 
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -105,7 +105,7 @@
 		t.Fatalf("%v, %v", c.Relay.Shadow, err)
 	}
 	c, err := parse("[watch]\non = true\nweights = \"rough\"\n")
-	if w := c.Relay.Shadow; err != nil || w == nil || w.Probes || len(w.Report) > 0 || !w.RetryAfter || w.Weights != balance.WeightsRough {
+	if w := c.Relay.Shadow; err != nil || w == nil || w.HealthChecks || len(w.ReportFields) > 0 || !w.RetryAfter || w.Weights != balance.WeightsRough {
 		t.Errorf("%+v, %v", c.Relay.Shadow, err)
 	}
 	for add, want := range map[string]string{
@@ -131,7 +131,7 @@
 		return Load(path, none, false)
 	}
 	settings := platform[strings.Index(platform, `"settings":`)+len(`"settings":`) : len(platform)-1]
-	if c, err := of(settings); err != nil || c.Relay.Shadow == nil || c.Relay.Shadow.Probes {
+	if c, err := of(settings); err != nil || c.Relay.Shadow == nil || c.Relay.Shadow.HealthChecks {
 		t.Errorf("%+v, %v", c.Relay.Shadow, err)
 	}
 	if _, err := of(strings.Replace(settings, `"limits":{`, `"limits":{"peers":true,`, 1)); err == nil || !strings.Contains(err.Error(), "peer_listen") {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -33,26 +33,26 @@
 
 // Config is what a relay is told at its start.
 type Config struct {
-	Name       string
-	Listen     string
-	Discovery  string
-	Seed       uint64
-	MemoryMB   int
-	Sockets    int // descriptors that the process may hold
-	PeerListen string
-	Peers      []string
-	PeersAll   string
-	Known      []byte // the list as this relay last had it, in discovery's form; may be empty
-	Settings   settings.Settings
-	Routes     *routing.Table       // nil: no request has a timing of its own
-	Management string               // the second address, for staff; empty: there is none
-	Shadow     *shadow.Shape        // settings of another shape that decide in vain, to be watched before a switch; nil: none
-	Membership *membership.Settings // how relays find out who of them is there; nil: they don't
-	Scratch    string               // a folder that the next version's process sees as well; empty: it starts as a fresh one
+	Name            string
+	Listen          string
+	Discovery       string
+	Seed            uint64
+	MemoryMB        int
+	MaxDescriptors  int // descriptors that the process may hold
+	PeerListen      string
+	Peers           []string
+	BroadcastPeer   string
+	CachedEndpoints []byte // the list as this relay last had it, in discovery's form; may be empty
+	Settings        settings.Settings
+	Routes          *routing.Table       // nil: no request has a timing of its own
+	AdminListen     string               // the second address, for staff; empty: there is none
+	Shadow          *shadow.Shape        // settings of another shape that decide in vain, to be watched before a switch; nil: none
+	Membership      *membership.Settings // how relays find out who of them is there; nil: they don't
+	RuntimeDir      string               // a folder that the next version's process sees as well; empty: it starts as a fresh one
 
 	// Decide makes what decides; nil: the module, package balance. Another is for the
 	// laboratory alone, which sets the module against simpler policies.
-	Decide decision.Factory
+	NewDecider decision.Factory
 }
 
 const (
@@ -75,7 +75,7 @@
 )
 
 // MaxDatagram is the longest datagram between relays, in bytes.
-const MaxDatagram = 256
+const MaxDatagramBytes = 256
 
 // Limits is how the descriptors are dealt out.
 type Limits struct{ Sessions, Handshakes, HealthChecks, AdminConnections int }
@@ -108,7 +108,7 @@
 	SetDiscoveryAddress(address string) // another agent of discovery from now on
 	SetLimits(s Limits)
 	SetSettings(s *settings.Settings) // in force from now on; what is under others keeps them
-	ListReceived()                    // there is a list, for the first time
+	EndpointsReceived()               // there is a list, for the first time
 	StopAccepting()                   // nobody else is taken in: the end is near; it may be said again
 	Stopped()                         // nothing is owed any more: the relay may end
 }
@@ -189,7 +189,7 @@
 		}
 		n.EndpointsUpdated(now, known, balance.UpdateCached)
 	}
-	if cfg.Management != "" || n.shadow != nil {
+	if cfg.AdminListen != "" || n.shadow != nil {
 		n.setTimer(metricsTimer, 0, 0)
 	}
 	if !n.ready.Load() {
@@ -206,8 +206,8 @@
 		evaluator = shadow.New(shadowHost{n}, cfg.Shadow, n.log)
 		do = evaluator.Observe(do)
 	}
-	if cfg.Decide != nil {
-		n.balancer = cfg.Decide(now, cfg.Seed, n.effectiveSettings(), do)
+	if cfg.NewDecider != nil {
+		n.balancer = cfg.NewDecider(now, cfg.Seed, n.effectiveSettings(), do)
 	} else {
 		n.balancer = balance.New(now, cfg.Seed, n.effectiveSettings(), do)
 	}
@@ -245,10 +245,10 @@
 
 // knownEndpoints reads the list that a configuration holds, if any, by the names in force.
 func (c *Config) knownEndpoints(names *settings.Settings) (l discovery.EndpointList, spoilt, err error) {
-	if len(c.Known) == 0 {
+	if len(c.CachedEndpoints) == 0 {
 		return discovery.EndpointList{}, nil, nil
 	}
-	if l, spoilt, err = discovery.ParseEndpointsLenient(c.Known, names); err != nil {
+	if l, spoilt, err = discovery.ParseEndpointsLenient(c.CachedEndpoints, names); err != nil {
 		return discovery.EndpointList{}, nil, fmt.Errorf("known backends: %w", err)
 	}
 	return l, spoilt, nil
@@ -297,10 +297,10 @@
 func (n *Controller) Backends() []*upstream.Backend { return n.backendOrder }
 
 // Timers is how many timers are set: the module's upkeep and those of requests.
-func (n *Controller) Timers() int { return len(n.timers) }
+func (n *Controller) TimerCount() int { return len(n.timers) }
 
 // Sessions is how many flows are open.
-func (n *Controller) Sessions() int { return len(n.sessions) }
+func (n *Controller) SessionCount() int { return len(n.sessions) }
 
 // deliver delivers one event and then what the module's own actions brought about.
 // A panic is that event's: the relay lives on.
@@ -516,13 +516,13 @@
 	cfg.Routes = cfg.Routes.RemapClasses(numbers)
 	changed, later := []string{}, []string{}
 	n.descriptors = sockets
-	shares := AllocateDescriptors(sockets-n.otherProcessDescriptors, cfg.MemoryMB, was.Management != "")
+	shares := AllocateDescriptors(sockets-n.otherProcessDescriptors, cfg.MemoryMB, was.AdminListen != "")
 	n.deliver(now, func() {
 		if cfg.Discovery != was.Discovery {
 			changed = append(changed, "discovery")
 			n.driver.SetDiscoveryAddress(cfg.Discovery)
 		}
-		if !slices.Equal(cfg.Peers, was.Peers) || cfg.PeersAll != was.PeersAll {
+		if !slices.Equal(cfg.Peers, was.Peers) || cfg.BroadcastPeer != was.BroadcastPeer {
 			changed = append(changed, "peers")
 			n.setPeers(cfg.Peers)
 			n.restartMembership(&cfg)
@@ -531,11 +531,11 @@
 			changed = append(changed, "membership")
 			n.restartMembership(&cfg)
 		}
-		if cfg.Sockets != was.Sockets || cfg.MemoryMB != was.MemoryMB {
+		if cfg.MaxDescriptors != was.MaxDescriptors || cfg.MemoryMB != was.MemoryMB {
 			changed = append(changed, "limits")
 			n.driver.SetLimits(shares)
 		}
-		if !bytes.Equal(cfg.Known, was.Known) && len(known.Endpoints) > 0 && !n.discoveryAnswered {
+		if !bytes.Equal(cfg.CachedEndpoints, was.CachedEndpoints) && len(known.Endpoints) > 0 && !n.discoveryAnswered {
 			changed = append(changed, "known") // what discovery says itself is never older
 			n.updateEndpoints(known, balance.UpdateCached)
 		}
@@ -554,14 +554,14 @@
 		name string
 		same bool
 	}{{"listen", cfg.Listen == was.Listen}, {"name", cfg.Name == was.Name},
-		{"management", cfg.Management == was.Management}, {"watch", cfg.Shadow.Equal(was.Shadow)},
+		{"management", cfg.AdminListen == was.AdminListen}, {"watch", cfg.Shadow.Equal(was.Shadow)},
 		{"peer_listen", cfg.PeerListen == was.PeerListen}, {"settings", settings.SameRestartOnly(&cfg.Settings, n.settings)}} {
 		if !part.same {
 			later = append(later, part.name)
 		}
 	}
 	cfg.Name, cfg.Listen, cfg.PeerListen, cfg.Settings = was.Name, was.Listen, was.PeerListen, *n.settings
-	cfg.Management, cfg.Scratch, cfg.Shadow = was.Management, was.Scratch, was.Shadow
+	cfg.AdminListen, cfg.RuntimeDir, cfg.Shadow = was.AdminListen, was.RuntimeDir, was.Shadow
 	n.cfg = cfg
 	n.log.Info("configuration read again", zap.Strings("taken", changed), zap.String("discovery", cfg.Discovery),
 		zap.Int("flows", shares.Sessions))
@@ -582,7 +582,7 @@
 	}
 	n.otherProcessDescriptors = held
 	n.deliver(now, func() {
-		n.driver.SetLimits(AllocateDescriptors(n.descriptors-held, n.cfg.MemoryMB, n.cfg.Management != ""))
+		n.driver.SetLimits(AllocateDescriptors(n.descriptors-held, n.cfg.MemoryMB, n.cfg.AdminListen != ""))
 	})
 }
 
@@ -805,7 +805,7 @@
 	n.ready.Store(true)
 	if !n.listReceived {
 		n.listReceived = true
-		n.driver.ListReceived()
+		n.driver.EndpointsReceived()
 	}
 }
 
@@ -873,9 +873,9 @@
 }
 
 func (a actions) SendGossip(peer int, data []byte) {
-	to := a.cfg.PeersAll
+	to := a.cfg.BroadcastPeer
 	switch {
-	case !a.settings.Gossip || len(data) > MaxDatagram || peer >= len(a.cfg.Peers):
+	case !a.settings.Gossip || len(data) > MaxDatagramBytes || peer >= len(a.cfg.Peers):
 		return
 	case peer >= 0:
 		to = a.cfg.Peers[peer]
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -139,7 +139,7 @@
 func (h *host) SendCommand(flow uint64, o session.Command) {
 	h.orders[flow] = append(h.orders[flow], o)
 }
-func (h *host) ListReceived()                         {}
+func (h *host) EndpointsReceived()                    {}
 func (h *host) SetSettings(*settings.Settings)        {}
 func (h *host) MigrateSession(flow uint64)            { h.moved = append(h.moved, flow) }
 func (h *host) ReportClientError(_ uint64, err error) { h.bad = append(h.bad, err) }
@@ -173,7 +173,7 @@
 			ReportFields: []balance.ReportField{balance.FieldLoadShare}, PassThrough: true,
 			Classes: []balance.Class{{LatencyObjective: 500 * time.Millisecond, ClientTimeout: time.Second,
 				MessageLatencyObjective: 60 * time.Millisecond}}}}
-	return Config{Name: "n0", Discovery: "d:1", Seed: 1, MemoryMB: 64, Sockets: 256, Known: []byte(three),
+	return Config{Name: "n0", Discovery: "d:1", Seed: 1, MemoryMB: 64, MaxDescriptors: 256, CachedEndpoints: []byte(three),
 		Peers: []string{"127.0.0.1:1", "127.0.0.1:2"}, Settings: s}
 }
 
@@ -248,7 +248,7 @@
 	a := actions{n}
 	a.SendGossip(1, []byte("more"))
 	a.SendGossip(2, []byte("nobody"))
-	a.SendGossip(0, make([]byte, MaxDatagram+1))
+	a.SendGossip(0, make([]byte, MaxDatagramBytes+1))
 	if !slices.Equal(h.told, []string{"127.0.0.1:2 more"}) {
 		t.Errorf("%q", h.told)
 	}
@@ -282,7 +282,7 @@
 		cfg.Settings.ReportsConnectionLoad, cfg.Settings.ReportsMessageDelay = tc.load, tc.delay
 		var notes []string
 		var waits bool
-		cfg.Decide = func(now time.Duration, seed uint64, s balance.Settings, do balance.Actions) decision.Decider {
+		cfg.NewDecider = func(now time.Duration, seed uint64, s balance.Settings, do balance.Actions) decision.Decider {
 			waits = s.ReportsMessageDelay
 			return noted{balance.New(now, seed, s, do), &notes, &waits}
 		}
@@ -522,12 +522,12 @@
 func TestAReloadTakesOverWhatItMayAndNoMore(t *testing.T) {
 	n, h := node(t, testConfig())
 	bad := testConfig()
-	bad.Known, bad.Discovery = []byte("{"), "d:2"
+	bad.CachedEndpoints, bad.Discovery = []byte("{"), "d:2"
 	if err := n.Reload(time.Second, bad, 256); err == nil || len(h.follows) != 0 {
 		t.Errorf("an unsound file: %v, follows %v", err, h.follows)
 	}
 	cfg := testConfig()
-	cfg.Discovery, cfg.Sockets, cfg.Peers, cfg.Name = "d:2", 128, []string{"127.0.0.1:7"}, "other"
+	cfg.Discovery, cfg.MaxDescriptors, cfg.Peers, cfg.Name = "d:2", 128, []string{"127.0.0.1:7"}, "other"
 	if err := n.Reload(time.Second, cfg, 128); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controller/crossings_test.go
+++ b/internal/controller/crossings_test.go
@@ -92,7 +92,7 @@
 // A request that nothing was sent for yet, since no list names a ready server, is answered before the end as well.
 func TestALeavingRelayAnswersWhoeverWaitsForAList(t *testing.T) {
 	cfg := lone(8*time.Second, balance.Idempotent, true)
-	cfg.Known = nil
+	cfg.CachedEndpoints = nil
 	n, h := node(t, cfg)
 	f := greeted(t, n, 1, says(1))
 	n.SessionOpened(time.Second, f)
@@ -218,7 +218,7 @@
 // Entries of the configuration's list that cannot be read cost their own backends; the relay starts, and asks for all.
 func TestASpoiltEntryOfTheKnownListCostsItsOwnBackendAlone(t *testing.T) {
 	cfg := testConfig()
-	cfg.Known = []byte(`{"version":4,"full":true,"servers":[{"id":"a","addr":"h:1","state":"asleep"},` +
+	cfg.CachedEndpoints = []byte(`{"version":4,"full":true,"servers":[{"id":"a","addr":"h:1","state":"asleep"},` +
 		`{"id":"b","addr":"h:2","state":"ready"}]}`)
 	var logged []string
 	n, err := New(time.Second, cfg, &host{orders: map[uint64][]session.Command{}}, zap.New(logTo(func(msg string) { logged = append(logged, msg) })))
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -85,7 +85,7 @@
 func heir(t *testing.T) *Controller {
 	t.Helper()
 	cfg, joined := testConfig(), membership.DefaultSettings("f")
-	cfg.Known, cfg.Membership = nil, &joined
+	cfg.CachedEndpoints, cfg.Membership = nil, &joined
 	cfg.Settings.ClassNames = []string{"chat", "bulk"}
 	cfg.Settings.Classes = append(cfg.Settings.Classes, cfg.Settings.Classes[0])
 	n, err := New(goldenAt, cfg, &host{orders: map[uint64][]session.Command{}}, zap.NewNop())
--- a/internal/controller/hotrestart.go
+++ b/internal/controller/hotrestart.go
@@ -33,7 +33,7 @@
 
 // ExportState is the document for the next process.
 func (n *Controller) ExportState(now time.Duration) ([]byte, error) {
-	d := hotrestart.Document{Name: n.cfg.Name, At: now, Classes: n.classNames, Drained: n.drained.Load()}
+	d := hotrestart.Document{Name: n.cfg.Name, WrittenAt: now, Classes: n.classNames, Drained: n.drained.Load()}
 	if m, ok := n.balancer.(decision.Snapshotter); ok {
 		d.Snapshot = m.Snapshot()
 	}
--- a/internal/controller/hotrestart_test.go
+++ b/internal/controller/hotrestart_test.go
@@ -15,7 +15,7 @@
 	}
 	good := string(text)
 	cfg := testConfig()
-	cfg.Known = nil
+	cfg.CachedEndpoints = nil
 	for _, c := range []struct {
 		name, from, to string
 		late           time.Duration
--- a/internal/controller/membership_test.go
+++ b/internal/controller/membership_test.go
@@ -33,7 +33,7 @@
 		seen[i] = &seenByModule{}
 		cfg := testConfig()
 		cfg.Peers, cfg.Settings.RelayIndex, cfg.Settings.RelayCount, cfg.Settings.Gossip = peers, i, 3, true
-		cfg.Decide = func(now time.Duration, seed uint64, s balance.Settings, do balance.Actions) decision.Decider {
+		cfg.NewDecider = func(now time.Duration, seed uint64, s balance.Settings, do balance.Actions) decision.Decider {
 			return counting{balance.New(now, seed, s, do), seen[i]}
 		}
 		if on {
--- a/internal/controller/shadow_test.go
+++ b/internal/controller/shadow_test.go
@@ -19,7 +19,7 @@
 func watched(change func(*shadow.Shape)) Config {
 	cfg := with([]string{"chat"}, []balance.Class{class(balance.Idempotent)}, 3)
 	cfg.Settings.PassThrough, cfg.Settings.ReportsMessageDelay = false, true
-	cfg.Known = []byte(strings.ReplaceAll(three, `"weight":1}]`, `"weight":6}]`))
+	cfg.CachedEndpoints = []byte(strings.ReplaceAll(three, `"weight":1}]`, `"weight":6}]`))
 	s := cfg.Settings.Settings
 	s.Weights = balance.WeightsNominal
 	cfg.Settings.Settings = s
@@ -114,7 +114,7 @@
 func TestWhatIsDoneIsTheSameWithAndWithoutWatching(t *testing.T) {
 	_, plain := serve(t, watched(nil), nil)
 	for name, change := range map[string]func(*shadow.Shape){
-		"same": func(*shadow.Shape) {}, "no probes": func(s *shadow.Shape) { s.Probes, s.Report = false, nil },
+		"same": func(*shadow.Shape) {}, "no probes": func(s *shadow.Shape) { s.HealthChecks, s.ReportFields = false, nil },
 		"no weights": func(s *shadow.Shape) { s.Weights = balance.WeightsOff },
 	} {
 		if _, did := serve(t, watched(change), nil); !slices.Equal(did, plain) {
@@ -131,7 +131,7 @@
 	if f.Counts[metrics.DifferentBackend] < 50 || f.Counts[metrics.DifferentBackend] > 300 {
 		t.Errorf("no weights: %+v", f)
 	}
-	n, _ = serve(t, watched(func(s *shadow.Shape) { s.Probes, s.Report = false, nil }), nil)
+	n, _ = serve(t, watched(func(s *shadow.Shape) { s.HealthChecks, s.ReportFields = false, nil }), nil)
 	if f, sum := differences(n); sum == 0 || f.Counts[metrics.MigratedNotKept]+f.Counts[metrics.KeptNotMigrated]+f.Counts[metrics.UnavailableNotUsed]+f.Counts[metrics.UsedNotUnavailable]+
 		f.Counts[metrics.RejectedNotAdmitted]+f.Counts[metrics.DifferentBackend] == 0 {
 		t.Errorf("no probes: %+v", f)
@@ -150,7 +150,7 @@
 // What decides asks the server first; the other half, which cannot, has sent the client by then. When the client leaves
 // before the answer neither holds it.
 func TestAClientThatLeavesWhileItIsHeldIsInNobodysBooks(t *testing.T) {
-	n, h := node(t, watched(func(s *shadow.Shape) { s.Probes, s.Report = false, nil }))
+	n, h := node(t, watched(func(s *shadow.Shape) { s.HealthChecks, s.ReportFields = false, nil }))
 	now := 9 * time.Second
 	f := session.New(1, n.Settings(), n.Metrics())
 	if _, err := f.ReadHandshake(now, []byte("OPEN 0000000000000001 0000000000000001 c=chat,d=1000\r\n"), true); err != nil {
@@ -184,7 +184,7 @@
 }
 
 func BenchmarkDecision(b *testing.B) {
-	for name, change := range map[string]func(*shadow.Shape){"alone": nil, "watched": func(s *shadow.Shape) { s.Probes, s.Report = false, nil }} {
+	for name, change := range map[string]func(*shadow.Shape){"alone": nil, "watched": func(s *shadow.Shape) { s.HealthChecks, s.ReportFields = false, nil }} {
 		b.Run(name, func(b *testing.B) {
 			h := &host{orders: map[uint64][]session.Command{}}
 			n, err := New(time.Second, watched(change), h, zap.NewNop())
@@ -206,7 +206,7 @@
 		n, _ := node(t, watched(was))
 		var lines []string
 		n.log = zap.New(logTo(func(msg string) { lines = append(lines, msg) }))
-		cfg := watched(func(s *shadow.Shape) { s.Probes = false })
+		cfg := watched(func(s *shadow.Shape) { s.HealthChecks = false })
 		if err := n.Reload(2*time.Second, cfg, 256); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/hotrestart/document.go
+++ b/internal/hotrestart/document.go
@@ -24,7 +24,7 @@
 type Document struct {
 	Version     int              `json:"version"`
 	Name        string           `json:"name"`
-	At          time.Duration    `json:"at"`
+	WrittenAt   time.Duration    `json:"at"`
 	Classes     []string         `json:"classes"`
 	Drained     bool             `json:"drained"`
 	Incarnation uint64           `json:"incarnation,omitempty"` // among the relays
@@ -109,7 +109,7 @@
 }
 
 func (d *Document) check(name string, now time.Duration) error {
-	switch age := now - d.At; {
+	switch age := now - d.WrittenAt; {
 	case d.Version != documentVersion:
 		return &VersionError{d.Version}
 	case d.Name != name:
--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -71,7 +71,7 @@
 		b.Fatal(err)
 	}
 	cfg := config(d.Addr(), entry)
-	cfg.MemoryMB, cfg.Sockets = 0, 0
+	cfg.MemoryMB, cfg.MaxDescriptors = 0, 0
 	cfg.Settings.HealthChecks, cfg.Settings.PassThrough, cfg.PeerListen = false, false, ""
 	r, err := New(cfg, zap.NewNop())
 	if err != nil {
--- a/internal/relay/crossings_test.go
+++ b/internal/relay/crossings_test.go
@@ -32,11 +32,11 @@
 func bare(discovery string, list ...standin.Entry) Config {
 	cfg := config(discovery, list...)
 	cfg.Settings.HealthChecks, cfg.Settings.Gossip, cfg.Settings.ReportFields, cfg.Settings.ReportFieldNames = false, false, nil, nil
-	cfg.PeerListen, cfg.Peers, cfg.Sockets = "", nil, 2048
+	cfg.PeerListen, cfg.Peers, cfg.MaxDescriptors = "", nil, 2048
 	cfg.MemoryMB = 192
 	cfg.Settings.Classes[0].LatencyObjective, cfg.Settings.Classes[0].ClientTimeout = 40*time.Second, time.Minute // a machine that stalls ends nothing
 	if len(list) == 0 {
-		cfg.Known = nil
+		cfg.CachedEndpoints = nil
 	}
 	return cfg
 }
@@ -84,7 +84,7 @@
 			t.Error(err)
 		}
 		all, _ := b.Connections()
-		return all == 0 && r.node.Sessions() == 0 && r.flowing.Load() == 0
+		return all == 0 && r.node.SessionCount() == 0 && r.flowing.Load() == 0
 	})
 }
 
@@ -236,7 +236,7 @@
 func TestPatienceRunsInTheAcceptQueue(t *testing.T) {
 	s := newScripted(t)
 	cfg := bare("", s.entry("b"))
-	cfg.Sockets = 48 // five of them for who has said nothing yet
+	cfg.MaxDescriptors = 48 // five of them for who has said nothing yet
 	r, _, _ := running(t, cfg)
 	for range 60 {
 		c, err := net.Dial("tcp", r.Addr().String())
@@ -290,7 +290,7 @@
 			r, _, _ := running(t, bare(d.addr()))
 			first := d.call()
 			c := opens(t, r, 1, "")
-			until(t, "it waits", func() bool { return in(r, r.node.Sessions) == 1 })
+			until(t, "it waits", func() bool { return in(r, r.node.SessionCount) == 1 })
 			leaves(t, r, c, way.how)
 			first.answers(standin.List(1, []standin.Entry{b.entry("s-0")}))
 			servesNext(t, r, b, 2)
@@ -476,7 +476,7 @@
 			cfg.Settings.Classes[0].ClientTimeout = 2 * time.Second // its timer is waited for
 			r, _, _ := running(t, cfg)
 			servesNext(t, r, b, 9) // what a request earns
-			idle := in(r, r.node.Timers)
+			idle := in(r, r.node.TimerCount)
 			c := opens(t, r, 1, "")
 			try := b.accept()
 			try.asked("OPEN")
@@ -484,7 +484,7 @@
 			try.over()
 			until(t, "it pauses", r.holds(0))
 			leaves(t, r, c, way.how)
-			until(t, "the pause is over", func() bool { return in(r, r.node.Timers) <= idle })
+			until(t, "the pause is over", func() bool { return in(r, r.node.TimerCount) <= idle })
 			servesNext(t, r, b, 2)
 		})
 	}
@@ -1089,7 +1089,7 @@
 				cfg.Settings.ZoneNames = []string{"east", "west"}
 				list := []standin.Entry{one.entry("s-0"), two.entry("s-1")}
 				list[1].Zone = "west"
-				cfg.Known = standin.List(1, list)
+				cfg.CachedEndpoints = standin.List(1, list)
 				cfg.Settings.Classes[0].Idempotency, cfg.Settings.Classes[0].DedupScope = effect, balance.ScopeZone
 				cfg.Settings.Classes[0].DedupWindow, cfg.Settings.Classes[0].ClientTimeout = time.Minute, 9*time.Second
 				r, _, _ := running(t, cfg)
@@ -1201,7 +1201,7 @@
 		t.Errorf("answered after %v", took)
 	}
 	addr, _ := full(t)
-	cfg.Known = standin.List(1, []standin.Entry{{ID: "s-0", Addr: addr, Zone: "east", State: "ready", Weight: 1}})
+	cfg.CachedEndpoints = standin.List(1, []standin.Entry{{ID: "s-0", Addr: addr, Zone: "east", State: "ready", Weight: 1}})
 	r, _, _ = running(t, cfg)
 	c = opens(t, r, 3, "")
 	came = time.Now()
--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -138,7 +138,7 @@
 func meeting(cfg *Config) string {
 	h := fnv.New32a()
 	_, _ = io.WriteString(h, cfg.Listen+" "+cfg.Name)
-	return filepath.Join(cfg.Scratch, fmt.Sprintf("aspenbarrow-%08x.sock", h.Sum32()))
+	return filepath.Join(cfg.RuntimeDir, fmt.Sprintf("aspenbarrow-%08x.sock", h.Sum32()))
 }
 
 // --- the new process -----------------------------------------------------------------
@@ -167,7 +167,7 @@
 
 // inherit asks the old process, if there is one.
 func inherit(cfg *Config, log *zap.Logger) *legacy {
-	if cfg.Management == "" || cfg.Scratch == "" {
+	if cfg.AdminListen == "" || cfg.RuntimeDir == "" {
 		return nil
 	}
 	path := meeting(cfg)
--- a/internal/relay/loop.go
+++ b/internal/relay/loop.go
@@ -96,7 +96,7 @@
 func (h host) SendDatagram(to string, data []byte)     { h.peers.tell(to, data) }
 func (h host) RequestEndpoints(watch bool)             { h.discovery.ask(watch) }
 func (h host) SetDiscoveryAddress(address string)      { h.discovery.move(address) }
-func (h host) ListReceived()                           { close(h.listed) }
+func (h host) EndpointsReceived()                      { close(h.listed) }
 func (h host) StopAccepting()                          { h.door.Do(func() { go h.shutDoor() }) }
 func (h host) Stopped()                                { close(h.left) }
 
--- a/internal/relay/management_test.go
+++ b/internal/relay/management_test.go
@@ -35,7 +35,7 @@
 		t.Fatal(err)
 	}
 	cfg := config(d.Addr(), entry)
-	cfg.Settings.PassThrough, cfg.Management = false, "127.0.0.1:0"
+	cfg.Settings.PassThrough, cfg.AdminListen = false, "127.0.0.1:0"
 	change(&cfg)
 	r, err := New(cfg, zap.NewNop())
 	if err != nil {
@@ -215,7 +215,7 @@
 	if !strings.HasSuffix(got, "watch.fault=0\nEOT\n") || strings.Count(got, "=0\n") != strings.Count(got, "=")-1 {
 		t.Errorf("the same settings: %q", got)
 	}
-	r = managedAs(t, "x0=2.0", func(cfg *Config) { same(cfg); cfg.Shadow.Probes, cfg.Shadow.Report = false, nil })
+	r = managedAs(t, "x0=2.0", func(cfg *Config) { same(cfg); cfg.Shadow.HealthChecks, cfg.Shadow.ReportFields = false, nil })
 	c, err := net.Dial("tcp", r.Addr().String())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/relay/peers.go
+++ b/internal/relay/peers.go
@@ -114,7 +114,7 @@
 }
 
 func (p *peers) receive(ctx context.Context, conn net.PacketConn) {
-	buf := make([]byte, controller.MaxDatagram+1)
+	buf := make([]byte, controller.MaxDatagramBytes+1)
 	for {
 		n, addr, err := conn.ReadFrom(buf)
 		if errors.Is(err, net.ErrClosed) {
@@ -129,7 +129,7 @@
 			continue
 		}
 		u, ok := addr.(*net.UDPAddr)
-		if err != nil || !ok || n > controller.MaxDatagram {
+		if err != nil || !ok || n > controller.MaxDatagramBytes {
 			continue
 		}
 		from, data := u.AddrPort(), append([]byte(nil), buf[:n]...)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -79,7 +79,7 @@
 		parked: make(chan struct{}, 1), shut: make(chan struct{})}
 	r.settings.Store(&s)
 	r.born = time.Duration(r.start.UnixNano())
-	shares := controller.AllocateDescriptors(descriptors(cfg.Sockets), cfg.MemoryMB, cfg.Management != "")
+	shares := controller.AllocateDescriptors(descriptors(cfg.MaxDescriptors), cfg.MemoryMB, cfg.AdminListen != "")
 	r.room.Store(int64(shares.Sessions))
 	r.lobby = newLobby(shares.Handshakes, r.busyLine(), r.now)
 	r.discovery = newDiscovery(cfg.Discovery, r)
@@ -90,13 +90,13 @@
 		return nil, err
 	}
 	r.settings.Store(r.node.Settings())
-	r.node.SetDescriptors(descriptors(cfg.Sockets))
+	r.node.SetDescriptors(descriptors(cfg.MaxDescriptors))
 	if r.listener, err = r.listen(cfg); err != nil {
 		return nil, err
 	}
 	r.spare.Store(int64(shares.HealthChecks + shares.AdminConnections))
-	if cfg.Management != "" {
-		if r.second, err = management.Listen(cfg.Management, shares.AdminConnections, staff{r}, log); err != nil {
+	if cfg.AdminListen != "" {
+		if r.second, err = management.Listen(cfg.AdminListen, shares.AdminConnections, staff{r}, log); err != nil {
 			_ = r.listener.Close()
 			return nil, err
 		}
@@ -118,7 +118,7 @@
 		return r.legacy.listener, nil
 	}
 	lc := net.ListenConfig{}
-	if cfg.Management != "" {
+	if cfg.AdminListen != "" {
 		lc = listenShared(r.log)
 	}
 	l, err := lc.Listen(context.Background(), "tcp", cfg.Listen)
@@ -140,7 +140,7 @@
 
 // Reload takes over what may change while the relay runs; see machine.Node.
 func (r *Relay) Reload(cfg Config) error {
-	sockets, done := descriptors(cfg.Sockets), make(chan error, 1)
+	sockets, done := descriptors(cfg.MaxDescriptors), make(chan error, 1)
 	r.post(func(now time.Duration) { done <- r.node.Reload(now, cfg, sockets) })
 	select {
 	case err := <-done:
@@ -192,7 +192,7 @@
 			r.legacy.say(lineServe)
 		}
 	}
-	if cfg := &r.started; cfg.Management != "" && cfg.Scratch != "" {
+	if cfg := &r.started; cfg.AdminListen != "" && cfg.RuntimeDir != "" {
 		if e, err := newEstate(cfg, r); err == nil {
 			go e.serve()
 			defer e.close()
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -31,8 +31,8 @@
 			ReportFields: []balance.ReportField{balance.FieldLoadShare}, PassThrough: true,
 			Classes: []balance.Class{{LatencyObjective: 500 * time.Millisecond, ClientTimeout: time.Second,
 				MessageLatencyObjective: 60 * time.Millisecond}}}}
-	return Config{Name: "n0", Listen: "127.0.0.1:0", Discovery: discovery, Seed: 1, MemoryMB: 64, Sockets: 256,
-		PeerListen: "127.0.0.1:0", Peers: []string{"127.0.0.1:9"}, Known: standin.List(1, list), Settings: s}
+	return Config{Name: "n0", Listen: "127.0.0.1:0", Discovery: discovery, Seed: 1, MemoryMB: 64, MaxDescriptors: 256,
+		PeerListen: "127.0.0.1:0", Peers: []string{"127.0.0.1:9"}, CachedEndpoints: standin.List(1, list), Settings: s}
 }
 
 // until waits for a condition; between two looks it leaves the cores to what it waits for.
@@ -203,7 +203,7 @@
 		t.Fatal(err)
 	}
 	r.peers.hear()
-	for _, size := range []int{5, controller.MaxDatagram + 1, 5} { // the one that is too long is dropped
+	for _, size := range []int{5, controller.MaxDatagramBytes + 1, 5} { // the one that is too long is dropped
 		if _, err := known.WriteTo(make([]byte, size), at); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/relay/timing_test.go
+++ b/internal/relay/timing_test.go
@@ -178,7 +178,7 @@
 				t.Fatal(err)
 			}
 			s := newStage(t, 6, tc.script...)
-			c.Relay.Known = standin.List(1, s.entries)
+			c.Relay.CachedEndpoints = standin.List(1, s.entries)
 			r, err := New(c.Relay, zap.NewNop())
 			if err != nil {
 				t.Fatal(err)
@@ -224,7 +224,7 @@
 	}
 	s := newStage(t, 6, "", "ERR", "", "UP b", "ERR", "UP never")
 	cfg := parse(timed)
-	cfg.Known = standin.List(1, s.entries)
+	cfg.CachedEndpoints = standin.List(1, s.entries)
 	r, err := New(cfg, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/shadow/evaluator.go
+++ b/internal/shadow/evaluator.go
@@ -17,26 +17,29 @@
 
 // Shape is what may differ between deployments in what the module has to go by.
 type Shape struct {
-	Probes, Peers, Groups, RetryAfter bool
-	Report                            []balance.ReportField // of load reports, in order; empty: none come
-	Weights                           balance.WeightMode
+	HealthChecks bool `json:"Probes"`
+	Gossip       bool `json:"Peers"`
+	Groups       bool
+	RetryAfter   bool
+	ReportFields []balance.ReportField `json:"Report"` // of load reports, in order; empty: none come
+	Weights      balance.WeightMode
 }
 
 // ShapeOf is the shape that settings have.
 func ShapeOf(b *balance.Settings) *Shape {
-	return &Shape{Probes: b.HealthChecks, Peers: b.Gossip, Groups: b.Groups, RetryAfter: b.RetryAfter, Report: b.ReportFields, Weights: b.Weights}
+	return &Shape{HealthChecks: b.HealthChecks, Gossip: b.Gossip, Groups: b.Groups, RetryAfter: b.RetryAfter, ReportFields: b.ReportFields, Weights: b.Weights}
 }
 
 // Apply is settings with another shape.
 func (s *Shape) Apply(b balance.Settings) balance.Settings {
-	b.HealthChecks, b.Gossip, b.Groups, b.RetryAfter = s.Probes, s.Peers, s.Groups, s.RetryAfter
-	b.ReportFields, b.Weights = s.Report, s.Weights
+	b.HealthChecks, b.Gossip, b.Groups, b.RetryAfter = s.HealthChecks, s.Gossip, s.Groups, s.RetryAfter
+	b.ReportFields, b.Weights = s.ReportFields, s.Weights
 	return b
 }
 
 // Equal says whether two shapes are the same; nil is none.
 func (s *Shape) Equal(o *Shape) bool {
-	return s == o || s != nil && o != nil && slices.Equal(s.Report, o.Report) && s.Probes == o.Probes && s.Peers == o.Peers &&
+	return s == o || s != nil && o != nil && slices.Equal(s.ReportFields, o.ReportFields) && s.HealthChecks == o.HealthChecks && s.Gossip == o.Gossip &&
 		s.Groups == o.Groups && s.RetryAfter == o.RetryAfter && s.Weights == o.Weights
 }
 
@@ -327,7 +330,7 @@
 func (w *Evaluator) HealthCheckDone(now time.Duration, r balance.HealthCheckResult) {
 	w.Decider.HealthCheckDone(now, r)
 	w.guarded(func() {
-		if w.shape.Probes { // under settings without probes no answer would have come
+		if w.shape.HealthChecks { // under settings without probes no answer would have come
 			w.shadow.HealthCheckDone(now, r)
 		}
 		w.compareChanged(now)
@@ -337,7 +340,7 @@
 func (w *Evaluator) GossipReceived(now time.Duration, from int, data []byte) {
 	w.Decider.GossipReceived(now, from, data)
 	w.guarded(func() {
-		if w.shape.Peers {
+		if w.shape.Gossip {
 			w.shadow.GossipReceived(now, from, data)
 		}
 		w.compareChanged(now)
--- a/internal/world/faults.go
+++ b/internal/world/faults.go
@@ -40,7 +40,7 @@
 	}},
 	{"reload to another agent", func(run *run, f Fault) func() {
 		r := run.relays[f.Who%len(run.relays)]
-		run.reload(r, true, r.cfg.Sockets, r.cfg.MemoryMB)
+		run.reload(r, true, r.cfg.MaxDescriptors, r.cfg.MemoryMB)
 		return nil
 	}},
 	{"settings change", func(run *run, f Fault) func() {
@@ -80,7 +80,7 @@
 			r := run.relays[(f.Who+i/3)%len(run.relays)]
 			run.w.in(time.Duration(i)*f.For/12, func() { run.drain(r, i%3 != 2) })
 			if i == 1 {
-				run.w.in(f.For/12, func() { run.reload(r, true, r.cfg.Sockets, r.cfg.MemoryMB) })
+				run.w.in(f.For/12, func() { run.reload(r, true, r.cfg.MaxDescriptors, r.cfg.MemoryMB) })
 			}
 			if i == 4 {
 				run.w.in(f.For/3, func() { run.restart(r) })
@@ -95,7 +95,7 @@
 	{"reload while leaving", func(run *run, f Fault) func() {
 		r := run.relays[f.Who%len(run.relays)]
 		run.restart(r)
-		run.w.in(f.For/20, func() { run.reload(r, true, r.cfg.Sockets, r.cfg.MemoryMB) })
+		run.w.in(f.For/20, func() { run.reload(r, true, r.cfg.MaxDescriptors, r.cfg.MemoryMB) })
 		return nil
 	}},
 	{"few descriptors", func(run *run, f Fault) func() {
@@ -110,11 +110,11 @@
 	}},
 	{"little memory", func(run *run, f Fault) func() {
 		for _, r := range run.relays {
-			run.reload(r, false, r.cfg.Sockets, 1+int(f.Much*4))
+			run.reload(r, false, r.cfg.MaxDescriptors, 1+int(f.Much*4))
 		}
 		return func() {
 			for _, r := range run.relays {
-				run.reload(r, false, r.cfg.Sockets, memory)
+				run.reload(r, false, r.cfg.MaxDescriptors, memory)
 			}
 		}
 	}},
--- a/internal/world/relay.go
+++ b/internal/world/relay.go
@@ -64,7 +64,7 @@
 	r.reloads, r.refusals = 0, 0
 	r.process = r.run.check.Process(r.number)
 	r.postAt, r.timerAt, r.agent = w.now, 0, nil
-	shares := controller.AllocateDescriptors(r.cfg.Sockets, r.cfg.MemoryMB, r.cfg.Management != "")
+	shares := controller.AllocateDescriptors(r.cfg.MaxDescriptors, r.cfg.MemoryMB, r.cfg.AdminListen != "")
 	r.room = shares.Sessions
 	r.lobby = handshake.NewPool(shares.Handshakes)
 	node, err := controller.New(w.now, r.sabotaged(r.cfg), r, zap.NewNop())
@@ -142,7 +142,7 @@
 }
 
 func (r *relay) ReportClientError(uint64, error) {}
-func (r *relay) ListReceived()                   {}
+func (r *relay) EndpointsReceived()              {}
 
 func (r *relay) SetSettings(s *settings.Settings) { r.probes.SetSettings(s) }
 
@@ -962,7 +962,7 @@
 // reload has the running process read a new configuration.
 func (r *relay) reload(cfg controller.Config) {
 	r.post(func(now time.Duration) {
-		if err := r.node.Reload(now, r.sabotaged(cfg), cfg.Sockets); err != nil {
+		if err := r.node.Reload(now, r.sabotaged(cfg), cfg.MaxDescriptors); err != nil {
 			panic(fmt.Sprintf("a sound configuration is not taken: %v", err))
 		}
 		if r.run.broken(BreakOldRules) {
@@ -999,14 +999,14 @@
 	n := &relay{box: w.box(r.name, "").of(trouble.Relays, r.number), run: run, number: r.number, cfg: r.cfg, few: r.few, last: r.last, old: r}
 	n.accept = n.accepted
 	if len(n.last) > 0 {
-		n.cfg.Known = body(0, true, n.last)
+		n.cfg.CachedEndpoints = body(0, true, n.last)
 	}
 	run.check.Upgraded(r.number)
 	n.boot()
 	if err := n.node.RestoreState(w.now, text); err != nil {
 		panic(fmt.Sprintf("what a relay hands over is not taken: %v", err))
 	}
-	n.node.SetDescriptors(n.cfg.Sockets)
+	n.node.SetDescriptors(n.cfg.MaxDescriptors)
 	run.relays[r.number], r.heir = n, n
 	r.node.SetReplaced(true)
 	r.tell()
@@ -1032,7 +1032,7 @@
 	if err != nil {
 		panic(err)
 	}
-	held := min(len(r.ends)+controller.ReservedDescriptors, r.cfg.Sockets-controller.ReservedDescriptors)
+	held := min(len(r.ends)+controller.ReservedDescriptors, r.cfg.MaxDescriptors-controller.ReservedDescriptors)
 	n.post(func(now time.Duration) {
 		n.node.SetOtherProcessDescriptors(now, held)
 		_ = n.node.ImportLoad(now, text)
--- a/internal/world/run.go
+++ b/internal/world/run.go
@@ -251,8 +251,8 @@
 func (run *run) sweep() {
 	run.check.Sweep()
 	for _, r := range run.relays {
-		if n := len(r.ends); r.up && r.few && n > r.cfg.Sockets {
-			run.fail("descriptors", "%s holds %d sockets of %d", r.name, n, r.cfg.Sockets)
+		if n := len(r.ends); r.up && r.few && n > r.cfg.MaxDescriptors {
+			run.fail("descriptors", "%s holds %d sockets of %d", r.name, n, r.cfg.MaxDescriptors)
 		}
 		if r.up {
 			if err := books(r.node); err != nil {
@@ -408,9 +408,9 @@
 
 func (run *run) addRelay(i, of int) {
 	cfg := controller.Config{Name: fmt.Sprintf("n%d", i), Discovery: fmt.Sprintf("10.2.0.%d:8500", i), MemoryMB: memory,
-		Sockets: sockets, PeersAll: peersAll, Settings: run.set, Management: "here"}
+		MaxDescriptors: sockets, BroadcastPeer: peersAll, Settings: run.set, AdminListen: "here"}
 	cfg.Routes = run.routes()
-	cfg.Decide = baseline.Named(run.opt.Policy, run.trueLoad)
+	cfg.NewDecider = baseline.Named(run.opt.Policy, run.trueLoad)
 	cfg.Settings.RelayIndex, cfg.Settings.RelayCount, cfg.Settings.Zone = i, of, i%2
 	for j := range of {
 		cfg.Peers = append(cfg.Peers, peerAddr(j).String())
@@ -470,10 +470,10 @@
 	}
 	run.check.RelayUp(r.number, r.cfg.Discovery, known)
 	if r.few {
-		r.cfg.Sockets = 80
+		r.cfg.MaxDescriptors = 80
 	}
 	if len(r.last) > 0 {
-		r.cfg.Known = body(0, true, r.last)
+		r.cfg.CachedEndpoints = body(0, true, r.last)
 	}
 	r.boot()
 	run.count("relay up")
@@ -552,7 +552,7 @@
 			}
 		}
 	}
-	cfg.Sockets, cfg.MemoryMB = descriptors, memoryMB
+	cfg.MaxDescriptors, cfg.MemoryMB = descriptors, memoryMB
 	r.cfg = cfg
 	run.count("reload")
 	run.check.Reloaded(r.number, cfg.Discovery)
@@ -732,7 +732,7 @@
 			c.(*end).close()
 		}
 		fail := func(rule, format string, args ...any) { run.fail(rule, r.name+": "+format, args...) }
-		if n := r.node.Sessions(); n != 0 || r.flowing != 0 || r.lobby.Len() != 0 || len(r.flows) != 0 {
+		if n := r.node.SessionCount(); n != 0 || r.flowing != 0 || r.lobby.Len() != 0 || len(r.flows) != 0 {
 			fail("leak", "%d flows in the books, %d counted, %d driven, %d guests", n, r.flowing, len(r.flows), r.lobby.Len())
 		}
 		if n := run.check.Open(r.number); n != 0 {
@@ -744,7 +744,7 @@
 		if all, byServer := r.node.Balancer().Connections(); all != 0 || byServer != 0 {
 			fail("books", "T counts %d connections, by server %d", all, byServer)
 		}
-		if n := r.node.Timers(); n > 2 { // the module's upkeep and the figures
+		if n := r.node.TimerCount(); n > 2 { // the module's upkeep and the figures
 			fail("leak", "%d timers", n)
 		}
 		if n := r.node.Metrics().Snapshot().Concurrent; n != 0 {
