--- a/cmd/aspenbarrow/descriptors_test.go
+++ b/cmd/aspenbarrow/descriptors_test.go
@@ -102,7 +102,7 @@
 	p.staysWithinItsLimit()
 	s.sockets = limit / 2
 	p.reload(s)
-	p.logs("configuration read again", 1)
+	p.logs("configuration reloaded", 1)
 	p.idle(limit)
 	p.answers(p.asks(), "with half of the limit")
 	if err := p.cmd.Process.Signal(unix.SIGTERM); err != nil {
--- a/cmd/aspenbarrow/main_test.go
+++ b/cmd/aspenbarrow/main_test.go
@@ -688,8 +688,8 @@
 			t.Fatal(err)
 		}
 	}
-	p.logs("configuration read again", 1)
-	p.logs(`"msg":"leaving"`, 1)
+	p.logs("configuration reloaded", 1)
+	p.logs(`"msg":"graceful shutdown started"`, 1)
 	close(hold)
 	waits.hear("UP it")
 	for _, c := range []*client{c, waits} {
@@ -699,7 +699,7 @@
 	if err := p.ended(); err != nil {
 		t.Errorf("exit: %v", err)
 	}
-	if n := strings.Count(p.log.String(), `"msg":"leaving"`); n != 1 {
+	if n := strings.Count(p.log.String(), `"msg":"graceful shutdown started"`); n != 1 {
 		t.Errorf("left %d times", n)
 	}
 }
@@ -835,7 +835,7 @@
 			c.hear("echo still " + strconv.Itoa(i))
 		}
 		held = append(held, p.up(open("")))
-		p.logs(`"msg":"configuration read again"`, i+1)
+		p.logs(`"msg":"configuration reloaded"`, i+1)
 	}
 	if err := p.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
--- a/cmd/aspenbarrow/start_test.go
+++ b/cmd/aspenbarrow/start_test.go
@@ -106,7 +106,7 @@
 					late++
 				}
 				if strings.Contains(tc.name, "spoilt") {
-					p.logs("known backends cannot be read", 1)
+					p.logs("cached endpoint list is malformed", 1)
 				}
 			}
 			if 10*late > len(relays) {
@@ -185,7 +185,7 @@
 		small("with a list")
 		s.replace[1] = names(1024 - round - 1)
 		p.reload(s)
-		p.logs("configuration read again", round+1)
+		p.logs("configuration reloaded", round+1)
 		small("after a reload")
 	}
 	p.pong(time.Now())
--- a/cmd/aspenbarrow/upgrade_test.go
+++ b/cmd/aspenbarrow/upgrade_test.go
@@ -174,7 +174,7 @@
 	}
 	l.ends(t)
 	t.Logf("%d connections brought up over ten upgrades", l.up)
-	old.logs("taken over from the old process", 1)
+	old.logs("state restored from predecessor process", 1)
 }
 
 // A next process that dies before or after it serves leaves the relay as it was: the old one takes who comes again.
@@ -219,7 +219,7 @@
 		until(t, "it is sent", func() bool { return len(b.Opens()) == 1 })
 		n := p.next()
 		old.signal(syscall.SIGTERM) // it owes an answer, and stays until that is given
-		old.logs(`"msg":"leaving"`, 1)
+		old.logs(`"msg":"graceful shutdown started"`, 1)
 		n.signal(s)
 		if err := n.ended(); (err == nil) != (s == syscall.SIGTERM) {
 			t.Fatal(err)
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"container/heap"
 	"fmt"
 	"go/ast"
 	"go/parser"
@@ -208,13 +207,17 @@
 }
 
 func TestTimersFireInTheirOrder(t *testing.T) {
-	var q timers
+	var q timerQueue
 	for i, at := range []time.Duration{5, 3, 9, 3, 1} {
-		heap.Push(&q, timer{at: at, seq: uint64(i), token: uint64(i)})
+		q.set(at, balancerTimer, uint64(i))
 	}
 	var got []uint64
-	for len(q) > 0 {
-		got = append(got, heap.Pop(&q).(timer).token)
+	for q.len() > 0 {
+		due, ok := q.popDue(9)
+		if !ok {
+			t.Fatal("a timer that is set is not due by the latest time of all")
+		}
+		got = append(got, due.token)
 	}
 	if !slices.Equal(got, []uint64{4, 1, 3, 0, 2}) {
 		t.Errorf("%v", got)
@@ -242,10 +245,10 @@
 	n.log = zap.New(logTo(func(msg string) { heard = append(heard, msg) }))
 	n.DatagramReceived(time.Second, netip.MustParseAddrPort("127.0.0.1:9"), notice)
 	n.DatagramReceived(time.Second, netip.MustParseAddrPort("[::ffff:127.0.0.1]:2"), notice)
-	if !slices.Equal(heard, []string{"datagram of an unknown sender"}) {
+	if !slices.Equal(heard, []string{"datagram from unknown sender"}) {
 		t.Errorf("%v", heard)
 	}
-	a := actions{n}
+	a := balancerActions{n}
 	a.SendGossip(1, []byte("more"))
 	a.SendGossip(2, []byte("nobody"))
 	a.SendGossip(0, make([]byte, MaxDatagramBytes+1))
--- a/internal/controller/hotrestart.go
+++ b/internal/controller/hotrestart.go
@@ -10,66 +10,86 @@
 	"aspenbarrow/internal/hotrestart"
 )
 
-// ExportLoad is the load that this process goes on seeing, for the next one while both run.
-func (n *Controller) ExportLoad() ([]byte, error) {
-	m, ok := n.balancer.(decision.Snapshotter)
+// ExportLoad encodes the load that this process goes on tracking, for its successor while both run. It fails with
+// hotrestart.ErrUnusable if the balancer has no snapshot.
+func (c *Controller) ExportLoad() ([]byte, error) {
+	snapshotter, ok := c.balancer.(decision.Snapshotter)
 	if !ok {
 		return nil, hotrestart.ErrUnusable
 	}
-	return hotrestart.EncodeLoad(m.Snapshot())
+	return hotrestart.EncodeLoad(snapshotter.Snapshot())
 }
 
-// ImportLoad takes in what the other process of this relay sees; an empty text: it has ended.
-func (n *Controller) ImportLoad(now time.Duration, text []byte) error {
-	m, err := hotrestart.DecodeLoad(text)
+// ImportLoad takes in the load that the other process of this relay tracks; an empty text means that it has ended. Its
+// errors meet hotrestart.ErrUnusable.
+func (c *Controller) ImportLoad(now time.Duration, text []byte) error {
+	load, err := hotrestart.DecodeLoad(text)
 	if err != nil {
 		return err
 	}
-	if b, ok := n.balancer.(decision.Snapshotter); ok {
-		n.deliver(now, func() { b.UpdateOtherProcess(n.now, m) })
+	if snapshotter, ok := c.balancer.(decision.Snapshotter); ok {
+		c.deliver(now, func() { snapshotter.UpdateOtherProcess(c.now, load) })
 	}
 	return nil
 }
 
-// ExportState is the document for the next process.
-func (n *Controller) ExportState(now time.Duration) ([]byte, error) {
-	d := hotrestart.Document{Name: n.cfg.Name, WrittenAt: now, Classes: n.classNames, Drained: n.drained.Load()}
-	if m, ok := n.balancer.(decision.Snapshotter); ok {
-		d.Snapshot = m.Snapshot()
+// ExportState encodes the state of this process for its successor.
+func (c *Controller) ExportState(now time.Duration) ([]byte, error) {
+	document := hotrestart.Document{
+		Name:      c.config.Name,
+		WrittenAt: now,
+		Classes:   c.classNames,
+		Drained:   c.drain.requested.Load(),
+		Backends:  c.endpoints.records(),
 	}
-	if n.membership != nil {
-		d.Incarnation = n.membership.Incarnation()
+	if snapshotter, ok := c.balancer.(decision.Snapshotter); ok {
+		document.Snapshot = snapshotter.Snapshot()
 	}
-	for _, b := range n.backendOrder {
-		if b.Listed.State != balance.StateRemoved {
-			d.Backends = append(d.Backends, hotrestart.BackendRecord{Name: b.Name, Address: b.Address(), Backend: b.Listed})
-		}
+	if c.membership.list != nil {
+		document.Incarnation = c.membership.list.Incarnation()
 	}
-	return d.Encode()
+	return document.Encode()
 }
 
-// RestoreState takes over the former process's document; with an error nothing of it.
-func (n *Controller) RestoreState(now time.Duration, text []byte) error {
-	d, err := hotrestart.Decode(text, n.cfg.Name, now)
+// RestoreState takes over the state of the predecessor process. With an error, which meets hotrestart.ErrUnusable,
+// nothing of it is taken over.
+func (c *Controller) RestoreState(now time.Duration, text []byte) error {
+	document, err := hotrestart.Decode(text, c.config.Name, now)
 	if err != nil {
 		return err
 	}
-	l := d.EndpointList()
-	d.RemapClasses(n.classNames)
-	n.inheritedIncarnation = d.Incarnation
-	n.deliver(now, func() {
-		if len(l.Endpoints) > 0 && !n.discoveryAnswered { // what discovery has said to this process is newer
-			n.updateEndpoints(l, balance.UpdateCached)
+	list := document.EndpointList()
+	document.RemapClasses(c.classNames)
+	c.membership.previousIncarnation = document.Incarnation
+	c.deliver(now, func() {
+		if len(list.Endpoints) > 0 && !c.endpoints.discoveryAnswered { // what discovery has told this process is newer
+			c.updateEndpoints(list, balance.UpdateCached)
 		}
-		if r, ok := n.balancer.(decision.Snapshotter); ok {
-			r.Restore(n.now, d.Snapshot)
-			r.UpdateOtherProcess(n.now, d.Snapshot)
+		if snapshotter, ok := c.balancer.(decision.Snapshotter); ok {
+			snapshotter.Restore(c.now, document.Snapshot)
+			snapshotter.UpdateOtherProcess(c.now, document.Snapshot)
 		}
 	})
-	if d.Drained {
-		n.SetDrained(true)
-		n.ApplyDrain(now)
+	if document.Drained {
+		c.SetDrained(true)
+		c.ApplyDrain(now)
 	}
-	n.log.Info("taken over from the old process", zap.Int("backends", len(l.Endpoints)), zap.Bool("drained", d.Drained))
+	c.log.Info("state restored from predecessor process", zap.Int("backends", len(list.Endpoints)), zap.Bool("drained", document.Drained))
 	return nil
 }
+
+// SetDescriptors sets how many descriptors this relay has, where the configuration alone does not say.
+func (c *Controller) SetDescriptors(descriptors int) { c.descriptors.total = descriptors }
+
+// SetOtherProcessDescriptors sets how many descriptors the other process of this relay holds: the limits are shared by
+// both.
+func (c *Controller) SetOtherProcessDescriptors(now time.Duration, held int) {
+	held = max(0, min(held, c.descriptors.total))
+	if held == c.descriptors.otherProcess {
+		return
+	}
+	c.descriptors.otherProcess = held
+	c.deliver(now, func() {
+		c.driver.SetLimits(c.descriptors.limits(c.config.MemoryMB, c.config.AdminListen != ""))
+	})
+}
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -8,93 +8,113 @@
 	"aspenbarrow/internal/membership"
 )
 
-// membershipInterval is how often staff's view is made.
-const membershipInterval = time.Second
+const (
+	// membershipPublishInterval is how often the admin endpoint's view of the members is made.
+	membershipPublishInterval = time.Second
+	// replacedPollInterval is how often a process that a successor has replaced looks whether it still is.
+	replacedPollInterval = 100 * time.Millisecond
+)
 
-// replacedPollInterval is how often a process that another has replaced looks whether it still is.
-const replacedPollInterval = 100 * time.Millisecond
+// membershipState is the membership protocol of this relay and what the balancer was told of it.
+type membershipState struct {
+	list                *membership.Memberlist // nil: off
+	activeRelays        int                    // as the balancer was told; 0: not known
+	publishedAt         time.Duration
+	previousIncarnation uint64 // of the predecessor process, or of the list before a reload
+}
 
-// JoinMembership begins to find out which relays are there, where the configuration wants it. A process that takes over from
-// another calls it once it serves, so that the two never speak at once.
-func (n *Controller) JoinMembership(now time.Duration) {
-	if n.cfg.Membership == nil || n.membership != nil {
+// JoinMembership joins the membership protocol if the configuration has one. A successor process calls it once it
+// serves, so that two processes never speak for one relay at once.
+func (c *Controller) JoinMembership(now time.Duration) {
+	if c.config.Membership == nil || c.membership.list != nil {
 		return
 	}
-	n.deliver(now, func() { n.restartMembership(&n.cfg) })
+	c.deliver(now, func() { c.restartMembership(&c.config) })
 }
 
-// restartMembership begins anew, by another list of peers or other settings.
-func (n *Controller) restartMembership(cfg *Config) {
-	if cfg.Membership == nil || n.settings.RelayIndex >= len(cfg.Peers) {
-		if n.membership != nil {
-			n.membership = nil
-			n.setActiveRelays(0)
-			n.balancer.UpdateSettings(n.effectiveSettings())
-		}
+// restartMembership starts the protocol anew with other peers or settings, or turns it off.
+func (c *Controller) restartMembership(cfg *Config) {
+	if cfg.Membership == nil || c.settings.RelayIndex >= len(cfg.Peers) {
+		c.stopMembership()
 		return
 	}
-	if n.membership != nil {
-		n.inheritedIncarnation = n.membership.Incarnation()
+	if c.membership.list != nil {
+		c.membership.previousIncarnation = c.membership.list.Incarnation()
 	} else {
-		n.setTimer(membershipTimer, 0, 0)
+		c.setTimer(membershipTimer, 0, 0)
+	}
+	local := membership.LocalNode{
+		Index:               c.settings.RelayIndex,
+		Name:                cfg.Name,
+		StartMillis:         uint64(c.startedAt / time.Millisecond),
+		PreviousIncarnation: c.membership.previousIncarnation,
+	}
+	c.membership.list = membership.New(c.now, cfg.Seed, *cfg.Membership, local, len(cfg.Peers))
+}
+
+func (c *Controller) stopMembership() {
+	if c.membership.list == nil {
+		return
 	}
-	n.membership = membership.New(n.now, cfg.Seed, *cfg.Membership, membership.LocalNode{Index: n.settings.RelayIndex, Name: cfg.Name,
-		StartMillis: uint64(n.startedAt / time.Millisecond), PreviousIncarnation: n.inheritedIncarnation}, len(cfg.Peers))
+	c.membership.list = nil
+	c.setActiveRelays(0)
+	c.balancer.UpdateSettings(c.effectiveSettings())
 }
 
-func (n *Controller) membershipTick() {
-	if n.membership == nil { // turned off: the timer ends with it
+func (c *Controller) membershipTick() {
+	list := c.membership.list
+	if list == nil { // turned off: the timer is not set again
 		return
 	}
-	if n.replaced.Load() { // the next process speaks
-		n.setTimer(membershipTimer, 0, replacedPollInterval)
+	if c.replaced.Load() { // the successor speaks for this relay
+		c.setTimer(membershipTimer, 0, replacedPollInterval)
 		return
 	}
-	n.sendMembership(n.membership.Tick(n.now))
-	if here := n.membership.ActiveCount(); here != n.activeRelays {
-		n.setActiveRelays(here)
+	c.sendMembership(list.Tick(c.now))
+	if active := list.ActiveCount(); active != c.membership.activeRelays {
+		c.setActiveRelays(active)
 	}
-	if n.now-n.membershipPublishedAt >= membershipInterval {
-		n.membershipPublishedAt = n.now
-		n.metrics.SetMembership(n.membership, n.now)
+	if c.now-c.membership.publishedAt >= membershipPublishInterval {
+		c.membership.publishedAt = c.now
+		c.metrics.SetMembership(list, c.now)
 	}
-	n.setTimer(membershipTimer, 0, max(0, n.membership.NextTick()-n.now))
+	c.setTimer(membershipTimer, 0, max(0, list.NextTick()-c.now))
 }
 
-// setActiveRelays tells the module how many relays there are; 0: nobody knows any more.
-func (n *Controller) setActiveRelays(here int) {
-	n.log.Info("relays here", zap.Int("before", n.activeRelays), zap.Int("now", here))
-	n.activeRelays = here
-	n.balancer.SetActiveRelays(here)
+// setActiveRelays tells the balancer how many relays are active; 0: not known any more.
+func (c *Controller) setActiveRelays(active int) {
+	c.log.Info("active relay count changed", zap.Int("before", c.membership.activeRelays), zap.Int("now", active))
+	c.membership.activeRelays = active
+	c.balancer.SetActiveRelays(active)
 }
 
-func (n *Controller) sendMembership(out []membership.Packet) {
-	for _, o := range out {
-		if o.To < len(n.cfg.Peers) {
-			n.driver.SendDatagram(n.cfg.Peers[o.To], o.Data)
+func (c *Controller) sendMembership(packets []membership.Packet) {
+	for _, packet := range packets {
+		if packet.To < len(c.config.Peers) {
+			c.driver.SendDatagram(c.config.Peers[packet.To], packet.Data)
 		}
 	}
 }
 
-// membershipDatagram takes in a datagram of a relay in the list. It returns false for an older version's notice of a slow
-// server, which is taken from who is there alone.
-func (n *Controller) membershipDatagram(now time.Duration, from int, data []byte) bool {
+// membershipDatagram handles a peer's datagram if it is a membership message, or gossip of a relay that is not active,
+// which is rejected. It returns false for gossip of an active relay, which is the balancer's.
+func (c *Controller) membershipDatagram(now time.Duration, peer int, data []byte) (handled bool) {
 	if membership.IsMessage(data) {
-		n.deliver(now, func() { n.sendMembership(n.membership.HandlePacket(n.now, from, data)) })
+		c.deliver(now, func() { c.sendMembership(c.membership.list.HandlePacket(c.now, peer, data)) })
 		return true
 	}
-	if n.membership.IsActive(from) {
+	if c.membership.list.IsActive(peer) {
 		return false
 	}
-	n.metrics.RejectedGossip.Add(1)
-	n.log.Warn("notice of a relay that is not there", zap.Int("relay", from))
+	c.metrics.RejectedGossip.Add(1)
+	c.log.Warn("gossip from inactive relay rejected", zap.Int("relay", peer))
 	return true
 }
 
-// leaveMembership tells the others that this relay leaves, unless its next process goes on.
-func (n *Controller) leaveMembership() {
-	if n.membership != nil && !n.replaced.Load() {
-		n.sendMembership(n.membership.Leave(n.now))
+// leaveMembership tells the other relays that this one leaves, unless its successor goes on.
+func (c *Controller) leaveMembership() {
+	if c.membership.list != nil && !c.replaced.Load() {
+		c.sendMembership(c.membership.list.Leave(c.now))
 	}
 }
 
--- a/internal/controller/membership_test.go
+++ b/internal/controller/membership_test.go
@@ -82,7 +82,7 @@
 	}
 	nodes[1].Shutdown(8 * time.Second)
 	pass(9 * time.Second)
-	if st := nodes[0].membership.State(1); st != membership.Left {
+	if st := nodes[0].membership.list.State(1); st != membership.Left {
 		t.Errorf("who has left is held %v", st)
 	}
 }
@@ -98,7 +98,7 @@
 	}
 	hosts[0].told = nil
 	nodes[0].FireTimers(6 * time.Second)
-	if len(hosts[0].told) != 0 || nodes[0].membership != nil || seen[0].here[len(seen[0].here)-1] != 0 {
+	if len(hosts[0].told) != 0 || nodes[0].membership.list != nil || seen[0].here[len(seen[0].here)-1] != 0 {
 		t.Errorf("turned off: %d datagrams, the module was told of %v relays", len(hosts[0].told), seen[0].here)
 	}
 	cfg.Membership = on
@@ -106,8 +106,8 @@
 		t.Fatal(err)
 	}
 	pass(12 * time.Second)
-	if nodes[0].activeRelays != 2 || !nodes[1].membership.IsActive(0) {
-		t.Errorf("turned on again: %d relays", nodes[0].activeRelays)
+	if nodes[0].membership.activeRelays != 2 || !nodes[1].membership.list.IsActive(0) {
+		t.Errorf("turned on again: %d relays", nodes[0].membership.activeRelays)
 	}
 }
 
@@ -132,7 +132,7 @@
 	}
 	nodes[0].SetReplaced(true)
 	next.JoinMembership(4 * time.Second)
-	if a, b := nodes[0].membership.Incarnation(), next.membership.Incarnation(); b <= a {
+	if a, b := nodes[0].membership.list.Incarnation(), next.membership.list.Incarnation(); b <= a {
 		t.Errorf("the next process begins at %d, the one before had %d", b, a)
 	}
 }
--- a/internal/controller/reload_test.go
+++ b/internal/controller/reload_test.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"errors"
 	"fmt"
 	"slices"
 	"testing"
@@ -144,6 +145,9 @@
 	if refused == nil || len(n.Settings().Classes) > settings.MaxClasses {
 		t.Errorf("%d classes, %v", len(n.Settings().Classes), refused)
 	}
+	if limit := (*settings.ClassLimitError)(nil); !errors.As(refused, &limit) || limit.Count <= settings.MaxClasses {
+		t.Errorf("%v is no error of the class limit", refused)
+	}
 }
 
 // Loads and remembered places outlast a reload, and a relay's place among the others waits for a restart.
--- a/internal/controller/shadow_test.go
+++ b/internal/controller/shadow_test.go
@@ -59,7 +59,7 @@
 					continue
 				}
 				did = append(did, fmt.Sprintf("%d %d to %s", step, id, o.Backend.Name))
-				out := balance.AttemptResult{ID: id, Attempt: n.sessions[id].attempts - 1, Backend: o.Backend.ID, Latency: 5 * time.Millisecond}
+				out := balance.AttemptResult{ID: id, Attempt: n.sessions.bySequence[id].attempts - 1, Backend: o.Backend.ID, Latency: 5 * time.Millisecond}
 				if o.Backend.Name == "b" && id%3 == 0 {
 					out.Status = balance.StatusError
 					n.SessionEvent(now, id, session.Event{Kind: session.AttemptEnded, Result: out})
@@ -69,7 +69,7 @@
 				}
 			}
 		}
-		if began[seq] && n.sessions[seq].backend == "c" && step > 200 && step < 240 {
+		if began[seq] && n.sessions.bySequence[seq].backend == "c" && step > 200 && step < 240 {
 			n.SessionEvent(now, seq, session.Event{Kind: session.LoadReported, Load: 40})
 		}
 		for _, id := range h.probed {
@@ -78,7 +78,7 @@
 		h.probed = nil
 		for _, id := range h.moved {
 			did = append(did, fmt.Sprintf("%d %d moves", step, id))
-			out := balance.AttemptResult{ID: id, Attempt: n.sessions[id].attempts - 1, Status: balance.StatusCancelled, Closed: true}
+			out := balance.AttemptResult{ID: id, Attempt: n.sessions.bySequence[id].attempts - 1, Status: balance.StatusCancelled, Closed: true}
 			n.SessionEvent(now, id, session.Event{Kind: session.AttemptEnded, Result: out})
 		}
 		h.moved = nil
@@ -178,7 +178,7 @@
 	if f, _ := differences(n); !f.Failed || !slices.Equal(did, plain) {
 		t.Errorf("ended %v; %d things done, %d without watching", f.Failed, len(did), len(plain))
 	}
-	if !slices.Contains(lines, "watching has ended by a fault of its own") {
+	if !slices.Contains(lines, "shadow evaluation stopped after panic") {
 		t.Errorf("logged %q", lines)
 	}
 }
@@ -210,7 +210,7 @@
 		if err := n.Reload(2*time.Second, cfg, 256); err != nil {
 			t.Fatal(err)
 		}
-		if !slices.Contains(lines, "part of the configuration waits for a restart") || (n.Config().Shadow == nil) != (was == nil) ||
+		if !slices.Contains(lines, "configuration changes need a restart") || (n.Config().Shadow == nil) != (was == nil) ||
 			n.Config().Shadow.Equal(cfg.Shadow) {
 			t.Errorf("logged %q, in force %+v", lines, n.Config().Shadow)
 		}
--- a/internal/settings/errors.go
+++ b/internal/settings/errors.go
@@ -35,3 +35,11 @@
 
 // Unwrap returns the cause.
 func (e *FieldError) Unwrap() error { return e.Err }
+
+// ClassLimitError reports settings whose classes, with those of earlier settings of the process, exceed MaxClasses.
+type ClassLimitError struct{ Count int }
+
+// Error implements the error interface.
+func (e *ClassLimitError) Error() string {
+	return fmt.Sprintf("%d classes since the start, dropped and changed ones included, over %d: restart the relay", e.Count, MaxClasses)
+}
--- a/internal/settings/merge.go
+++ b/internal/settings/merge.go
@@ -1,7 +1,6 @@
 package settings
 
 import (
-	"fmt"
 	"reflect"
 	"slices"
 )
@@ -54,7 +53,7 @@
 		numbers = append(numbers, number)
 	}
 	if len(names) > MaxClasses {
-		err = fmt.Errorf("%d classes since the start, dropped and changed ones included, over %d: restart the relay", len(names), MaxClasses)
+		err = &ClassLimitError{len(names)}
 	}
 	return out, names, numbers, err
 }
--- a/internal/shadow/evaluator.go
+++ b/internal/shadow/evaluator.go
@@ -101,7 +101,7 @@
 	w.Decider, w.requests, w.availability, w.loggedAt = real, map[uint64]*requestState{}, map[balance.BackendID]metrics.Difference{}, now
 	w.counters = counters
 	w.guarded(func() { w.shadow = balance.New(now, seed, w.shape.Apply(s), shadowActions{w}) })
-	w.log.Info("watching: the settings of another shape decide in vain", zap.Any("shape", w.shape))
+	w.log.Info("shadow evaluation started", zap.Any("shape", w.shape))
 }
 
 // Balancer is what evaluates the other shape, for checks.
@@ -119,7 +119,7 @@
 		if p := recover(); p != nil {
 			w.counters.Failed.Store(true)
 			w.requests, w.changed, w.migrations = nil, nil, nil
-			w.log.Error("watching has ended by a fault of its own", zap.Any("panic", p))
+			w.log.Error("shadow evaluation stopped after panic", zap.Any("panic", p))
 		}
 	}()
 	f()
@@ -249,7 +249,7 @@
 		}
 		if total != w.loggedTotal {
 			w.loggedTotal = total
-			w.log.Info("watching: would have decided otherwise", fields...)
+			w.log.Info("shadow evaluation found differences", fields...)
 		}
 	})
 }
