--- a/internal/controller/config.go
+++ b/internal/controller/config.go
@@ -95,7 +95,7 @@
 // CachedEndpointsError is a cached endpoint list that cannot be read at all.
 type CachedEndpointsError struct{ Err error }
 
-func (e *CachedEndpointsError) Error() string { return fmt.Sprintf("known backends: %v", e.Err) }
+func (e *CachedEndpointsError) Error() string { return fmt.Sprintf("cached endpoint list: %v", e.Err) }
 
 // Unwrap returns what is wrong with the list.
 func (e *CachedEndpointsError) Unwrap() error { return e.Err }
--- a/internal/hotrestart/document.go
+++ b/internal/hotrestart/document.go
@@ -1,11 +1,11 @@
-// Package hotrestart is the document by which one process of a relay hands its state to the next while both run: its
-// form, its limits and its checks. A process that finds no valid document starts without state.
+// Package hotrestart is the document by which one process of a relay hands its state to its successor while both run:
+// its format, its limits and its checks. A successor that gets no valid document starts without state.
+//
+// It neither transports the document (package relay) nor collects and applies the state (package controller).
 package hotrestart
 
 import (
 	"encoding/json"
-	"errors"
-	"fmt"
 	"time"
 
 	"aspenbarrow/balance"
@@ -13,21 +13,24 @@
 )
 
 const (
+	// documentVersion is raised when a document can no longer be read by the version before.
 	documentVersion = 1
 	// MaxDocumentBytes is the longest document that is written.
 	MaxDocumentBytes = 1 << 20
-	maxDocumentAge   = 10 * time.Second
+	// maxDocumentAge bounds how long ago a document was written: both processes run at once, so an older one is of a
+	// hot restart that failed.
+	maxDocumentAge = 10 * time.Second
 )
 
-// Document is what one process of a relay tells the next. Its JSON keys are read by processes of other versions, so they
-// stay when a field here is renamed.
+// Document is the state that a process hands to its successor. Its JSON keys are read by processes of other versions,
+// so they stay when a field is renamed.
 type Document struct {
-	Version     int              `json:"version"`
-	Name        string           `json:"name"`
-	WrittenAt   time.Duration    `json:"at"`
-	Classes     []string         `json:"classes"`
+	Version     int              `json:"version"` // set by Encode
+	Name        string           `json:"name"`    // of the relay
+	WrittenAt   time.Duration    `json:"at"`      // on the clock that both processes share
+	Classes     []string         `json:"classes"` // names of all classes by number, retired ones included
 	Drained     bool             `json:"drained"`
-	Incarnation uint64           `json:"incarnation,omitempty"` // among the relays
+	Incarnation uint64           `json:"incarnation,omitempty"` // in the membership protocol; 0: it is off
 	Backends    []BackendRecord  `json:"members"`
 	Snapshot    balance.Snapshot `json:"memory"`
 }
@@ -39,64 +42,22 @@
 	Backend balance.Backend `json:"line"`
 }
 
-// ErrUnusable is met by every error of a document that is refused.
-var ErrUnusable = errors.New("what the old process handed over cannot be used")
-
-// SyntaxError is a document that is no JSON of the expected form.
-type SyntaxError struct{ Err error }
-
-func (e *SyntaxError) Error() string { return fmt.Sprintf("%v: %v", ErrUnusable, e.Err) }
-
-// Unwrap meets ErrUnusable and the decoder's error.
-func (e *SyntaxError) Unwrap() []error { return []error{ErrUnusable, e.Err} }
-
-// VersionError is a document of another version.
-type VersionError struct{ Version int }
-
-func (e *VersionError) Error() string {
-	return fmt.Sprintf("%v: version %d, this process knows %d", ErrUnusable, e.Version, documentVersion)
-}
-
-// Unwrap meets ErrUnusable.
-func (e *VersionError) Unwrap() error { return ErrUnusable }
-
-// RelayError is a document of another relay.
-type RelayError struct{ Name string }
-
-func (e *RelayError) Error() string { return fmt.Sprintf("%v: it is relay %q's", ErrUnusable, e.Name) }
-
-// Unwrap meets ErrUnusable.
-func (e *RelayError) Unwrap() error { return ErrUnusable }
-
-// AgeError is a document that was written too long ago, or by a clock that runs ahead.
-type AgeError struct{ Age time.Duration }
-
-func (e *AgeError) Error() string { return fmt.Sprintf("%v: it is %v old", ErrUnusable, e.Age) }
-
-// Unwrap meets ErrUnusable.
-func (e *AgeError) Unwrap() error { return ErrUnusable }
-
-// BackendError is a record of a backend that lacks its name or address, or whose id is not its name's.
-type BackendError struct{ Name, Address string }
-
-func (e *BackendError) Error() string {
-	return fmt.Sprintf("%v: backend %q at %q", ErrUnusable, e.Name, e.Address)
-}
-
-// Unwrap meets ErrUnusable.
-func (e *BackendError) Unwrap() error { return ErrUnusable }
-
-// Encode writes the document under the version of this process. It fails over MaxDocumentBytes.
+// Encode writes the document in the version of this process. A document over MaxDocumentBytes is returned with a
+// *SizeError.
 func (d Document) Encode() ([]byte, error) {
 	d.Version = documentVersion
 	text, err := json.Marshal(d)
-	if err == nil && len(text) > MaxDocumentBytes {
-		err = fmt.Errorf("%d bytes, over %d", len(text), MaxDocumentBytes)
+	if err != nil {
+		return text, err
+	}
+	if len(text) > MaxDocumentBytes {
+		return text, &SizeError{len(text)}
 	}
-	return text, err
+	return text, nil
 }
 
-// Decode reads a document for the relay of a name. It is taken whole or not at all: every error meets ErrUnusable.
+// Decode reads a document for the relay of a name. It is accepted whole or not at all: every error meets ErrUnusable,
+// and is a *SyntaxError, *VersionError, *RelayError, *AgeError or *BackendError.
 func Decode(text []byte, name string, now time.Duration) (Document, error) {
 	var d Document
 	if err := json.Unmarshal(text, &d); err != nil {
@@ -109,7 +70,8 @@
 }
 
 func (d *Document) check(name string, now time.Duration) error {
-	switch age := now - d.WrittenAt; {
+	age := now - d.WrittenAt
+	switch {
 	case d.Version != documentVersion:
 		return &VersionError{d.Version}
 	case d.Name != name:
@@ -125,47 +87,32 @@
 	return nil
 }
 
-// EndpointList is the document's backends as an endpoint list.
+// EndpointList returns the document's backends as a full endpoint list.
 func (d *Document) EndpointList() discovery.EndpointList {
-	l := discovery.EndpointList{Full: true}
+	list := discovery.EndpointList{Full: true}
 	for _, b := range d.Backends {
-		l.Endpoints = append(l.Endpoints, discovery.Endpoint{Name: b.Name, Address: b.Address, Backend: b.Backend})
+		list.Endpoints = append(list.Endpoints, discovery.Endpoint{Name: b.Name, Address: b.Address, Backend: b.Backend})
 	}
-	return l
+	return list
 }
 
-// RemapClasses has the loads of classes go by their numbers in this process.
+// RemapClasses reorders the snapshot's loads of classes by the numbers that the classes have in this process. The entry
+// after the last class is over all classes and stays. Loads that do not fit the document's classes are dropped.
 func (d *Document) RemapClasses(names []string) {
-	m := &d.Snapshot
-	if len(m.ClassLoads) != len(d.Classes)+1 || len(m.ClassLoadSamples) != len(m.ClassLoads) {
-		m.ClassLoads, m.ClassLoadSamples = nil, nil
+	s := &d.Snapshot
+	if len(s.ClassLoads) != len(d.Classes)+1 || len(s.ClassLoadSamples) != len(s.ClassLoads) {
+		s.ClassLoads, s.ClassLoadSamples = nil, nil
 		return
 	}
-	usual, seen := make([]float64, len(names)+1), make([]float64, len(names)+1)
-	for i, name := range names {
-		for j, old := range d.Classes { // of several by one name the last is the newest
-			if old == name && m.ClassLoadSamples[j] > 0 {
-				usual[i], seen[i] = m.ClassLoads[j], m.ClassLoadSamples[j]
+	loads, samples := make([]float64, len(names)+1), make([]float64, len(names)+1)
+	for number, name := range names {
+		for oldNumber, oldName := range d.Classes { // of several with one name the last is the newest
+			if oldName == name && s.ClassLoadSamples[oldNumber] > 0 {
+				loads[number], samples[number] = s.ClassLoads[oldNumber], s.ClassLoadSamples[oldNumber]
 			}
 		}
 	}
-	usual[len(names)], seen[len(names)] = m.ClassLoads[len(d.Classes)], m.ClassLoadSamples[len(d.Classes)]
-	m.ClassLoads, m.ClassLoadSamples = usual, seen
-}
-
-// EncodeLoad writes the loads that a process goes on seeing, for the next one while both run.
-func EncodeLoad(m balance.Snapshot) ([]byte, error) {
-	m.StickyOverrides, m.ClassLoads, m.ClassLoadSamples, m.KindLateness = nil, nil, nil, nil
-	return json.Marshal(m)
-}
-
-// DecodeLoad reads them; an empty text says that the other process has ended.
-func DecodeLoad(text []byte) (m balance.Snapshot, err error) {
-	if len(text) == 0 {
-		return m, nil
-	}
-	if err := json.Unmarshal(text, &m); err != nil {
-		return balance.Snapshot{}, &SyntaxError{err}
-	}
-	return m, nil
+	overall, oldOverall := len(names), len(d.Classes)
+	loads[overall], samples[overall] = s.ClassLoads[oldOverall], s.ClassLoadSamples[oldOverall]
+	s.ClassLoads, s.ClassLoadSamples = loads, samples
 }
--- /dev/null
+++ b/internal/hotrestart/errors.go
@@ -0,0 +1,61 @@
+package hotrestart
+
+import (
+	"errors"
+	"fmt"
+	"time"
+)
+
+// ErrUnusable is met by every error of a document that is refused.
+var ErrUnusable = errors.New("state of the predecessor process cannot be used")
+
+// SyntaxError is a document that is not JSON of the expected form.
+type SyntaxError struct{ Err error }
+
+func (e *SyntaxError) Error() string { return fmt.Sprintf("%v: %v", ErrUnusable, e.Err) }
+
+// Unwrap returns ErrUnusable and the decoder's error.
+func (e *SyntaxError) Unwrap() []error { return []error{ErrUnusable, e.Err} }
+
+// VersionError is a document of another version of the format.
+type VersionError struct{ Version int }
+
+func (e *VersionError) Error() string {
+	return fmt.Sprintf("%v: version %d, this process knows %d", ErrUnusable, e.Version, documentVersion)
+}
+
+// Unwrap returns ErrUnusable.
+func (e *VersionError) Unwrap() error { return ErrUnusable }
+
+// RelayError is a document of another relay.
+type RelayError struct{ Name string }
+
+func (e *RelayError) Error() string {
+	return fmt.Sprintf("%v: written by relay %q", ErrUnusable, e.Name)
+}
+
+// Unwrap returns ErrUnusable.
+func (e *RelayError) Unwrap() error { return ErrUnusable }
+
+// AgeError is a document that was written too long ago or, with a negative age, by a clock that is ahead.
+type AgeError struct{ Age time.Duration }
+
+func (e *AgeError) Error() string { return fmt.Sprintf("%v: written %v ago", ErrUnusable, e.Age) }
+
+// Unwrap returns ErrUnusable.
+func (e *AgeError) Unwrap() error { return ErrUnusable }
+
+// BackendError is a record of a backend without a name or address, or with an ID that is not its name's.
+type BackendError struct{ Name, Address string }
+
+func (e *BackendError) Error() string {
+	return fmt.Sprintf("%v: backend %q at %q", ErrUnusable, e.Name, e.Address)
+}
+
+// Unwrap returns ErrUnusable.
+func (e *BackendError) Unwrap() error { return ErrUnusable }
+
+// SizeError is a state that is too large to be handed over, in bytes.
+type SizeError struct{ Size int }
+
+func (e *SizeError) Error() string { return fmt.Sprintf("%d bytes, over %d", e.Size, MaxDocumentBytes) }
--- /dev/null
+++ b/internal/hotrestart/load.go
@@ -0,0 +1,27 @@
+package hotrestart
+
+import (
+	"encoding/json"
+
+	"aspenbarrow/balance"
+)
+
+// EncodeLoad writes the loads that a process goes on tracking, for its successor while both run. State that the
+// document has already handed over is left out.
+func EncodeLoad(s balance.Snapshot) ([]byte, error) {
+	s.StickyOverrides, s.ClassLoads, s.ClassLoadSamples, s.KindLateness = nil, nil, nil, nil
+	return json.Marshal(s)
+}
+
+// DecodeLoad reads what EncodeLoad wrote; an empty text means that the other process has ended. Its error is a
+// *SyntaxError.
+func DecodeLoad(text []byte) (balance.Snapshot, error) {
+	var s balance.Snapshot
+	if len(text) == 0 {
+		return s, nil
+	}
+	if err := json.Unmarshal(text, &s); err != nil {
+		return balance.Snapshot{}, &SyntaxError{err}
+	}
+	return s, nil
+}
