--- a/internal/controller/hotrestart_test.go
+++ b/internal/controller/hotrestart_test.go
@@ -1,13 +1,28 @@
 package controller
 
 import (
+	"bytes"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
 	"strings"
 	"testing"
 	"time"
+
+	"go.uber.org/zap"
+
+	"aspenbarrow/balance"
+	"aspenbarrow/internal/decision"
+	"aspenbarrow/internal/discovery"
+	"aspenbarrow/internal/hotrestart"
+	"aspenbarrow/internal/membership"
+	"aspenbarrow/internal/session"
 )
 
-func TestABequestIsTakenWholeOrNotAtAll(t *testing.T) {
-	old, _ := node(t, testConfig())
+func TestController_RestoreStateIsAllOrNothing(t *testing.T) {
+	old, _ := newTestController(t, testConfig())
 	old.SetDrained(true)
 	text, err := old.ExportState(time.Second)
 	if err != nil {
@@ -29,25 +44,177 @@
 		{"cut short", good[len(good)/2:], "", 0, false},
 		{"empty", good, "", 0, false},
 	} {
-		n, _ := node(t, cfg)
+		controller, _ := newTestController(t, cfg)
 		changed := strings.Replace(good, c.from, c.to, 1)
 		if c.from != "" && changed == good {
 			t.Fatalf("%s: %q is not in %s", c.name, c.from, good)
 		}
-		err := n.RestoreState(time.Second+c.late, []byte(changed))
-		if taken := len(n.Backends()) > 0; taken != c.taken || taken != (err == nil) || n.Drained() != c.taken {
-			t.Errorf("%s: %d backends, drained %v, %v", c.name, len(n.Backends()), n.Drained(), err)
+		err := controller.RestoreState(time.Second+c.late, []byte(changed))
+		if taken := len(controller.Backends()) > 0; taken != c.taken || taken != (err == nil) || controller.Drained() != c.taken {
+			t.Errorf("%s: %d backends, drained %v, %v", c.name, len(controller.Backends()), controller.Drained(), err)
 		}
 	}
 }
 
 // Both processes together stay within the descriptors: what the old one holds the new one has not.
-func TestTheLimitsAreOnBothProcesses(t *testing.T) {
-	n, h := node(t, testConfig())
-	n.SetDescriptors(256)
-	n.SetOtherProcessDescriptors(time.Second, 120)
-	n.SetOtherProcessDescriptors(time.Second, 0)
-	if len(h.shares) != 2 || h.shares[0] != AllocateDescriptors(136, 64, false) || h.shares[1] != AllocateDescriptors(256, 64, false) {
-		t.Errorf("%+v", h.shares)
+func TestController_LimitsAreSharedByBothProcesses(t *testing.T) {
+	controller, driver := newTestController(t, testConfig())
+	controller.SetDescriptors(256)
+	controller.SetOtherProcessDescriptors(time.Second, 120)
+	controller.SetOtherProcessDescriptors(time.Second, 0)
+	if len(driver.limits) != 2 || driver.limits[0] != AllocateDescriptors(136, 64, false) || driver.limits[1] != AllocateDescriptors(256, 64, false) {
+		t.Errorf("%+v", driver.limits)
+	}
+}
+
+// What one version hands over the next one reads, whatever its types are called: no key may change unseen, nor one come
+// or go. A key that is changed on purpose is changed in the file by hand, for -update writes only what is still read.
+func TestController_StateGolden(t *testing.T) {
+	text := readGolden(t, "hot_restart.json")
+	var b hotrestart.Document
+	var plain any
+	if err := json.Unmarshal(text, &b); err != nil {
+		t.Fatal(err)
+	}
+	if err := json.Unmarshal(text, &plain); err != nil {
+		t.Fatal(err)
+	}
+	if z := zeroValues("", plain); len(z) > 0 {
+		t.Fatalf("the document tells nothing of %q", z)
+	}
+	again, err := json.Marshal(b)
+	if err != nil || !bytes.Equal(again, text) {
+		t.Errorf("%v\n got %s\nwant %s", err, again, text)
+	}
+	controller := newSuccessor(t)
+	if len(controller.Backends()) != 3 || !controller.Drained() {
+		t.Errorf("%d backends, drained %v", len(controller.Backends()), controller.Drained())
+	}
+	wrote, err := controller.ExportState(goldenAt)
+	if err != nil {
+		t.Fatal(err)
+	}
+	checkGolden(t, "hot_restart.json", wrote)
+}
+
+// What a process goes on seeing is told in a form that the next version reads.
+func TestController_LoadGolden(t *testing.T) {
+	controller := newSuccessor(t)
+	for i, line := range []string{"c=chat,d=1000,at=a", "c=bulk,d=1000,at=a", "c=chat,d=1000,at=b"} {
+		seq := uint64(i + 1)
+		opened := session.New(seq, controller.Settings(), controller.Metrics())
+		g, err := opened.ReadHandshake(goldenAt, fmt.Appendf(nil, "OPEN %016x %016x %s\r\n", seq, seq, line), true)
+		if err != nil || !g.Opened {
+			t.Fatalf("%+v, %v", g, err)
+		}
+		controller.SessionOpened(goldenAt, opened)
+	}
+	controller.HealthCheckDone(goldenAt, balance.HealthCheckResult{Backend: discovery.BackendID("b"), Load: []float32{0.5}, Latency: 3 * time.Millisecond})
+	controller.SessionEvent(goldenAt, 3, session.Event{Kind: session.LoadReported, Load: 0.25})
+	wrote, err := controller.ExportLoad()
+	if err != nil {
+		t.Fatal(err)
+	}
+	checkGolden(t, "seen.json", wrote)
+
+	text := readGolden(t, "seen.json")
+	var m balance.Snapshot
+	if err := json.Unmarshal(text, &m); err != nil {
+		t.Fatal(err)
+	}
+	if again, err := json.Marshal(m); err != nil || !bytes.Equal(again, text) {
+		t.Errorf("%v\n got %s\nwant %s", err, again, text)
+	}
+	next := newSuccessor(t)
+	if err := next.ImportLoad(goldenAt, text); err != nil {
+		t.Fatal(err)
+	}
+	heard := next.balancer.(decision.Snapshotter).Snapshot()
+	if len(heard.Backends) != 2 || len(m.Backends) != 2 {
+		t.Fatalf("%d servers, the file has %d", len(heard.Backends), len(m.Backends))
+	}
+	for i, s := range heard.Backends {
+		if s.TrackedLoad != m.Backends[i].TrackedLoad || s.TrackedLoad == 0 {
+			t.Errorf("server %d holds %v, the file says %v", i, s.TrackedLoad, m.Backends[i].TrackedLoad)
+		}
+	}
+}
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// goldenAt is when the hot-restart document was written, and by whose clock it is read.
+const goldenAt = 1000 * time.Second
+
+// goldenFile is a file of testdata, without the newline at its end.
+func readGolden(t *testing.T, name string) []byte {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join("testdata", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return bytes.TrimSuffix(text, []byte("\n"))
+}
+
+// wantGolden holds what was written against a file of testdata, byte for byte, or writes that file.
+func checkGolden(t *testing.T, name string, got []byte) {
+	t.Helper()
+	if *update {
+		if err := os.WriteFile(filepath.Join("testdata", name), append(bytes.Clone(got), '\n'), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if want := readGolden(t, name); !bytes.Equal(got, want) {
+		t.Errorf("%s:\n got %s\nwant %s", name, got, want)
+	}
+}
+
+// zeros names each value of a document that is zero, false or empty: one whose key is no longer read comes out so.
+func zeroValues(path string, v any) (out []string) {
+	switch v := v.(type) {
+	case map[string]any:
+		for k, e := range v {
+			out = append(out, zeroValues(path+"."+k, e)...)
+		}
+		if len(v) > 0 {
+			return out
+		}
+	case []any:
+		for i, e := range v {
+			out = append(out, zeroValues(fmt.Sprintf("%s[%d]", path, i), e)...)
+		}
+		if len(v) > 0 {
+			return out
+		}
+	case float64:
+		if v != 0 {
+			return nil
+		}
+	case string:
+		if v != "" {
+			return nil
+		}
+	case bool:
+		if v {
+			return nil
+		}
+	}
+	return append(out, path)
+}
+
+// heir is a Node that has taken over the golden hot-restart document.
+func newSuccessor(t *testing.T) *Controller {
+	t.Helper()
+	cfg, joined := testConfig(), membership.DefaultSettings("f")
+	cfg.CachedEndpoints, cfg.Membership = nil, &joined
+	cfg.Settings.ClassNames = []string{"chat", "bulk"}
+	cfg.Settings.Classes = append(cfg.Settings.Classes, cfg.Settings.Classes[0])
+	controller, err := New(goldenAt, cfg, &fakeDriver{commands: map[uint64][]session.Command{}}, zap.NewNop())
+	if err != nil {
+		t.Fatal(err)
+	}
+	controller.JoinMembership(goldenAt)
+	if err := controller.RestoreState(goldenAt, readGolden(t, "hot_restart.json")); err != nil {
+		t.Fatal(err)
 	}
+	return controller
 }
--- a/internal/controller/log_test.go
+++ b/internal/controller/log_test.go
@@ -1,20 +1,43 @@
 package controller
 
-import "go.uber.org/zap/zapcore"
+import (
+	"bytes"
+	"os"
+	"path/filepath"
+	"regexp"
+	"testing"
+)
 
-// logTo is a logger's core that hands on each message above debug level.
-func logTo(hear func(string)) zapcore.Core { return core{zapcore.NewNopCore(), hear} }
-
-type core struct {
-	zapcore.Core
-	hear func(string)
-}
-
-func (c core) Enabled(l zapcore.Level) bool { return l > zapcore.DebugLevel }
-func (c core) Check(e zapcore.Entry, ce *zapcore.CheckedEntry) *zapcore.CheckedEntry {
-	return ce.AddCore(e, c)
-}
-func (c core) Write(e zapcore.Entry, _ []zapcore.Field) error {
-	c.hear(e.Message)
-	return nil
+// On-call staff look every line up: each that can be logged above debug level is explained.
+func TestLog_EachMessageIsDocumented(t *testing.T) {
+	page, err := os.ReadFile("../../docs/oncall.md")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var sources []string
+	for _, dir := range []string{".", "../protocol", "../discovery", "../session", "../upstream", "../handshake", "../healthcheck",
+		"../metrics", "../hotrestart", "../shadow", "../decision", "../settings", "../relay", "../management"} {
+		files, err := filepath.Glob(filepath.Join(dir, "*.go"))
+		if err != nil || len(files) == 0 {
+			t.Fatalf("%s: %d files, %v", dir, len(files), err)
+		}
+		sources = append(sources, files...)
+	}
+	calls := regexp.MustCompile(`log\.(?:Info|Warn|Error)\(\s*"([^"]+)"`)
+	found := 0
+	for _, name := range sources {
+		text, err := os.ReadFile(name)
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, m := range calls.FindAllSubmatch(text, -1) {
+			found++
+			if !bytes.Contains(page, append(append([]byte("`"), m[1]...), '`')) {
+				t.Errorf("%s logs %q, which docs/oncall.md does not explain", name, m[1])
+			}
+		}
+	}
+	if found < 15 {
+		t.Errorf("only %d log lines found", found)
+	}
 }
--- a/internal/controller/reload_test.go
+++ b/internal/controller/reload_test.go
@@ -7,85 +7,71 @@
 	"testing"
 	"time"
 
+	"go.uber.org/zap"
+
 	"aspenbarrow/balance"
 	"aspenbarrow/internal/protocol"
 	"aspenbarrow/internal/routing"
 	"aspenbarrow/internal/session"
 	"aspenbarrow/internal/settings"
+	"aspenbarrow/internal/shadow"
 )
 
-// class makes a class with an effect.
-func class(effect balance.Idempotency) balance.Class {
-	return balance.Class{LatencyObjective: 500 * time.Millisecond, ClientTimeout: time.Second, MessageLatencyObjective: 60 * time.Millisecond, Idempotency: effect}
-}
-
-// with is the test's configuration with other classes and attempts.
-func with(names []string, classes []balance.Class, attempts int) Config {
+func TestController_ReloadAppliesChangeablePartsOnly(t *testing.T) {
+	controller, driver := newTestController(t, testConfig())
+	bad := testConfig()
+	bad.CachedEndpoints, bad.Discovery = []byte("{"), "d:2"
+	if err := controller.Reload(time.Second, bad, 256); err == nil || len(driver.discoveryAddresses) != 0 {
+		t.Errorf("an unsound file: %v, follows %v", err, driver.discoveryAddresses)
+	}
 	cfg := testConfig()
-	cfg.Settings.ClassNames, cfg.Settings.Classes, cfg.Settings.MaxAttempts = names, classes, attempts
-	return cfg
-}
-
-// fails has the attempt that is out end so that it may have run, and returns what the flow is told then.
-func fails(n *Controller, h *host, f *session.Session, now time.Duration) session.Command {
-	orders := h.orders[f.Seq]
-	do := f.Execute(now, orders[len(orders)-1])
-	_, fail := do.Attempt.ReadAnswer([]byte("ERR\r\n"))
-	n.SessionEvent(now, f.Seq, f.AttemptDone(now, do.Attempt, fail).Event)
-	after := h.orders[f.Seq][len(orders):]
-	if len(after) != 1 {
-		return session.Command{}
-	}
-	if after[0].Answer != "" {
-		f.Execute(now, after[0])
-	}
-	return after[0]
-}
-
-func opensAs(t *testing.T, n *Controller, seq uint64, name string) *session.Session {
-	t.Helper()
-	f := greeted(t, n, seq, fmt.Sprintf("OPEN %016x %016x c=%s,d=1000\r\n", seq, seq, name))
-	n.SessionOpened(time.Second, f)
-	return f
+	cfg.Discovery, cfg.MaxDescriptors, cfg.Peers, cfg.Name = "d:2", 128, []string{"127.0.0.1:7"}, "other"
+	if err := controller.Reload(time.Second, cfg, 128); err != nil {
+		t.Fatal(err)
+	}
+	if !slices.Equal(driver.discoveryAddresses, []string{"d:2"}) || len(driver.limits) != 1 || driver.limits[0] != AllocateDescriptors(128, 64, false) ||
+		controller.Config().Name != "n0" || controller.Config().Peers[0] != "127.0.0.1:7" {
+		t.Errorf("%+v, %+v", driver, controller.Config())
+	}
 }
 
 // A request goes by the rules that it was taken under, through its retries: one of a safe class is sent again though
 // the class is unsafe or gone by now, one of an unsafe class is not though the class is safe by now.
-func TestARequestKeepsTheRulesThatItWasTakenUnder(t *testing.T) {
+func TestController_ReloadKeepsRulesOfOpenRequests(t *testing.T) {
 	names := []string{"look", "act"}
-	n, h := node(t, with(names, []balance.Class{class(balance.Idempotent), class(balance.NonIdempotent)}, 4))
+	controller, driver := newTestController(t, configWithClasses(names, []balance.Class{testClass(balance.Idempotent), testClass(balance.NonIdempotent)}, 4))
 	for seq := uint64(100); seq < 130; seq++ { // they earn further attempts
-		opensAs(t, n, seq, "look")
+		openSession(t, controller, seq, "look")
 	}
 	stands := func(seq uint64) { // or failures alone would space attempts out
-		n.SessionEvent(time.Second, seq, session.Event{Kind: session.Established, Result: balance.AttemptResult{ID: seq, Latency: time.Millisecond}})
+		controller.SessionEvent(time.Second, seq, session.Event{Kind: session.Established, Result: balance.AttemptResult{ID: seq, Latency: time.Millisecond}})
 	}
-	look, act, gone := opensAs(t, n, 1, "look"), opensAs(t, n, 2, "act"), opensAs(t, n, 3, "look")
-	if err := n.Reload(time.Second, with(names, []balance.Class{class(balance.NonIdempotent), class(balance.Idempotent)}, 4), 256); err != nil {
+	safe, unsafe, gone := openSession(t, controller, 1, "look"), openSession(t, controller, 2, "act"), openSession(t, controller, 3, "look")
+	if err := controller.Reload(time.Second, configWithClasses(names, []balance.Class{testClass(balance.NonIdempotent), testClass(balance.Idempotent)}, 4), 256); err != nil {
 		t.Fatal(err)
 	}
-	if o := fails(n, h, look, time.Second); o.Backend == nil {
-		t.Errorf("a safe request is not sent again: %+v", o)
+	if command := failAttempt(controller, driver, safe, time.Second); command.Backend == nil {
+		t.Errorf("a safe request is not sent again: %+v", command)
 	}
-	if o := fails(n, h, act, time.Second); o.Answer != protocol.AnswerFailed {
-		t.Errorf("an unsafe request has %+v", o)
+	if command := failAttempt(controller, driver, unsafe, time.Second); command.Answer != protocol.AnswerFailed {
+		t.Errorf("an unsafe request has %+v", command)
 	}
-	if err := n.Reload(time.Second, with(names[1:], []balance.Class{class(balance.Idempotent)}, 4), 256); err != nil {
+	if err := controller.Reload(time.Second, configWithClasses(names[1:], []balance.Class{testClass(balance.Idempotent)}, 4), 256); err != nil {
 		t.Fatal(err)
 	}
 	stands(100)
-	if o := fails(n, h, gone, time.Second); o.Backend == nil {
-		t.Errorf("a request of a dropped class is not sent again: %+v", o)
+	if command := failAttempt(controller, driver, gone, time.Second); command.Backend == nil {
+		t.Errorf("a request of a dropped class is not sent again: %+v", command)
 	}
-	if _, err := session.New(9, n.Settings(), n.Metrics()).ReadHandshake(time.Second, []byte("OPEN 0000000000000009 0000000000000009 c=look,d=1000\r\n"), true); err == nil {
+	if _, err := session.New(9, controller.Settings(), controller.Metrics()).ReadHandshake(time.Second, []byte("OPEN 0000000000000009 0000000000000009 c=look,d=1000\r\n"), true); err == nil {
 		t.Error("a dropped class is still taken")
 	}
 	stands(101)
-	if o := fails(n, h, opensAs(t, n, 10, "act"), time.Second); o.Backend == nil && o.Answer == protocol.AnswerFailed {
-		t.Errorf("a request under the new rules, which may be repeated, has %+v", o)
+	if command := failAttempt(controller, driver, openSession(t, controller, 10, "act"), time.Second); command.Backend == nil && command.Answer == protocol.AnswerFailed {
+		t.Errorf("a request under the new rules, which may be repeated, has %+v", command)
 	}
 	var counted []string
-	for _, c := range n.Metrics().Snapshot().Classes {
+	for _, c := range controller.Metrics().Snapshot().Classes {
 		counted = append(counted, fmt.Sprint(c.Name, c.Error))
 	}
 	if !slices.Equal(counted, []string{"look0", "act1"}) {
@@ -94,56 +80,56 @@
 }
 
 // Attempts lowered below those used end nothing early: the request has as many as it began with, the next one fewer.
-func TestLoweredAttemptsAreForTheNextRequests(t *testing.T) {
-	names, classes := []string{"chat"}, []balance.Class{class(balance.Idempotent)}
-	n, h := node(t, with(names, classes, 3))
+func TestController_ReloadLowersAttemptsOfNewRequests(t *testing.T) {
+	names, classes := []string{"chat"}, []balance.Class{testClass(balance.Idempotent)}
+	controller, driver := newTestController(t, configWithClasses(names, classes, 3))
 	for seq := uint64(100); seq < 130; seq++ { // they earn further attempts
-		opensAs(t, n, seq, "chat")
+		openSession(t, controller, seq, "chat")
 	}
-	f := opensAs(t, n, 1, "chat")
-	if o := fails(n, h, f, time.Second); o.Backend == nil {
-		t.Fatalf("%+v", o)
+	opened := openSession(t, controller, 1, "chat")
+	if command := failAttempt(controller, driver, opened, time.Second); command.Backend == nil {
+		t.Fatalf("%+v", command)
 	}
-	if err := n.Reload(time.Second, with(names, classes, 1), 256); err != nil {
+	if err := controller.Reload(time.Second, configWithClasses(names, classes, 1), 256); err != nil {
 		t.Fatal(err)
 	}
-	if o := fails(n, h, f, time.Second); o.Backend == nil {
-		t.Errorf("the third attempt is not made: %+v", o)
+	if command := failAttempt(controller, driver, opened, time.Second); command.Backend == nil {
+		t.Errorf("the third attempt is not made: %+v", command)
 	}
-	if o := fails(n, h, opensAs(t, n, 2, "chat"), time.Second); o.Backend != nil {
+	if command := failAttempt(controller, driver, openSession(t, controller, 2, "chat"), time.Second); command.Backend != nil {
 		t.Error("a request under the new settings is sent twice")
 	}
 }
 
 // Classes that come and go, in any order, keep their numbers as long as they are the same; what changes for ever is
 // refused in the end, and nothing of that file is taken.
-func TestClassesKeepTheirNumbers(t *testing.T) {
-	n, _ := node(t, with([]string{"a", "b"}, []balance.Class{class(balance.Idempotent), class(balance.NonIdempotent)}, 4))
+func TestController_ReloadKeepsClassNumbers(t *testing.T) {
+	controller, _ := newTestController(t, configWithClasses([]string{"a", "b"}, []balance.Class{testClass(balance.Idempotent), testClass(balance.NonIdempotent)}, 4))
 	table, _ := routing.NewTable([]routing.Route{{Name: "r", Match: routing.Match{Class: 0, Tenant: routing.Any, Zone: routing.Any, Protocol: routing.Any}}})
-	cfg := with([]string{"b", "a"}, []balance.Class{class(balance.NonIdempotent), class(balance.Idempotent)}, 4)
+	cfg := configWithClasses([]string{"b", "a"}, []balance.Class{testClass(balance.NonIdempotent), testClass(balance.Idempotent)}, 4)
 	cfg.Routes = table
 	for range 5 {
-		if err := n.Reload(time.Second, cfg, 256); err != nil {
+		if err := controller.Reload(time.Second, cfg, 256); err != nil {
 			t.Fatal(err)
 		}
-		if err := n.Reload(time.Second, with([]string{"a"}, []balance.Class{class(balance.Idempotent)}, 4), 256); err != nil {
+		if err := controller.Reload(time.Second, configWithClasses([]string{"a"}, []balance.Class{testClass(balance.Idempotent)}, 4), 256); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := n.Reload(time.Second, cfg, 256); err != nil || !slices.Equal(n.Settings().ClassNames, []string{"a", "b"}) {
-		t.Errorf("%v, %v", n.Settings().ClassNames, err)
+	if err := controller.Reload(time.Second, cfg, 256); err != nil || !slices.Equal(controller.Settings().ClassNames, []string{"a", "b"}) {
+		t.Errorf("%v, %v", controller.Settings().ClassNames, err)
 	}
-	if r := n.Config().Routes.Lookup(routing.Request{Class: 1}); r == nil || n.Config().Routes.Lookup(routing.Request{Class: 0}) != nil {
+	if r := controller.Config().Routes.Lookup(routing.Request{Class: 1}); r == nil || controller.Config().Routes.Lookup(routing.Request{Class: 0}) != nil {
 		t.Error("the route of class b is not found by b's number")
 	}
 	var refused error
 	for i := 0; refused == nil && i < 2*settings.MaxClasses; i++ {
-		c := class(balance.Idempotent)
+		c := testClass(balance.Idempotent)
 		c.PriorityWeight = float64(i + 2)
-		refused = n.Reload(time.Second, with([]string{"a"}, []balance.Class{c}, 2), 256)
+		refused = controller.Reload(time.Second, configWithClasses([]string{"a"}, []balance.Class{c}, 2), 256)
 	}
-	if refused == nil || len(n.Settings().Classes) > settings.MaxClasses {
-		t.Errorf("%d classes, %v", len(n.Settings().Classes), refused)
+	if refused == nil || len(controller.Settings().Classes) > settings.MaxClasses {
+		t.Errorf("%d classes, %v", len(controller.Settings().Classes), refused)
 	}
 	if limit := (*settings.ClassLimitError)(nil); !errors.As(refused, &limit) || limit.Count <= settings.MaxClasses {
 		t.Errorf("%v is no error of the class limit", refused)
@@ -151,23 +137,40 @@
 }
 
 // Loads and remembered places outlast a reload, and a relay's place among the others waits for a restart.
-func TestAReloadForgetsNothing(t *testing.T) {
-	n, h := node(t, with([]string{"chat"}, []balance.Class{class(balance.Idempotent)}, 4))
+func TestController_ReloadKeepsOpenSessions(t *testing.T) {
+	controller, driver := newTestController(t, configWithClasses([]string{"chat"}, []balance.Class{testClass(balance.Idempotent)}, 4))
 	for seq := uint64(1); seq <= 10; seq++ {
-		standsAt(t, n, h, seq, time.Second)
+		establishSession(t, controller, driver, seq, time.Second)
 	}
-	cfg := with([]string{"other", "chat"}, []balance.Class{class(balance.NonIdempotent), class(balance.Idempotent)}, 4)
+	cfg := configWithClasses([]string{"other", "chat"}, []balance.Class{testClass(balance.NonIdempotent), testClass(balance.Idempotent)}, 4)
 	cfg.Settings.RelayCount, cfg.Settings.ZoneNames = 9, []string{"west"}
-	if err := n.Reload(time.Second, cfg, 256); err != nil {
+	if err := controller.Reload(time.Second, cfg, 256); err != nil {
 		t.Fatal(err)
 	}
-	if all, by := n.Balancer().Connections(); all != 10 || by != 10 || n.Settings().RelayCount != 2 || n.Settings().ZoneNames[0] != "east" {
-		t.Errorf("T counts %d, %d; %+v", all, by, n.Settings())
+	if all, by := controller.Balancer().Connections(); all != 10 || by != 10 || controller.Settings().RelayCount != 2 || controller.Settings().ZoneNames[0] != "east" {
+		t.Errorf("T counts %d, %d; %+v", all, by, controller.Settings())
 	}
 	for seq := uint64(11); seq <= 14; seq++ {
-		opensAs(t, n, seq, "other")
+		openSession(t, controller, seq, "other")
 	}
-	if all, by := n.Balancer().Connections(); all != 14 || by != 14 {
+	if all, by := controller.Balancer().Connections(); all != 14 || by != 14 {
 		t.Errorf("T counts %d, %d", all, by)
 	}
 }
+
+// Watching begins and ends with the process: a reload that changes the shape says so and goes on as before.
+func TestController_ReloadKeepsShadowShape(t *testing.T) {
+	for _, was := range []func(*shadow.Shape){nil, func(*shadow.Shape) {}} {
+		controller, _ := newTestController(t, shadowConfig(was))
+		var lines []string
+		controller.log = zap.New(messageLogger(func(msg string) { lines = append(lines, msg) }))
+		cfg := shadowConfig(func(s *shadow.Shape) { s.HealthChecks = false })
+		if err := controller.Reload(2*time.Second, cfg, 256); err != nil {
+			t.Fatal(err)
+		}
+		if !slices.Contains(lines, "configuration changes need a restart") || (controller.Config().Shadow == nil) != (was == nil) ||
+			controller.Config().Shadow.Equal(cfg.Shadow) {
+			t.Errorf("logged %q, in force %+v", lines, controller.Config().Shadow)
+		}
+	}
+}
