--- a/internal/controller/architecture_test.go
+++ b/internal/controller/architecture_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// What runs under the seeds must be what serves: no machine may reach for a socket, a file, a clock, a
-// goroutine or randomness of its own, directly or through a package of this repository.
+// The core runs in a relay and in the deterministic simulation. So it may not use a socket, a file, a clock, a goroutine or
+// randomness of its own, directly or through a package of this module.
 func TestCore_HasNoIO(t *testing.T) {
 	allowed := map[string]bool{"net/netip": true, "math/rand/v2": true}
 	for _, dir := range []string{".", "../protocol", "../discovery", "../session", "../upstream", "../handshake", "../healthcheck",
--- a/internal/controller/config_test.go
+++ b/internal/controller/config_test.go
@@ -1,8 +1,6 @@
 package controller
 
-import (
-	"testing"
-)
+import "testing"
 
 func TestAllocateDescriptors_StaysWithinLimit(t *testing.T) {
 	for i, sockets := range []int{8, 64, 256, 1024, 4096, 64, 256, 1024} {
@@ -12,10 +10,10 @@
 			t.Errorf("%d descriptors: %+v", sockets, s)
 		}
 		if sockets >= 256 && 3*s.Sessions < sockets { // clients may hold a third of them for requests
-			t.Errorf("%d descriptors: %d flows", sockets, s.Sessions)
+			t.Errorf("%d descriptors: %d sessions", sockets, s.Sessions)
 		}
 	}
 	if s := AllocateDescriptors(4096, 1, false); s.Sessions != 10 {
-		t.Errorf("%d flows in a megabyte", s.Sessions)
+		t.Errorf("%d sessions in a megabyte", s.Sessions)
 	}
 }
--- a/internal/controller/events_test.go
+++ b/internal/controller/events_test.go
@@ -10,7 +10,7 @@
 	ran := 0
 	controller.deliver(time.Second, func() {
 		controller.deferred = append(controller.deferred, func() { ran++ })
-		panic("a fault of a decision")
+		panic("test")
 	})
 	controller.deliver(time.Second, func() { ran++ })
 	if ran != 2 {
--- a/internal/controller/fake_test.go
+++ b/internal/controller/fake_test.go
@@ -15,7 +15,7 @@
 	"aspenbarrow/internal/upstream"
 )
 
-// host takes notes of what a Node has done.
+// fakeDriver records what the controller has done.
 type fakeDriver struct {
 	commands           map[uint64][]session.Command
 	healthChecks       []balance.BackendID
@@ -29,46 +29,46 @@
 	migrated           []uint64
 }
 
-func (driver *fakeDriver) SendCommand(flow uint64, command session.Command) {
-	driver.commands[flow] = append(driver.commands[flow], command)
+func (d *fakeDriver) SendCommand(sequence uint64, command session.Command) {
+	d.commands[sequence] = append(d.commands[sequence], command)
 }
 
-func (driver *fakeDriver) EndpointsReceived()             {}
-func (driver *fakeDriver) SetSettings(*settings.Settings) {}
+func (d *fakeDriver) EndpointsReceived()             {}
+func (d *fakeDriver) SetSettings(*settings.Settings) {}
 
-func (driver *fakeDriver) MigrateSession(flow uint64) {
-	driver.migrated = append(driver.migrated, flow)
+func (d *fakeDriver) MigrateSession(sequence uint64) {
+	d.migrated = append(d.migrated, sequence)
 }
 
-func (driver *fakeDriver) ReportClientError(_ uint64, err error) {
-	driver.clientErrors = append(driver.clientErrors, err)
+func (d *fakeDriver) ReportClientError(_ uint64, err error) {
+	d.clientErrors = append(d.clientErrors, err)
 }
 
-func (driver *fakeDriver) StartHealthCheck(b *upstream.Backend) {
-	driver.healthChecks = append(driver.healthChecks, b.ID)
+func (d *fakeDriver) StartHealthCheck(b *upstream.Backend) {
+	d.healthChecks = append(d.healthChecks, b.ID)
 }
 
-func (driver *fakeDriver) ReleaseHealthCheck(balance.BackendID) {}
+func (d *fakeDriver) ReleaseHealthCheck(balance.BackendID) {}
 
-func (driver *fakeDriver) SendDatagram(to string, data []byte) {
-	driver.datagrams = append(driver.datagrams, to+" "+string(data))
+func (d *fakeDriver) SendDatagram(to string, data []byte) {
+	d.datagrams = append(d.datagrams, to+" "+string(data))
 }
 
-func (driver *fakeDriver) RequestEndpoints(watch bool) {
-	driver.endpointRequests = append(driver.endpointRequests, watch)
+func (d *fakeDriver) RequestEndpoints(watch bool) {
+	d.endpointRequests = append(d.endpointRequests, watch)
 }
 
-func (driver *fakeDriver) SetDiscoveryAddress(address string) {
-	driver.discoveryAddresses = append(driver.discoveryAddresses, address)
+func (d *fakeDriver) SetDiscoveryAddress(address string) {
+	d.discoveryAddresses = append(d.discoveryAddresses, address)
 }
 
-func (driver *fakeDriver) SetLimits(s Limits) { driver.limits = append(driver.limits, s) }
-func (driver *fakeDriver) StopAccepting()     { driver.stoppedAccepting++ }
-func (driver *fakeDriver) Stopped()           { driver.stopped++ }
+func (d *fakeDriver) SetLimits(s Limits) { d.limits = append(d.limits, s) }
+func (d *fakeDriver) StopAccepting()     { d.stoppedAccepting++ }
+func (d *fakeDriver) Stopped()           { d.stopped++ }
 
-// last is where a flow was sent last.
-func (driver *fakeDriver) lastBackend(flow uint64) *upstream.Backend {
-	if o := driver.commands[flow]; len(o) > 0 {
+// lastBackend returns the backend of the session's last command; nil if it has none.
+func (d *fakeDriver) lastBackend(sequence uint64) *upstream.Backend {
+	if o := d.commands[sequence]; len(o) > 0 {
 		return o[len(o)-1].Backend
 	}
 	return nil
@@ -91,7 +91,7 @@
 		Peers: []string{"127.0.0.1:1", "127.0.0.1:2"}, Settings: s}
 }
 
-// node starts a Node whose backends have all answered a probe, so that no request waits for one.
+// newTestController starts a controller whose backends have all answered a health check, so that no request waits for one.
 func newTestController(t *testing.T, cfg Config) (*Controller, *fakeDriver) {
 	t.Helper()
 	return newLoggedController(t, cfg, zap.NewNop())
@@ -110,48 +110,49 @@
 	return controller, driver
 }
 
-// greeted is a flow that has said a line.
-func readOpenLine(t *testing.T, controller *Controller, seq uint64, line string) *session.Session {
+// readOpenLine returns a session whose client has sent the line; the controller does not know of it yet.
+func readOpenLine(t *testing.T, controller *Controller, sequence uint64, line string) *session.Session {
 	t.Helper()
-	opened := session.New(seq, controller.Settings(), controller.Metrics())
-	g, err := opened.ReadHandshake(time.Second, []byte(line), true)
-	if err != nil || !g.Opened {
-		t.Fatalf("%+v, %v", g, err)
+	opened := session.New(sequence, controller.Settings(), controller.Metrics())
+	result, err := opened.ReadHandshake(time.Second, []byte(line), true)
+	if err != nil || !result.Opened {
+		t.Fatalf("%+v, %v", result, err)
 	}
 	return opened
 }
 
-func openLine(seq uint64) string {
-	return fmt.Sprintf("OPEN %016x %016x c=chat,d=9000\r\n", seq, seq)
+func openLine(sequence uint64) string {
+	return fmt.Sprintf("OPEN %016x %016x c=chat,d=9000\r\n", sequence, sequence)
 }
 
-func openSession(t *testing.T, controller *Controller, seq uint64, name string) *session.Session {
+func openSession(t *testing.T, controller *Controller, sequence uint64, name string) *session.Session {
 	t.Helper()
-	opened := readOpenLine(t, controller, seq, fmt.Sprintf("OPEN %016x %016x c=%s,d=1000\r\n", seq, seq, name))
+	opened := readOpenLine(t, controller, sequence, fmt.Sprintf("OPEN %016x %016x c=%s,d=1000\r\n", sequence, sequence, name))
 	controller.SessionOpened(time.Second, opened)
 	return opened
 }
 
-// standsAt brings a flow up at the only backend that its order names.
-func establishSession(t *testing.T, controller *Controller, driver *fakeDriver, seq uint64, now time.Duration) *session.Session {
+// establishSession opens a session and has its first attempt succeed.
+func establishSession(t *testing.T, controller *Controller, driver *fakeDriver, sequence uint64, now time.Duration) *session.Session {
 	t.Helper()
-	opened := readOpenLine(t, controller, seq, fmt.Sprintf("OPEN %016x %016x c=chat,d=1000\r\n", seq, seq))
+	opened := readOpenLine(t, controller, sequence, fmt.Sprintf("OPEN %016x %016x c=chat,d=1000\r\n", sequence, sequence))
 	controller.SessionOpened(now, opened)
-	if len(driver.commands[seq]) != 1 || driver.commands[seq][0].Backend == nil {
-		t.Fatalf("flow %d has orders %+v", seq, driver.commands[seq])
+	if len(driver.commands[sequence]) != 1 || driver.commands[sequence][0].Backend == nil {
+		t.Fatalf("session %d has commands %+v", sequence, driver.commands[sequence])
 	}
-	do := opened.Execute(now, driver.commands[seq][0])
-	controller.SessionEvent(now, seq, opened.AttemptDone(now, do.Attempt, nil).Event)
+	do := opened.Execute(now, driver.commands[sequence][0])
+	controller.SessionEvent(now, sequence, opened.AttemptDone(now, do.Attempt, nil).Event)
 	return opened
 }
 
-// fails has the attempt that is out end so that it may have run, and returns what the flow is told then.
+// failAttempt ends the running attempt in a way that the backend may have executed it, and returns the command that follows;
+// an empty one if there is none or more than one.
 func failAttempt(controller *Controller, driver *fakeDriver, opened *session.Session, now time.Duration) session.Command {
-	orders := driver.commands[opened.Seq]
-	do := opened.Execute(now, orders[len(orders)-1])
+	commands := driver.commands[opened.Seq]
+	do := opened.Execute(now, commands[len(commands)-1])
 	_, fail := do.Attempt.ReadAnswer([]byte("ERR\r\n"))
 	controller.SessionEvent(now, opened.Seq, opened.AttemptDone(now, do.Attempt, fail).Event)
-	after := driver.commands[opened.Seq][len(orders):]
+	after := driver.commands[opened.Seq][len(commands):]
 	if len(after) != 1 {
 		return session.Command{}
 	}
@@ -161,35 +162,37 @@
 	return after[0]
 }
 
-// played runs a node's timers up to a time.
+// fireTimersUntil fires all timers up to a time, each at its time.
 func fireTimersUntil(controller *Controller, until time.Duration) {
 	for at, ok := controller.NextTimer(); ok && at <= until; at, ok = controller.NextTimer() {
 		controller.FireTimers(at)
 	}
 }
 
-// class makes a class with an effect.
-func testClass(effect balance.Idempotency) balance.Class {
-	return balance.Class{LatencyObjective: 500 * time.Millisecond, ClientTimeout: time.Second, MessageLatencyObjective: 60 * time.Millisecond, Idempotency: effect}
+// testClass returns a class of requests that may or may not be repeated.
+func testClass(idempotency balance.Idempotency) balance.Class {
+	return balance.Class{LatencyObjective: 500 * time.Millisecond, ClientTimeout: time.Second, MessageLatencyObjective: 60 * time.Millisecond, Idempotency: idempotency}
 }
 
-// with is the test's configuration with other classes and attempts.
+// configWithClasses returns the test configuration with other classes and attempts.
 func configWithClasses(names []string, classes []balance.Class, attempts int) Config {
 	cfg := testConfig()
 	cfg.Settings.ClassNames, cfg.Settings.Classes, cfg.Settings.MaxAttempts = names, classes, attempts
 	return cfg
 }
 
-// lone is a configuration with one class, of a patience, on one backend.
-func oneClassConfig(patience time.Duration, effect balance.Idempotency, pass bool) Config {
+// oneClassConfig returns the test configuration with one class of a client timeout.
+func oneClassConfig(clientTimeout time.Duration, idempotency balance.Idempotency, passThrough bool) Config {
 	cfg := testConfig()
-	cfg.Settings.PassThrough = pass
-	cfg.Settings.Classes = []balance.Class{{LatencyObjective: patience / 2, ClientTimeout: patience, Idempotency: effect}}
+	cfg.Settings.PassThrough = passThrough
+	cfg.Settings.Classes = []balance.Class{{LatencyObjective: clientTimeout / 2, ClientTimeout: clientTimeout, Idempotency: idempotency}}
 	return cfg
 }
 
-// logTo is a logger's core that hands on each message above debug level.
-func messageLogger(hear func(string)) zapcore.Core { return messageCore{zapcore.NewNopCore(), hear} }
+// messageLogger returns a logger core that passes on each message above debug level.
+func messageLogger(receive func(string)) zapcore.Core {
+	return messageCore{zapcore.NewNopCore(), receive}
+}
 
 type messageCore struct {
 	zapcore.Core
--- a/internal/controller/hotrestart_test.go
+++ b/internal/controller/hotrestart_test.go
@@ -22,41 +22,43 @@
 )
 
 func TestController_RestoreStateIsAllOrNothing(t *testing.T) {
-	old, _ := newTestController(t, testConfig())
-	old.SetDrained(true)
-	text, err := old.ExportState(time.Second)
+	predecessor, _ := newTestController(t, testConfig())
+	predecessor.SetDrained(true)
+	text, err := predecessor.ExportState(time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
-	good := string(text)
+	valid := string(text)
 	cfg := testConfig()
 	cfg.CachedEndpoints = nil
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		name, from, to string
-		late           time.Duration
-		taken          bool
+		age            time.Duration
+		accepted       bool
 	}{
-		{"as it was", "", "", 0, true},
+		{"unchanged", "", "", 0, true},
 		{"another version", `"version":1`, `"version":2`, 0, false},
-		{"another relay's", `"name":"n0"`, `"name":"n9"`, 0, false},
-		{"an old one", "", "", time.Minute, false},
+		{"another relay", `"name":"n0"`, `"name":"n9"`, 0, false},
+		{"too old", "", "", time.Minute, false},
 		{"a backend without a name", `"members":[{"name":"`, `"members":[{"name":"x`, 0, false},
-		{"cut short", good[len(good)/2:], "", 0, false},
-		{"empty", good, "", 0, false},
+		{"cut short", valid[len(valid)/2:], "", 0, false},
+		{"empty", valid, "", 0, false},
 	} {
-		controller, _ := newTestController(t, cfg)
-		changed := strings.Replace(good, c.from, c.to, 1)
-		if c.from != "" && changed == good {
-			t.Fatalf("%s: %q is not in %s", c.name, c.from, good)
-		}
-		err := controller.RestoreState(time.Second+c.late, []byte(changed))
-		if taken := len(controller.Backends()) > 0; taken != c.taken || taken != (err == nil) || controller.Drained() != c.taken {
-			t.Errorf("%s: %d backends, drained %v, %v", c.name, len(controller.Backends()), controller.Drained(), err)
-		}
+		t.Run(tc.name, func(t *testing.T) {
+			controller, _ := newTestController(t, cfg)
+			changed := strings.Replace(valid, tc.from, tc.to, 1)
+			if tc.from != "" && changed == valid {
+				t.Fatalf("%q is not in %s", tc.from, valid)
+			}
+			err := controller.RestoreState(time.Second+tc.age, []byte(changed))
+			if accepted := len(controller.Backends()) > 0; accepted != tc.accepted || accepted != (err == nil) || controller.Drained() != tc.accepted {
+				t.Errorf("%d backends, drained %v, %v", len(controller.Backends()), controller.Drained(), err)
+			}
+		})
 	}
 }
 
-// Both processes together stay within the descriptors: what the old one holds the new one has not.
+// Both processes together stay within the descriptors: what the predecessor holds its successor cannot use.
 func TestController_LimitsAreSharedByBothProcesses(t *testing.T) {
 	controller, driver := newTestController(t, testConfig())
 	controller.SetDescriptors(256)
@@ -67,8 +69,8 @@
 	}
 }
 
-// What one version hands over the next one reads, whatever its types are called: no key may change unseen, nor one come
-// or go. A key that is changed on purpose is changed in the file by hand, for -update writes only what is still read.
+// Processes of different versions read one another's state, so no JSON key may change, come or go unnoticed. A key that is
+// changed on purpose is changed in the file by hand: -update writes only what is still read.
 func TestController_StateGolden(t *testing.T) {
 	text := readGolden(t, "hot_restart.json")
 	var b hotrestart.Document
@@ -80,7 +82,7 @@
 		t.Fatal(err)
 	}
 	if z := zeroValues("", plain); len(z) > 0 {
-		t.Fatalf("the document tells nothing of %q", z)
+		t.Fatalf("the document has no value for %q", z)
 	}
 	again, err := json.Marshal(b)
 	if err != nil || !bytes.Equal(again, text) {
@@ -97,15 +99,15 @@
 	checkGolden(t, "hot_restart.json", wrote)
 }
 
-// What a process goes on seeing is told in a form that the next version reads.
+// The load that a process goes on tracking is read by processes of other versions.
 func TestController_LoadGolden(t *testing.T) {
 	controller := newSuccessor(t)
 	for i, line := range []string{"c=chat,d=1000,at=a", "c=bulk,d=1000,at=a", "c=chat,d=1000,at=b"} {
-		seq := uint64(i + 1)
-		opened := session.New(seq, controller.Settings(), controller.Metrics())
-		g, err := opened.ReadHandshake(goldenAt, fmt.Appendf(nil, "OPEN %016x %016x %s\r\n", seq, seq, line), true)
-		if err != nil || !g.Opened {
-			t.Fatalf("%+v, %v", g, err)
+		sequence := uint64(i + 1)
+		opened := session.New(sequence, controller.Settings(), controller.Metrics())
+		result, err := opened.ReadHandshake(goldenAt, fmt.Appendf(nil, "OPEN %016x %016x %s\r\n", sequence, sequence, line), true)
+		if err != nil || !result.Opened {
+			t.Fatalf("%+v, %v", result, err)
 		}
 		controller.SessionOpened(goldenAt, opened)
 	}
@@ -129,23 +131,23 @@
 	if err := next.ImportLoad(goldenAt, text); err != nil {
 		t.Fatal(err)
 	}
-	heard := next.balancer.(decision.Snapshotter).Snapshot()
-	if len(heard.Backends) != 2 || len(m.Backends) != 2 {
-		t.Fatalf("%d servers, the file has %d", len(heard.Backends), len(m.Backends))
+	imported := next.balancer.(decision.Snapshotter).Snapshot()
+	if len(imported.Backends) != 2 || len(m.Backends) != 2 {
+		t.Fatalf("%d backends, the file has %d", len(imported.Backends), len(m.Backends))
 	}
-	for i, s := range heard.Backends {
+	for i, s := range imported.Backends {
 		if s.TrackedLoad != m.Backends[i].TrackedLoad || s.TrackedLoad == 0 {
-			t.Errorf("server %d holds %v, the file says %v", i, s.TrackedLoad, m.Backends[i].TrackedLoad)
+			t.Errorf("backend %d has load %v, the file says %v", i, s.TrackedLoad, m.Backends[i].TrackedLoad)
 		}
 	}
 }
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "write the golden files")
 
-// goldenAt is when the hot-restart document was written, and by whose clock it is read.
+// goldenAt is the time on both processes' clock at which the golden document is written and read.
 const goldenAt = 1000 * time.Second
 
-// goldenFile is a file of testdata, without the newline at its end.
+// readGolden returns a file of testdata, without the newline at its end.
 func readGolden(t *testing.T, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", name))
@@ -155,7 +157,7 @@
 	return bytes.TrimSuffix(text, []byte("\n"))
 }
 
-// wantGolden holds what was written against a file of testdata, byte for byte, or writes that file.
+// checkGolden compares a text with a file of testdata, byte for byte, or with -update writes that file.
 func checkGolden(t *testing.T, name string, got []byte) {
 	t.Helper()
 	if *update {
@@ -168,7 +170,7 @@
 	}
 }
 
-// zeros names each value of a document that is zero, false or empty: one whose key is no longer read comes out so.
+// zeroValues returns the paths of all values of a document that are zero, false or empty, as one whose key is not read is.
 func zeroValues(path string, v any) (out []string) {
 	switch v := v.(type) {
 	case map[string]any:
@@ -201,7 +203,7 @@
 	return append(out, path)
 }
 
-// heir is a Node that has taken over the golden hot-restart document.
+// newSuccessor returns a controller that has restored the golden document.
 func newSuccessor(t *testing.T) *Controller {
 	t.Helper()
 	cfg, joined := testConfig(), membership.DefaultSettings("f")
--- a/internal/controller/log_test.go
+++ b/internal/controller/log_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// On-call staff look every line up: each that can be logged above debug level is explained.
+// Operators look messages up: each that can be logged above debug level is documented.
 func TestLog_EachMessageIsDocumented(t *testing.T) {
 	page, err := os.ReadFile("../../docs/oncall.md")
 	if err != nil {
@@ -33,7 +33,7 @@
 		for _, m := range calls.FindAllSubmatch(text, -1) {
 			found++
 			if !bytes.Contains(page, append(append([]byte("`"), m[1]...), '`')) {
-				t.Errorf("%s logs %q, which docs/oncall.md does not explain", name, m[1])
+				t.Errorf("%s logs %q, which docs/oncall.md does not document", name, m[1])
 			}
 		}
 	}
--- a/internal/controller/peers_test.go
+++ b/internal/controller/peers_test.go
@@ -9,21 +9,21 @@
 	"go.uber.org/zap"
 )
 
-// The sender is known by its address in the configuration; anybody else is not heard.
+// A peer is known by its address in the configuration; datagrams of others are dropped.
 func TestController_GossipIsBetweenPeersOnly(t *testing.T) {
 	controller, driver := newTestController(t, testConfig())
-	notice := []byte{0, 0, 0, 0, 0, 0, 0, 1}
-	var heard []string
-	controller.log = zap.New(messageLogger(func(msg string) { heard = append(heard, msg) }))
-	controller.DatagramReceived(time.Second, netip.MustParseAddrPort("127.0.0.1:9"), notice)
-	controller.DatagramReceived(time.Second, netip.MustParseAddrPort("[::ffff:127.0.0.1]:2"), notice)
-	if !slices.Equal(heard, []string{"datagram from unknown sender"}) {
-		t.Errorf("%v", heard)
+	gossip := []byte{0, 0, 0, 0, 0, 0, 0, 1}
+	var messages []string
+	controller.log = zap.New(messageLogger(func(msg string) { messages = append(messages, msg) }))
+	controller.DatagramReceived(time.Second, netip.MustParseAddrPort("127.0.0.1:9"), gossip)
+	controller.DatagramReceived(time.Second, netip.MustParseAddrPort("[::ffff:127.0.0.1]:2"), gossip)
+	if !slices.Equal(messages, []string{"datagram from unknown sender"}) {
+		t.Errorf("%v", messages)
 	}
-	a := balancerActions{controller}
-	a.SendGossip(1, []byte("more"))
-	a.SendGossip(2, []byte("nobody"))
-	a.SendGossip(0, make([]byte, MaxDatagramBytes+1))
+	actions := balancerActions{controller}
+	actions.SendGossip(1, []byte("more"))
+	actions.SendGossip(2, []byte("nobody"))
+	actions.SendGossip(0, make([]byte, MaxDatagramBytes+1))
 	if !slices.Equal(driver.datagrams, []string{"127.0.0.1:2 more"}) {
 		t.Errorf("%q", driver.datagrams)
 	}
--- a/internal/controller/reload_test.go
+++ b/internal/controller/reload_test.go
@@ -19,10 +19,12 @@
 
 func TestController_ReloadAppliesChangeablePartsOnly(t *testing.T) {
 	controller, driver := newTestController(t, testConfig())
-	bad := testConfig()
-	bad.CachedEndpoints, bad.Discovery = []byte("{"), "d:2"
-	if err := controller.Reload(time.Second, bad, 256); err == nil || len(driver.discoveryAddresses) != 0 {
-		t.Errorf("an unsound file: %v, follows %v", err, driver.discoveryAddresses)
+	malformed := testConfig()
+	malformed.CachedEndpoints, malformed.Discovery = []byte("{"), "d:2"
+	if err := controller.Reload(time.Second, malformed, 256); err == nil || len(driver.discoveryAddresses) != 0 {
+		t.Errorf("a malformed configuration: %v, discovery at %v", err, driver.discoveryAddresses)
+	} else if unreadable := (*CachedEndpointsError)(nil); !errors.As(err, &unreadable) {
+		t.Errorf("%v is no CachedEndpointsError", err)
 	}
 	cfg := testConfig()
 	cfg.Discovery, cfg.MaxDescriptors, cfg.Peers, cfg.Name = "d:2", 128, []string{"127.0.0.1:7"}, "other"
@@ -35,40 +37,40 @@
 	}
 }
 
-// A request goes by the rules that it was taken under, through its retries: one of a safe class is sent again though
-// the class is unsafe or gone by now, one of an unsafe class is not though the class is safe by now.
+// A request keeps the rules that it arrived under, through its retries: an idempotent one is retried though its class is not
+// idempotent or is gone by now, and one that is not idempotent is not retried though its class is idempotent by now.
 func TestController_ReloadKeepsRulesOfOpenRequests(t *testing.T) {
 	names := []string{"look", "act"}
 	controller, driver := newTestController(t, configWithClasses(names, []balance.Class{testClass(balance.Idempotent), testClass(balance.NonIdempotent)}, 4))
-	for seq := uint64(100); seq < 130; seq++ { // they earn further attempts
-		openSession(t, controller, seq, "look")
+	for sequence := uint64(100); sequence < 130; sequence++ { // they earn retry tokens
+		openSession(t, controller, sequence, "look")
 	}
-	stands := func(seq uint64) { // or failures alone would space attempts out
-		controller.SessionEvent(time.Second, seq, session.Event{Kind: session.Established, Result: balance.AttemptResult{ID: seq, Latency: time.Millisecond}})
+	establish := func(sequence uint64) { // with failures alone attempts would be paced
+		controller.SessionEvent(time.Second, sequence, session.Event{Kind: session.Established, Result: balance.AttemptResult{ID: sequence, Latency: time.Millisecond}})
 	}
-	safe, unsafe, gone := openSession(t, controller, 1, "look"), openSession(t, controller, 2, "act"), openSession(t, controller, 3, "look")
+	idempotent, nonIdempotent, dropped := openSession(t, controller, 1, "look"), openSession(t, controller, 2, "act"), openSession(t, controller, 3, "look")
 	if err := controller.Reload(time.Second, configWithClasses(names, []balance.Class{testClass(balance.NonIdempotent), testClass(balance.Idempotent)}, 4), 256); err != nil {
 		t.Fatal(err)
 	}
-	if command := failAttempt(controller, driver, safe, time.Second); command.Backend == nil {
-		t.Errorf("a safe request is not sent again: %+v", command)
+	if command := failAttempt(controller, driver, idempotent, time.Second); command.Backend == nil {
+		t.Errorf("an idempotent request is not retried: %+v", command)
 	}
-	if command := failAttempt(controller, driver, unsafe, time.Second); command.Answer != protocol.AnswerFailed {
-		t.Errorf("an unsafe request has %+v", command)
+	if command := failAttempt(controller, driver, nonIdempotent, time.Second); command.Answer != protocol.AnswerFailed {
+		t.Errorf("a request that is not idempotent gets %+v", command)
 	}
 	if err := controller.Reload(time.Second, configWithClasses(names[1:], []balance.Class{testClass(balance.Idempotent)}, 4), 256); err != nil {
 		t.Fatal(err)
 	}
-	stands(100)
-	if command := failAttempt(controller, driver, gone, time.Second); command.Backend == nil {
-		t.Errorf("a request of a dropped class is not sent again: %+v", command)
+	establish(100)
+	if command := failAttempt(controller, driver, dropped, time.Second); command.Backend == nil {
+		t.Errorf("a request of a dropped class is not retried: %+v", command)
 	}
 	if _, err := session.New(9, controller.Settings(), controller.Metrics()).ReadHandshake(time.Second, []byte("OPEN 0000000000000009 0000000000000009 c=look,d=1000\r\n"), true); err == nil {
-		t.Error("a dropped class is still taken")
+		t.Error("a dropped class is still accepted")
 	}
-	stands(101)
+	establish(101)
 	if command := failAttempt(controller, driver, openSession(t, controller, 10, "act"), time.Second); command.Backend == nil && command.Answer == protocol.AnswerFailed {
-		t.Errorf("a request under the new rules, which may be repeated, has %+v", command)
+		t.Errorf("an idempotent request under the new rules gets %+v", command)
 	}
 	var counted []string
 	for _, c := range controller.Metrics().Snapshot().Classes {
@@ -79,12 +81,12 @@
 	}
 }
 
-// Attempts lowered below those used end nothing early: the request has as many as it began with, the next one fewer.
+// Lowering the attempts below those used ends no request early: it has as many as it arrived with, new ones have fewer.
 func TestController_ReloadLowersAttemptsOfNewRequests(t *testing.T) {
 	names, classes := []string{"chat"}, []balance.Class{testClass(balance.Idempotent)}
 	controller, driver := newTestController(t, configWithClasses(names, classes, 3))
-	for seq := uint64(100); seq < 130; seq++ { // they earn further attempts
-		openSession(t, controller, seq, "chat")
+	for sequence := uint64(100); sequence < 130; sequence++ { // they earn retry tokens
+		openSession(t, controller, sequence, "chat")
 	}
 	opened := openSession(t, controller, 1, "chat")
 	if command := failAttempt(controller, driver, opened, time.Second); command.Backend == nil {
@@ -97,12 +99,12 @@
 		t.Errorf("the third attempt is not made: %+v", command)
 	}
 	if command := failAttempt(controller, driver, openSession(t, controller, 2, "chat"), time.Second); command.Backend != nil {
-		t.Error("a request under the new settings is sent twice")
+		t.Error("a request under the new settings is retried")
 	}
 }
 
-// Classes that come and go, in any order, keep their numbers as long as they are the same; what changes for ever is
-// refused in the end, and nothing of that file is taken.
+// Classes that come and go, in any order, keep their numbers as long as they do not change. Endless changes are refused in the
+// end, and nothing of such a configuration is applied.
 func TestController_ReloadKeepsClassNumbers(t *testing.T) {
 	controller, _ := newTestController(t, configWithClasses([]string{"a", "b"}, []balance.Class{testClass(balance.Idempotent), testClass(balance.NonIdempotent)}, 4))
 	table, _ := routing.NewTable([]routing.Route{{Name: "r", Match: routing.Match{Class: 0, Tenant: routing.Any, Zone: routing.Any, Protocol: routing.Any}}})
@@ -132,15 +134,15 @@
 		t.Errorf("%d classes, %v", len(controller.Settings().Classes), refused)
 	}
 	if limit := (*settings.ClassLimitError)(nil); !errors.As(refused, &limit) || limit.Count <= settings.MaxClasses {
-		t.Errorf("%v is no error of the class limit", refused)
+		t.Errorf("%v is no ClassLimitError", refused)
 	}
 }
 
-// Loads and remembered places outlast a reload, and a relay's place among the others waits for a restart.
+// A reload keeps the tracked load, and the relay's index and count and its zone wait for a restart.
 func TestController_ReloadKeepsOpenSessions(t *testing.T) {
 	controller, driver := newTestController(t, configWithClasses([]string{"chat"}, []balance.Class{testClass(balance.Idempotent)}, 4))
-	for seq := uint64(1); seq <= 10; seq++ {
-		establishSession(t, controller, driver, seq, time.Second)
+	for sequence := uint64(1); sequence <= 10; sequence++ {
+		establishSession(t, controller, driver, sequence, time.Second)
 	}
 	cfg := configWithClasses([]string{"other", "chat"}, []balance.Class{testClass(balance.NonIdempotent), testClass(balance.Idempotent)}, 4)
 	cfg.Settings.RelayCount, cfg.Settings.ZoneNames = 9, []string{"west"}
@@ -148,29 +150,31 @@
 		t.Fatal(err)
 	}
 	if all, by := controller.Balancer().Connections(); all != 10 || by != 10 || controller.Settings().RelayCount != 2 || controller.Settings().ZoneNames[0] != "east" {
-		t.Errorf("T counts %d, %d; %+v", all, by, controller.Settings())
+		t.Errorf("connections %d, %d; %+v", all, by, controller.Settings())
 	}
-	for seq := uint64(11); seq <= 14; seq++ {
-		openSession(t, controller, seq, "other")
+	for sequence := uint64(11); sequence <= 14; sequence++ {
+		openSession(t, controller, sequence, "other")
 	}
 	if all, by := controller.Balancer().Connections(); all != 14 || by != 14 {
-		t.Errorf("T counts %d, %d", all, by)
+		t.Errorf("connections %d, %d", all, by)
 	}
 }
 
-// Watching begins and ends with the process: a reload that changes the shape says so and goes on as before.
+// The shadow evaluation begins and ends with the process: a reload that changes its shape logs so and changes nothing.
 func TestController_ReloadKeepsShadowShape(t *testing.T) {
 	for _, was := range []func(*shadow.Shape){nil, func(*shadow.Shape) {}} {
-		controller, _ := newTestController(t, shadowConfig(was))
-		var lines []string
-		controller.log = zap.New(messageLogger(func(msg string) { lines = append(lines, msg) }))
-		cfg := shadowConfig(func(s *shadow.Shape) { s.HealthChecks = false })
-		if err := controller.Reload(2*time.Second, cfg, 256); err != nil {
-			t.Fatal(err)
-		}
-		if !slices.Contains(lines, "configuration changes need a restart") || (controller.Config().Shadow == nil) != (was == nil) ||
-			controller.Config().Shadow.Equal(cfg.Shadow) {
-			t.Errorf("logged %q, in force %+v", lines, controller.Config().Shadow)
-		}
+		t.Run(fmt.Sprint("shadow before: ", was != nil), func(t *testing.T) {
+			controller, _ := newTestController(t, shadowConfig(was))
+			var messages []string
+			controller.log = zap.New(messageLogger(func(msg string) { messages = append(messages, msg) }))
+			cfg := shadowConfig(func(s *shadow.Shape) { s.HealthChecks = false })
+			if err := controller.Reload(2*time.Second, cfg, 256); err != nil {
+				t.Fatal(err)
+			}
+			if !slices.Contains(messages, "configuration changes need a restart") || (controller.Config().Shadow == nil) != (was == nil) ||
+				controller.Config().Shadow.Equal(cfg.Shadow) {
+				t.Errorf("logged %q, in force %+v", messages, controller.Config().Shadow)
+			}
+		})
 	}
 }
