--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -7,22 +7,23 @@
 //
 // Its parts:
 //
-//	controller.go  Controller and its accessors
-//	config.go      Config, and how descriptors and memory are shared out
-//	driver.go      Driver, what the controller asks of its surroundings
-//	start.go       New and readiness
-//	events.go      delivery of an event, with panics confined to it
-//	timers.go      timer kinds and the timer queue
-//	sessions.go    sessions and their events
-//	endpoints.go   the endpoint list and health check results
-//	actions.go     what the balancer's actions become
-//	peers.go       datagrams of other relays
-//	membership.go  which relays are active
-//	reload.go      taking over a changed configuration
-//	drain.go       draining and undraining
-//	shutdown.go    graceful shutdown
-//	hotrestart.go  state passed between two processes of one relay
-//	shadow.go      the evaluation of a second configuration
+//	controller.go      Controller and its accessors
+//	config.go          Config, and how descriptors and memory are shared out
+//	driver.go          Driver, what the controller asks of its surroundings
+//	start.go           New and readiness
+//	events.go          delivery of an event, with panics confined to it
+//	timers.go          timer kinds and the timer queue
+//	sessions.go        the table of open sessions
+//	session_events.go  what happens to a session
+//	endpoints.go       the endpoint list and health check results
+//	actions.go         what the balancer's actions become
+//	peers.go           datagrams of other relays
+//	membership.go      which relays are active
+//	reload.go          taking over a changed configuration
+//	drain.go           draining and undraining
+//	shutdown.go        graceful shutdown
+//	hotrestart.go      state passed between two processes of one relay
+//	shadow.go          the evaluation of a second configuration
 package controller
 
 import (
