--- a/cmd/aspenlab/golden_test.go
+++ b/cmd/aspenlab/golden_test.go
@@ -16,13 +16,13 @@
 	"time"
 
 	"aspenbarrow/internal/fault"
-	"aspenbarrow/internal/fleet"
 	"aspenbarrow/internal/invariant"
 	"aspenbarrow/internal/loadstats"
 	"aspenbarrow/internal/report"
 	"aspenbarrow/internal/scenario"
+	"aspenbarrow/internal/simulation"
 	"aspenbarrow/internal/simulation/batch"
-	"aspenbarrow/internal/world"
+	"aspenbarrow/internal/testcluster"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
@@ -219,12 +219,12 @@
 	// What seeds --script takes of it.
 	var played []fault.Fault
 	for _, f := range kept {
-		if slices.Contains(world.Kinds(), f.Kind) {
+		if slices.Contains(simulation.Kinds(), f.Kind) {
 			played = append(played, f)
 		}
 	}
-	if len(played) != len(world.Kinds()) {
-		t.Errorf("%d of %d kinds are stored", len(played), len(world.Kinds()))
+	if len(played) != len(simulation.Kinds()) {
+		t.Errorf("%d of %d kinds are stored", len(played), len(simulation.Kinds()))
 	}
 	if text, err = json.Marshal(played); err != nil {
 		t.Fatal(err)
@@ -251,16 +251,16 @@
 var (
 	spread  = loadstats.Imbalance{Variation: 0.1, MinOverMean: 0.8, MaxOverMean: 1.3, JainIndex: 0.97}
 	second  = loadstats.Second{Imbalance: spread, MeanLoad: 0.5, HashingVariation: 0.2, GreedyVariation: 0.05, IdleSeconds: 0.25, HerdRatio: 1.5, HerdExpected: 9.5, Loads: []float64{0.4, -1, 1e-9}, HashingHerdRatio: 1.75, Arrivals: 12}
-	service = world.Second{Asked: 10.5, Served: 9.25}
+	service = simulation.Second{Asked: 10.5, Served: 9.25}
 )
 
 func outcome(program string) scenario.Outcome {
 	return scenario.Outcome{Script: "a <bad> day & night", Seed: 1<<63 + 1, Service: 0.9, WorstWindow: 0.7, WorstWindowStart: 3, Classes: map[string]float64{"fetch": 0.8, "submit": 0.85, "watch": 0.95},
-		Seconds: []world.Second{service, service}, Evenness: []loadstats.Second{second}, Counts: map[string]int{"attempt": 9, "moved": 2}, Program: program,
-		Faults: []fleet.Effect{{Fault: everyFieldFault("relays paused", 4), Began: 2 * time.Second, Ended: 5 * time.Second, Did: map[string]int{"struck": 3}}},
-		Waits:  &fleet.Waits{Count: 7, P50: 1.5, P99: 120, P999: 180.5, Max: 200},
-		Rates:  &fleet.Rates{Probes: 1.5, ProbesOne: 2, Handshakes: 3.5, HandshakeOne: 4, Datagrams: 5.5, DatagramOne: 6, Calls: 7.5},
-		Usage:  &fleet.Usage{CPUMedian: 0.25, CPUMost: 0.75, MemMedian: 1 << 24, MemMost: 1 << 25},
+		Seconds: []simulation.Second{service, service}, Evenness: []loadstats.Second{second}, Counts: map[string]int{"attempt": 9, "moved": 2}, Program: program,
+		Faults: []testcluster.Effect{{Fault: everyFieldFault("relays paused", 4), Began: 2 * time.Second, Ended: 5 * time.Second, Did: map[string]int{"struck": 3}}},
+		Waits:  &testcluster.Waits{Count: 7, P50: 1.5, P99: 120, P999: 180.5, Max: 200},
+		Rates:  &testcluster.Rates{Probes: 1.5, ProbesOne: 2, Handshakes: 3.5, HandshakeOne: 4, Datagrams: 5.5, DatagramOne: 6, Calls: 7.5},
+		Usage:  &testcluster.Usage{CPUMedian: 0.25, CPUMost: 0.75, MemMedian: 1 << 24, MemMost: 1 << 25},
 		Cores:  []float64{0.5, 0.625}, Violations: []string{"drain at 3.000000: sent late"}}
 }
 
@@ -316,17 +316,17 @@
 func TestResults_Golden(t *testing.T) {
 	o := outcome("a")
 	all := struct {
-		Summary loadstats.Summary `json:"summary"`
-		Cells   []scenario.Cell   `json:"cells"`
-		World   world.Result      `json:"world"`
-		Fleet   fleet.Result      `json:"fleet"`
+		Summary loadstats.Summary  `json:"summary"`
+		Cells   []scenario.Cell    `json:"cells"`
+		World   simulation.Result  `json:"world"`
+		Fleet   testcluster.Result `json:"fleet"`
 	}{
 		loadstats.Summary{Imbalance: spread, MeanLoad: 0.5, HashingVariation: 0.2, GreedyVariation: 0.05, RelativeVariation: 0.55, WorstVariation: 0.6, LowestOverMean: 0.3, IdleSeconds: 1.25, HerdRatio: 1.5, HashingHerdRatio: 1.75},
 		[]scenario.Cell{{Script: "s", Policy: "hash", Service: 0.9, WorstWindow: 0.8, Difference: -0.01, ConfidenceBound: 0.005, FailedSeeds: 1, SeedsNeeded: 12}},
-		world.Result{Seed: 9, Relays: 2, Backends: 3, Clients: 4, Faults: []world.Fault{everyFieldFault("relay killed", 1)},
+		simulation.Result{Seed: 9, Relays: 2, Backends: 3, Clients: 4, Faults: []simulation.Fault{everyFieldFault("relay killed", 1)},
 			Violations: []invariant.Violation{{Rule: "drain", At: 3 * time.Second, Detail: "sent late"}}, Counts: o.Counts, Pairs: map[string]int{"a + b": 2}, Worth: 5.5,
 			Asked: 6, Refused: 7, Failed: 8, Attempts: 10, Steps: 11, Service: o.Seconds, ByClass: o.Seconds, Even: o.Evenness},
-		fleet.Result{Program: "a", Seed: 9, Ready: time.Second, Service: o.Seconds, Evenness: o.Evenness, Faults: o.Faults, Violations: o.Violations, Counts: o.Counts,
+		testcluster.Result{Program: "a", Seed: 9, Ready: time.Second, Service: o.Seconds, Evenness: o.Evenness, Faults: o.Faults, Violations: o.Violations, Counts: o.Counts,
 			Waits: *o.Waits, Rates: *o.Rates, Usage: *o.Usage, Machine: o.Cores, Attempts: []int{3, 4}},
 	}
 	full(t, "results", reflect.ValueOf(all))
--- a/cmd/aspenlab/scenario.go
+++ b/cmd/aspenlab/scenario.go
@@ -10,9 +10,9 @@
 
 	"github.com/spf13/cobra"
 
-	"aspenbarrow/internal/fleet"
 	"aspenbarrow/internal/report"
 	"aspenbarrow/internal/scenario"
+	"aspenbarrow/internal/testcluster"
 )
 
 func readScript(path string) (scenario.Script, error) {
@@ -92,7 +92,7 @@
 			return err
 		}
 		defer func() { _ = os.RemoveAll(dir) }() // in the system's folder for temporary files
-		if program, err = fleet.Build(ctx, dir); err != nil {
+		if program, err = testcluster.Build(ctx, dir); err != nil {
 			return err
 		}
 	}
--- a/cmd/aspenlab/seeds.go
+++ b/cmd/aspenlab/seeds.go
@@ -16,8 +16,8 @@
 
 	"aspenbarrow/balance"
 	"aspenbarrow/internal/config"
+	"aspenbarrow/internal/simulation"
 	"aspenbarrow/internal/simulation/batch"
-	"aspenbarrow/internal/world"
 )
 
 // seedsFlags are the flags of "aspenlab seeds", and the options of a run that follow from them.
@@ -31,7 +31,7 @@
 	quiet, complete bool
 	script          string
 	timing          string
-	opt             world.Options
+	opt             simulation.Options
 }
 
 // errFailed is the error of a command whose runs had violations.
@@ -74,7 +74,7 @@
 
 // options reads the files that the runs have in common.
 func (f *seedsFlags) options() (err error) {
-	f.opt = world.Options{Length: f.length}
+	f.opt = simulation.Options{Length: f.length}
 	if f.script != "" {
 		if f.opt.Script, err = readFaults(f.script); err != nil {
 			return err
@@ -87,7 +87,7 @@
 }
 
 // readFaults reads a JSON file with a list of faults.
-func readFaults(path string) (faults []world.Fault, err error) {
+func readFaults(path string) (faults []simulation.Fault, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
@@ -98,7 +98,7 @@
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	for i := range faults {
-		if !slices.Contains(world.Kinds(), faults[i].Kind) {
+		if !slices.Contains(simulation.Kinds(), faults[i].Kind) {
 			return nil, fmt.Errorf("%s: there is no fault %q", path, faults[i].Kind)
 		}
 	}
@@ -141,7 +141,7 @@
 		}()
 		opt.Trace = w
 	}
-	result := world.Run(opt)
+	result := simulation.Run(opt)
 	if !f.trace {
 		fmt.Fprintf(out, "seed %d: %d relays, %d backends, %d clients\n%s", result.Seed, result.Relays, result.Backends, result.Clients,
 			batch.FormatScript(result.Faults))
@@ -156,8 +156,8 @@
 }
 
 // shrinkSeed cuts a seed's faults down to those with which it still fails.
-func shrinkSeed(out io.Writer, opt world.Options) error {
-	script, rule := world.Shrink(opt, func(s []world.Fault) { fmt.Fprintf(out, "still fails with %d faults\n", len(s)) })
+func shrinkSeed(out io.Writer, opt simulation.Options) error {
+	script, rule := simulation.Shrink(opt, func(s []simulation.Fault) { fmt.Fprintf(out, "still fails with %d faults\n", len(s)) })
 	if rule == "" {
 		fmt.Fprintf(out, "seed %d breaks no rule\n", opt.Seed)
 		return nil
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -3,7 +3,7 @@
 // reload, drain, hot restart, graceful shutdown).
 //
 // It does no I/O, reads no clock and starts no goroutine: every event comes with its time, and whatever must happen
-// outside is a call of the Driver. Package relay drives it on sockets, package world on a virtual clock.
+// outside is a call of the Driver. Package relay drives it on sockets, package simulation on a virtual clock.
 //
 // Its parts:
 //
--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -1,5 +1,5 @@
 // Package fault describes the faults of a run as data: what fails, between which nodes, from when and for how
-// long. It injects nothing. Package world does so on a virtual clock, package fleet on processes and sockets.
+// long. It injects nothing. Package simulation does so on a virtual clock, package testcluster on processes and sockets.
 //
 // The JSON form of a fault is what scripts and stored results hold; its keys do not change with the names here.
 package fault
--- a/internal/report/draw.go
+++ b/internal/report/draw.go
@@ -13,8 +13,8 @@
 	"gonum.org/v1/plot/vg/draw"
 	"gonum.org/v1/plot/vg/vgsvg"
 
-	"aspenbarrow/internal/fleet"
 	"aspenbarrow/internal/scenario"
+	"aspenbarrow/internal/testcluster"
 )
 
 const (
@@ -101,7 +101,7 @@
 }
 
 // addFault marks the time of a fault.
-func addFault(p *plot.Plot, f *fleet.Effect, least, most float64) error {
+func addFault(p *plot.Plot, f *testcluster.Effect, least, most float64) error {
 	began, ended := f.Began.Seconds(), f.Ended.Seconds()
 	area, err := plotter.NewPolygon(plotter.XYs{{X: began, Y: least}, {X: ended, Y: least}, {X: ended, Y: most}, {X: began, Y: most}})
 	if err != nil {
--- a/internal/scenario/incident.go
+++ b/internal/scenario/incident.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"aspenbarrow/internal/fault"
-	"aspenbarrow/internal/fleet"
-	"aspenbarrow/internal/world"
+	"aspenbarrow/internal/simulation"
+	"aspenbarrow/internal/testcluster"
 )
 
 // Kinds of incidents that are handled apart.
@@ -20,7 +20,7 @@
 
 // Kinds returns the names of all kinds of incidents, of the virtual clock and of processes, sorted.
 func Kinds() []string {
-	all := append(world.Scriptable(), fleet.Kinds()...)
+	all := append(simulation.Scriptable(), testcluster.Kinds()...)
 	slices.Sort(all)
 	return slices.Compact(all)
 }
@@ -32,7 +32,7 @@
 		f := &s.Incidents[i].fault
 		check := checkSimulated
 		if processes {
-			check = fleet.Check
+			check = testcluster.Check
 		}
 		if err := check(f); err != nil {
 			errs = append(errs, fmt.Errorf("%s:%d: %w", name, f.ScriptLine, err))
@@ -50,9 +50,9 @@
 // checkSimulated returns an error if the virtual clock cannot play a fault.
 func checkSimulated(f *fault.Fault) error {
 	switch {
-	case !slices.Contains(world.Scriptable(), f.Kind):
+	case !slices.Contains(simulation.Scriptable(), f.Kind):
 		return fmt.Errorf("the virtual clock can't play %q", f.Kind)
-	case f.Targets != nil && !world.Groups(f.Kind):
+	case f.Targets != nil && !simulation.Groups(f.Kind):
 		return fmt.Errorf("the virtual clock can't strike a group with %q", f.Kind)
 	}
 	return nil
--- a/internal/scenario/play.go
+++ b/internal/scenario/play.go
@@ -5,8 +5,8 @@
 	"path/filepath"
 	"time"
 
-	"aspenbarrow/internal/fleet"
-	"aspenbarrow/internal/world"
+	"aspenbarrow/internal/simulation"
+	"aspenbarrow/internal/testcluster"
 )
 
 // Play plays a script on the virtual clock with a seed, or with the script's own if seed is 0.
@@ -18,7 +18,7 @@
 	if seed == 0 {
 		seed = s.Seed
 	}
-	result := world.Run(world.Options{Seed: seed, Length: time.Duration(s.Length), Script: s.faults(), Fleet: s.installation(), Policy: policy})
+	result := simulation.Run(simulation.Options{Seed: seed, Length: time.Duration(s.Length), Script: s.faults(), Fleet: s.installation(), Policy: policy})
 	o := Outcome{Script: s.Name, Seed: seed, Seconds: result.Service, Evenness: result.Even, Counts: result.Counts, Classes: map[string]float64{}}
 	for i, class := range classNames {
 		o.Classes[class] = serviceOf(result.ByClass[i : i+1])
@@ -36,7 +36,7 @@
 	if seed == 0 {
 		seed = s.Seed
 	}
-	result, err := fleet.Run(ctx, fleet.Options{Program: program, Seed: seed, Length: time.Duration(s.Length), Fleet: *s.installation(), Script: s.faults()})
+	result, err := testcluster.Run(ctx, testcluster.Options{Program: program, Seed: seed, Length: time.Duration(s.Length), Fleet: *s.installation(), Script: s.faults()})
 	o := Outcome{Script: s.Name, Seed: seed, Program: filepath.Base(program), Seconds: result.Service, Evenness: result.Evenness,
 		Counts: result.Counts, Faults: result.Faults, Violations: result.Violations, Waits: &result.Waits, Rates: &result.Rates,
 		Usage: &result.Usage, Cores: result.Machine}
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -2,7 +2,7 @@
 // second by second from the first.
 //
 // A script is a TOML file that describes the installation and its incidents; unknown keys are errors. It is played
-// on a virtual clock (package world) or on processes in real time (package fleet). Experiment compares policies on
+// on a virtual clock (package simulation) or on processes in real time (package testcluster). Experiment compares policies on
 // the virtual clock, Alternate programs on processes, both on the same seeds. The package injects no faults and
 // checks no rules by itself; its drivers do.
 package scenario
@@ -18,7 +18,7 @@
 
 	"aspenbarrow/internal/emulator"
 	"aspenbarrow/internal/fault"
-	"aspenbarrow/internal/world"
+	"aspenbarrow/internal/simulation"
 )
 
 // duration is a time as scripts write it: "15s".
@@ -216,9 +216,9 @@
 )
 
 // installation returns the installation that the script describes, as both drivers take it.
-func (s *Script) installation() *world.Fleet {
+func (s *Script) installation() *simulation.Fleet {
 	server, fleet := &s.Server, &s.Fleet
-	return &world.Fleet{
+	return &simulation.Fleet{
 		Relays: fleet.Relays, Backends: fleet.Backends, Clients: fleet.Clients,
 		Server: emulator.Config{
 			Cores: server.Cores, Speed: server.Speed, MaxRequests: server.Queue, Backlog: server.Backlog,
--- a/internal/simulation/batch/batch.go
+++ b/internal/simulation/batch/batch.go
@@ -1,4 +1,4 @@
-// Package batch runs simulations (package world) for many seeds on several workers and sums them up: violations,
+// Package batch runs simulations (package simulation) for many seeds on several workers and sums them up: violations,
 // how often each kind of fault and each pair of overlapping faults came up, and how one batch differs from an
 // earlier one. It injects nothing and checks nothing by itself.
 //
@@ -17,7 +17,7 @@
 	"sync/atomic"
 	"time"
 
-	"aspenbarrow/internal/world"
+	"aspenbarrow/internal/simulation"
 )
 
 const (
@@ -42,7 +42,7 @@
 // SeedResult is the result of one seed, without what the batch sums up.
 type SeedResult struct {
 	Seed       uint64                 `json:"seed"`
-	Worth      float64                `json:"worth"`            // as in world.Result
+	Worth      float64                `json:"worth"`            // as in simulation.Result
 	Answers    int                    `json:"answers"`          // final ones
 	Rejected   int                    `json:"refused"`          // answers BUSY
 	Failed     int                    `json:"failed"`           // answers ERR
@@ -65,7 +65,7 @@
 
 // Run runs count seeds from the first one on, with options that hold but for their seed. progress, if it is not
 // nil, is called after each one, by one worker at a time.
-func Run(firstSeed uint64, count, workers int, options world.Options, progress func(done int, result SeedResult)) Batch {
+func Run(firstSeed uint64, count, workers int, options simulation.Options, progress func(done int, result SeedResult)) Batch {
 	started := time.Now()
 	if options.Length == 0 {
 		options.Length = defaultRunLength
@@ -81,7 +81,7 @@
 			for i := next.Add(1) - 1; i < int64(count); i = next.Add(1) - 1 {
 				seedOptions := options
 				seedOptions.Seed = firstSeed + uint64(i)
-				result := world.Run(seedOptions)
+				result := simulation.Run(seedOptions)
 				mu.Lock()
 				b.add(int(i), &result)
 				done++
@@ -98,7 +98,7 @@
 }
 
 // add takes the result of the i-th seed into the batch.
-func (b *Batch) add(i int, result *world.Result) {
+func (b *Batch) add(i int, result *simulation.Result) {
 	b.Results[i] = seedResult(result)
 	addCounts(b.Counts, result.Counts)
 	addCounts(b.FaultPairs, result.Pairs)
@@ -113,7 +113,7 @@
 	}
 }
 
-func seedResult(result *world.Result) SeedResult {
+func seedResult(result *simulation.Result) SeedResult {
 	s := SeedResult{Seed: result.Seed, Worth: result.Worth, Answers: result.Asked, Rejected: result.Refused, Failed: result.Failed,
 		Attempts: result.Attempts, Steps: result.Steps, Classes: map[string]ClassResult{}}
 	for _, class := range classNames {
@@ -137,7 +137,7 @@
 // MissingCoverage names what never came up in the batch though it should: kinds of faults and expected counts.
 func (b *Batch) MissingCoverage() []string {
 	var missing []string
-	for _, kind := range world.Kinds() {
+	for _, kind := range simulation.Kinds() {
 		if b.Counts["fault "+kind] == 0 {
 			missing = append(missing, "fault "+kind)
 		}
@@ -153,7 +153,7 @@
 // WriteReport writes as text how often everything came up, and the first violations of each seed. Errors of out
 // are ignored.
 func (b *Batch) WriteReport(out io.Writer) {
-	kinds := len(world.Kinds())
+	kinds := len(simulation.Kinds())
 	pairs := kinds * (kinds + 1) / 2 // a kind overlaps itself too
 	fmt.Fprintf(out, "pairs of faults that overlapped: %d of %d\n", len(b.FaultPairs), pairs)
 	for _, name := range slices.Sorted(maps.Keys(b.Counts)) {
@@ -199,7 +199,7 @@
 }
 
 // FormatScript returns a script of faults as text, one to a line.
-func FormatScript(script []world.Fault) string {
+func FormatScript(script []simulation.Fault) string {
 	var text strings.Builder
 	for _, f := range script {
 		fmt.Fprintf(&text, "%9.3f s for %7.3f s  %-24s who %2d  much %.2f\n", f.Start.Seconds(), f.Duration.Seconds(), f.Kind, f.Target, f.Severity)
--- a/internal/world/race_off_test.go
+++ b/internal/simulation/race_off_test.go
@@ -1,5 +1,5 @@
 //go:build !race
 
-package world
+package simulation
 
 const raceEnabled = false
--- a/internal/world/world.go
+++ b/internal/simulation/world.go
@@ -1,4 +1,4 @@
-// Package world simulates an installation on a virtual clock: relays, backends,
+// Package simulation simulates an installation on a virtual clock: relays, backends,
 // discovery, load-balancing fronts, clients and the network between them, with faults
 // injected. The relays run the code that serves, package machine, under a driver of
 // this package.
@@ -13,7 +13,7 @@
 // failing script of faults. Backends either answer after drawn delays or, where
 // Options.Fleet is set, follow the model of package emulator. Their figures are those
 // of the model and say nothing of real servers.
-package world
+package simulation
 
 import (
 	"bufio"
--- a/internal/fleet/clients.go
+++ b/internal/testcluster/clients.go
@@ -1,4 +1,4 @@
-package fleet
+package testcluster
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 
 	"aspenbarrow/internal/fault"
 	"aspenbarrow/internal/invariant"
-	"aspenbarrow/internal/world"
+	"aspenbarrow/internal/simulation"
 )
 
 const (
@@ -108,7 +108,7 @@
 }
 
 // plan draws all visits of a run: those that come in the first rush, and who comes later so that as many are there.
-func plan(f *world.Fleet, seed uint64, length time.Duration) []visit {
+func plan(f *simulation.Fleet, seed uint64, length time.Duration) []visit {
 	rng := rand.New(rand.NewPCG(seed, 0xc11e))
 	stay := func() time.Duration {
 		least, most := f.Stay[0], f.Stay[1]
@@ -178,7 +178,7 @@
 }
 
 // measure weighs the present moment, as world does: what clients want and what they have, by worth.
-func (cs *clients) measure() (s world.Second) {
+func (cs *clients) measure() (s simulation.Second) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	for c := range cs.here {
--- a/internal/fleet/faults.go
+++ b/internal/testcluster/faults.go
@@ -1,4 +1,4 @@
-package fleet
+package testcluster
 
 import (
 	"fmt"
--- a/internal/fleet/fleet.go
+++ b/internal/testcluster/fleet.go
@@ -1,11 +1,11 @@
-// Package fleet runs hundreds of processes of the relay's program on loopback addresses, in real time, with a discovery
+// Package testcluster runs hundreds of processes of the relay's program on loopback addresses, in real time, with a discovery
 // service, modelled backends (package emulator) and clients around them, and injects faults on every way between two
 // parties and in every process.
 //
 // Package invariant watches the relays' side of every connection; Result.Broken has the rules that were broken. No
 // process outlives the rig, even if it is killed: the system ends them with the thread that started them. A run in
 // which a fault did nothing is an error, since it shows nothing. Linux only.
-package fleet
+package testcluster
 
 import (
 	"context"
@@ -31,7 +31,7 @@
 	"aspenbarrow/internal/fault"
 	"aspenbarrow/internal/invariant"
 	"aspenbarrow/internal/loadstats"
-	"aspenbarrow/internal/world"
+	"aspenbarrow/internal/simulation"
 )
 
 var zones = []string{"east", "west"}
@@ -43,13 +43,13 @@
 //
 // Program, Length and Fleet's numbers of parties have to be set.
 type Options struct {
-	Program string        // the relay's, built already
-	Seed    uint64        // of what clients draw and of what faults strike
-	Length  time.Duration // once all relays are ready
-	Fleet   world.Fleet   // the installation
-	Script  []fault.Fault // what goes wrong
-	Look    func(v *View) // called now and then while the run takes its course; nil: nobody looks
-	Keep    string        // a folder for the relays' files; empty: a temporary one that is removed
+	Program string           // the relay's, built already
+	Seed    uint64           // of what clients draw and of what faults strike
+	Length  time.Duration    // once all relays are ready
+	Fleet   simulation.Fleet // the installation
+	Script  []fault.Fault    // what goes wrong
+	Look    func(v *View)    // called now and then while the run takes its course; nil: nobody looks
+	Keep    string           // a folder for the relays' files; empty: a temporary one that is removed
 
 	// ProgramOf names the program, by an absolute path, that a relay's process runs: start 0 is the relay's first process,
 	// 1 the one after its first restart. It may be called from several goroutines at once. nil: Program for all.
@@ -58,19 +58,19 @@
 
 // Result is what a run came to.
 type Result struct {
-	Program    string             `json:"program"`
-	Seed       uint64             `json:"seed"`
-	Ready      time.Duration      `json:"ready_ns"` // until all relays took clients
-	Service    []world.Second     `json:"service"`  // by second
-	Evenness   []loadstats.Second `json:"evenness"` // of the load, by second
-	Faults     []Effect           `json:"faults"`
-	Violations []string           `json:"broken,omitempty"` // rules
-	Counts     map[string]int     `json:"counts"`           // how often what came up
-	Waits      Waits              `json:"waits"`
-	Rates      Rates              `json:"rates"`
-	Usage      Usage              `json:"usage"`
-	Machine    []float64          `json:"machine"`  // processor seconds a second, of all relays
-	Attempts   []int              `json:"attempts"` // by backend
+	Program    string              `json:"program"`
+	Seed       uint64              `json:"seed"`
+	Ready      time.Duration       `json:"ready_ns"` // until all relays took clients
+	Service    []simulation.Second `json:"service"`  // by second
+	Evenness   []loadstats.Second  `json:"evenness"` // of the load, by second
+	Faults     []Effect            `json:"faults"`
+	Violations []string            `json:"broken,omitempty"` // rules
+	Counts     map[string]int      `json:"counts"`           // how often what came up
+	Waits      Waits               `json:"waits"`
+	Rates      Rates               `json:"rates"`
+	Usage      Usage               `json:"usage"`
+	Machine    []float64           `json:"machine"`  // processor seconds a second, of all relays
+	Attempts   []int               `json:"attempts"` // by backend
 }
 
 // Effect is what a fault really did.
--- a/internal/fleet/fleet_test.go
+++ b/internal/testcluster/fleet_test.go
@@ -1,4 +1,4 @@
-package fleet
+package testcluster
 
 import (
 	"context"
@@ -17,7 +17,7 @@
 	"aspenbarrow/internal/emulator"
 	"aspenbarrow/internal/fault"
 	"aspenbarrow/internal/loadstats"
-	"aspenbarrow/internal/world"
+	"aspenbarrow/internal/simulation"
 )
 
 var program string
@@ -44,8 +44,8 @@
 }
 
 // small is a fleet that a test can afford; its clients fill its backends to six tenths.
-func small(relays, backends, clients int) world.Fleet {
-	f := world.Fleet{Relays: relays, Backends: backends, Clients: clients, SetUpWork: 0.004, LineWork: 0.0005, Peers: true,
+func small(relays, backends, clients int) simulation.Fleet {
+	f := simulation.Fleet{Relays: relays, Backends: backends, Clients: clients, SetUpWork: 0.004, LineWork: 0.0005, Peers: true,
 		Rush: time.Second, Stay: [2]time.Duration{8 * time.Second, 30 * time.Second}, Return: 200 * time.Millisecond,
 		Server: emulator.Config{Cores: 4, Speed: 1, MaxRequests: 200, Backlog: 128, ColdCapacity: coldFrom, WarmUpTime: warmUp, ColdCrashFactor: fallMultiple,
 			ColdCrashWindow: fallSpan, ReportInterval: 500 * time.Millisecond, ReportNoise: 0.03}}
@@ -89,20 +89,20 @@
 	}
 	for _, tc := range []struct {
 		name   string
-		change func(f *world.Fleet)
+		change func(f *simulation.Fleet)
 		script []fault.Fault
 		from   int     // second from which it is measured
 		most   float64 // of the deviation over the other fleet's
 		hard   float64 // the other fleet's deviation at least
 	}{
 		{name: "all relays start in one second", from: 8, most: 0.75, hard: 0.12},
-		{name: "all reports are of the same moment", from: 8, most: 0.85, hard: 0.12, change: func(f *world.Fleet) { f.Server.ReportInterval = 3 * time.Second }},
-		{name: "one relay has a fifth of the traffic", from: 8, most: 0.75, hard: 0.12, change: func(f *world.Fleet) { f.HotRelay = 0.2 }},
-		{name: "one key has a fifth of the traffic", from: 8, most: 0.5, hard: 0.4, change: func(f *world.Fleet) { f.HotKey = 0.2 }},
+		{name: "all reports are of the same moment", from: 8, most: 0.85, hard: 0.12, change: func(f *simulation.Fleet) { f.Server.ReportInterval = 3 * time.Second }},
+		{name: "one relay has a fifth of the traffic", from: 8, most: 0.75, hard: 0.12, change: func(f *simulation.Fleet) { f.HotRelay = 0.2 }},
+		{name: "one key has a fifth of the traffic", from: 8, most: 0.5, hard: 0.4, change: func(f *simulation.Fleet) { f.HotKey = 0.2 }},
 		{name: "half of the relays die, their clients return at once", from: 10, most: 0.8, hard: 0.12,
 			script: []fault.Fault{{Kind: "relays die together", Start: 8 * time.Second, Duration: 4 * time.Second, Targets: half}}},
-		{name: "sizes of one and three that no list tells", from: 8, most: 0.6, hard: 0.3, change: func(f *world.Fleet) { f.Sizes = []float64{0.5, 1.5} }},
-		{name: "half of the reports late", from: 8, most: 0.8, hard: 0.12, change: func(f *world.Fleet) { f.LateShare, f.LateBy = 0.5, 2*time.Second }},
+		{name: "sizes of one and three that no list tells", from: 8, most: 0.6, hard: 0.3, change: func(f *simulation.Fleet) { f.Sizes = []float64{0.5, 1.5} }},
+		{name: "half of the reports late", from: 8, most: 0.8, hard: 0.12, change: func(f *simulation.Fleet) { f.LateShare, f.LateBy = 0.5, 2*time.Second }},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/fleet/members_test.go
+++ b/internal/testcluster/members_test.go
@@ -1,4 +1,4 @@
-package fleet
+package testcluster
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 	"time"
 
 	"aspenbarrow/internal/fault"
-	"aspenbarrow/internal/world"
+	"aspenbarrow/internal/simulation"
 )
 
 // views is what some relays hold of all, as they tell staff, asked again and again.
@@ -151,7 +151,7 @@
 		t.Skip("a measurement, asked for by MEMBERS=200")
 	}
 	var most, every, first []time.Duration
-	var fl world.Fleet
+	var fl simulation.Fleet
 	for seed := range uint64(3) {
 		fl = small(relays, 10, 100)
 		fl.Membership = true
--- a/internal/fleet/settings.go
+++ b/internal/testcluster/settings.go
@@ -1,11 +1,11 @@
-package fleet
+package testcluster
 
 import (
 	"cmp"
 	"time"
 
 	"aspenbarrow/internal/invariant"
-	"aspenbarrow/internal/world"
+	"aspenbarrow/internal/simulation"
 )
 
 // class is a class of requests: settingsOf tells relays of it, rulesOf the checker.
@@ -39,7 +39,7 @@
 func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
 // settingsOf is the settings object of one relay, with the names and units of the platform's page.
-func settingsOf(f *world.Fleet, me int) map[string]any {
+func settingsOf(f *simulation.Fleet, me int) map[string]any {
 	var list []map[string]any
 	var aims []float64
 	for _, c := range classes {
@@ -66,7 +66,7 @@
 }
 
 // rulesOf are the same for the checker, with what an onlooker on a busy machine has to allow.
-func rulesOf(f *world.Fleet) invariant.Limits {
+func rulesOf(f *simulation.Fleet) invariant.Limits {
 	const sockets = 50 * time.Millisecond
 	allowed := sockets + Allowance
 	rules := invariant.Limits{MaxAttempts: tryLimit, AnswerSlack: answerSlack + allowed, DrainGrace: drainGrace + allowed, DiscoveryDelay: 6 * time.Second,
