--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -18,40 +18,40 @@
 )
 
 // line is a connection and the reader that holds its buffered bytes.
-type line struct {
-	conn *net.TCPConn
-	in   *textproto.Reader
+type bufferedConn struct {
+	conn   *net.TCPConn
+	reader *textproto.Reader
 }
 
 // readers are pooled: an idle flow holds two. Their size leaves room to wait for
 // a byte beyond the longest line without moving the line.
-var readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, protocol.MaxLineLength+256) }}
+var readerPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, protocol.MaxLineLength+256) }}
 
-func newLine(conn *net.TCPConn) *line {
-	r := readers.Get().(*bufio.Reader)
+func newBufferedConn(conn *net.TCPConn) *bufferedConn {
+	r := readerPool.Get().(*bufio.Reader)
 	r.Reset(conn)
-	return &line{conn, textproto.NewReader(r)}
+	return &bufferedConn{conn, textproto.NewReader(r)}
 }
 
 // recycle gives the buffer back; nobody may use the line after it.
-func (l *line) recycle() {
-	l.in.R.Reset(nil)
-	readers.Put(l.in.R)
-	l.in = nil
+func (l *bufferedConn) recycle() {
+	l.reader.R.Reset(nil)
+	readerPool.Put(l.reader.R)
+	l.reader = nil
 }
 
 // more waits for bytes beyond those seen and returns all that are buffered, in place.
-func (l *line) more(seen int) ([]byte, error) {
-	if _, err := l.in.R.Peek(seen + 1); err != nil && l.in.R.Buffered() <= seen {
+func (l *bufferedConn) peekBeyond(seen int) ([]byte, error) {
+	if _, err := l.reader.R.Peek(seen + 1); err != nil && l.reader.R.Buffered() <= seen {
 		return nil, err
 	}
-	return l.in.R.Peek(l.in.R.Buffered())
+	return l.reader.R.Peek(l.reader.R.Buffered())
 }
 
-func (l *line) take(n int) { _, _ = l.in.R.Discard(n) }
+func (l *bufferedConn) discard(n int) { _, _ = l.reader.R.Discard(n) }
 
 // timedOut tells a deadline that passed from a connection that ended.
-func timedOut(err error) bool {
+func isTimeout(err error) bool {
 	var ne net.Error
 	return errors.As(err, &ne) && ne.Timeout()
 }
@@ -59,7 +59,7 @@
 // over says whether a client that waits has ended, or has gone on before its answer, though whoever reads it may not
 // have come to run yet: on a core at its limit that may take longer than nothing may be begun for it any more. It does
 // not wait, takes nothing, and needs no turn at reading. Where the system does not say the reader will.
-func (l *line) over() bool {
+func (l *bufferedConn) hasPendingInput() bool {
 	raw, err := l.conn.SyscallConn()
 	if err != nil {
 		return true // closed
@@ -73,25 +73,25 @@
 	return err != nil || ended
 }
 
-var errOver = errors.New("its client has left")
+var errClientGone = errors.New("its client has left")
 
 // attempt sends the OPEN line of a client to a backend and waits for its first line. With
 // UP the returned line holds that answer as its first bytes, answer of them.
-func (r *Relay) attempt(ctx context.Context, client *line, a *session.Attempt) (l *line, answer int, fail *session.AttemptError) {
-	if client.over() {
-		return nil, 0, a.DialFailed(errOver, true)
+func (r *Relay) attempt(ctx context.Context, client *bufferedConn, a *session.Attempt) (l *bufferedConn, answer int, fail *session.AttemptError) {
+	if client.hasPendingInput() {
+		return nil, 0, a.DialFailed(errClientGone, true)
 	}
-	ctx, cancel := context.WithDeadline(ctx, r.at(a.Deadline))
+	ctx, cancel := context.WithDeadline(ctx, r.deadlineTime(a.Deadline))
 	defer cancel()
 	d := net.Dialer{Timeout: a.DialTimeout, KeepAlive: -1}
 	c, err := d.DialContext(ctx, "tcp", a.Backend.Address())
 	if err != nil {
 		return nil, 0, a.DialFailed(err, ctx.Err() == context.Canceled)
 	}
-	l = newLine(c.(*net.TCPConn))
+	l = newBufferedConn(c.(*net.TCPConn))
 	stop := context.AfterFunc(ctx, func() { _ = c.SetDeadline(time.Unix(1, 0)) })
-	if ctx.Err() == context.Canceled || client.over() { // it left, or was answered, while the dial was out
-		fail = a.DialFailed(errOver, true)
+	if ctx.Err() == context.Canceled || client.hasPendingInput() { // it left, or was answered, while the dial was out
+		fail = a.DialFailed(errClientGone, true)
 	} else {
 		answer, fail = r.exchange(l, a)
 	}
@@ -110,7 +110,7 @@
 }
 
 // exchange writes the line and reads the answer on a connection that is up.
-func (r *Relay) exchange(l *line, a *session.Attempt) (int, *session.AttemptError) {
+func (r *Relay) exchange(l *bufferedConn, a *session.Attempt) (int, *session.AttemptError) {
 	head, fail := a.Connected(r.now())
 	if fail != nil {
 		return 0, fail
@@ -121,9 +121,9 @@
 	}
 	a.RequestSent()
 	for seen := 0; ; {
-		b, err := l.more(seen)
+		b, err := l.peekBeyond(seen)
 		if err != nil {
-			return 0, a.ConnectionEnded(0, true, err, timedOut(err))
+			return 0, a.ConnectionEnded(0, true, err, isTimeout(err))
 		}
 		if n, fail := a.ReadAnswer(b); n > 0 || fail != nil {
 			return n, fail
--- a/internal/relay/crossings_test.go
+++ b/internal/relay/crossings_test.go
@@ -79,19 +79,19 @@
 func (r *Relay) even(t *testing.T) bool {
 	t.Helper()
 	return in(r, func() bool {
-		b := r.node.Balancer().(*balance.Balancer)
+		b := r.controller.Balancer().(*balance.Balancer)
 		if err := b.CheckInvariants(); err != nil {
 			t.Error(err)
 		}
 		all, _ := b.Connections()
-		return all == 0 && r.node.Sessions() == 0 && r.flowing.Load() == 0
+		return all == 0 && r.controller.Sessions() == 0 && r.sessionCount.Load() == 0
 	})
 }
 
 // holds says whether the module counts so many connections.
 func (r *Relay) holds(n int) func() bool {
 	return func() bool {
-		return n == in(r, func() int { all, _ := r.node.Balancer().(*balance.Balancer).Connections(); return all })
+		return n == in(r, func() int { all, _ := r.controller.Balancer().(*balance.Balancer).Connections(); return all })
 	}
 }
 
@@ -170,7 +170,7 @@
 	c.asked("STATS")
 	c.says("PONG x0=0.1\r\n")
 	<-r.events
-	r.probes.closeAll()
+	r.healthChecks.closeAll()
 	c.over()
 }
 
@@ -290,7 +290,7 @@
 			r, _, _ := running(t, bare(d.addr()))
 			first := d.call()
 			c := opens(t, r, 1, "")
-			until(t, "it waits", func() bool { return in(r, r.node.Sessions) == 1 })
+			until(t, "it waits", func() bool { return in(r, r.controller.Sessions) == 1 })
 			leaves(t, r, c, way.how)
 			first.answers(fake.EncodeList(1, []fake.Endpoint{b.entry("s-0")}))
 			servesNext(t, r, b, 2)
@@ -326,15 +326,15 @@
 	b.answersOne(r)
 	for i := range 64 {
 		near, _ := pipe(t)
-		f := &flow{relay: r, client: newLine(near), m: session.New(uint64(i+100), r.settings.Load(), r.node.Metrics()),
-			orders: make(chan session.Command, 16), left: make(chan bool, 1), stands: make(chan struct{}), over: make(chan struct{})}
-		if g, err := f.m.ReadHandshake(r.now(), fmt.Appendf(nil, "OPEN %016x %016x c=chat,d=1000\r\n", i+100, i), true); err != nil || !g.Opened {
+		f := &clientSession{relay: r, client: newBufferedConn(near), state: session.New(uint64(i+100), r.settings.Load(), r.controller.Metrics()),
+			commands: make(chan session.Command, 16), clientGone: make(chan bool, 1), established: make(chan struct{}), finished: make(chan struct{})}
+		if g, err := f.state.ReadHandshake(r.now(), fmt.Appendf(nil, "OPEN %016x %016x c=chat,d=1000\r\n", i+100, i), true); err != nil || !g.Opened {
 			t.Fatalf("%+v, %v", g, err)
 		}
-		f.left <- false
-		f.orders <- session.Command{Backend: a.Backend, Deadline: r.now() + patience}
+		f.clientGone <- false
+		f.commands <- session.Command{Backend: a.Backend, Deadline: r.now() + patience}
 		told := len(r.events)
-		if up := f.await(); up != nil {
+		if up := f.awaitAnswer(); up != nil {
 			t.Fatal("served a client that has left")
 		}
 		if n := len(r.events) - told; n != 1 { // its leaving, and no attempt's end
@@ -354,21 +354,21 @@
 			r, _, a := attempts(t, b.l.Addr().String(), patience)
 			b.answersOne(r)
 			near, far := pipe(t)
-			f := &flow{relay: r, client: newLine(near), m: session.New(100, r.settings.Load(), r.node.Metrics()),
-				orders: make(chan session.Command, 16), left: make(chan bool, 1), stands: make(chan struct{}), over: make(chan struct{})}
-			if g, err := f.m.ReadHandshake(r.now(), []byte("OPEN 0000000000000064 0000000000000001 c=chat,d=60000\r\n"), true); err != nil || !g.Opened {
+			f := &clientSession{relay: r, client: newBufferedConn(near), state: session.New(100, r.settings.Load(), r.controller.Metrics()),
+				commands: make(chan session.Command, 16), clientGone: make(chan bool, 1), established: make(chan struct{}), finished: make(chan struct{})}
+			if g, err := f.state.ReadHandshake(r.now(), []byte("OPEN 0000000000000064 0000000000000001 c=chat,d=60000\r\n"), true); err != nil || !g.Opened {
 				t.Fatalf("%+v, %v", g, err)
 			}
 			way.how(&caller{t: t, TCPConn: far})
-			until(t, "its end has come", f.client.over)
+			until(t, "its end has come", f.client.hasPendingInput)
 			done := make(chan struct{})
-			go func() { defer close(done); f.await() }()
-			f.orders <- session.Command{Backend: a.Backend, Deadline: r.now() + patience}
+			go func() { defer close(done); f.awaitAnswer() }()
+			f.commands <- session.Command{Backend: a.Backend, Deadline: r.now() + patience}
 			_ = b.l.SetDeadline(time.Now().Add(2 * leavingTime))
 			if c, err := b.l.Accept(); err == nil {
 				t.Errorf("an attempt from %v was begun for a client that has left", c.RemoteAddr())
 			}
-			f.left <- false // now it has
+			f.clientGone <- false // now it has
 			<-done
 		})
 	}
@@ -476,7 +476,7 @@
 			cfg.Settings.Classes[0].ClientTimeout = 2 * time.Second // its timer is waited for
 			r, _, _ := running(t, cfg)
 			servesNext(t, r, b, 9) // what a request earns
-			idle := in(r, r.node.Timers)
+			idle := in(r, r.controller.Timers)
 			c := opens(t, r, 1, "")
 			try := b.accept()
 			try.asked("OPEN")
@@ -484,7 +484,7 @@
 			try.over()
 			until(t, "it pauses", r.holds(0))
 			leaves(t, r, c, way.how)
-			until(t, "the pause is over", func() bool { return in(r, r.node.Timers) <= idle })
+			until(t, "the pause is over", func() bool { return in(r, r.controller.Timers) <= idle })
 			servesNext(t, r, b, 2)
 		})
 	}
@@ -766,11 +766,11 @@
 	}
 	stop := make(chan struct{})
 	go r.loop(stop)
-	r.serving.Store(true)
+	r.accepting.Store(true)
 	c := opens(t, r, 1, "") // nobody accepts yet
 	_ = r.listener.SetDeadline(time.Unix(1, 0))
 	go func() { _ = r.accept() }() // its time is over
-	r.post(r.node.Shutdown)
+	r.post(r.controller.Shutdown)
 	try := b.accept()
 	try.asked("OPEN")
 	try.says("UP it\r\nBYE\r\n")
@@ -779,8 +779,8 @@
 	c.hears("BYE")
 	c.ends()
 	_ = c.Close()
-	<-r.left
-	r.lastOnes(true)
+	<-r.drained
+	r.closeRemaining(true)
 	close(stop)
 	<-r.stopped
 }
@@ -796,7 +796,7 @@
 	}
 	stop := make(chan struct{})
 	go r.loop(stop)
-	r.serving.Store(true)
+	r.accepting.Store(true)
 	go func() { _ = r.accept() }()
 	near, err := net.Dial("tcp", r.Addr().String())
 	if err != nil {
@@ -807,13 +807,13 @@
 	c := &caller{near.(*net.TCPConn), t, bufio.NewReader(near)}
 	_, _ = io.WriteString(c, "PING\r\nOPEN 0000000000000001 00000000")
 	c.hears("PONG")
-	r.post(r.node.Shutdown)
-	<-r.left
+	r.post(r.controller.Shutdown)
+	<-r.drained
 	_, _ = io.WriteString(c, "00000002 c=chat,d=60000\r\n")
 	c.hears("BUSY")
 	c.ends()
 	_ = c.Close()
-	r.lastOnes(true)
+	r.closeRemaining(true)
 	close(stop)
 	<-r.stopped
 	_ = b.l.SetDeadline(time.Now())
@@ -914,9 +914,9 @@
 func closedTo(r *Relay, id string) func() bool {
 	return func() bool {
 		return in(r, func() bool {
-			for _, b := range r.node.Backends() {
+			for _, b := range r.controller.Backends() {
 				if b.Name == id {
-					return r.node.Balancer().(*balance.Balancer).Unavailable(r.now(), b.ID)
+					return r.controller.Balancer().(*balance.Balancer).Unavailable(r.now(), b.ID)
 				}
 			}
 			return false
@@ -1033,7 +1033,10 @@
 			until(t, "its dial is out", r.holds(1))
 			d.call().answers(change(2, "s-0", state))
 			until(t, "it is heard", func() bool {
-				return in(r, func() bool { listed, avoided := r.node.Balancer().CountUnavailable(r.now()); return listed == avoided })
+				return in(r, func() bool {
+					listed, avoided := r.controller.Balancer().CountUnavailable(r.now())
+					return listed == avoided
+				})
 			})
 			heard := make(chan string, 1)
 			go func() {
@@ -1154,11 +1157,11 @@
 			s := newScripted(t)
 			r, _, a := attempts(t, s.l.Addr().String(), patience)
 			s.answersOne(r)
-			p := r.probes
+			p := r.healthChecks
 			defer p.closeAll()
 			for range 2 {
 				done := make(chan balance.HealthCheckResult, 1)
-				go func() { done <- p.probe(a.Backend) }()
+				go func() { done <- p.check(a.Backend) }()
 				c := s.accept()
 				c.asked("STATS")
 				c.says("PONG x0=0.25\r\n" + tc.extra)
--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -20,36 +20,36 @@
 )
 
 // discoveryLoop keeps to one agent at a time; a reload may name another.
-type discoveryLoop struct {
-	relay   *Relay
-	address string
-	calls   chan bool   // what the module asked for: true a watch, false the whole list once
-	moves   chan string // the address of a new agent; only the newest counts
+type discoveryConn struct {
+	relay          *Relay
+	address        string
+	requests       chan bool   // what the module asked for: true a watch, false the whole list once
+	addressChanges chan string // the address of a new agent; only the newest counts
 }
 
-func newDiscovery(address string, r *Relay) *discoveryLoop {
-	return &discoveryLoop{relay: r, address: address, calls: make(chan bool, 8), moves: make(chan string, 1)}
+func newDiscoveryConn(address string, r *Relay) *discoveryConn {
+	return &discoveryConn{relay: r, address: address, requests: make(chan bool, 8), addressChanges: make(chan string, 1)}
 }
 
 // ask is called by the loop and must not wait: a call too many is dropped, the
 // module asks again.
-func (d *discoveryLoop) ask(watch bool) {
+func (d *discoveryConn) request(watch bool) {
 	select {
-	case d.calls <- watch:
+	case d.requests <- watch:
 	default:
 	}
 }
 
 // move names a new agent. It never waits; one that is not taken up yet is replaced.
-func (d *discoveryLoop) move(address string) {
+func (d *discoveryConn) setAddress(address string) {
 	for {
 		select {
-		case d.moves <- address:
+		case d.addressChanges <- address:
 			return
 		default:
 		}
 		select {
-		case <-d.moves:
+		case <-d.addressChanges:
 		default:
 		}
 	}
@@ -58,11 +58,11 @@
 // run follows one agent after the other until ctx is done. The old one is left
 // at once, in the middle of a watch too: what it still says is no longer news,
 // and what the new one knows counts as told soon after its address was.
-func (d *discoveryLoop) run(ctx context.Context) {
+func (d *discoveryConn) run(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(d.relay.seed, 0xd15c))
 	for moved := false; ; moved = true {
 		a := discovery.NewClient(d.address, d.relay.settings.Load(), moved, rng)
-		if v, ok := d.relay.node.CachedVersion(); ok && !moved { // versions are an agent's own
+		if v, ok := d.relay.controller.CachedVersion(); ok && !moved { // versions are an agent's own
 			a.ResumeFrom(v)
 		}
 		t := &http.Transport{Proxy: nil, DisableCompression: true, MaxConnsPerHost: 2, MaxIdleConnsPerHost: 2,
@@ -75,7 +75,7 @@
 		}()
 		select {
 		case <-ctx.Done():
-		case d.address = <-d.moves:
+		case d.address = <-d.addressChanges:
 		}
 		leave()
 		<-done // nothing of the old agent's reaches the loop after the new one's
@@ -87,10 +87,10 @@
 }
 
 // follow makes the calls that the machine asks for.
-func (d *discoveryLoop) follow(ctx context.Context, a *discovery.Client, client *http.Client) {
+func (d *discoveryConn) follow(ctx context.Context, a *discovery.Client, client *http.Client) {
 	for ctx.Err() == nil {
 		select {
-		case watch := <-d.calls:
+		case watch := <-d.requests:
 			a.Schedule(watch)
 			continue
 		default:
@@ -99,12 +99,12 @@
 		if !ok {
 			select {
 			case <-ctx.Done():
-			case watch := <-d.calls:
+			case watch := <-d.requests:
 				a.Schedule(watch)
 			}
 			continue
 		}
-		body, err := get(ctx, client, a.Address, call)
+		body, err := fetch(ctx, client, a.Address, call)
 		if ctx.Err() != nil {
 			return
 		}
@@ -112,14 +112,14 @@
 		if err == nil {
 			news, err = a.HandleResponse(body)
 		} else {
-			news = a.HandleFailure(timedOut(err))
+			news = a.HandleFailure(isTimeout(err))
 		}
 		if err != nil {
 			d.relay.log.Warn("discovery does not answer, the last list stays", zap.String("agent", a.Address),
 				zap.Bool("whole", call.FullList), zap.Error(err))
 		}
 		if news.Changed {
-			d.relay.post(func(now time.Duration) { d.relay.node.EndpointsUpdated(now, news.Endpoints, news.Kind) })
+			d.relay.post(func(now time.Duration) { d.relay.controller.EndpointsUpdated(now, news.Endpoints, news.Kind) })
 		}
 		if news.RetryDelay > 0 {
 			pause := time.NewTimer(news.RetryDelay)
@@ -132,7 +132,7 @@
 	}
 }
 
-func get(ctx context.Context, client *http.Client, address string, call discovery.Request) ([]byte, error) {
+func fetch(ctx context.Context, client *http.Client, address string, call discovery.Request) ([]byte, error) {
 	u := url.URL{Scheme: "http", Host: address, Path: call.Path, RawQuery: call.Query}
 	ctx, cancel := context.WithTimeout(ctx, call.Timeout)
 	defer cancel()
--- a/internal/relay/lobby.go
+++ b/internal/relay/handshake.go
@@ -12,28 +12,28 @@
 	"aspenbarrow/internal/handshake"
 )
 
-type lobby struct {
-	mu      sync.Mutex
-	m       *handshake.Pool
-	clock   func() time.Duration
-	goodbye []byte        // what one that gives way is told
-	freed   chan struct{} // somebody has left
+type handshakePool struct {
+	mu         sync.Mutex
+	pool       *handshake.Pool
+	clock      func() time.Duration
+	busyAnswer []byte        // what one that gives way is told
+	slotFreed  chan struct{} // somebody has left
 }
 
-func newLobby(room int, farewell string, clock func() time.Duration) *lobby {
-	return &lobby{m: handshake.NewPool(room), clock: clock, goodbye: []byte(farewell), freed: make(chan struct{}, 1)}
+func newHandshakePool(room int, farewell string, clock func() time.Duration) *handshakePool {
+	return &handshakePool{pool: handshake.NewPool(room), clock: clock, busyAnswer: []byte(farewell), slotFreed: make(chan struct{}, 1)}
 }
 
 // enter takes a connection in. It waits no longer than it takes the oldest to
 // have been heard.
-func (l *lobby) enter(conn *net.TCPConn) *handshake.Connection {
+func (l *handshakePool) add(conn *net.TCPConn) *handshake.Connection {
 	for {
 		l.mu.Lock()
-		in, out, wait := l.m.Add(l.clock(), conn)
+		in, out, wait := l.pool.Add(l.clock(), conn)
 		if out != nil {
 			c := out.Conn.(*net.TCPConn)
 			if out.AwaitsAnswer() {
-				_, _ = c.Write(l.goodbye) // the first bytes on it, or after a PONG: this never waits
+				_, _ = c.Write(l.busyAnswer) // the first bytes on it, or after a PONG: this never waits
 			}
 			_ = c.Close()
 		}
@@ -44,7 +44,7 @@
 		if wait > 0 {
 			timer := time.NewTimer(wait)
 			select {
-			case <-l.freed:
+			case <-l.slotFreed:
 			case <-timer.C:
 			}
 			timer.Stop()
@@ -53,14 +53,14 @@
 }
 
 // leave lets a guest go; false if it had to give way before.
-func (l *lobby) leave(g *handshake.Connection) bool {
+func (l *handshakePool) remove(g *handshake.Connection) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.m.Remove(g) {
+	if !l.pool.Remove(g) {
 		return false
 	}
 	select {
-	case l.freed <- struct{}{}:
+	case l.slotFreed <- struct{}{}:
 	default:
 	}
 	return true
@@ -71,9 +71,9 @@
 // answer before it that the system still holds back for want of the client's
 // acknowledgements. Whoever never stops sending costs the core no more than so
 // many bytes: it is held up, looked at now and then, and cut off in the end.
-func (l *lobby) readOff(g *handshake.Connection) {
+func (l *handshakePool) discardInput(g *handshake.Connection) {
 	l.mu.Lock()
-	l.m.MarkAnswered(g)
+	l.pool.MarkAnswered(g)
 	l.mu.Unlock()
 	c := g.Conn.(*net.TCPConn)
 	end := time.Now().Add(handshake.LingerTimeout)
@@ -84,35 +84,35 @@
 	}
 }
 
-func (l *lobby) guests() int {
+func (l *handshakePool) size() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.m.Len()
+	return l.pool.Len()
 }
 
 // farewell changes what one that gives way is told.
-func (l *lobby) farewell(line string) {
+func (l *handshakePool) setBusyAnswer(line string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.goodbye = []byte(line)
+	l.busyAnswer = []byte(line)
 }
 
 // resize changes the budget.
-func (l *lobby) resize(room int) {
+func (l *handshakePool) resize(room int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.m.Resize(room)
+	l.pool.Resize(room)
 }
 
 // empty tells all guests that this relay is not to be had any more.
-func (l *lobby) empty() {
+func (l *handshakePool) closeAll() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, g := range l.m.RemoveAll() {
+	for _, g := range l.pool.RemoveAll() {
 		c := g.Conn.(*net.TCPConn)
 		if g.AwaitsAnswer() {
 			_ = c.SetWriteDeadline(time.Now().Add(handshake.LingerTimeout))
-			_, _ = c.Write(l.goodbye)
+			_, _ = c.Write(l.busyAnswer)
 		}
 		_ = c.CloseWrite()
 	}
--- a/internal/relay/probes.go
+++ b/internal/relay/healthcheck.go
@@ -23,22 +23,22 @@
 	"aspenbarrow/internal/upstream"
 )
 
-type probes struct {
-	relay *Relay
-	mu    sync.Mutex
-	m     *healthcheck.Checker
+type healthChecker struct {
+	relay   *Relay
+	mu      sync.Mutex
+	checker *healthcheck.Checker
 }
 
-type probeConn struct {
+type healthCheckConn struct {
 	net.Conn
-	text *textproto.Reader
-	used bool // a question has been asked on it
+	reader *textproto.Reader
+	used   bool // a question has been asked on it
 }
 
 // quiet says whether nothing has come on an idle connection, its end included. It does not wait.
-func (c *probeConn) quiet() bool {
+func (c *healthCheckConn) isIdle() bool {
 	raw, err := c.Conn.(*net.TCPConn).SyscallConn()
-	if err != nil || c.text.R.Buffered() > 0 {
+	if err != nil || c.reader.R.Buffered() > 0 {
 		return false
 	}
 	var b [1]byte
@@ -50,50 +50,50 @@
 	return err == nil && errors.Is(got, syscall.EAGAIN)
 }
 
-func newProbes(r *Relay, atOnce int) *probes {
-	return &probes{relay: r, m: healthcheck.New(r.settings.Load(), atOnce)}
+func newHealthChecker(r *Relay, atOnce int) *healthChecker {
+	return &healthChecker{relay: r, checker: healthcheck.New(r.settings.Load(), atOnce)}
 }
 
 // start probes a backend in the background; the module hears one answer.
-func (p *probes) start(b *upstream.Backend) {
+func (p *healthChecker) start(b *upstream.Backend) {
 	go func() {
-		rep := p.guarded(b)
+		rep := p.checkRecovering(b)
 		p.relay.log.Debug("probed", zap.String("backend", b.Name), zap.Uint8("status", uint8(rep.Status)),
 			zap.Duration("latency", rep.Latency), zap.Float32s("load", rep.Load))
-		p.relay.post(func(now time.Duration) { p.relay.node.HealthCheckDone(now, rep) })
+		p.relay.post(func(now time.Duration) { p.relay.controller.HealthCheckDone(now, rep) })
 	}()
 }
 
 // guarded stops a panic at this one probe, which then counts as failed.
-func (p *probes) guarded(b *upstream.Backend) (rep balance.HealthCheckResult) {
+func (p *healthChecker) checkRecovering(b *upstream.Backend) (rep balance.HealthCheckResult) {
 	defer func() {
 		if v := recover(); v != nil {
 			p.relay.log.Error("panic in a probe", zap.Any("panic", v), zap.ByteString("stack", debug.Stack()))
 			rep = balance.HealthCheckResult{Backend: b.ID, Status: balance.StatusError}
 		}
 	}()
-	return p.probe(b)
+	return p.check(b)
 }
 
 // locked takes one step of the machine.
-func (p *probes) locked(take func(now time.Duration) healthcheck.Step) healthcheck.Step {
+func (p *healthChecker) step(take func(now time.Duration) healthcheck.Step) healthcheck.Step {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return take(p.relay.now())
 }
 
-func (p *probes) probe(b *upstream.Backend) balance.HealthCheckResult {
+func (p *healthChecker) check(b *upstream.Backend) balance.HealthCheckResult {
 	var pr *healthcheck.Check
-	step := p.locked(func(now time.Duration) (s healthcheck.Step) {
-		pr, s = p.m.Start(now, b)
+	step := p.step(func(now time.Duration) (s healthcheck.Step) {
+		pr, s = p.checker.Start(now, b)
 		return s
 	})
 	for {
 		for _, c := range step.Close {
-			_ = c.(*probeConn).Close()
+			_ = c.(*healthCheckConn).Close()
 		}
 		if k := step.Keep; k != nil {
-			time.AfterFunc(p.m.IdleTimeout(), func() { p.expire(k) })
+			time.AfterFunc(p.checker.IdleTimeout(), func() { p.expireIdle(k) })
 		}
 		switch {
 		case step.Done:
@@ -101,17 +101,17 @@
 		case step.Dial:
 			d := net.Dialer{Timeout: p.relay.settings.Load().DialTimeout, KeepAlive: -1}
 			conn, err := d.Dial("tcp", pr.Address)
-			step = p.locked(func(now time.Duration) healthcheck.Step {
+			step = p.step(func(now time.Duration) healthcheck.Step {
 				if err != nil {
 					return pr.DialFailed(now)
 				}
-				return pr.Connected(now, &probeConn{Conn: conn, text: textproto.NewReader(bufio.NewReader(conn))})
+				return pr.Connected(now, &healthCheckConn{Conn: conn, reader: textproto.NewReader(bufio.NewReader(conn))})
 			})
 		default:
-			answer, err := p.exchange(step.Send.(*probeConn), p.relay.at(pr.Deadline))
-			step = p.locked(func(now time.Duration) healthcheck.Step {
+			answer, err := p.exchange(step.Send.(*healthCheckConn), p.relay.deadlineTime(pr.Deadline))
+			step = p.step(func(now time.Duration) healthcheck.Step {
 				if err != nil {
-					return pr.ConnectionEnded(now, timedOut(err))
+					return pr.ConnectionEnded(now, isTimeout(err))
 				}
 				return pr.ReadAnswer(now, answer)
 			})
@@ -119,57 +119,57 @@
 	}
 }
 
-var errSpent = errors.New("a kept connection that has ended, or holds what nobody asked for")
+var errStaleConnection = errors.New("a kept connection that has ended, or holds what nobody asked for")
 
 // exchange asks once. A kept connection is looked at first: on one that its backend has closed the question would be
 // asked for nothing, and what came on one unasked would be taken for this question's answer, and this one's for the next.
-func (p *probes) exchange(c *probeConn, deadline time.Time) (string, error) {
+func (p *healthChecker) exchange(c *healthCheckConn, deadline time.Time) (string, error) {
 	if err := c.SetDeadline(deadline); err != nil {
 		return "", err
 	}
-	if c.used && !c.quiet() {
-		return "", errSpent
+	if c.used && !c.isIdle() {
+		return "", errStaleConnection
 	}
 	c.used = true
-	if _, err := io.WriteString(c, p.m.RequestLine()); err != nil {
+	if _, err := io.WriteString(c, p.checker.RequestLine()); err != nil {
 		return "", err
 	}
-	return c.text.ReadLine()
+	return c.reader.ReadLine()
 }
 
-func (p *probes) expire(k *healthcheck.IdleConnection) {
+func (p *healthChecker) expireIdle(k *healthcheck.IdleConnection) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.m.ExpireIdle(k) {
-		_ = k.Conn.(*probeConn).Close()
+	if p.checker.ExpireIdle(k) {
+		_ = k.Conn.(*healthCheckConn).Close()
 	}
 }
 
 // release closes the kept connection to a backend.
-func (p *probes) release(id balance.BackendID) {
+func (p *healthChecker) release(id balance.BackendID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if c := p.m.DropIdle(id); c != nil {
-		_ = c.(*probeConn).Close()
+	if c := p.checker.DropIdle(id); c != nil {
+		_ = c.(*healthCheckConn).Close()
 	}
 }
 
-func (p *probes) closeAll() {
+func (p *healthChecker) closeAll() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, c := range p.m.DropAllIdle() {
-		_ = c.(*probeConn).Close()
+	for _, c := range p.checker.DropAllIdle() {
+		_ = c.(*healthCheckConn).Close()
 	}
 }
 
-func (p *probes) under(s *settings.Settings) {
+func (p *healthChecker) setSettings(s *settings.Settings) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.m.SetSettings(s)
+	p.checker.SetSettings(s)
 }
 
-func (p *probes) resize(room int) {
+func (p *healthChecker) resize(room int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.m.Resize(room)
+	p.checker.Resize(room)
 }
--- a/internal/relay/handover.go
+++ b/internal/relay/hotrestart.go
@@ -31,14 +31,14 @@
 )
 
 const (
-	handingOver = time.Second            // for the whole of it; then the next process starts as a fresh one
-	tellEvery   = 100 * time.Millisecond // how often the old process says what it still holds and sees
-	magic       = "abO1"                 // begins what is handed over: its form
-	lineServe   = "SERVING"              // new to old: it takes who comes from now on
-	lineHeld    = "HELD"                 // old to new: so many descriptors are still the old one's
-	lineSeen    = "SEEN"                 // old to new: what it goes on seeing of the backends
-	lineDrain   = "DRAIN"                // both ways: staff have said so to one of them
-	lineUndrain = "UNDRAIN"
+	handOverTimeout = time.Second            // for the whole of it; then the next process starts as a fresh one
+	reportInterval  = 100 * time.Millisecond // how often the old process says what it still holds and sees
+	handOverMagic   = "abO1"                 // begins what is handed over: its form
+	lineServing     = "SERVING"              // new to old: it takes who comes from now on
+	lineDescriptors = "HELD"                 // old to new: so many descriptors are still the old one's
+	lineLoad        = "SEEN"                 // old to new: what it goes on seeing of the backends
+	lineDrain       = "DRAIN"                // both ways: staff have said so to one of them
+	lineUndrain     = "UNDRAIN"
 )
 
 // listenShared opens a listening socket that another process of this relay may open as well.
@@ -56,24 +56,24 @@
 }
 
 // link is one side of the talk between two processes of a relay.
-type link struct {
-	conn *net.UnixConn
-	in   *bufio.Reader
-	mu   sync.Mutex
+type processLink struct {
+	conn   *net.UnixConn
+	reader *bufio.Reader
+	mu     sync.Mutex
 }
 
 // say sends a line. A process that takes none is given up by whoever reads.
-func (l *link) say(line string) {
+func (l *processLink) writeLine(line string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	_ = l.conn.SetWriteDeadline(time.Now().Add(handingOver))
+	_ = l.conn.SetWriteDeadline(time.Now().Add(handOverTimeout))
 	_, _ = io.WriteString(l.conn, line+"\n")
 }
 
-func (l *link) hear() (string, error) {
+func (l *processLink) readLine() (string, error) {
 	var line []byte
 	for {
-		part, err := l.in.ReadSlice('\n')
+		part, err := l.reader.ReadSlice('\n')
 		line = append(line, part...)
 		switch {
 		case err == nil:
@@ -87,18 +87,18 @@
 }
 
 // links are those to the processes before and after this one, for what staff say to one of them.
-type links struct {
+type processLinks struct {
 	mu  sync.Mutex
-	all []*link
+	all []*processLink
 }
 
-func (s *links) add(l *link) {
+func (s *processLinks) add(l *processLink) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.all = append(s.all, l)
 }
 
-func (s *links) remove(l *link) {
+func (s *processLinks) remove(l *processLink) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i := range s.all {
@@ -110,16 +110,16 @@
 }
 
 // say tells all of them without waiting.
-func (s *links) say(line string) {
+func (s *processLinks) broadcast(line string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, l := range s.all {
-		go l.say(line)
+		go l.writeLine(line)
 	}
 }
 
 // close ends all of them.
-func (s *links) close() {
+func (s *processLinks) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, l := range s.all {
@@ -128,14 +128,14 @@
 }
 
 // drainWord passes what staff said to the other process on to this one.
-func (r *Relay) drainWord(line string) {
+func (r *Relay) applyDrainLine(line string) {
 	if line == lineDrain || line == lineUndrain {
-		r.drain(line == lineDrain)
+		r.setDrained(line == lineDrain)
 	}
 }
 
 // meeting is where the next process finds this one.
-func meeting(cfg *Config) string {
+func hotRestartPath(cfg *Config) string {
 	h := fnv.New32a()
 	_, _ = io.WriteString(h, cfg.Listen+" "+cfg.Name)
 	return filepath.Join(cfg.Scratch, fmt.Sprintf("aspenbarrow-%08x.sock", h.Sum32()))
@@ -144,21 +144,21 @@
 // --- the new process -----------------------------------------------------------------
 
 // legacy is what the old process has handed over.
-type legacy struct {
-	*link
-	listener *net.TCPListener
-	peers    net.PacketConn // nil: it hears none
-	memory   []byte
-	over     chan struct{} // closed once the old process is gone
+type predecessor struct {
+	*processLink
+	listener      *net.TCPListener
+	peerConn      net.PacketConn // nil: it hears none
+	stateDocument []byte
+	exited        chan struct{} // closed once the old process is gone
 }
 
 // alive says whether the old process still runs.
-func (g *legacy) alive() bool {
+func (g *predecessor) alive() bool {
 	if g == nil {
 		return false
 	}
 	select {
-	case <-g.over:
+	case <-g.exited:
 		return false
 	default:
 		return true
@@ -166,19 +166,19 @@
 }
 
 // inherit asks the old process, if there is one.
-func inherit(cfg *Config, log *zap.Logger) *legacy {
+func connectPredecessor(cfg *Config, log *zap.Logger) *predecessor {
 	if cfg.Management == "" || cfg.Scratch == "" {
 		return nil
 	}
-	path := meeting(cfg)
-	c, err := net.DialTimeout("unix", path, handingOver/4)
+	path := hotRestartPath(cfg)
+	c, err := net.DialTimeout("unix", path, handOverTimeout/4)
 	if err != nil {
 		if !errors.Is(err, os.ErrNotExist) && !errors.Is(err, unix.ECONNREFUSED) { // nobody there, or one that was killed
 			log.Warn("nothing is taken over", zap.Error(err))
 		}
 		return nil
 	}
-	l, err := receive(&link{conn: c.(*net.UnixConn), in: bufio.NewReader(c)}, cfg)
+	l, err := receiveHandOver(&processLink{conn: c.(*net.UnixConn), reader: bufio.NewReader(c)}, cfg)
 	if err != nil {
 		_ = c.Close()
 		log.Warn("nothing is taken over", zap.Error(err))
@@ -188,12 +188,12 @@
 }
 
 // receive reads the sockets and what goes with them.
-func receive(l *link, cfg *Config) (*legacy, error) {
+func receiveHandOver(l *processLink, cfg *Config) (*predecessor, error) {
 	if err := sameUser(l.conn); err != nil {
 		return nil, err
 	}
-	_ = l.conn.SetDeadline(time.Now().Add(handingOver))
-	head, rights := make([]byte, len(magic)+4), make([]byte, unix.CmsgSpace(2*4))
+	_ = l.conn.SetDeadline(time.Now().Add(handOverTimeout))
+	head, rights := make([]byte, len(handOverMagic)+4), make([]byte, unix.CmsgSpace(2*4))
 	n, nr, _, _, err := l.conn.ReadMsgUnix(head, rights)
 	if err == nil && n < len(head) {
 		_, err = io.ReadFull(l.conn, head[n:])
@@ -201,20 +201,20 @@
 	if err != nil {
 		return nil, fmt.Errorf("the old process says nothing: %w", err)
 	}
-	files, err := passed(rights[:nr])
+	files, err := receivedFiles(rights[:nr])
 	for _, f := range files {
 		defer f.Close()
 	}
-	size := binary.BigEndian.Uint32(head[len(magic):])
+	size := binary.BigEndian.Uint32(head[len(handOverMagic):])
 	switch {
 	case err != nil:
 		return nil, err
-	case string(head[:len(magic)]) != magic || size > hotrestart.MaxDocumentBytes || len(files) == 0:
+	case string(head[:len(handOverMagic)]) != handOverMagic || size > hotrestart.MaxDocumentBytes || len(files) == 0:
 		return nil, fmt.Errorf("the old process hands over what this one does not know: %q, %d bytes, %d sockets",
-			head[:len(magic)], size, len(files))
+			head[:len(handOverMagic)], size, len(files))
 	}
-	g := &legacy{link: l, memory: make([]byte, size), over: make(chan struct{})}
-	if _, err := io.ReadFull(l.conn, g.memory); err != nil {
+	g := &predecessor{processLink: l, stateDocument: make([]byte, size), exited: make(chan struct{})}
+	if _, err := io.ReadFull(l.conn, g.stateDocument); err != nil {
 		return nil, fmt.Errorf("the old process has not said all: %w", err)
 	}
 	_ = l.conn.SetDeadline(time.Time{})
@@ -230,7 +230,7 @@
 	g.listener = tcp
 	if len(files) > 1 && cfg.PeerListen != "" {
 		if p, err := net.FilePacketConn(files[1]); err == nil && sameAddress(p.LocalAddr().String(), cfg.PeerListen) {
-			g.peers = p
+			g.peerConn = p
 		} else if err == nil {
 			_ = p.Close()
 		}
@@ -238,7 +238,7 @@
 	return g, nil
 }
 
-func passed(rights []byte) (files []*os.File, err error) {
+func receivedFiles(rights []byte) (files []*os.File, err error) {
 	all, err := unix.ParseSocketControlMessage(rights)
 	if err != nil {
 		return nil, err
@@ -278,34 +278,34 @@
 }
 
 // succeed takes over from the old process once this one is ready, and hears it to its end.
-func (r *Relay) succeed(g *legacy) {
-	r.links.add(g.link)
-	defer r.links.remove(g.link)
-	defer close(g.over)
+func (r *Relay) followPredecessor(g *predecessor) {
+	r.processLinks.add(g.processLink)
+	defer r.processLinks.remove(g.processLink)
+	defer close(g.exited)
 	for {
-		line, err := g.hear()
+		line, err := g.readLine()
 		if err != nil {
 			_ = g.conn.Close()
 			r.log.Info("the old process has ended")
 			r.post(func(now time.Duration) {
-				r.node.SetOtherProcessDescriptors(now, 0)
-				_ = r.node.ImportLoad(now, nil)
+				r.controller.SetOtherProcessDescriptors(now, 0)
+				_ = r.controller.ImportLoad(now, nil)
 			})
 			return
 		}
 		switch word, rest, _ := strings.Cut(line, " "); word {
-		case lineHeld:
+		case lineDescriptors:
 			if n, err := strconv.Atoi(rest); err == nil {
-				r.post(func(now time.Duration) { r.node.SetOtherProcessDescriptors(now, n) })
+				r.post(func(now time.Duration) { r.controller.SetOtherProcessDescriptors(now, n) })
 			}
-		case lineSeen:
+		case lineLoad:
 			r.post(func(now time.Duration) {
-				if err := r.node.ImportLoad(now, []byte(rest)); err != nil {
+				if err := r.controller.ImportLoad(now, []byte(rest)); err != nil {
 					r.log.Warn("what the old process sees cannot be read", zap.Error(err))
 				}
 			})
 		default:
-			r.drainWord(line)
+			r.applyDrainLine(line)
 		}
 	}
 }
@@ -313,7 +313,7 @@
 // --- the old process -----------------------------------------------------------------
 
 // estate is where the next process may come.
-type estate struct {
+type successorListener struct {
 	relay    *Relay
 	path     string
 	mu       sync.Mutex
@@ -322,12 +322,12 @@
 }
 
 // newEstate opens the meeting place in the name of this process. What an older one has left there goes.
-func newEstate(cfg *Config, r *Relay) (*estate, error) {
-	e := &estate{relay: r, path: meeting(cfg)}
+func newSuccessorListener(cfg *Config, r *Relay) (*successorListener, error) {
+	e := &successorListener{relay: r, path: hotRestartPath(cfg)}
 	return e, e.open()
 }
 
-func (e *estate) open() error {
+func (e *successorListener) open() error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.closed {
@@ -352,14 +352,14 @@
 }
 
 // serve waits for the next process, and for another if that one ends first: the place was its own by then.
-func (e *estate) serve() {
+func (e *successorListener) serve() {
 	for {
 		c, err := e.listener.AcceptUnix()
 		if err != nil {
 			return
 		}
-		l := &link{conn: c, in: bufio.NewReader(c)}
-		if err := e.give(l); err != nil {
+		l := &processLink{conn: c, reader: bufio.NewReader(c)}
+		if err := e.handOver(l); err != nil {
 			e.relay.log.Warn("nothing is handed over", zap.Error(err))
 		}
 		_ = c.Close()
@@ -369,7 +369,7 @@
 	}
 }
 
-func (e *estate) close() {
+func (e *successorListener) close() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.closed = true; e.listener != nil {
@@ -378,7 +378,7 @@
 }
 
 // give hands over, and from then on lets the next process take who comes for as long as it lives.
-func (e *estate) give(l *link) error {
+func (e *successorListener) handOver(l *processLink) error {
 	r := e.relay
 	if err := sameUser(l.conn); err != nil {
 		return err
@@ -389,25 +389,25 @@
 	}
 	asked := make(chan will, 1)
 	go r.post(func(now time.Duration) {
-		text, err := r.node.ExportState(now)
+		text, err := r.controller.ExportState(now)
 		asked <- will{text, err}
 	})
 	var w will
 	select {
 	case w = <-asked:
-	case <-time.After(handingOver / 2):
+	case <-time.After(handOverTimeout / 2):
 		w.err = errors.New("the loop has no time")
 	}
 	if w.err != nil {
 		return w.err
 	}
-	fds, done, err := r.descriptors()
+	fds, done, err := r.sharedDescriptors()
 	if err != nil {
 		return err
 	}
 	defer done()
-	head := binary.BigEndian.AppendUint32([]byte(magic), uint32(len(w.text)))
-	_ = l.conn.SetWriteDeadline(time.Now().Add(handingOver / 2))
+	head := binary.BigEndian.AppendUint32([]byte(handOverMagic), uint32(len(w.text)))
+	_ = l.conn.SetWriteDeadline(time.Now().Add(handOverTimeout / 2))
 	if _, _, err := l.conn.WriteMsgUnix(head, unix.UnixRights(fds...), nil); err != nil {
 		return err
 	}
@@ -415,8 +415,8 @@
 		return err
 	}
 	r.log.Info("handed over to the next process", zap.Int("bytes", len(w.text)))
-	r.links.add(l)
-	defer r.links.remove(l)
+	r.processLinks.add(l)
+	defer r.processLinks.remove(l)
 	served := make(chan struct{})
 	defer close(served)
 	defer func() {
@@ -425,28 +425,28 @@
 			return
 		default:
 		}
-		if r.node.SetReplaced(false) { // also while this one leaves: nobody else is there to take who comes
+		if r.controller.SetReplaced(false) { // also while this one leaves: nobody else is there to take who comes
 			r.log.Warn("the next process has ended, this one takes who comes again")
-			r.park(false)
+			r.pauseAccepting(false)
 		}
 	}()
 	for {
-		line, err := l.hear()
+		line, err := l.readLine()
 		if err != nil {
 			return nil
 		}
-		if line == lineServe && !r.node.SetReplaced(true) {
-			r.park(true)
-			go r.tellNext(l, served)
+		if line == lineServing && !r.controller.SetReplaced(true) {
+			r.pauseAccepting(true)
+			go r.reportToSuccessor(l, served)
 			continue
 		}
-		r.drainWord(line)
+		r.applyDrainLine(line)
 	}
 }
 
 // descriptors are those of the sockets that the next process shares. They stay this process's; done is to be
 // called once they have been sent.
-func (r *Relay) descriptors() (fds []int, done func(), err error) {
+func (r *Relay) sharedDescriptors() (fds []int, done func(), err error) {
 	var files []*os.File
 	done = func() {
 		for _, f := range files {
@@ -458,7 +458,7 @@
 		return nil, done, err
 	}
 	files = append(files, f)
-	if c, ok := r.peers.socket().(*net.UDPConn); ok {
+	if c, ok := r.peers.packetConn().(*net.UDPConn); ok {
 		if f, err := c.File(); err == nil {
 			files = append(files, f)
 		}
@@ -477,23 +477,23 @@
 }
 
 // tellNext says what this process still holds and goes on seeing, until the next one has ended.
-func (r *Relay) tellNext(l *link, served <-chan struct{}) {
-	tick := time.NewTicker(tellEvery)
+func (r *Relay) reportToSuccessor(l *processLink, served <-chan struct{}) {
+	tick := time.NewTicker(reportInterval)
 	defer tick.Stop()
 	last, asked := -1, make(chan []byte, 1)
 	for {
-		if n := r.held(); n != last {
-			l.say(fmt.Sprintf("%s %d", lineHeld, n))
+		if n := r.descriptorsInUse(); n != last {
+			l.writeLine(fmt.Sprintf("%s %d", lineDescriptors, n))
 			last = n
 		}
 		go r.post(func(time.Duration) {
-			text, _ := r.node.ExportLoad()
+			text, _ := r.controller.ExportLoad()
 			asked <- text
 		})
 		select {
 		case text := <-asked:
 			if len(text) > 0 {
-				l.say(lineSeen + " " + string(text))
+				l.writeLine(lineLoad + " " + string(text))
 			}
 		case <-served:
 			return
@@ -507,29 +507,29 @@
 }
 
 // held is how many descriptors this process may have in use.
-func (r *Relay) held() int {
-	return 2*int(r.flowing.Load()) + r.lobby.guests() + controller.ReservedDescriptors + int(r.spare.Load())
+func (r *Relay) descriptorsInUse() int {
+	return 2*int(r.sessionCount.Load()) + r.handshakes.size() + controller.ReservedDescriptors + int(r.auxiliaryDescriptors.Load())
 }
 
 // park has this process leave those who come to the next one, or take them again.
-func (r *Relay) park(on bool) {
+func (r *Relay) pauseAccepting(on bool) {
 	if on {
 		_ = r.listener.SetDeadline(time.Unix(1, 0))
 	} else {
 		_ = r.listener.SetDeadline(time.Time{})
 		select {
-		case r.unpark <- struct{}{}:
+		case r.resumeAccept <- struct{}{}:
 		default:
 		}
 	}
-	r.peers.park(on)
+	r.peers.setPaused(on)
 }
 
 // awaitTurn holds a process that has taken over until it is ready, or the old one is gone.
-func (r *Relay) awaitTurn(ctx context.Context, g *legacy) bool {
+func (r *Relay) awaitReadiness(ctx context.Context, g *predecessor) bool {
 	select {
-	case <-r.listed:
-	case <-g.over:
+	case <-r.endpointsReceived:
+	case <-g.exited:
 	case <-ctx.Done():
 		return false
 	}
--- a/internal/relay/management_test.go
+++ b/internal/relay/management_test.go
@@ -58,7 +58,7 @@
 // call makes one call at the second address.
 func call(t *testing.T, r *Relay, text string) string {
 	t.Helper()
-	c, err := net.Dial("tcp", r.second.Addr().String())
+	c, err := net.Dial("tcp", r.adminServer.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -116,7 +116,7 @@
 		go r.post(func(time.Duration) {})
 	}
 	for range 200 {
-		c, err := net.Dial("tcp", r.second.Addr().String())
+		c, err := net.Dial("tcp", r.adminServer.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/relay/peers.go
+++ b/internal/relay/peers.go
@@ -15,20 +15,20 @@
 )
 
 type datagram struct {
-	to   string
-	data []byte
+	address string
+	data    []byte
 }
 
-type peers struct {
+type peerSocket struct {
 	relay  *Relay
 	listen string // empty: nobody is told or heard
-	out    chan datagram
+	outbox chan datagram
 	conn   net.PacketConn // perhaps of the process before this one
-	heard  chan struct{}  // this process is to hear, now or again
+	resume chan struct{}  // this process is to hear, now or again
 }
 
-func newPeers(cfg Config, r *Relay) *peers {
-	p := &peers{relay: r, out: make(chan datagram, 64), heard: make(chan struct{}, 1)}
+func newPeerSocket(cfg Config, r *Relay) *peerSocket {
+	p := &peerSocket{relay: r, outbox: make(chan datagram, 64), resume: make(chan struct{}, 1)}
 	if r.settings.Load().Gossip {
 		p.listen = cfg.PeerListen
 	}
@@ -36,24 +36,24 @@
 }
 
 // tell queues a datagram; with the queue full it is lost, as datagrams may be.
-func (p *peers) tell(to string, data []byte) {
+func (p *peerSocket) queue(to string, data []byte) {
 	if p.listen == "" {
 		return
 	}
 	select {
-	case p.out <- datagram{to, data}:
+	case p.outbox <- datagram{to, data}:
 	default:
 	}
 }
 
 // run opens the socket and serves it in the background until ctx is done.
-func (p *peers) run(ctx context.Context) error {
+func (p *peerSocket) run(ctx context.Context) error {
 	if p.listen == "" {
 		return nil
 	}
 	if p.conn == nil {
 		lc := net.ListenConfig{}
-		if p.relay.second != nil { // a next process may open it as well
+		if p.relay.adminServer != nil { // a next process may open it as well
 			lc = listenShared(p.relay.log)
 		}
 		conn, err := lc.ListenPacket(ctx, "udp", p.listen)
@@ -66,7 +66,7 @@
 	go p.send(ctx, p.conn)
 	go func() {
 		select {
-		case <-p.heard:
+		case <-p.resume:
 			p.receive(ctx, p.conn)
 		case <-ctx.Done():
 		}
@@ -75,10 +75,10 @@
 }
 
 // hear begins to take datagrams in. A process that takes over leaves them to the old one until then.
-func (p *peers) hear() { p.park(false) }
+func (p *peerSocket) startReceiving() { p.setPaused(false) }
 
 // park leaves datagrams to another process that has the same socket, or takes them again.
-func (p *peers) park(on bool) {
+func (p *peerSocket) setPaused(on bool) {
 	if p.conn == nil {
 		return
 	}
@@ -88,21 +88,21 @@
 	}
 	_ = p.conn.SetReadDeadline(time.Time{})
 	select {
-	case p.heard <- struct{}{}:
+	case p.resume <- struct{}{}:
 	default:
 	}
 }
 
 // socket is what datagrams come by; nil: nothing.
-func (p *peers) socket() net.PacketConn { return p.conn }
+func (p *peerSocket) packetConn() net.PacketConn { return p.conn }
 
-func (p *peers) send(ctx context.Context, conn net.PacketConn) {
+func (p *peerSocket) send(ctx context.Context, conn net.PacketConn) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case d := <-p.out:
-			addr, err := net.ResolveUDPAddr("udp", d.to)
+		case d := <-p.outbox:
+			addr, err := net.ResolveUDPAddr("udp", d.address)
 			if err == nil {
 				_, err = conn.WriteTo(d.data, addr)
 			}
@@ -113,16 +113,16 @@
 	}
 }
 
-func (p *peers) receive(ctx context.Context, conn net.PacketConn) {
+func (p *peerSocket) receive(ctx context.Context, conn net.PacketConn) {
 	buf := make([]byte, controller.MaxDatagram+1)
 	for {
 		n, addr, err := conn.ReadFrom(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if timedOut(err) { // parked
+		if isTimeout(err) { // parked
 			select {
-			case <-p.heard:
+			case <-p.resume:
 			case <-ctx.Done():
 				return
 			}
@@ -133,6 +133,6 @@
 			continue
 		}
 		from, data := u.AddrPort(), append([]byte(nil), buf[:n]...)
-		p.relay.post(func(now time.Duration) { p.relay.node.DatagramReceived(now, from, data) })
+		p.relay.post(func(now time.Duration) { p.relay.controller.DatagramReceived(now, from, data) })
 	}
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -14,8 +14,8 @@
 	"go.uber.org/zap"
 
 	"aspenbarrow/balance"
-	"aspenbarrow/internal/fake"
 	"aspenbarrow/internal/controller"
+	"aspenbarrow/internal/fake"
 	"aspenbarrow/internal/handshake"
 	"aspenbarrow/internal/session"
 	"aspenbarrow/internal/settings"
@@ -86,7 +86,7 @@
 	b.Close()
 	d.Close()
 	until(t, "all goroutines end", func() bool { return runtime.NumGoroutine() <= before })
-	if n := r.flowing.Load(); n != 0 {
+	if n := r.sessionCount.Load(); n != 0 {
 		t.Errorf("%d flows are still counted", n)
 	}
 }
@@ -111,23 +111,23 @@
 		t.Fatal(err)
 	}
 	_ = r.listener.Close()
-	f := session.New(1, r.settings.Load(), r.node.Metrics())
+	f := session.New(1, r.settings.Load(), r.controller.Metrics())
 	g, err := f.ReadHandshake(r.now(), []byte("OPEN 0000000000000001 0000000000000002 c=chat,d=1000\r\n"), true)
 	if err != nil || !g.Opened {
 		t.Fatalf("%+v, %v", g, err)
 	}
-	fl := &flow{relay: r, m: f, orders: make(chan session.Command, 1)}
-	r.opened(r.now(), fl)
-	if len(fl.orders) == 0 { // held until its backend has answered a probe
-		r.node.HealthCheckDone(r.now(), balance.HealthCheckResult{Backend: probed(r), Load: []float32{0.1}})
+	fl := &clientSession{relay: r, state: f, commands: make(chan session.Command, 1)}
+	r.sessionOpened(r.now(), fl)
+	if len(fl.commands) == 0 { // held until its backend has answered a probe
+		r.controller.HealthCheckDone(r.now(), balance.HealthCheckResult{Backend: probed(r), Load: []float32{0.1}})
 	}
-	o := <-fl.orders
+	o := <-fl.commands
 	o.Deadline = r.now() + patience
 	return r, f, f.Execute(r.now(), o).Attempt
 }
 
 // probed is the one backend of a relay's list.
-func probed(r *Relay) balance.BackendID { return r.node.Backends()[0].ID }
+func probed(r *Relay) balance.BackendID { return r.controller.Backends()[0].ID }
 
 func TestAnAttemptOnSocketsEndsAsItWent(t *testing.T) {
 	b := &fake.Backend{}
@@ -150,7 +150,7 @@
 		r, f, a := attempts(t, tc.addr, tc.left)
 		l, n, fail := r.attempt(context.Background(), waiting(t), a)
 		if l != nil {
-			up, _ := l.in.R.Peek(n)
+			up, _ := l.reader.R.Peek(n)
 			if string(up) != "UP 0000000000000001\r\n" {
 				t.Errorf("%s: %q", tc.name, up)
 			}
@@ -202,7 +202,7 @@
 	if err := r.peers.run(ctx); err != nil {
 		t.Fatal(err)
 	}
-	r.peers.hear()
+	r.peers.startReceiving()
 	for _, size := range []int{5, controller.MaxDatagram + 1, 5} { // the one that is too long is dropped
 		if _, err := known.WriteTo(make([]byte, size), at); err != nil {
 			t.Fatal(err)
@@ -215,8 +215,8 @@
 			t.Fatal("a peer's datagram is not heard")
 		}
 	}
-	r.peers.tell(known.LocalAddr().String(), []byte("answer"))
-	r.peers.tell(known.LocalAddr().String(), []byte("more"))
+	r.peers.queue(known.LocalAddr().String(), []byte("answer"))
+	r.peers.queue(known.LocalAddr().String(), []byte("more"))
 	buf := make([]byte, 512)
 	_ = known.SetReadDeadline(time.Now().Add(patience))
 	for _, want := range []string{"answer", "more"} {
@@ -251,25 +251,25 @@
 		}
 	}()
 	r, _, a := attempts(t, l.Addr().String(), patience)
-	p, b := r.probes, a.Backend
+	p, b := r.healthChecks, a.Backend
 	defer p.closeAll()
 	for range 2 {
-		rep := p.probe(b)
+		rep := p.check(b)
 		if rep.Status != balance.StatusOK || len(rep.Load) != 1 || rep.Load[0] != 0.25 {
 			t.Errorf("%+v", rep)
 		}
 		<-closed
 	}
 	_ = l.Close()
-	if rep := p.probe(b); rep.Status != balance.StatusConnectFailed {
+	if rep := p.check(b); rep.Status != balance.StatusConnectFailed {
 		t.Errorf("nobody listens: %+v", rep)
 	}
 }
 
 // waiting is a client that waits for its answer.
-func waiting(t *testing.T) *line {
+func waiting(t *testing.T) *bufferedConn {
 	near, _ := pipe(t)
-	return newLine(near)
+	return newBufferedConn(near)
 }
 
 // pipe is a guest's connection and its other end.
@@ -295,24 +295,24 @@
 
 // clock is a relay's own.
 func clock() func() time.Duration {
-	r := &Relay{start: time.Now()}
+	r := &Relay{startTime: time.Now()}
 	return r.now
 }
 
 func TestTheOldestOfACrowdGivesWay(t *testing.T) {
-	l := newLobby(2, "BUSY 1000\r\n", clock())
+	l := newHandshakePool(2, "BUSY 1000\r\n", clock())
 	var guests []*handshake.Connection
 	var ends []*net.TCPConn
 	for range 4 {
 		near, far := pipe(t)
 		came := time.Now()
-		guests, ends = append(guests, l.enter(near)), append(ends, far)
+		guests, ends = append(guests, l.add(near)), append(ends, far)
 		if took := time.Since(came); took > time.Second {
 			t.Errorf("the acceptor waited for %v", took)
 		}
 	}
 	for i, g := range guests {
-		if stays := l.leave(g); stays != (i >= 2) {
+		if stays := l.remove(g); stays != (i >= 2) {
 			t.Errorf("guest %d is still there: %v", i, stays)
 		}
 	}
@@ -323,22 +323,22 @@
 	}
 	// One that has had its last line goes first, however late it came.
 	near, _ := pipe(t)
-	old := l.enter(near)
+	old := l.add(near)
 	near, far := pipe(t)
-	told := l.enter(near)
+	told := l.add(near)
 	_ = far.Close()
-	l.readOff(told)
+	l.discardInput(told)
 	near, _ = pipe(t)
-	l.enter(near)
-	if l.leave(told) || !l.leave(old) {
+	l.add(near)
+	if l.remove(told) || !l.remove(old) {
 		t.Error("a silent one gave way where one was there that had been told")
 	}
 }
 
 func TestReadingOffHasAnEnd(t *testing.T) {
-	l := newLobby(1, "", clock())
+	l := newHandshakePool(1, "", clock())
 	near, far := pipe(t)
-	g := l.enter(near)
+	g := l.add(near)
 	go func() {
 		for b := make([]byte, 32<<10); ; {
 			if _, err := far.Write(b); err != nil {
@@ -347,7 +347,7 @@
 		}
 	}()
 	began := time.Now()
-	l.readOff(g)
+	l.discardInput(g)
 	if took := time.Since(began); took > handshake.LingerTimeout+time.Second {
 		t.Errorf("read off for %v", took)
 	}
@@ -387,19 +387,19 @@
 		t.Fatal(err)
 	}
 	defer r.listener.Close()
-	p, to := newProbes(r, 1), r.node.Backends()
+	p, to := newHealthChecker(r, 1), r.controller.Backends()
 	defer p.closeAll()
-	if rep := p.probe(to[0]); rep.Status != balance.StatusOK || p.m.Connections() != 1 {
-		t.Fatalf("%+v with %d connections", rep, p.m.Connections())
+	if rep := p.check(to[0]); rep.Status != balance.StatusOK || p.checker.Connections() != 1 {
+		t.Fatalf("%+v with %d connections", rep, p.checker.Connections())
 	}
 	done := make(chan balance.HealthCheckResult, 1)
-	go func() { done <- p.probe(to[1]) }() // takes the kept one's place
+	go func() { done <- p.check(to[1]) }() // takes the kept one's place
 	<-accepted
-	if rep := p.probe(to[2]); rep.Status != balance.StatusAbandoned {
+	if rep := p.check(to[2]); rep.Status != balance.StatusAbandoned {
 		t.Errorf("%+v", rep)
 	}
 	close(hold)
-	if rep := <-done; rep.Status != balance.StatusReset || p.m.Connections() != 0 {
-		t.Errorf("%+v with %d connections", rep, p.m.Connections())
+	if rep := <-done; rep.Status != balance.StatusReset || p.checker.Connections() != 0 {
+		t.Errorf("%+v with %d connections", rep, p.checker.Connections())
 	}
 }
--- a/internal/relay/flow.go
+++ b/internal/relay/session.go
@@ -22,97 +22,97 @@
 	"aspenbarrow/internal/session"
 )
 
-type result struct {
-	attempt *session.Attempt
-	back    *line
-	answer  int // bytes of the UP line, first in back
-	fail    *session.AttemptError
-	stood   session.Event
+type attemptResult struct {
+	attempt      *session.Attempt
+	backend      *bufferedConn
+	answerLength int // bytes of the UP line, first in back
+	failure      *session.AttemptError
+	established  session.Event
 }
 
-type flow struct {
-	relay   *Relay
-	m       *session.Session
-	client  *line
-	orders  chan session.Command
-	left    chan bool     // the client's end before UP; true: it went on before its answer
-	stands  chan struct{} // closed when UP goes out
-	over    chan struct{} // closed once the flow is at its end
-	readers sync.WaitGroup
-	cancel  context.CancelFunc // of the attempt that is out
-	results chan result
-	mu      sync.Mutex
-	back    *net.TCPConn // set once UP is out
+type clientSession struct {
+	relay          *Relay
+	state          *session.Session
+	client         *bufferedConn
+	commands       chan session.Command
+	clientGone     chan bool     // the client's end before UP; true: it went on before its answer
+	established    chan struct{} // closed when UP goes out
+	finished       chan struct{} // closed once the flow is at its end
+	readers        sync.WaitGroup
+	cancelAttempt  context.CancelFunc // of the attempt that is out
+	attemptResults chan attemptResult
+	mu             sync.Mutex
+	backend        *net.TCPConn // set once UP is out
 }
 
 // serve drives the connection from its first byte to its end.
-func (f *flow) serve(g *handshake.Connection) {
+func (f *clientSession) serve(g *handshake.Connection) {
 	begun := false
-	defer f.relay.guests.Done()
+	defer f.relay.connections.Done()
 	defer func() {
 		if p := recover(); p != nil {
 			f.relay.log.Error("panic in a flow", zap.Any("panic", p), zap.ByteString("stack", debug.Stack()))
 			_ = f.client.conn.Close()
-			if f.back != nil {
-				_ = f.back.Close()
+			if f.backend != nil {
+				_ = f.backend.Close()
 			}
 		}
-		close(f.over)
-		f.m.Ended()
+		close(f.finished)
+		f.state.Ended()
 		if begun {
 			_ = f.client.conn.SetReadDeadline(time.Now().Add(session.CloseTimeout))
 			f.readers.Wait()
 		}
 		_ = f.client.conn.Close()
 		f.client.recycle()
-		f.relay.lobby.leave(g)
+		f.relay.handshakes.remove(g)
 		if begun {
-			f.relay.flowing.Add(-1)
-			f.relay.post(func(now time.Duration) { f.relay.closed(now, f) })
+			f.relay.sessionCount.Add(-1)
+			f.relay.post(func(now time.Duration) { f.relay.sessionClosed(now, f) })
 		}
 	}()
-	opened, err := f.head()
+	opened, err := f.readHandshake()
 	switch {
-	case opened && f.relay.admit():
-		if begun = f.relay.lobby.leave(g); !begun { // it had to give way just now
-			f.m.Refused()
-			f.relay.flowing.Add(-1)
+	case opened && f.relay.reserveSession():
+		if begun = f.relay.handshakes.remove(g); !begun { // it had to give way just now
+			f.state.Refused()
+			f.relay.sessionCount.Add(-1)
 			return
 		}
-		f.m.Admitted()
+		f.state.Admitted()
 	case opened:
-		f.m.Refused()
+		f.state.Refused()
 		f.relay.log.Warn("turned away: near the limit of descriptors or memory")
-		f.end(f.relay.busyLine())
-		f.relay.lobby.readOff(g)
+		f.sendFinalAnswer(f.relay.busyAnswer())
+		f.relay.handshakes.discardInput(g)
 		return
 	case err == nil:
 		return
 	default:
-		f.relay.bad(f.client.conn, err)
-		f.end(protocol.AnswerFailed)
-		f.relay.lobby.readOff(g)
+		f.relay.logProtocolError(f.client.conn, err)
+		f.sendFinalAnswer(protocol.AnswerFailed)
+		f.relay.handshakes.discardInput(g)
 		return
 	}
-	f.relay.post(func(now time.Duration) { f.relay.opened(now, f) })
+	f.relay.post(func(now time.Duration) { f.relay.sessionOpened(now, f) })
 	f.readers.Add(1)
-	go f.upstream()
-	if up := f.await(); up != nil { // by now await's frame is gone: a standing flow's stack stays small
-		f.pass(up)
+	go f.forwardClient()
+	if up := f.awaitAnswer(); up != nil { // by now await's frame is gone: a standing flow's stack stays small
+		f.forwardBackend(up)
 	}
 }
 
 // head reads up to the OPEN line, answering probes; an error is the client's fault.
 // The deadline, set when the connection was accepted, stays the same whatever comes
 // before that line.
-func (f *flow) head() (opened bool, err error) {
+func (f *clientSession) readHandshake() (opened bool, err error) {
 	for seen := 0; ; {
-		b, err := f.client.more(seen)
+		b, err := f.client.peekBeyond(seen)
 		if err != nil {
-			return false, f.m.HandshakeEnded(endOf(err), seen)
+			return false, f.state.HandshakeEnded(endKind(err), seen)
 		}
-		f.m.SetSettings(f.relay.settings.Load())
-		g, err := f.m.ReadHandshake(f.relay.now(), b, f.relay.node.Ready())
+		f.state.SetSettings(f.relay.settings.Load())
+		g, err := f.state.ReadHandshake(f.relay.now(), b, f.relay.controller.Ready())
 		switch {
 		case err != nil:
 			return false, err
@@ -124,7 +124,7 @@
 			continue
 		}
 		seen = 0
-		f.client.take(g.Consumed)
+		f.client.discard(g.Consumed)
 		if _, err := io.WriteString(f.client.conn, g.Reply); err != nil {
 			return false, nil
 		}
@@ -132,9 +132,9 @@
 }
 
 // endOf tells in which way a read ended.
-func endOf(err error) session.EndKind {
+func endKind(err error) session.EndKind {
 	switch {
-	case timedOut(err):
+	case isTimeout(err):
 		return session.EndTimeout
 	case errors.Is(err, io.EOF):
 		return session.EndFIN
@@ -144,17 +144,17 @@
 
 // await feeds the loop's orders and the attempts' ends to the machine until the
 // final answer or, which it returns, UP. Only this goroutine answers the client.
-func (f *flow) await() *result {
-	f.results = make(chan result, 1)
-	f.cancel = func() {}
-	defer func() { f.cancel() }()
-	left := f.left
+func (f *clientSession) awaitAnswer() *attemptResult {
+	f.attemptResults = make(chan attemptResult, 1)
+	f.cancelAttempt = func() {}
+	defer func() { f.cancelAttempt() }()
+	left := f.clientGone
 	gone := func(spoke bool) {
 		left = nil
 		f.relay.log.Debug("client left while it waited", zap.Bool("spoke", spoke))
-		f.carryOut(f.m.ClientClosed(spoke))
+		f.perform(f.state.ClientClosed(spoke))
 	}
-	for f.m.AwaitsCommands() {
+	for f.state.AwaitsCommands() {
 		select { // of two that are ready one is taken by chance: nothing is begun for a client that has left
 		case spoke := <-left:
 			gone(spoke)
@@ -162,73 +162,73 @@
 		default:
 		}
 		select {
-		case o := <-f.orders:
-			f.carryOut(f.m.Execute(f.relay.now(), o))
+		case o := <-f.commands:
+			f.perform(f.state.Execute(f.relay.now(), o))
 		case spoke := <-left:
 			gone(spoke)
-		case r := <-f.results:
-			if r.fail != nil && r.fail.UnknownAnswer() {
+		case r := <-f.attemptResults:
+			if r.failure != nil && r.failure.UnknownAnswer() {
 				f.relay.log.Error("backend answered what the protocol does not know",
-					zap.String("backend", r.attempt.Backend.Name), zap.Error(r.fail))
+					zap.String("backend", r.attempt.Backend.Name), zap.Error(r.failure))
 			}
-			do := f.m.AttemptDone(f.relay.now(), r.attempt, r.fail)
+			do := f.state.AttemptDone(f.relay.now(), r.attempt, r.failure)
 			if do.Establish {
-				r.stood = do.Event
+				r.established = do.Event
 				return &r
 			}
 			if do.CloseBackend {
-				_ = r.back.conn.Close()
-				r.back.recycle()
+				_ = r.backend.conn.Close()
+				r.backend.recycle()
 			}
-			f.relay.log.Debug("attempt ended", zap.String("backend", r.attempt.Backend.Name), zap.Error(r.fail))
-			f.carryOut(do)
+			f.relay.log.Debug("attempt ended", zap.String("backend", r.attempt.Backend.Name), zap.Error(r.failure))
+			f.perform(do)
 		}
 	}
 	return nil
 }
 
-func (f *flow) carryOut(do session.Actions) {
+func (f *clientSession) perform(do session.Actions) {
 	if do.CancelAttempt {
-		f.cancel()
+		f.cancelAttempt()
 	}
 	if do.ClientError != nil {
-		f.relay.bad(f.client.conn, do.ClientError)
+		f.relay.logProtocolError(f.client.conn, do.ClientError)
 	}
 	if do.Answer != "" {
-		f.end(do.Answer)
+		f.sendFinalAnswer(do.Answer)
 	}
 	if do.Attempt != nil {
 		ctx, stop := context.WithCancel(context.Background())
-		f.cancel = stop
-		go f.try(ctx, do.Attempt)
+		f.cancelAttempt = stop
+		go f.runAttempt(ctx, do.Attempt)
 	}
-	f.tell(do.Event)
+	f.postEvent(do.Event)
 }
 
 // tell has the loop hear an event.
-func (f *flow) tell(e session.Event) {
+func (f *clientSession) postEvent(e session.Event) {
 	if e.Kind != session.NoEvent {
 		told := e // captured below: without a copy each line that tells nothing would cost memory
-		f.relay.post(func(now time.Duration) { f.relay.node.SessionEvent(now, f.m.Seq, told) })
+		f.relay.post(func(now time.Duration) { f.relay.controller.SessionEvent(now, f.state.Seq, told) })
 	}
 }
 
 // try runs one attempt.
-func (f *flow) try(ctx context.Context, a *session.Attempt) {
-	r := result{attempt: a}
+func (f *clientSession) runAttempt(ctx context.Context, a *session.Attempt) {
+	r := attemptResult{attempt: a}
 	defer func() {
 		if p := recover(); p != nil {
 			f.relay.log.Error("panic in an attempt", zap.Any("panic", p), zap.ByteString("stack", debug.Stack()))
-			r.fail = a.ConnectionEnded(0, true, fmt.Errorf("panic: %v", p), false)
+			r.failure = a.ConnectionEnded(0, true, fmt.Errorf("panic: %v", p), false)
 		}
-		f.results <- r
+		f.attemptResults <- r
 	}()
 	for {
-		r.back, r.answer, r.fail = f.relay.attempt(ctx, f.client, a)
-		if r.fail == nil {
+		r.backend, r.answerLength, r.failure = f.relay.attempt(ctx, f.client, a)
+		if r.failure == nil {
 			return
 		}
-		pause, ok := a.RetryDelay(f.relay.now(), r.fail)
+		pause, ok := a.RetryDelay(f.relay.now(), r.failure)
 		if !ok {
 			return
 		}
@@ -243,7 +243,7 @@
 // end sends the client's last line and ends our side. What the client still
 // sends is read off meanwhile: closing over unread bytes would reset the
 // connection and take that last line with it.
-func (f *flow) end(last string) {
+func (f *clientSession) sendFinalAnswer(last string) {
 	c := f.client.conn
 	_ = c.SetWriteDeadline(time.Now().Add(session.CloseTimeout))
 	_, _ = io.WriteString(c, last)
@@ -253,46 +253,46 @@
 
 // upstream reads the client: first only whether it leaves, then its lines, which
 // go to the backend.
-func (f *flow) upstream() {
+func (f *clientSession) forwardClient() {
 	defer f.readers.Done()
 	defer func() {
 		if p := recover(); p != nil {
 			f.relay.log.Error("panic in a flow", zap.Any("panic", p), zap.ByteString("stack", debug.Stack()))
-			f.hangUp(f.m.ClientEnded(session.EndReset))
+			f.closeConnections(f.state.ClientEnded(session.EndReset))
 		}
 	}()
-	head := f.m.Open.Len()
-	_, err := f.client.more(head)
+	head := f.state.Open.Len()
+	_, err := f.client.peekBeyond(head)
 	stood := false
 	select {
-	case <-f.stands:
+	case <-f.established:
 		stood = true
 	default:
 	}
 	if err != nil || !stood { // nothing may come before the answer
-		f.left <- err == nil
+		f.clientGone <- err == nil
 		select {
-		case <-f.stands: // it was just being served: the end belongs to the backend as well
+		case <-f.established: // it was just being served: the end belongs to the backend as well
 			how := session.EndReset
 			if err != nil {
-				how = endOf(err)
+				how = endKind(err)
 			}
-			f.hangUp(f.m.ClientEnded(how))
-		case <-f.over:
+			f.closeConnections(f.state.ClientEnded(how))
+		case <-f.finished:
 		}
 		return
 	}
-	f.client.take(head)
+	f.client.discard(head)
 	for seen := 0; ; {
-		b, err := f.client.more(seen)
+		b, err := f.client.peekBeyond(seen)
 		if err != nil {
-			f.hangUp(f.m.ClientEnded(endOf(err)))
+			f.closeConnections(f.state.ClientEnded(endKind(err)))
 			return
 		}
-		n, err := f.m.FromClient(f.relay.now(), b)
+		n, err := f.state.FromClient(f.relay.now(), b)
 		if err != nil {
-			f.relay.bad(f.client.conn, err)
-			f.hangUp(f.m.ClientEnded(session.EndReset))
+			f.relay.logProtocolError(f.client.conn, err)
+			f.closeConnections(f.state.ClientEnded(session.EndReset))
 			return
 		}
 		if n == 0 {
@@ -300,22 +300,22 @@
 			continue
 		}
 		seen = 0
-		_ = f.back.SetWriteDeadline(time.Now().Add(session.BackendSilenceTimeout))
-		if _, err := f.back.Write(b[:n]); timedOut(err) {
-			f.m.BackendBlocked()
-			_ = f.back.SetReadDeadline(time.Unix(1, 0))
+		_ = f.backend.SetWriteDeadline(time.Now().Add(session.BackendSilenceTimeout))
+		if _, err := f.backend.Write(b[:n]); isTimeout(err) {
+			f.state.BackendBlocked()
+			_ = f.backend.SetReadDeadline(time.Unix(1, 0))
 		}
-		f.client.take(n)
+		f.client.discard(n)
 	}
 }
 
 // hangUp ends what a client's end leaves to be ended.
-func (f *flow) hangUp(h session.CloseMode) {
+func (f *clientSession) closeConnections(h session.CloseMode) {
 	switch h {
 	case session.CloseFIN:
-		_ = f.back.CloseWrite()
+		_ = f.backend.CloseWrite()
 	case session.CloseReset:
-		for _, c := range [2]*net.TCPConn{f.back, f.client.conn} {
+		for _, c := range [2]*net.TCPConn{f.backend, f.client.conn} {
 			_ = c.SetLinger(0)
 			_ = c.Close()
 		}
@@ -324,34 +324,34 @@
 
 // pass hands UP to the client and then all lines, until one side ends or the
 // client is to move.
-func (f *flow) pass(r *result) {
-	back := r.back
+func (f *clientSession) forwardBackend(r *attemptResult) {
+	back := r.backend
 	f.mu.Lock()
-	f.back = back.conn
+	f.backend = back.conn
 	f.mu.Unlock()
-	close(f.stands) // before UP is out: the client's next line may be here as soon as it is
-	b, _ := back.in.R.Peek(r.answer)
+	close(f.established) // before UP is out: the client's next line may be here as soon as it is
+	b, _ := back.reader.R.Peek(r.answerLength)
 	_ = f.client.conn.SetWriteDeadline(time.Now().Add(session.ClientWriteTimeout))
 	_, err := f.client.conn.Write(b)
-	back.take(r.answer)
-	f.tell(r.stood)
+	back.discard(r.answerLength)
+	f.postEvent(r.established)
 	var v session.Termination
 	if err == nil {
-		v = f.downstream(back)
+		v = f.copyBackendLines(back)
 	} else {
-		v = f.deaf()
+		v = f.clientBlocked()
 	}
 	if v.BackendSilent {
 		f.relay.log.Warn("backend silent, client moved", zap.Stringer("backend", back.conn.RemoteAddr()))
 	}
 	switch {
 	case v.CloseClient:
-		f.end(v.LastLine)
+		f.sendFinalAnswer(v.LastLine)
 	case v.ResetClient:
 		_ = f.client.conn.SetLinger(0)
 		_ = f.client.conn.Close()
 	}
-	f.tell(f.m.Terminated(v))
+	f.postEvent(f.state.Terminated(v))
 	// The end is the backend's at once, while the client may need a while to take its last line.
 	_ = back.conn.Close()
 	_ = f.client.conn.SetReadDeadline(time.Now().Add(session.CloseTimeout))
@@ -361,56 +361,56 @@
 
 // downstream passes the backend's lines on. It stands between two lines whenever
 // it waits, so MOVE never falls into one.
-func (f *flow) downstream(back *line) session.Termination {
+func (f *clientSession) copyBackendLines(back *bufferedConn) session.Termination {
 	client := f.client.conn
 	for seen := 0; ; {
 		// The deadline before the flag: whoever sets the flag cuts the wait short after it.
 		_ = back.conn.SetReadDeadline(time.Now().Add(session.IdleCheckInterval))
-		if v, now := f.m.AtLineBoundary(); now {
+		if v, now := f.state.AtLineBoundary(); now {
 			return v
 		}
-		b, err := back.more(seen)
-		if timedOut(err) {
-			if v, over := f.m.CheckIdle(f.relay.now()); over {
+		b, err := back.peekBeyond(seen)
+		if isTimeout(err) {
+			if v, over := f.state.CheckIdle(f.relay.now()); over {
 				return v
 			}
 			continue
 		}
 		if err != nil {
-			return f.m.BackendEnded(endOf(err))
+			return f.state.BackendEnded(endKind(err))
 		}
-		n, told, err := f.m.FromBackend(b)
+		n, told, err := f.state.FromBackend(b)
 		if err != nil {
 			f.relay.log.Warn("backend broke the protocol", zap.Error(err))
-			return f.m.BackendEnded(session.EndReset)
+			return f.state.BackendEnded(session.EndReset)
 		}
 		if n == 0 {
 			seen = len(b)
 			continue
 		}
 		seen = 0
-		f.tell(told)
+		f.postEvent(told)
 		_ = client.SetWriteDeadline(time.Now().Add(session.ClientWriteTimeout))
 		if _, err := client.Write(b[:n]); err != nil {
-			return f.deaf()
+			return f.clientBlocked()
 		}
-		back.take(n)
+		back.discard(n)
 	}
 }
 
 // deaf ends a flow whose client takes nothing any more.
-func (f *flow) deaf() session.Termination {
-	v, h := f.m.ClientBlocked()
-	f.hangUp(h)
+func (f *clientSession) clientBlocked() session.Termination {
+	v, h := f.state.ClientBlocked()
+	f.closeConnections(h)
 	return v
 }
 
 // move is called by the loop: the client shall leave at the next line's end.
-func (f *flow) move() {
-	f.m.Migrate()
+func (f *clientSession) migrate() {
+	f.state.Migrate()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.back != nil {
-		_ = f.back.SetReadDeadline(time.Unix(1, 0))
+	if f.backend != nil {
+		_ = f.backend.SetReadDeadline(time.Unix(1, 0))
 	}
 }
