--- /dev/null
+++ b/internal/relay/admin.go
@@ -0,0 +1,47 @@
+package relay
+
+import (
+	"aspenbarrow/internal/admin"
+	"aspenbarrow/internal/metrics"
+)
+
+// adminRelay is the relay as the admin endpoint sees it. It reads published state and signals the event loop; it never
+// waits for it.
+type adminRelay struct{ *Relay }
+
+var _ admin.Relay = adminRelay{}
+
+// State returns the phase of the relay's life.
+func (a adminRelay) State() admin.State {
+	switch c := a.controller; {
+	case c.ShuttingDown():
+		return admin.ShuttingDown
+	case c.Drained():
+		return admin.Drained
+	case c.Ready() && a.accepting.Load():
+		return admin.Serving
+	}
+	return admin.Starting
+}
+
+// Metrics returns the counters and gauges.
+func (a adminRelay) Metrics() metrics.Snapshot { return a.controller.Metrics().Snapshot() }
+
+// SetDrained drains the relay, or ends the drain, in both processes while a hot restart lasts.
+func (a adminRelay) SetDrained(on bool) {
+	a.setDrained(on)
+	line := lineUndrain
+	if on {
+		line = lineDrain
+	}
+	a.processLinks.broadcast(line)
+}
+
+// setDrained drains this process, or ends the drain. Answers to PING follow at once.
+func (r *Relay) setDrained(on bool) {
+	r.controller.SetDrained(on)
+	select {
+	case r.drainChanged <- struct{}{}:
+	default: // the event loop has not looked yet
+	}
+}
--- /dev/null
+++ b/internal/relay/bufferedconn.go
@@ -0,0 +1,71 @@
+package relay
+
+import (
+	"bufio"
+	"errors"
+	"net"
+	"net/textproto"
+	"sync"
+	"syscall"
+
+	"aspenbarrow/internal/protocol"
+)
+
+// bufferReserveBytes lets a reader wait for bytes beyond the longest line without moving that line in its buffer.
+const bufferReserveBytes = 256
+
+// bufferedConn is a connection with the reader that holds its buffered bytes.
+type bufferedConn struct {
+	conn   *net.TCPConn
+	reader *textproto.Reader
+}
+
+// readerPool holds the buffers of ended connections: an established session uses two.
+var readerPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, protocol.MaxLineLength+bufferReserveBytes) }}
+
+func newBufferedConn(conn *net.TCPConn) *bufferedConn {
+	r := readerPool.Get().(*bufio.Reader)
+	r.Reset(conn)
+	return &bufferedConn{conn, textproto.NewReader(r)}
+}
+
+// recycle returns the buffer to the pool; nothing may be read after it.
+func (c *bufferedConn) recycle() {
+	c.reader.R.Reset(nil)
+	readerPool.Put(c.reader.R)
+	c.reader = nil
+}
+
+// peekBeyond waits for bytes beyond the first seen ones and returns all that are buffered, in place.
+func (c *bufferedConn) peekBeyond(seen int) ([]byte, error) {
+	if _, err := c.reader.R.Peek(seen + 1); err != nil && c.reader.R.Buffered() <= seen {
+		return nil, err
+	}
+	return c.reader.R.Peek(c.reader.R.Buffered())
+}
+
+// discard consumes n buffered bytes.
+func (c *bufferedConn) discard(n int) { _, _ = c.reader.R.Discard(n) }
+
+// hasPendingInput says whether a client that waits for its answer has closed its connection or sent more, although its
+// reader may not have been scheduled yet: on a saturated core that can take longer than an attempt may still be begun.
+// It does not block and consumes nothing. Where the system can't tell, the reader will.
+func (c *bufferedConn) hasPendingInput() bool {
+	raw, err := c.conn.SyscallConn()
+	if err != nil {
+		return true // closed
+	}
+	var b [1]byte
+	pending := false
+	err = raw.Control(func(fd uintptr) {
+		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		pending = err == nil || errors.Is(err, syscall.ECONNRESET)
+	})
+	return err != nil || pending
+}
+
+// isTimeout tells a deadline that passed from a connection that ended.
+func isTimeout(err error) bool {
+	var netError net.Error
+	return errors.As(err, &netError) && netError.Timeout()
+}
--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -1,7 +1,3 @@
-// This file drives the talk with discovery over HTTP, as the agent's machine says.
-// It must never hold up the loop, nor let anything of an agent that was left reach
-// it after the new one's.
-
 package relay
 
 import (
@@ -19,20 +15,35 @@
 	"aspenbarrow/internal/discovery"
 )
 
-// discoveryLoop keeps to one agent at a time; a reload may name another.
+const (
+	// discoveryRequestQueue is how many requests of the controller may be pending; it repeats those that are dropped.
+	discoveryRequestQueue = 8
+
+	// maxDiscoveryConns allows a watch and a request for the whole list at a time.
+	maxDiscoveryConns = 2
+
+	// discoveryRandomStream separates the backoff's random numbers from those of other users of the relay's seed.
+	discoveryRandomStream = 0xd15c
+)
+
+// discoveryConn follows the endpoint list at one discovery agent at a time; a reload may change the agent.
 type discoveryConn struct {
 	relay          *Relay
 	address        string
-	requests       chan bool   // what the module asked for: true a watch, false the whole list once
-	addressChanges chan string // the address of a new agent; only the newest counts
+	requests       chan bool   // true: a watch, false: the whole list once
+	addressChanges chan string // holds the newest address only
 }
 
 func newDiscoveryConn(address string, r *Relay) *discoveryConn {
-	return &discoveryConn{relay: r, address: address, requests: make(chan bool, 8), addressChanges: make(chan string, 1)}
+	return &discoveryConn{
+		relay:          r,
+		address:        address,
+		requests:       make(chan bool, discoveryRequestQueue),
+		addressChanges: make(chan string, 1),
+	}
 }
 
-// ask is called by the loop and must not wait: a call too many is dropped, the
-// module asks again.
+// request asks for changes or for the whole list. It never blocks: a request beyond the queue is dropped.
 func (d *discoveryConn) request(watch bool) {
 	select {
 	case d.requests <- watch:
@@ -40,7 +51,7 @@
 	}
 }
 
-// move names a new agent. It never waits; one that is not taken up yet is replaced.
+// setAddress changes the agent. It never blocks: an address that is not taken up yet is replaced.
 func (d *discoveryConn) setAddress(address string) {
 	for {
 		select {
@@ -55,99 +66,120 @@
 	}
 }
 
-// run follows one agent after the other until ctx is done. The old one is left
-// at once, in the middle of a watch too: what it still says is no longer news,
-// and what the new one knows counts as told soon after its address was.
+// run follows one agent after the other until ctx is done. An agent is left at once when the address changes, also
+// during a watch, and nothing of it is posted after the next agent's first update.
 func (d *discoveryConn) run(ctx context.Context) {
-	rng := rand.New(rand.NewPCG(d.relay.seed, 0xd15c))
-	for moved := false; ; moved = true {
-		a := discovery.NewClient(d.address, d.relay.settings.Load(), moved, rng)
-		if v, ok := d.relay.controller.CachedVersion(); ok && !moved { // versions are an agent's own
-			a.ResumeFrom(v)
-		}
-		t := &http.Transport{Proxy: nil, DisableCompression: true, MaxConnsPerHost: 2, MaxIdleConnsPerHost: 2,
-			DialContext: (&net.Dialer{Timeout: discovery.ResponseGrace}).DialContext}
-		follow, leave := context.WithCancel(ctx)
-		done := make(chan struct{})
-		go func() {
-			defer close(done)
-			d.follow(follow, a, &http.Client{Transport: t})
-		}()
-		select {
-		case <-ctx.Done():
-		case d.address = <-d.addressChanges:
+	rng := rand.New(rand.NewPCG(d.relay.seed, discoveryRandomStream))
+	for changed := false; ; changed = true {
+		client := discovery.NewClient(d.address, d.relay.settings.Load(), changed, rng)
+		if version, ok := d.relay.controller.CachedVersion(); ok && !changed { // each agent counts its own versions
+			client.ResumeFrom(version)
 		}
-		leave()
-		<-done // nothing of the old agent's reaches the loop after the new one's
-		t.CloseIdleConnections()
+		d.followUntilChange(ctx, client)
 		if ctx.Err() != nil {
 			return
 		}
 	}
 }
 
-// follow makes the calls that the machine asks for.
-func (d *discoveryConn) follow(ctx context.Context, a *discovery.Client, client *http.Client) {
+// followUntilChange follows an agent until ctx is done or the address has changed.
+func (d *discoveryConn) followUntilChange(ctx context.Context, client *discovery.Client) {
+	transport := &http.Transport{
+		Proxy:               nil,
+		DisableCompression:  true,
+		MaxConnsPerHost:     maxDiscoveryConns,
+		MaxIdleConnsPerHost: maxDiscoveryConns,
+		DialContext:         (&net.Dialer{Timeout: discovery.ResponseGrace}).DialContext,
+	}
+	following, leave := context.WithCancel(ctx)
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		d.follow(following, client, &http.Client{Transport: transport})
+	}()
+	select {
+	case <-ctx.Done():
+	case d.address = <-d.addressChanges:
+	}
+	leave()
+	<-done
+	transport.CloseIdleConnections()
+}
+
+// follow makes the requests that the state machine asks for.
+func (d *discoveryConn) follow(ctx context.Context, client *discovery.Client, httpClient *http.Client) {
 	for ctx.Err() == nil {
 		select {
 		case watch := <-d.requests:
-			a.Schedule(watch)
+			client.Schedule(watch)
 			continue
 		default:
 		}
-		call, ok := a.NextRequest()
+		request, ok := client.NextRequest()
 		if !ok {
 			select {
 			case <-ctx.Done():
 			case watch := <-d.requests:
-				a.Schedule(watch)
+				client.Schedule(watch)
 			}
 			continue
 		}
-		body, err := fetch(ctx, client, a.Address, call)
+		body, err := fetch(ctx, httpClient, client.Address, request)
 		if ctx.Err() != nil {
 			return
 		}
-		var news discovery.Update
-		if err == nil {
-			news, err = a.HandleResponse(body)
-		} else {
-			news = a.HandleFailure(isTimeout(err))
-		}
-		if err != nil {
-			d.relay.log.Warn("discovery does not answer, the last list stays", zap.String("agent", a.Address),
-				zap.Bool("whole", call.FullList), zap.Error(err))
-		}
-		if news.Changed {
-			d.relay.post(func(now time.Duration) { d.relay.controller.EndpointsUpdated(now, news.Endpoints, news.Kind) })
-		}
-		if news.RetryDelay > 0 {
-			pause := time.NewTimer(news.RetryDelay)
-			select {
-			case <-ctx.Done():
-			case <-pause.C:
-			}
-			pause.Stop()
-		}
+		sleep(ctx, d.handleResponse(client, request, body, err))
+	}
+}
+
+// handleResponse posts what has changed and returns the delay before the next request.
+func (d *discoveryConn) handleResponse(client *discovery.Client, request discovery.Request, body []byte, err error) time.Duration {
+	var update discovery.Update
+	if err == nil {
+		update, err = client.HandleResponse(body)
+	} else {
+		update = client.HandleFailure(isTimeout(err))
+	}
+	if err != nil {
+		d.relay.log.Warn("discovery does not answer, the last list stays", zap.String("agent", client.Address),
+			zap.Bool("whole", request.FullList), zap.Error(err))
+	}
+	if update.Changed {
+		d.relay.post(func(now time.Duration) { d.relay.controller.EndpointsUpdated(now, update.Endpoints, update.Kind) })
+	}
+	return update.RetryDelay
+}
+
+// sleep waits for the delay, if any, or until ctx is done.
+func sleep(ctx context.Context, delay time.Duration) {
+	if delay <= 0 {
+		return
+	}
+	timer := time.NewTimer(delay)
+	defer timer.Stop()
+	select {
+	case <-ctx.Done():
+	case <-timer.C:
 	}
 }
 
-func fetch(ctx context.Context, client *http.Client, address string, call discovery.Request) ([]byte, error) {
-	u := url.URL{Scheme: "http", Host: address, Path: call.Path, RawQuery: call.Query}
-	ctx, cancel := context.WithTimeout(ctx, call.Timeout)
+// fetch makes one request and returns the body. A body with an error is incomplete or of another status than 200.
+func fetch(ctx context.Context, client *http.Client, address string, request discovery.Request) ([]byte, error) {
+	u := url.URL{Scheme: "http", Host: address, Path: request.Path, RawQuery: request.Query}
+	ctx, cancel := context.WithTimeout(ctx, request.Timeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, u.String(), nil)
+	httpRequest, err := http.NewRequestWithContext(ctx, http.MethodGet, u.String(), nil)
 	if err != nil {
 		return nil, err
 	}
-	resp, err := client.Do(req)
+	response, err := client.Do(httpRequest)
 	if err != nil {
 		return nil, err
 	}
-	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, discovery.MaxBodyBytes))
-	if err == nil && resp.StatusCode != http.StatusOK {
-		err = fmt.Errorf("status %s", resp.Status)
+	defer response.Body.Close()
+	body, err := io.ReadAll(io.LimitReader(response.Body, discovery.MaxBodyBytes))
+	if err == nil && response.StatusCode != http.StatusOK {
+		err = fmt.Errorf("status %s", response.Status)
 	}
 	return body, err
 }
--- /dev/null
+++ b/internal/relay/driver.go
@@ -0,0 +1,85 @@
+package relay
+
+import (
+	"go.uber.org/zap"
+
+	"aspenbarrow/balance"
+	"aspenbarrow/internal/controller"
+	"aspenbarrow/internal/session"
+	"aspenbarrow/internal/settings"
+	"aspenbarrow/internal/upstream"
+)
+
+// driver carries out what the controller asks for. Its methods run on the event loop and never block.
+type driver struct{ *Relay }
+
+var _ controller.Driver = driver{}
+
+// SendCommand passes a command to a session; one that has ended takes none.
+func (d driver) SendCommand(id uint64, command session.Command) {
+	s := d.sessions[id]
+	if s == nil {
+		return
+	}
+	select {
+	case s.commands <- command:
+	default:
+		d.log.Error("a flow does not take its orders", zap.Uint64("flow", id))
+	}
+}
+
+// MigrateSession asks a session's client to move to another relay.
+func (d driver) MigrateSession(id uint64) {
+	if s := d.sessions[id]; s != nil {
+		s.migrate()
+	}
+}
+
+// ReportClientError logs a client's error.
+func (d driver) ReportClientError(id uint64, err error) {
+	if s := d.sessions[id]; s != nil {
+		d.logProtocolError(s.client.conn, err)
+	}
+}
+
+// StartHealthCheck checks a backend in the background.
+func (d driver) StartHealthCheck(b *upstream.Backend) { d.healthChecks.start(b) }
+
+// ReleaseHealthCheck closes the idle connection to a backend.
+func (d driver) ReleaseHealthCheck(id balance.BackendID) { d.healthChecks.release(id) }
+
+// SendDatagram sends a datagram to a peer.
+func (d driver) SendDatagram(to string, data []byte) { d.peers.queue(to, data) }
+
+// RequestEndpoints asks discovery for changes, or for the whole list.
+func (d driver) RequestEndpoints(watch bool) { d.discovery.request(watch) }
+
+// SetDiscoveryAddress changes the discovery agent.
+func (d driver) SetDiscoveryAddress(address string) { d.discovery.setAddress(address) }
+
+// ListReceived says that the first endpoint list has come.
+func (d driver) ListReceived() { close(d.endpointsReceived) }
+
+// StopAccepting closes the listener in the background, once.
+func (d driver) StopAccepting() { d.stopAcceptingOnce.Do(func() { go d.stopAccepting() }) }
+
+// Stopped says that no answer is owed any more.
+func (d driver) Stopped() { close(d.drained) }
+
+// SetSettings publishes the settings in force.
+func (d driver) SetSettings(s *settings.Settings) {
+	d.settings.Store(s)
+	d.handshakes.setBusyAnswer(d.busyAnswer())
+	d.healthChecks.setSettings(s)
+}
+
+// SetLimits applies the shares of the descriptors.
+func (d driver) SetLimits(limits controller.Limits) {
+	d.maxSessions.Store(int64(limits.Sessions))
+	d.handshakes.resize(limits.Handshakes)
+	d.healthChecks.resize(limits.HealthChecks)
+	d.auxiliaryDescriptors.Store(int64(limits.HealthChecks + limits.AdminConnections))
+	if d.adminServer != nil {
+		d.adminServer.SetMaxConnections(limits.AdminConnections)
+	}
+}
--- /dev/null
+++ b/internal/relay/forward.go
@@ -0,0 +1,192 @@
+package relay
+
+import (
+	"net"
+	"runtime/debug"
+	"time"
+
+	"go.uber.org/zap"
+
+	"aspenbarrow/internal/session"
+)
+
+// forwardClient reads the client: before UP only whether it leaves, after it the lines that go to the backend.
+func (s *clientSession) forwardClient() {
+	defer s.readers.Done()
+	defer func() {
+		if p := recover(); p != nil {
+			s.relay.log.Error("panic in a flow", zap.Any("panic", p), zap.ByteString("stack", debug.Stack()))
+			s.closeConnections(s.state.ClientEnded(session.EndReset))
+		}
+	}()
+	requestLength := s.state.Open.Len()
+	_, err := s.client.peekBeyond(requestLength)
+	if err != nil || !s.isEstablished() { // nothing may come before the answer
+		s.reportClientGone(err)
+		return
+	}
+	s.client.discard(requestLength)
+	s.copyClientLines()
+}
+
+// isEstablished says whether UP is sent.
+func (s *clientSession) isEstablished() bool {
+	select {
+	case <-s.established:
+		return true
+	default:
+		return false
+	}
+}
+
+// reportClientGone reports a client that has closed its connection before UP, or, with a nil error, sent more.
+func (s *clientSession) reportClientGone(err error) {
+	s.clientGone <- err == nil
+	select {
+	case <-s.established: // UP was just being sent: the backend's connection ends as well
+		kind := session.EndReset
+		if err != nil {
+			kind = endKind(err)
+		}
+		s.closeConnections(s.state.ClientEnded(kind))
+	case <-s.finished:
+	}
+}
+
+// copyClientLines copies the client's lines to the backend.
+func (s *clientSession) copyClientLines() {
+	for seen := 0; ; {
+		b, err := s.client.peekBeyond(seen)
+		if err != nil {
+			s.closeConnections(s.state.ClientEnded(endKind(err)))
+			return
+		}
+		n, err := s.state.FromClient(s.relay.now(), b)
+		if err != nil {
+			s.relay.logProtocolError(s.client.conn, err)
+			s.closeConnections(s.state.ClientEnded(session.EndReset))
+			return
+		}
+		if n == 0 {
+			seen = len(b)
+			continue
+		}
+		seen = 0
+		_ = s.backend.SetWriteDeadline(time.Now().Add(session.BackendSilenceTimeout))
+		if _, err := s.backend.Write(b[:n]); isTimeout(err) {
+			s.state.BackendBlocked()
+			_ = s.backend.SetReadDeadline(expired)
+		}
+		s.client.discard(n)
+	}
+}
+
+// closeConnections ends what the client's end leaves open.
+func (s *clientSession) closeConnections(mode session.CloseMode) {
+	switch mode {
+	case session.CloseFIN:
+		_ = s.backend.CloseWrite()
+	case session.CloseReset:
+		for _, conn := range [2]*net.TCPConn{s.backend, s.client.conn} {
+			_ = conn.SetLinger(0)
+			_ = conn.Close()
+		}
+	}
+}
+
+// forwardBackend sends UP to the client and then the backend's lines, until one side ends or the client is to move.
+func (s *clientSession) forwardBackend(result *attemptResult) {
+	backend := result.backend
+	s.mu.Lock()
+	s.backend = backend.conn
+	s.mu.Unlock()
+	close(s.established) // before UP is sent: the client's next line may follow it at once
+	answer, _ := backend.reader.R.Peek(result.answerLength)
+	_ = s.client.conn.SetWriteDeadline(time.Now().Add(session.ClientWriteTimeout))
+	_, err := s.client.conn.Write(answer)
+	backend.discard(result.answerLength)
+	s.postEvent(result.established)
+	var termination session.Termination
+	if err == nil {
+		termination = s.copyBackendLines(backend)
+	} else {
+		termination = s.clientBlocked()
+	}
+	s.terminate(backend, termination)
+}
+
+// terminate ends both connections.
+func (s *clientSession) terminate(backend *bufferedConn, termination session.Termination) {
+	if termination.BackendSilent {
+		s.relay.log.Warn("backend silent, client moved", zap.Stringer("backend", backend.conn.RemoteAddr()))
+	}
+	switch {
+	case termination.CloseClient:
+		s.sendFinalAnswer(termination.LastLine)
+	case termination.ResetClient:
+		_ = s.client.conn.SetLinger(0)
+		_ = s.client.conn.Close()
+	}
+	s.postEvent(s.state.Terminated(termination))
+	// The backend's connection closes at once, while the client may need a while to read its last line.
+	_ = backend.conn.Close()
+	_ = s.client.conn.SetReadDeadline(time.Now().Add(session.CloseTimeout))
+	s.readers.Wait()
+	backend.recycle()
+}
+
+// copyBackendLines copies the backend's lines to the client. It is between two lines whenever it waits, so MOVE never
+// falls into a line.
+func (s *clientSession) copyBackendLines(backend *bufferedConn) session.Termination {
+	client := s.client.conn
+	for seen := 0; ; {
+		// The deadline before the flag: migrate sets the flag first and then cuts the wait short.
+		_ = backend.conn.SetReadDeadline(time.Now().Add(session.IdleCheckInterval))
+		if termination, ended := s.state.AtLineBoundary(); ended {
+			return termination
+		}
+		b, err := backend.peekBeyond(seen)
+		if isTimeout(err) {
+			if termination, ended := s.state.CheckIdle(s.relay.now()); ended {
+				return termination
+			}
+			continue
+		}
+		if err != nil {
+			return s.state.BackendEnded(endKind(err))
+		}
+		n, event, err := s.state.FromBackend(b)
+		if err != nil {
+			s.relay.log.Warn("backend broke the protocol", zap.Error(err))
+			return s.state.BackendEnded(session.EndReset)
+		}
+		if n == 0 {
+			seen = len(b)
+			continue
+		}
+		seen = 0
+		s.postEvent(event)
+		_ = client.SetWriteDeadline(time.Now().Add(session.ClientWriteTimeout))
+		if _, err := client.Write(b[:n]); err != nil {
+			return s.clientBlocked()
+		}
+		backend.discard(n)
+	}
+}
+
+// clientBlocked ends a session whose client takes no more bytes.
+func (s *clientSession) clientBlocked() session.Termination {
+	termination, mode := s.state.ClientBlocked()
+	s.closeConnections(mode)
+	return termination
+}
+
+// migrate asks the client to move at the end of the next line. The event loop calls it.
+func (s *clientSession) migrate() {
+	s.state.Migrate()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.backend != nil {
+		_ = s.backend.SetReadDeadline(expired)
+	}
+}
--- a/internal/relay/handshake.go
+++ b/internal/relay/handshake.go
@@ -1,6 +1,3 @@
-// This file drives the lobby on sockets. It must never keep the acceptor waiting
-// for longer than the lobby's machine says.
-
 package relay
 
 import (
@@ -12,108 +9,130 @@
 	"aspenbarrow/internal/handshake"
 )
 
+const (
+	// lingerReadBytes is how much of a client that never stops sending is discarded in one read.
+	lingerReadBytes = 512
+
+	// lingerReadInterval spaces those reads, so that the client is held up by its own full send buffer.
+	lingerReadInterval = handshake.LingerTimeout / 16
+)
+
+// handshakePool holds the connections that have not sent a whole OPEN line.
 type handshakePool struct {
 	mu         sync.Mutex
 	pool       *handshake.Pool
 	clock      func() time.Duration
-	busyAnswer []byte        // what one that gives way is told
-	slotFreed  chan struct{} // somebody has left
+	busyAnswer []byte        // for connections that are evicted
+	slotFreed  chan struct{} // a connection has left the pool
 }
 
-func newHandshakePool(room int, farewell string, clock func() time.Duration) *handshakePool {
-	return &handshakePool{pool: handshake.NewPool(room), clock: clock, busyAnswer: []byte(farewell), slotFreed: make(chan struct{}, 1)}
+func newHandshakePool(size int, busyAnswer string, clock func() time.Duration) *handshakePool {
+	return &handshakePool{
+		pool:       handshake.NewPool(size),
+		clock:      clock,
+		busyAnswer: []byte(busyAnswer),
+		slotFreed:  make(chan struct{}, 1),
+	}
 }
 
-// enter takes a connection in. It waits no longer than it takes the oldest to
-// have been heard.
-func (l *handshakePool) add(conn *net.TCPConn) *handshake.Connection {
+// add takes a connection in, evicting the oldest one of a full pool. It waits no longer than until that one may be
+// evicted.
+func (p *handshakePool) add(conn *net.TCPConn) *handshake.Connection {
 	for {
-		l.mu.Lock()
-		in, out, wait := l.pool.Add(l.clock(), conn)
-		if out != nil {
-			c := out.Conn.(*net.TCPConn)
-			if out.AwaitsAnswer() {
-				_, _ = c.Write(l.busyAnswer) // the first bytes on it, or after a PONG: this never waits
-			}
-			_ = c.Close()
+		added, wait := p.tryAdd(conn)
+		if added != nil {
+			return added
 		}
-		l.mu.Unlock()
-		if in != nil {
-			return in
+		if wait <= 0 {
+			continue
 		}
-		if wait > 0 {
-			timer := time.NewTimer(wait)
-			select {
-			case <-l.slotFreed:
-			case <-timer.C:
-			}
-			timer.Stop()
+		timer := time.NewTimer(wait)
+		select {
+		case <-p.slotFreed:
+		case <-timer.C:
+		}
+		timer.Stop()
+	}
+}
+
+// tryAdd takes a connection in, or says how long to wait for a slot.
+func (p *handshakePool) tryAdd(conn *net.TCPConn) (*handshake.Connection, time.Duration) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	added, evicted, wait := p.pool.Add(p.clock(), conn)
+	if evicted != nil {
+		c := evicted.Conn.(*net.TCPConn)
+		if evicted.AwaitsAnswer() {
+			_, _ = c.Write(p.busyAnswer) // the first bytes on it, or after a PONG: this never blocks
 		}
+		_ = c.Close()
 	}
+	return added, wait
 }
 
-// leave lets a guest go; false if it had to give way before.
-func (l *handshakePool) remove(g *handshake.Connection) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if !l.pool.Remove(g) {
+// remove takes a connection out; false: it was evicted before.
+func (p *handshakePool) remove(connection *handshake.Connection) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if !p.pool.Remove(connection) {
 		return false
 	}
 	select {
-	case l.slotFreed <- struct{}{}:
+	case p.slotFreed <- struct{}{}:
 	default:
 	}
 	return true
 }
 
-// readOff takes in what a client still sends after its last line: closing over
-// unread bytes would reset the connection and take that line with it, and every
-// answer before it that the system still holds back for want of the client's
-// acknowledgements. Whoever never stops sending costs the core no more than so
-// many bytes: it is held up, looked at now and then, and cut off in the end.
-func (l *handshakePool) discardInput(g *handshake.Connection) {
-	l.mu.Lock()
-	l.pool.MarkAnswered(g)
-	l.mu.Unlock()
-	c := g.Conn.(*net.TCPConn)
-	end := time.Now().Add(handshake.LingerTimeout)
-	_ = c.SetReadDeadline(end)
-	_, err := io.CopyN(io.Discard, c, handshake.MaxLingerBytes)
-	for look := make([]byte, 512); err == nil && time.Now().Before(end); _, err = c.Read(look) {
-		time.Sleep(handshake.LingerTimeout / 16)
+// discardInput reads what a client still sends after its last line. Closing over unread bytes would reset the
+// connection and lose that line, and every answer before it that the client has not acknowledged. A client that never
+// stops sending is read slowly after MaxLingerBytes and cut off at LingerTimeout.
+func (p *handshakePool) discardInput(connection *handshake.Connection) {
+	p.mu.Lock()
+	p.pool.MarkAnswered(connection)
+	p.mu.Unlock()
+	conn := connection.Conn.(*net.TCPConn)
+	deadline := time.Now().Add(handshake.LingerTimeout)
+	_ = conn.SetReadDeadline(deadline)
+	_, err := io.CopyN(io.Discard, conn, handshake.MaxLingerBytes)
+	buffer := make([]byte, lingerReadBytes)
+	for err == nil && time.Now().Before(deadline) {
+		time.Sleep(lingerReadInterval)
+		_, err = conn.Read(buffer)
 	}
 }
 
-func (l *handshakePool) size() int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.pool.Len()
+// size returns how many connections the pool holds.
+func (p *handshakePool) size() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.pool.Len()
 }
 
-// farewell changes what one that gives way is told.
-func (l *handshakePool) setBusyAnswer(line string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.busyAnswer = []byte(line)
+// setBusyAnswer changes the answer to connections that are evicted.
+func (p *handshakePool) setBusyAnswer(answer string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.busyAnswer = []byte(answer)
 }
 
-// resize changes the budget.
-func (l *handshakePool) resize(room int) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.pool.Resize(room)
+// resize changes how many connections the pool holds.
+func (p *handshakePool) resize(size int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.pool.Resize(size)
 }
 
-// empty tells all guests that this relay is not to be had any more.
-func (l *handshakePool) closeAll() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, g := range l.pool.RemoveAll() {
-		c := g.Conn.(*net.TCPConn)
-		if g.AwaitsAnswer() {
-			_ = c.SetWriteDeadline(time.Now().Add(handshake.LingerTimeout))
-			_, _ = c.Write(l.busyAnswer)
+// closeAll answers BUSY to all connections and ends our side of them.
+func (p *handshakePool) closeAll() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, connection := range p.pool.RemoveAll() {
+		conn := connection.Conn.(*net.TCPConn)
+		if connection.AwaitsAnswer() {
+			_ = conn.SetWriteDeadline(time.Now().Add(handshake.LingerTimeout))
+			_, _ = conn.Write(p.busyAnswer)
 		}
-		_ = c.CloseWrite()
+		_ = conn.CloseWrite()
 	}
 }
--- a/internal/relay/healthcheck.go
+++ b/internal/relay/healthcheck.go
@@ -1,7 +1,3 @@
-// This file drives probes on sockets: connections to backends on which PING or
-// STATS goes out and the answer is read, as the machine says. It must never hold
-// up the loop.
-
 package relay
 
 import (
@@ -23,153 +19,172 @@
 	"aspenbarrow/internal/upstream"
 )
 
+// errStaleConnection means that an idle connection has ended or holds an answer that nobody asked for.
+var errStaleConnection = errors.New("a kept connection that has ended, or holds what nobody asked for")
+
+// healthChecker sends PING or STATS to backends and reads their answers.
 type healthChecker struct {
 	relay   *Relay
 	mu      sync.Mutex
 	checker *healthcheck.Checker
 }
 
+// healthCheckConn is a connection to a backend, which may be kept for the next check.
 type healthCheckConn struct {
 	net.Conn
 	reader *textproto.Reader
-	used   bool // a question has been asked on it
+	used   bool // a request has been sent on it
 }
 
-// quiet says whether nothing has come on an idle connection, its end included. It does not wait.
+// isIdle says whether nothing has come on a kept connection, its end included. It does not block.
 func (c *healthCheckConn) isIdle() bool {
 	raw, err := c.Conn.(*net.TCPConn).SyscallConn()
 	if err != nil || c.reader.R.Buffered() > 0 {
 		return false
 	}
 	var b [1]byte
-	got := error(nil)
+	var readError error
 	err = raw.Read(func(fd uintptr) bool {
-		_, got = syscall.Read(int(fd), b[:])
+		_, readError = syscall.Read(int(fd), b[:])
 		return true
 	})
-	return err == nil && errors.Is(got, syscall.EAGAIN)
+	return err == nil && errors.Is(readError, syscall.EAGAIN)
 }
 
-func newHealthChecker(r *Relay, atOnce int) *healthChecker {
-	return &healthChecker{relay: r, checker: healthcheck.New(r.settings.Load(), atOnce)}
+func newHealthChecker(r *Relay, concurrency int) *healthChecker {
+	return &healthChecker{relay: r, checker: healthcheck.New(r.settings.Load(), concurrency)}
 }
 
-// start probes a backend in the background; the module hears one answer.
-func (p *healthChecker) start(b *upstream.Backend) {
+// start checks a backend in the background and posts one result.
+func (h *healthChecker) start(b *upstream.Backend) {
 	go func() {
-		rep := p.checkRecovering(b)
-		p.relay.log.Debug("probed", zap.String("backend", b.Name), zap.Uint8("status", uint8(rep.Status)),
-			zap.Duration("latency", rep.Latency), zap.Float32s("load", rep.Load))
-		p.relay.post(func(now time.Duration) { p.relay.controller.HealthCheckDone(now, rep) })
+		result := h.checkRecovering(b)
+		h.relay.log.Debug("probed", zap.String("backend", b.Name), zap.Uint8("status", uint8(result.Status)),
+			zap.Duration("latency", result.Latency), zap.Float32s("load", result.Load))
+		h.relay.post(func(now time.Duration) { h.relay.controller.HealthCheckDone(now, result) })
 	}()
 }
 
-// guarded stops a panic at this one probe, which then counts as failed.
-func (p *healthChecker) checkRecovering(b *upstream.Backend) (rep balance.HealthCheckResult) {
+// checkRecovering ends a panic at this one check, which then counts as failed.
+func (h *healthChecker) checkRecovering(b *upstream.Backend) (result balance.HealthCheckResult) {
 	defer func() {
-		if v := recover(); v != nil {
-			p.relay.log.Error("panic in a probe", zap.Any("panic", v), zap.ByteString("stack", debug.Stack()))
-			rep = balance.HealthCheckResult{Backend: b.ID, Status: balance.StatusError}
+		if p := recover(); p != nil {
+			h.relay.log.Error("panic in a probe", zap.Any("panic", p), zap.ByteString("stack", debug.Stack()))
+			result = balance.HealthCheckResult{Backend: b.ID, Status: balance.StatusError}
 		}
 	}()
-	return p.check(b)
+	return h.check(b)
 }
 
-// locked takes one step of the machine.
-func (p *healthChecker) step(take func(now time.Duration) healthcheck.Step) healthcheck.Step {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return take(p.relay.now())
+// step takes one step of the state machine.
+func (h *healthChecker) step(take func(now time.Duration) healthcheck.Step) healthcheck.Step {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return take(h.relay.now())
 }
 
-func (p *healthChecker) check(b *upstream.Backend) balance.HealthCheckResult {
-	var pr *healthcheck.Check
-	step := p.step(func(now time.Duration) (s healthcheck.Step) {
-		pr, s = p.checker.Start(now, b)
-		return s
+// check runs one health check to its result.
+func (h *healthChecker) check(b *upstream.Backend) balance.HealthCheckResult {
+	var check *healthcheck.Check
+	step := h.step(func(now time.Duration) (first healthcheck.Step) {
+		check, first = h.checker.Start(now, b)
+		return first
 	})
 	for {
-		for _, c := range step.Close {
-			_ = c.(*healthCheckConn).Close()
+		for _, conn := range step.Close {
+			_ = conn.(*healthCheckConn).Close()
 		}
-		if k := step.Keep; k != nil {
-			time.AfterFunc(p.checker.IdleTimeout(), func() { p.expireIdle(k) })
+		if idle := step.Keep; idle != nil {
+			time.AfterFunc(h.checker.IdleTimeout(), func() { h.expireIdle(idle) })
 		}
 		switch {
 		case step.Done:
-			return pr.Result
+			return check.Result
 		case step.Dial:
-			d := net.Dialer{Timeout: p.relay.settings.Load().DialTimeout, KeepAlive: -1}
-			conn, err := d.Dial("tcp", pr.Address)
-			step = p.step(func(now time.Duration) healthcheck.Step {
-				if err != nil {
-					return pr.DialFailed(now)
-				}
-				return pr.Connected(now, &healthCheckConn{Conn: conn, reader: textproto.NewReader(bufio.NewReader(conn))})
-			})
+			step = h.dial(check)
 		default:
-			answer, err := p.exchange(step.Send.(*healthCheckConn), p.relay.deadlineTime(pr.Deadline))
-			step = p.step(func(now time.Duration) healthcheck.Step {
-				if err != nil {
-					return pr.ConnectionEnded(now, isTimeout(err))
-				}
-				return pr.ReadAnswer(now, answer)
-			})
+			step = h.request(check, step.Send.(*healthCheckConn))
 		}
 	}
 }
 
-var errStaleConnection = errors.New("a kept connection that has ended, or holds what nobody asked for")
+// dial connects to the backend of a check.
+func (h *healthChecker) dial(check *healthcheck.Check) healthcheck.Step {
+	dialer := net.Dialer{Timeout: h.relay.settings.Load().DialTimeout, KeepAlive: -1}
+	conn, err := dialer.Dial("tcp", check.Address)
+	return h.step(func(now time.Duration) healthcheck.Step {
+		if err != nil {
+			return check.DialFailed(now)
+		}
+		return check.Connected(now, &healthCheckConn{Conn: conn, reader: textproto.NewReader(bufio.NewReader(conn))})
+	})
+}
+
+// request sends the request of a check and reads the answer.
+func (h *healthChecker) request(check *healthcheck.Check, conn *healthCheckConn) healthcheck.Step {
+	answer, err := h.exchange(conn, h.relay.deadlineTime(check.Deadline))
+	return h.step(func(now time.Duration) healthcheck.Step {
+		if err != nil {
+			return check.ConnectionEnded(now, isTimeout(err))
+		}
+		return check.ReadAnswer(now, answer)
+	})
+}
 
-// exchange asks once. A kept connection is looked at first: on one that its backend has closed the question would be
-// asked for nothing, and what came on one unasked would be taken for this question's answer, and this one's for the next.
-func (p *healthChecker) exchange(c *healthCheckConn, deadline time.Time) (string, error) {
-	if err := c.SetDeadline(deadline); err != nil {
+// exchange sends one request and reads one line. A kept connection is looked at first: on one that the backend has
+// closed the request would be lost, and bytes that came unasked would be taken for this request's answer, and its
+// answer for the next one's.
+func (h *healthChecker) exchange(conn *healthCheckConn, deadline time.Time) (string, error) {
+	if err := conn.SetDeadline(deadline); err != nil {
 		return "", err
 	}
-	if c.used && !c.isIdle() {
+	if conn.used && !conn.isIdle() {
 		return "", errStaleConnection
 	}
-	c.used = true
-	if _, err := io.WriteString(c, p.checker.RequestLine()); err != nil {
+	conn.used = true
+	if _, err := io.WriteString(conn, h.checker.RequestLine()); err != nil {
 		return "", err
 	}
-	return c.reader.ReadLine()
+	return conn.reader.ReadLine()
 }
 
-func (p *healthChecker) expireIdle(k *healthcheck.IdleConnection) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.checker.ExpireIdle(k) {
-		_ = k.Conn.(*healthCheckConn).Close()
+// expireIdle closes a kept connection that has not been used in time.
+func (h *healthChecker) expireIdle(idle *healthcheck.IdleConnection) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if h.checker.ExpireIdle(idle) {
+		_ = idle.Conn.(*healthCheckConn).Close()
 	}
 }
 
 // release closes the kept connection to a backend.
-func (p *healthChecker) release(id balance.BackendID) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if c := p.checker.DropIdle(id); c != nil {
-		_ = c.(*healthCheckConn).Close()
+func (h *healthChecker) release(id balance.BackendID) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if conn := h.checker.DropIdle(id); conn != nil {
+		_ = conn.(*healthCheckConn).Close()
 	}
 }
 
-func (p *healthChecker) closeAll() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for _, c := range p.checker.DropAllIdle() {
-		_ = c.(*healthCheckConn).Close()
+// closeAll closes all kept connections.
+func (h *healthChecker) closeAll() {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for _, conn := range h.checker.DropAllIdle() {
+		_ = conn.(*healthCheckConn).Close()
 	}
 }
 
-func (p *healthChecker) setSettings(s *settings.Settings) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.checker.SetSettings(s)
+// setSettings applies the settings in force.
+func (h *healthChecker) setSettings(s *settings.Settings) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.checker.SetSettings(s)
 }
 
-func (p *healthChecker) resize(room int) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.checker.Resize(room)
+// resize changes how many checks may run at once.
+func (h *healthChecker) resize(concurrency int) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.checker.Resize(concurrency)
 }
--- a/internal/relay/peers.go
+++ b/internal/relay/peers.go
@@ -1,6 +1,3 @@
-// This file drives the datagrams between relays. It must never wait for a peer or
-// read more than the limit; who is heard is the Node's to say.
-
 package relay
 
 import (
@@ -14,34 +11,39 @@
 	"aspenbarrow/internal/controller"
 )
 
+// datagramQueueLength is how many datagrams may wait to be sent; more are lost, as datagrams may be.
+const datagramQueueLength = 64
+
+// datagram is a message to a peer.
 type datagram struct {
 	address string
 	data    []byte
 }
 
+// peerSocket exchanges datagrams with the other relays. The controller decides whose are heard.
 type peerSocket struct {
 	relay  *Relay
-	listen string // empty: nobody is told or heard
+	listen string // empty: no datagrams
 	outbox chan datagram
-	conn   net.PacketConn // perhaps of the process before this one
-	resume chan struct{}  // this process is to hear, now or again
+	conn   net.PacketConn // nil until run, unless taken over from the predecessor
+	resume chan struct{}  // tells receive to begin, or to go on
 }
 
 func newPeerSocket(cfg Config, r *Relay) *peerSocket {
-	p := &peerSocket{relay: r, outbox: make(chan datagram, 64), resume: make(chan struct{}, 1)}
+	p := &peerSocket{relay: r, outbox: make(chan datagram, datagramQueueLength), resume: make(chan struct{}, 1)}
 	if r.settings.Load().Gossip {
 		p.listen = cfg.PeerListen
 	}
 	return p
 }
 
-// tell queues a datagram; with the queue full it is lost, as datagrams may be.
-func (p *peerSocket) queue(to string, data []byte) {
+// queue queues a datagram; a full queue drops it.
+func (p *peerSocket) queue(address string, data []byte) {
 	if p.listen == "" {
 		return
 	}
 	select {
-	case p.outbox <- datagram{to, data}:
+	case p.outbox <- datagram{address, data}:
 	default:
 	}
 }
@@ -53,7 +55,7 @@
 	}
 	if p.conn == nil {
 		lc := net.ListenConfig{}
-		if p.relay.adminServer != nil { // a next process may open it as well
+		if p.relay.adminServer != nil { // a successor may open it as well
 			lc = listenShared(p.relay.log)
 		}
 		conn, err := lc.ListenPacket(ctx, "udp", p.listen)
@@ -74,16 +76,16 @@
 	return nil
 }
 
-// hear begins to take datagrams in. A process that takes over leaves them to the old one until then.
+// startReceiving begins to receive datagrams. Until then a successor leaves them to its predecessor.
 func (p *peerSocket) startReceiving() { p.setPaused(false) }
 
-// park leaves datagrams to another process that has the same socket, or takes them again.
+// setPaused leaves datagrams to another process that shares the socket, or receives them again.
 func (p *peerSocket) setPaused(on bool) {
 	if p.conn == nil {
 		return
 	}
 	if on {
-		_ = p.conn.SetReadDeadline(time.Unix(1, 0))
+		_ = p.conn.SetReadDeadline(expired)
 		return
 	}
 	_ = p.conn.SetReadDeadline(time.Time{})
@@ -93,18 +95,19 @@
 	}
 }
 
-// socket is what datagrams come by; nil: nothing.
+// packetConn returns the socket; nil: there is none.
 func (p *peerSocket) packetConn() net.PacketConn { return p.conn }
 
+// send sends the queued datagrams until ctx is done.
 func (p *peerSocket) send(ctx context.Context, conn net.PacketConn) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case d := <-p.outbox:
-			addr, err := net.ResolveUDPAddr("udp", d.address)
+			address, err := net.ResolveUDPAddr("udp", d.address)
 			if err == nil {
-				_, err = conn.WriteTo(d.data, addr)
+				_, err = conn.WriteTo(d.data, address)
 			}
 			if err != nil {
 				p.relay.log.Warn("datagram not sent", zap.Error(err))
@@ -113,14 +116,15 @@
 	}
 }
 
+// receive posts datagrams until the socket is closed. Those over the limit are dropped.
 func (p *peerSocket) receive(ctx context.Context, conn net.PacketConn) {
-	buf := make([]byte, controller.MaxDatagram+1)
+	buffer := make([]byte, controller.MaxDatagram+1)
 	for {
-		n, addr, err := conn.ReadFrom(buf)
+		n, source, err := conn.ReadFrom(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if isTimeout(err) { // parked
+		if isTimeout(err) { // paused
 			select {
 			case <-p.resume:
 			case <-ctx.Done():
@@ -128,11 +132,11 @@
 			}
 			continue
 		}
-		u, ok := addr.(*net.UDPAddr)
+		udpSource, ok := source.(*net.UDPAddr)
 		if err != nil || !ok || n > controller.MaxDatagram {
 			continue
 		}
-		from, data := u.AddrPort(), append([]byte(nil), buf[:n]...)
+		from, data := udpSource.AddrPort(), append([]byte(nil), buffer[:n]...)
 		p.relay.post(func(now time.Duration) { p.relay.controller.DatagramReceived(now, from, data) })
 	}
 }
--- /dev/null
+++ b/internal/relay/successor.go
@@ -0,0 +1,249 @@
+package relay
+
+import (
+	"encoding/binary"
+	"fmt"
+	"net"
+	"os"
+	"sync"
+	"time"
+
+	"go.uber.org/zap"
+	"golang.org/x/sys/unix"
+
+	"aspenbarrow/internal/controller"
+)
+
+// descriptorsPerSession are those of a client's connection and its backend's.
+const descriptorsPerSession = 2
+
+// successorListener waits for the next process of this relay.
+type successorListener struct {
+	relay    *Relay
+	path     string
+	mu       sync.Mutex
+	listener *net.UnixListener // nil: not open yet
+	closed   bool
+}
+
+// listenForSuccessor opens the hot restart socket; nil: this relay has none.
+func (r *Relay) listenForSuccessor() *successorListener {
+	cfg := &r.initialConfig
+	if cfg.Management == "" || cfg.Scratch == "" {
+		return nil
+	}
+	s, err := newSuccessorListener(cfg, r)
+	if err != nil {
+		r.log.Warn("a next process will find nothing to take over", zap.Error(err))
+		return nil
+	}
+	return s
+}
+
+// newSuccessorListener opens the hot restart socket in place of one that an earlier process has left.
+func newSuccessorListener(cfg *Config, r *Relay) (*successorListener, error) {
+	s := &successorListener{relay: r, path: hotRestartPath(cfg)}
+	return s, s.open()
+}
+
+// open replaces the socket, by a rename, with one of this process.
+func (s *successorListener) open() error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.closed {
+		return net.ErrClosed
+	}
+	if s.listener != nil {
+		_ = s.listener.Close()
+	}
+	temporary := fmt.Sprintf("%s.%d", s.path, os.Getpid())
+	_ = os.Remove(temporary)
+	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: temporary, Net: "unix"})
+	if err != nil {
+		return err
+	}
+	l.SetUnlinkOnClose(false) // by then the path may be the successor's
+	if err := os.Rename(temporary, s.path); err != nil {
+		_ = l.Close()
+		return err
+	}
+	s.listener = l
+	return nil
+}
+
+// serve hands over to a successor, and to another one if that ends first. The path was the successor's by then, so the
+// socket is opened anew.
+func (s *successorListener) serve() {
+	for {
+		conn, err := s.listener.AcceptUnix()
+		if err != nil {
+			return
+		}
+		if err := s.handOver(newProcessLink(conn)); err != nil {
+			s.relay.log.Warn("nothing is handed over", zap.Error(err))
+		}
+		_ = conn.Close()
+		if err := s.open(); err != nil {
+			return
+		}
+	}
+}
+
+// close closes the socket for good.
+func (s *successorListener) close() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.closed = true; s.listener != nil {
+		_ = s.listener.Close()
+	}
+}
+
+// handOver sends the sockets and the state, and then lets the successor accept for as long as it lives.
+func (s *successorListener) handOver(l *processLink) error {
+	if err := checkSameUser(l.conn); err != nil {
+		return err
+	}
+	document, err := s.relay.exportState()
+	if err != nil {
+		return err
+	}
+	fds, release, err := s.relay.sharedDescriptors()
+	defer release()
+	if err != nil {
+		return err
+	}
+	if err := sendState(l, fds, document); err != nil {
+		return err
+	}
+	s.relay.log.Info("handed over to the next process", zap.Int("bytes", len(document)))
+	s.relay.followSuccessor(l)
+	return nil
+}
+
+// exportState has the event loop export the state document.
+func (r *Relay) exportState() ([]byte, error) {
+	type export struct {
+		document []byte
+		err      error
+	}
+	exported := make(chan export, 1)
+	go r.post(func(now time.Duration) {
+		document, err := r.controller.ExportState(now)
+		exported <- export{document, err}
+	})
+	select {
+	case e := <-exported:
+		return e.document, e.err
+	case <-time.After(exportTimeout):
+		return nil, errEventLoopBusy
+	}
+}
+
+// sendState sends the shared sockets and the state document.
+func sendState(l *processLink, fds []int, document []byte) error {
+	header := binary.BigEndian.AppendUint32([]byte(handOverMagic), uint32(len(document)))
+	_ = l.conn.SetWriteDeadline(time.Now().Add(exportTimeout))
+	if _, _, err := l.conn.WriteMsgUnix(header, unix.UnixRights(fds...), nil); err != nil {
+		return err
+	}
+	_, err := l.conn.Write(document)
+	return err
+}
+
+// followSuccessor reads the successor's lines until it ends, and accepts again after that.
+func (r *Relay) followSuccessor(l *processLink) {
+	r.processLinks.add(l)
+	defer r.processLinks.remove(l)
+	ended := make(chan struct{})
+	defer close(ended)
+	defer r.successorEnded()
+	for {
+		line, err := l.readLine()
+		if err != nil {
+			return
+		}
+		if line == lineServing && !r.controller.SetReplaced(true) {
+			r.pauseAccepting(true)
+			go r.reportToSuccessor(l, ended)
+			continue
+		}
+		r.applyDrainLine(line)
+	}
+}
+
+// successorEnded accepts connections again, also while this process shuts down: no other one does.
+func (r *Relay) successorEnded() {
+	select {
+	case <-r.stopped: // it is this process that has ended
+		return
+	default:
+	}
+	if r.controller.SetReplaced(false) {
+		r.log.Warn("the next process has ended, this one takes who comes again")
+		r.pauseAccepting(false)
+	}
+}
+
+// sharedDescriptors returns those of the sockets that the successor shares. They are duplicates; release closes them and
+// is to be called after an error too.
+func (r *Relay) sharedDescriptors() (fds []int, release func(), err error) {
+	var files []*os.File
+	release = func() { closeFiles(files) }
+	f, err := r.listener.File()
+	if err != nil {
+		return nil, release, err
+	}
+	files = append(files, f)
+	if conn, ok := r.peers.packetConn().(*net.UDPConn); ok {
+		if f, err := conn.File(); err == nil {
+			files = append(files, f)
+		}
+	}
+	for _, f := range files {
+		raw, err := f.SyscallConn()
+		if err != nil {
+			return nil, release, err
+		}
+		// Not File.Fd, which would make the socket blocking for both processes.
+		if err := raw.Control(func(fd uintptr) { fds = append(fds, int(fd)) }); err != nil {
+			return nil, release, err
+		}
+	}
+	return fds, release, nil
+}
+
+// reportToSuccessor reports the descriptors and the load of this process until the successor has ended.
+func (r *Relay) reportToSuccessor(l *processLink, ended <-chan struct{}) {
+	ticker := time.NewTicker(reportInterval)
+	defer ticker.Stop()
+	lastReported, exported := -1, make(chan []byte, 1)
+	for {
+		if n := r.descriptorsInUse(); n != lastReported {
+			l.writeLine(fmt.Sprintf("%s %d", lineDescriptors, n))
+			lastReported = n
+		}
+		go r.post(func(time.Duration) {
+			load, _ := r.controller.ExportLoad()
+			exported <- load
+		})
+		select {
+		case load := <-exported:
+			if len(load) > 0 {
+				l.writeLine(lineLoad + " " + string(load))
+			}
+		case <-ended:
+			return
+		}
+		select {
+		case <-ticker.C:
+		case <-ended:
+			return
+		}
+	}
+}
+
+// descriptorsInUse is how many descriptors this process may have in use.
+func (r *Relay) descriptorsInUse() int {
+	return descriptorsPerSession*int(r.sessionCount.Load()) + r.handshakes.size() + controller.ReservedDescriptors +
+		int(r.auxiliaryDescriptors.Load())
+}
