--- a/cmd/aspenbarrow/descriptors_test.go
+++ b/cmd/aspenbarrow/descriptors_test.go
@@ -112,7 +112,7 @@
 	if err := p.ended(); err != nil {
 		t.Errorf("ended with %v", err)
 	}
-	if strings.Contains(p.log.String(), `"msg":"accept"`) || strings.Contains(p.log.String(), "too many open files") {
+	if strings.Contains(p.log.String(), `"msg":"accept failed"`) || strings.Contains(p.log.String(), "too many open files") {
 		t.Error("descriptors ran out")
 	}
 }
--- a/cmd/aspenbarrow/main_test.go
+++ b/cmd/aspenbarrow/main_test.go
@@ -500,7 +500,7 @@
 	c.hear("PONG")
 	held.say("still")
 	held.hear("echo still")
-	if n := strings.Count(p.log.String(), `"msg":"bad input"`); n < 15 {
+	if n := strings.Count(p.log.String(), `"msg":"protocol error from client"`); n < 15 {
 		t.Errorf("%d of 15 logged", n)
 	}
 }
--- a/cmd/aspenbarrow/upgrade_test.go
+++ b/cmd/aspenbarrow/upgrade_test.go
@@ -190,14 +190,14 @@
 		if err := n.ended(); err != nil {
 			t.Fatal(err)
 		}
-		old.logs("the next process has ended, this one takes who comes again", i+1)
+		old.logs("successor process exited, accepting connections again", i+1)
 		l.more(t, 50)
 	}
 	l.ends(t)
 	n := p.next()
 	n.signal(syscall.SIGKILL)
 	_ = n.ended()
-	old.logs("the next process has ended", 4)
+	old.logs("successor process exited", 4)
 	old.up(open("")).say("ping")
 }
 
@@ -224,7 +224,7 @@
 		if err := n.ended(); (err == nil) != (s == syscall.SIGTERM) {
 			t.Fatal(err)
 		}
-		old.logs("the next process has ended, this one takes who comes again", 1)
+		old.logs("successor process exited, accepting connections again", 1)
 		c := old.dial()
 		c.say(open(""))
 		c.hear("UP it")
@@ -280,7 +280,7 @@
 	p := newPair(t, setup{})
 	p.setup.env = append(p.setup.env, "TMPDIR="+filepath.Join(p.folder, "missing"))
 	old := p.next()
-	old.logs("a next process will find nothing to take over", 1)
+	old.logs("hot restart socket unavailable", 1)
 	n := p.next()
 	l := &rush{}
 	l.run(n.addr, 4)
--- a/internal/relay/acceptor.go
+++ b/internal/relay/acceptor.go
@@ -34,7 +34,7 @@
 				return nil
 			}
 		default:
-			r.log.Error("accept", zap.Error(err))
+			r.log.Error("accept failed", zap.Error(err))
 			time.Sleep(acceptRetryDelay)
 		}
 	}
@@ -101,5 +101,5 @@
 
 // logProtocolError logs a client's breach of the protocol.
 func (r *Relay) logProtocolError(conn net.Conn, err error) {
-	r.log.Warn("bad input", zap.Stringer("from", conn.RemoteAddr()), zap.Error(err))
+	r.log.Warn("protocol error from client", zap.Stringer("from", conn.RemoteAddr()), zap.Error(err))
 }
--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -80,7 +80,13 @@
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- r.Run(ctx) }()
-	b.Cleanup(func() { stop(); <-ended; d.Close() })
+	b.Cleanup(func() {
+		stop()
+		if err := <-ended; err != nil {
+			b.Error(err)
+		}
+		d.Close()
+	})
 	n := 0
 	buf := make([]byte, 64)
 	return func() net.Conn {
--- a/internal/relay/crossings_test.go
+++ b/internal/relay/crossings_test.go
@@ -394,7 +394,12 @@
 			ctx, cancel := context.WithCancel(context.Background())
 			ended := make(chan error, 1)
 			go func() { ended <- r.Run(ctx) }()
-			t.Cleanup(func() { cancel(); <-ended })
+			t.Cleanup(func() {
+				cancel()
+				if err := <-ended; err != nil {
+					t.Error(err)
+				}
+			})
 			servesNext(t, r, b, 999)
 		})
 	}
@@ -408,7 +413,7 @@
 		t.Fatal(err)
 	}
 	f := os.NewFile(uintptr(fd), "listener")
-	defer f.Close()
+	defer func() { _ = f.Close() }() // of the duplicate; the listener stays
 	if err := unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -141,7 +141,7 @@
 		update = client.HandleFailure(isTimeout(err))
 	}
 	if err != nil {
-		d.relay.log.Warn("discovery does not answer, the last list stays", zap.String("agent", client.Address),
+		d.relay.log.Warn("discovery request failed, keeping the last endpoint list", zap.String("agent", client.Address),
 			zap.Bool("whole", request.FullList), zap.Error(err))
 	}
 	if update.Changed {
--- a/internal/relay/driver.go
+++ b/internal/relay/driver.go
@@ -24,7 +24,7 @@
 	select {
 	case s.commands <- command:
 	default:
-		d.log.Error("a flow does not take its orders", zap.Uint64("flow", id))
+		d.log.Error("session command queue full", zap.Uint64("flow", id))
 	}
 }
 
--- a/internal/relay/forward.go
+++ b/internal/relay/forward.go
@@ -15,7 +15,7 @@
 	defer s.readers.Done()
 	defer func() {
 		if p := recover(); p != nil {
-			s.relay.log.Error("panic in a flow", zap.Any("panic", p), zap.ByteString("stack", debug.Stack()))
+			s.relay.log.Error("panic in session", zap.Any("panic", p), zap.ByteString("stack", debug.Stack()))
 			s.closeConnections(s.state.ClientEnded(session.EndReset))
 		}
 	}()
@@ -118,7 +118,7 @@
 // terminate ends both connections.
 func (s *clientSession) terminate(backend *bufferedConn, termination session.Termination) {
 	if termination.BackendSilent {
-		s.relay.log.Warn("backend silent, client moved", zap.Stringer("backend", backend.conn.RemoteAddr()))
+		s.relay.log.Warn("backend silent, client migrated", zap.Stringer("backend", backend.conn.RemoteAddr()))
 	}
 	switch {
 	case termination.CloseClient:
@@ -157,7 +157,7 @@
 		}
 		n, event, err := s.state.FromBackend(b)
 		if err != nil {
-			s.relay.log.Warn("backend broke the protocol", zap.Error(err))
+			s.relay.log.Warn("protocol error from backend", zap.Error(err))
 			return s.state.BackendEnded(session.EndReset)
 		}
 		if n == 0 {
--- a/internal/relay/healthcheck.go
+++ b/internal/relay/healthcheck.go
@@ -59,7 +59,7 @@
 func (h *healthChecker) start(b *upstream.Backend) {
 	go func() {
 		result := h.checkRecovering(b)
-		h.relay.log.Debug("probed", zap.String("backend", b.Name), zap.Uint8("status", uint8(result.Status)),
+		h.relay.log.Debug("health check finished", zap.String("backend", b.Name), zap.Uint8("status", uint8(result.Status)),
 			zap.Duration("latency", result.Latency), zap.Float32s("load", result.Load))
 		h.relay.post(func(now time.Duration) { h.relay.controller.HealthCheckDone(now, result) })
 	}()
@@ -69,7 +69,7 @@
 func (h *healthChecker) checkRecovering(b *upstream.Backend) (result balance.HealthCheckResult) {
 	defer func() {
 		if p := recover(); p != nil {
-			h.relay.log.Error("panic in a probe", zap.Any("panic", p), zap.ByteString("stack", debug.Stack()))
+			h.relay.log.Error("panic in health check", zap.Any("panic", p), zap.ByteString("stack", debug.Stack()))
 			result = balance.HealthCheckResult{Backend: b.ID, Status: balance.StatusError}
 		}
 	}()
--- a/internal/relay/hotrestart.go
+++ b/internal/relay/hotrestart.go
@@ -70,7 +70,7 @@
 			optionError = err
 		}
 		if optionError != nil {
-			log.Warn("address cannot be shared with a next process", zap.Error(optionError))
+			log.Warn("setting SO_REUSEPORT failed", zap.Error(optionError))
 		}
 		return nil
 	}}
--- a/internal/relay/peers.go
+++ b/internal/relay/peers.go
@@ -110,7 +110,7 @@
 				_, err = conn.WriteTo(d.data, address)
 			}
 			if err != nil {
-				p.relay.log.Warn("datagram not sent", zap.Error(err))
+				p.relay.log.Warn("sending datagram failed", zap.Error(err))
 			}
 		}
 	}
--- a/internal/relay/predecessor.go
+++ b/internal/relay/predecessor.go
@@ -51,14 +51,14 @@
 	conn, err := net.DialTimeout("unix", hotRestartPath(cfg), predecessorDialTimeout)
 	if err != nil {
 		if !errors.Is(err, os.ErrNotExist) && !errors.Is(err, unix.ECONNREFUSED) { // no process, or one that was killed
-			log.Warn("nothing is taken over", zap.Error(err))
+			log.Warn("hot restart: takeover failed", zap.Error(err))
 		}
 		return nil
 	}
 	p, err := receiveHandOver(newProcessLink(conn.(*net.UnixConn)), cfg)
 	if err != nil {
 		_ = conn.Close()
-		log.Warn("nothing is taken over", zap.Error(err))
+		log.Warn("hot restart: takeover failed", zap.Error(err))
 		return nil
 	}
 	return p
@@ -180,7 +180,7 @@
 // restoreFrom takes the state and the peers' socket over.
 func (r *Relay) restoreFrom(p *predecessor) {
 	if err := r.controller.RestoreState(r.now(), p.stateDocument); err != nil {
-		r.log.Warn("nothing is taken over", zap.Error(err))
+		r.log.Warn("hot restart: takeover failed", zap.Error(err))
 	}
 	if p.peerConn == nil {
 		return
@@ -212,7 +212,7 @@
 		line, err := p.readLine()
 		if err != nil {
 			_ = p.conn.Close()
-			r.log.Info("the old process has ended")
+			r.log.Info("predecessor process exited")
 			r.post(func(now time.Duration) {
 				r.controller.SetOtherProcessDescriptors(now, 0)
 				_ = r.controller.ImportLoad(now, nil)
@@ -233,7 +233,7 @@
 	case lineLoad:
 		r.post(func(now time.Duration) {
 			if err := r.controller.ImportLoad(now, []byte(rest)); err != nil {
-				r.log.Warn("what the old process sees cannot be read", zap.Error(err))
+				r.log.Warn("load report of predecessor process is malformed", zap.Error(err))
 			}
 		})
 	default:
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -195,7 +195,7 @@
 	}
 	go r.discovery.run(background)
 	if err := r.peers.run(background); err != nil {
-		r.log.Error("peers cannot be heard", zap.Error(err))
+		r.log.Error("peer socket unavailable", zap.Error(err))
 	}
 	defer r.processLinks.close()
 	acceptEnded := r.startServing(ctx)
--- a/internal/relay/session.go
+++ b/internal/relay/session.go
@@ -66,7 +66,7 @@
 // finish releases what the session holds. It is deferred, and ends a panic here.
 func (s *clientSession) finish(pending *handshake.Connection, admitted *bool) {
 	if p := recover(); p != nil {
-		s.relay.log.Error("panic in a flow", zap.Any("panic", p), zap.ByteString("stack", debug.Stack()))
+		s.relay.log.Error("panic in session", zap.Any("panic", p), zap.ByteString("stack", debug.Stack()))
 		_ = s.client.conn.Close()
 		if s.backend != nil {
 			_ = s.backend.Close()
@@ -101,7 +101,7 @@
 	}
 	if !s.relay.reserveSession() {
 		s.state.Refused()
-		s.relay.log.Warn("turned away: near the limit of descriptors or memory")
+		s.relay.log.Warn("session rejected: descriptor or memory limit reached")
 		s.sendFinalAnswer(s.relay.busyAnswer())
 		s.relay.handshakes.discardInput(pending)
 		return false
@@ -162,7 +162,7 @@
 	clientGone := s.clientGone
 	handleClientGone := func(sentMore bool) {
 		clientGone = nil
-		s.relay.log.Debug("client left while it waited", zap.Bool("spoke", sentMore))
+		s.relay.log.Debug("client disconnected while waiting", zap.Bool("spoke", sentMore))
 		s.perform(s.state.ClientClosed(sentMore))
 	}
 	for s.state.AwaitsCommands() {
@@ -190,7 +190,7 @@
 func (s *clientSession) attemptDone(result *attemptResult) bool {
 	name := result.attempt.Backend.Name
 	if result.failure != nil && result.failure.UnknownAnswer() {
-		s.relay.log.Error("backend answered what the protocol does not know", zap.String("backend", name),
+		s.relay.log.Error("unknown answer from backend", zap.String("backend", name),
 			zap.Error(result.failure))
 	}
 	actions := s.state.AttemptDone(s.relay.now(), result.attempt, result.failure)
@@ -202,7 +202,7 @@
 		_ = result.backend.conn.Close()
 		result.backend.recycle()
 	}
-	s.relay.log.Debug("attempt ended", zap.String("backend", name), zap.Error(result.failure))
+	s.relay.log.Debug("backend attempt ended", zap.String("backend", name), zap.Error(result.failure))
 	s.perform(actions)
 	return false
 }
@@ -240,7 +240,7 @@
 	result := attemptResult{attempt: a}
 	defer func() {
 		if p := recover(); p != nil {
-			s.relay.log.Error("panic in an attempt", zap.Any("panic", p), zap.ByteString("stack", debug.Stack()))
+			s.relay.log.Error("panic in backend attempt", zap.Any("panic", p), zap.ByteString("stack", debug.Stack()))
 			result.failure = a.ConnectionEnded(0, true, fmt.Errorf("panic: %v", p), false)
 		}
 		s.attemptResults <- result
--- a/internal/relay/successor.go
+++ b/internal/relay/successor.go
@@ -34,7 +34,7 @@
 	}
 	s, err := newSuccessorListener(cfg, r)
 	if err != nil {
-		r.log.Warn("a next process will find nothing to take over", zap.Error(err))
+		r.log.Warn("hot restart socket unavailable", zap.Error(err))
 		return nil
 	}
 	return s
@@ -80,7 +80,7 @@
 			return
 		}
 		if err := s.handOver(newProcessLink(conn)); err != nil {
-			s.relay.log.Warn("nothing is handed over", zap.Error(err))
+			s.relay.log.Warn("hot restart: handover failed", zap.Error(err))
 		}
 		_ = conn.Close()
 		if err := s.open(); err != nil {
@@ -115,7 +115,7 @@
 	if err := sendState(l, fds, document); err != nil {
 		return err
 	}
-	s.relay.log.Info("handed over to the next process", zap.Int("bytes", len(document)))
+	s.relay.log.Info("state handed over to successor process", zap.Int("bytes", len(document)))
 	s.relay.followSuccessor(l)
 	return nil
 }
@@ -179,7 +179,7 @@
 	default:
 	}
 	if r.controller.SetReplaced(false) {
-		r.log.Warn("the next process has ended, this one takes who comes again")
+		r.log.Warn("successor process exited, accepting connections again")
 		r.pauseAccepting(false)
 	}
 }
--- a/internal/relay/timing_test.go
+++ b/internal/relay/timing_test.go
@@ -186,7 +186,12 @@
 			ctx, stop := context.WithCancel(context.Background())
 			ended := make(chan error, 1)
 			go func() { ended <- r.Run(ctx) }()
-			t.Cleanup(func() { stop(); <-ended })
+			t.Cleanup(func() {
+				stop()
+				if err := <-ended; err != nil {
+					t.Error(err)
+				}
+			})
 			s.earn(t, r)
 			conn, err := net.Dial("tcp", r.Addr().String())
 			if err != nil {
@@ -232,7 +237,12 @@
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- r.Run(ctx) }()
-	defer func() { stop(); <-ended }()
+	defer func() {
+		stop()
+		if err := <-ended; err != nil {
+			t.Error(err)
+		}
+	}()
 	s.earn(t, r)
 	ask := func(id int) net.Conn {
 		conn, err := net.Dial("tcp", r.Addr().String())
