--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -14,9 +14,9 @@
 	"aspenbarrow/internal/fake"
 )
 
-// lean is a backend that costs little beside the relay that is measured: one that echoes what comes after
+// newBenchBackend starts a backend that costs little beside the relay that is measured: one that echoes what comes after
 // its OPEN line, or (with idle) answers UP and holds the connection without a goroutine.
-func lean(b *testing.B, idle bool) string {
+func newBenchBackend(b *testing.B, idle bool) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
@@ -63,14 +63,14 @@
 	return l.Addr().String()
 }
 
-// measured starts a relay before one lean backend and returns a way to open connections through it.
-func measured(b *testing.B, idle bool) func() net.Conn {
-	entry := fake.Endpoint{ID: "s-0", Addr: lean(b, idle), Zone: "east", State: "ready", Weight: 1}
+// newBenchDialer starts a relay with one such backend and returns a function that opens connections through it.
+func newBenchDialer(b *testing.B, idle bool) func() net.Conn {
+	entry := fake.Endpoint{ID: "s-0", Addr: newBenchBackend(b, idle), Zone: "east", State: "ready", Weight: 1}
 	var d fake.Discovery
 	if err := d.Listen("127.0.0.1:0", entry); err != nil {
 		b.Fatal(err)
 	}
-	cfg := config(d.Addr(), entry)
+	cfg := testConfig(d.Addr(), entry)
 	cfg.MemoryMB, cfg.Sockets = 0, 0
 	cfg.Settings.HealthChecks, cfg.Settings.PassThrough, cfg.PeerListen = false, false, ""
 	r, err := New(cfg, zap.NewNop())
@@ -103,18 +103,18 @@
 	}
 }
 
-// One connection after the other: opened through the relay, answered and closed.
-func BenchmarkOpenings(b *testing.B) {
-	open := measured(b, false)
+// BenchmarkRelay_OpenSession measures one connection after the other: opened through the relay, answered and closed.
+func BenchmarkRelay_OpenSession(b *testing.B) {
+	open := newBenchDialer(b, false)
 	b.ReportAllocs()
 	for b.Loop() {
 		_ = open().Close()
 	}
 }
 
-// Lines on a standing connection, there and back.
-func BenchmarkStandingLines(b *testing.B) {
-	c := measured(b, false)()
+// BenchmarkSession_ForwardLine measures lines on an established connection, there and back.
+func BenchmarkSession_ForwardLine(b *testing.B) {
+	c := newBenchDialer(b, false)()
 	defer c.Close()
 	line, buf := []byte("line 00000000000000000000000000000000\r\n"), make([]byte, 64)
 	b.ReportAllocs()
@@ -128,10 +128,10 @@
 	}
 }
 
-// What a standing connection costs in heap and stacks, the client's and the backend's sockets included. Only
+// BenchmarkSession_Memory measures what an established connection costs in heap and stacks, the client's and the backend's sockets included. Only
 // a first round tells (-benchtime 1x): a later one finds what the one before is still letting go.
-func BenchmarkStandingMemory(b *testing.B) {
-	open := measured(b, true)
+func BenchmarkSession_Memory(b *testing.B) {
+	open := newBenchDialer(b, true)
 	const many = 1000
 	used := func() (heap, stack uint64) {
 		runtime.GC()
--- a/internal/relay/timing_test.go
+++ b/internal/relay/timing_test.go
@@ -17,17 +17,17 @@
 	"aspenbarrow/internal/fake"
 )
 
-// stage is backends that answer by a script, whichever of them is asked, and notes in which order OPEN lines came
-// and connections ended.
-type stage struct {
+// scriptedBackends answer by one script, whichever of them is asked, and record the order in which OPEN lines came and
+// connections ended.
+type scriptedBackends struct {
 	mu      sync.Mutex
 	script  []string // for each OPEN in turn; empty: no answer
-	seen    []string // "open" and "end"
+	events  []string // "open" and "end"
 	entries []fake.Endpoint
 }
 
-func newStage(t *testing.T, n int, script ...string) *stage {
-	s := &stage{script: script}
+func newScriptedBackends(t *testing.T, n int, script ...string) *scriptedBackends {
+	s := &scriptedBackends{script: script}
 	for i := range n {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -48,16 +48,16 @@
 	return s
 }
 
-func (s *stage) serve(c net.Conn) {
+func (s *scriptedBackends) serve(c net.Conn) {
 	defer c.Close()
 	in := bufio.NewReader(c)
 	if l, err := in.ReadString('\n'); err != nil || !strings.HasPrefix(l, "OPEN ") {
 		return
 	}
 	s.mu.Lock()
-	s.seen = append(s.seen, "open")
+	s.events = append(s.events, "open")
 	answer := ""
-	if n := len(s.opens()); n <= len(s.script) {
+	if n := len(s.openEvents()); n <= len(s.script) {
 		answer = s.script[n-1]
 	}
 	s.mu.Unlock()
@@ -69,23 +69,24 @@
 	}
 	_, _ = in.ReadByte()
 	s.mu.Lock()
-	s.seen = append(s.seen, "end")
+	s.events = append(s.events, "end")
 	s.mu.Unlock()
 }
 
-// opens wants the lock held.
-func (s *stage) opens() []string {
-	return slices.DeleteFunc(slices.Clone(s.seen), func(e string) bool { return e != "open" })
+// openEvents returns the OPEN lines so far. The caller holds the lock.
+func (s *scriptedBackends) openEvents() []string {
+	return slices.DeleteFunc(slices.Clone(s.events), func(e string) bool { return e != "open" })
 }
 
-func (s *stage) order() string {
+// eventOrder returns what has happened so far.
+func (s *scriptedBackends) eventOrder() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return strings.Join(s.seen, " ")
+	return strings.Join(s.events, " ")
 }
 
-// earn has a relay serve some requests, which earn it the budget for further attempts; then the script begins.
-func (s *stage) earn(t *testing.T, r *Relay) {
+// earnRetryBudget has a relay serve some requests, which earn it the budget for retries; then the script begins.
+func (s *scriptedBackends) earnRetryBudget(t *testing.T, r *Relay) {
 	t.Helper()
 	const many = 8
 	s.mu.Lock()
@@ -97,20 +98,21 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		_ = conn.SetDeadline(time.Now().Add(patience))
+		_ = conn.SetDeadline(time.Now().Add(testTimeout))
 		fmt.Fprintf(conn, "OPEN %016x 05%014x c=safe,d=3000\r\n", 1000+i, i)
 		if l, err := bufio.NewReader(conn).ReadString('\n'); err != nil || !strings.HasPrefix(l, "UP") {
 			t.Fatalf("%q, %v", l, err)
 		}
 		_ = conn.Close()
 	}
-	until(t, "all have ended", func() bool { return strings.Count(s.order(), "end") == many })
+	eventually(t, "all have ended", func() bool { return strings.Count(s.eventOrder(), "end") == many })
 	s.mu.Lock()
-	s.seen, s.script = nil, script
+	s.events, s.script = nil, script
 	s.mu.Unlock()
 }
 
-const timed = `[relay]
+// timingConfig is a configuration file with classes and routes of different timing.
+const timingConfig = `[relay]
 listen = "127.0.0.1:0"
 [discovery]
 address = "127.0.0.1:9"
@@ -150,9 +152,8 @@
 total = "250ms"
 `
 
-// A good file behaves as written, class by class and route by route, before backends that answer late, never or
-// with errors.
-func TestAFilesTimingIsKeptOnSockets(t *testing.T) {
+// Every class and route keeps the timing of its file with backends that answer late, never or with errors.
+func TestRelay_RouteTimingFromFile(t *testing.T) {
 	for _, tc := range []struct {
 		name, class, key string
 		script           []string
@@ -173,11 +174,11 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			c, err := conf.Parse("timed.toml", []byte(timed), func(string) string { return "" }, false)
+			c, err := conf.Parse("timed.toml", []byte(timingConfig), func(string) string { return "" }, false)
 			if err != nil {
 				t.Fatal(err)
 			}
-			s := newStage(t, 6, tc.script...)
+			s := newScriptedBackends(t, 6, tc.script...)
 			c.Relay.Known = fake.EncodeList(1, s.entries)
 			r, err := New(c.Relay, zap.NewNop())
 			if err != nil {
@@ -192,13 +193,13 @@
 					t.Error(err)
 				}
 			})
-			s.earn(t, r)
+			s.earnRetryBudget(t, r)
 			conn, err := net.Dial("tcp", r.Addr().String())
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer conn.Close()
-			_ = conn.SetDeadline(time.Now().Add(patience))
+			_ = conn.SetDeadline(time.Now().Add(testTimeout))
 			began := time.Now()
 			fmt.Fprintf(conn, "OPEN 0000000000000001 %s00000000000000 c=%s,d=3000\r\n", tc.key, tc.class)
 			line, err := bufio.NewReader(conn).ReadString('\n')
@@ -208,10 +209,10 @@
 			}
 			// In which order two connections' goroutines notice is chance; that attempts never overlap is held byte by
 			// byte in the seeded worlds.
-			until(t, "the backends saw "+tc.order, func() bool {
-				return strings.Count(s.order(), "end") >= strings.Count(tc.order, "end")
+			eventually(t, "the backends saw "+tc.order, func() bool {
+				return strings.Count(s.eventOrder(), "end") >= strings.Count(tc.order, "end")
 			})
-			if got, want := strings.Count(s.order(), "open"), strings.Count(tc.order, "open"); got != want {
+			if got, want := strings.Count(s.eventOrder(), "open"), strings.Count(tc.order, "open"); got != want {
 				t.Errorf("%d attempts, wanted %d", got, want)
 			}
 		})
@@ -219,7 +220,7 @@
 }
 
 // A reload to other routes leaves open requests the timing that they began with; the next request has the new one.
-func TestOpenRequestsKeepTheTimingThatTheyBeganWith(t *testing.T) {
+func TestRelay_ReloadKeepsTimingOfOpenRequests(t *testing.T) {
 	parse := func(text string) Config {
 		c, err := conf.Parse("timed.toml", []byte(text), func(string) string { return "" }, false)
 		if err != nil {
@@ -227,8 +228,8 @@
 		}
 		return c.Relay
 	}
-	s := newStage(t, 6, "", "ERR", "", "UP b", "ERR", "UP never")
-	cfg := parse(timed)
+	s := newScriptedBackends(t, 6, "", "ERR", "", "UP b", "ERR", "UP never")
+	cfg := parse(timingConfig)
 	cfg.Known = fake.EncodeList(1, s.entries)
 	r, err := New(cfg, zap.NewNop())
 	if err != nil {
@@ -243,13 +244,13 @@
 			t.Error(err)
 		}
 	}()
-	s.earn(t, r)
+	s.earnRetryBudget(t, r)
 	ask := func(id int) net.Conn {
 		conn, err := net.Dial("tcp", r.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		_ = conn.SetDeadline(time.Now().Add(patience))
+		_ = conn.SetDeadline(time.Now().Add(testTimeout))
 		fmt.Fprintf(conn, "OPEN %016x 0100000000000000 c=safe,d=3000\r\n", id)
 		return conn
 	}
@@ -263,19 +264,19 @@
 	// The first attempt is silent for 200 ms, the second fails at once, the third is silent again: by the old routes
 	// that was the last.
 	first := ask(1)
-	until(t, "an attempt is out", func() bool { return strings.Contains(s.order(), "open") })
-	next := strings.Replace(timed, "attempts = 3", "attempts = 1", 1) // fewer, and one route is gone
+	eventually(t, "an attempt is out", func() bool { return strings.Contains(s.eventOrder(), "open") })
+	next := strings.Replace(timingConfig, "attempts = 3", "attempts = 1", 1) // fewer, and one route is gone
 	i, j := strings.Index(next, "[[route]]\nname = \"second\""), strings.Index(next, "[[route]]\nname = \"paused\"")
 	if err := r.Reload(parse(next[:i] + next[j:])); err != nil {
 		t.Fatal(err)
 	}
 	hear(first, "BUSY")
-	if n := strings.Count(s.order(), "open"); n != 3 {
+	if n := strings.Count(s.eventOrder(), "open"); n != 3 {
 		t.Errorf("%d attempts by the timing that allowed three", n)
 	}
 	hear(ask(2), "UP b")
 	hear(ask(3), "BUSY") // one attempt, which fails
-	if n := strings.Count(s.order(), "open"); n != 5 {
+	if n := strings.Count(s.eventOrder(), "open"); n != 5 {
 		t.Errorf("%d attempts in all", n)
 	}
 }
