--- a/cmd/aspenbarrow/versions_test.go
+++ b/cmd/aspenbarrow/versions_test.go
@@ -230,8 +230,8 @@
 
 var (
 	takenOver  = regexp.MustCompile(`"msg":"(?:taken over from the old process|state restored from predecessor process)",.*"backends":(\d+),"drained":(true|false)`)
-	handedOver = regexp.MustCompile(`"msg":"handed over to the [^"]*"`)
-	notOver    = regexp.MustCompile(`"msg":"nothing is (taken|handed) over"`)
+	handedOver = regexp.MustCompile(`"msg":"(?:handed over to the next process|state handed over to successor process)"`)
+	notOver    = regexp.MustCompile(`"msg":"(?:nothing is (?:taken|handed) over|hot restart: (?:takeover|handover) failed)"`)
 )
 
 // succeeded waits for a process's ready answer at its second address: that it serves or that it is drained, as its
--- /dev/null
+++ b/internal/relay/hotrestart.go
@@ -0,0 +1,192 @@
+package relay
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"hash/fnv"
+	"io"
+	"net"
+	"os"
+	"path/filepath"
+	"sync"
+	"syscall"
+	"time"
+
+	"go.uber.org/zap"
+	"golang.org/x/sys/unix"
+
+	"aspenbarrow/internal/hotrestart"
+)
+
+// A process hands its listening sockets and its state to its successor over a Unix socket in RuntimeDir. First comes
+// one message with the sockets' descriptors, handOverMagic, the length of the state document as four bytes in network
+// order, and the document; then lines in both directions until one process ends. All of this is between processes of
+// different versions and must stay as it is.
+const (
+	handOverMagic     = "abO1" // the format of the first message
+	handOverSizeBytes = 4      // of the length after handOverMagic
+	maxHandOverFiles  = 2      // the listener and the peers' socket
+
+	lineServing     = "SERVING" // successor to predecessor: it accepts connections from now on
+	lineDescriptors = "HELD"    // predecessor to successor: the number of descriptors it still uses
+	lineLoad        = "SEEN"    // predecessor to successor: the load of its remaining sessions
+	lineDrain       = "DRAIN"   // both ways: drained at the admin endpoint
+	lineUndrain     = "UNDRAIN" // both ways: the end of the drain
+)
+
+const (
+	// handOverTimeout bounds the whole hand-over; after it the successor starts without a predecessor.
+	handOverTimeout = time.Second
+
+	// predecessorDialTimeout leaves most of handOverTimeout for the state.
+	predecessorDialTimeout = handOverTimeout / 4
+
+	// exportTimeout is how long the event loop may take to export the state, and sending it as long again.
+	exportTimeout = handOverTimeout / 2
+
+	// reportInterval is how often the predecessor reports its descriptors and its load.
+	reportInterval = 100 * time.Millisecond
+)
+
+// Reasons for which nothing is handed over, and the successor starts like a fresh process.
+var (
+	errDifferentUser     = errors.New("the other process belongs to another user")
+	errUnknownFormat     = errors.New("the old process hands over what this one does not know")
+	errDifferentAddress  = errors.New("the old process listens at another address")
+	errIncompleteMessage = errors.New("the old process has not sent all")
+	errEventLoopBusy     = errors.New("the event loop has no time")
+	errLineTooLong       = errors.New("line too long")
+)
+
+// listenShared returns a configuration for a socket that another process of this relay may open as well.
+func listenShared(log *zap.Logger) net.ListenConfig {
+	return net.ListenConfig{Control: func(_, _ string, conn syscall.RawConn) error {
+		var optionError error
+		err := conn.Control(func(fd uintptr) {
+			optionError = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
+		})
+		if err != nil {
+			optionError = err
+		}
+		if optionError != nil {
+			log.Warn("setting SO_REUSEPORT failed", zap.Error(optionError))
+		}
+		return nil
+	}}
+}
+
+// processLink is the connection between a predecessor and its successor.
+type processLink struct {
+	conn   *net.UnixConn
+	reader *bufio.Reader
+	mu     sync.Mutex // held while a line is written
+}
+
+func newProcessLink(conn *net.UnixConn) *processLink {
+	return &processLink{conn: conn, reader: bufio.NewReader(conn)}
+}
+
+// writeLine sends a line. An error is left to readLine, which then fails as well.
+func (l *processLink) writeLine(line string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	_ = l.conn.SetWriteDeadline(time.Now().Add(handOverTimeout))
+	_, _ = io.WriteString(l.conn, line+"\n")
+}
+
+// readLine reads a line of up to hotrestart.MaxDocumentBytes.
+func (l *processLink) readLine() (string, error) {
+	var line []byte
+	for {
+		part, err := l.reader.ReadSlice('\n')
+		line = append(line, part...)
+		switch {
+		case err == nil:
+			return string(line[:len(line)-1]), nil
+		case !errors.Is(err, bufio.ErrBufferFull):
+			return "", err
+		case len(line) > hotrestart.MaxDocumentBytes:
+			return "", fmt.Errorf("%w: over %d bytes", errLineTooLong, hotrestart.MaxDocumentBytes)
+		}
+	}
+}
+
+// processLinks are the links to the predecessor and the successor.
+type processLinks struct {
+	mu  sync.Mutex
+	all []*processLink
+}
+
+// add adds a link.
+func (s *processLinks) add(l *processLink) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.all = append(s.all, l)
+}
+
+// remove removes a link.
+func (s *processLinks) remove(l *processLink) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for i := range s.all {
+		if s.all[i] == l {
+			s.all = append(s.all[:i], s.all[i+1:]...)
+			return
+		}
+	}
+}
+
+// broadcast sends a line to all links without waiting.
+func (s *processLinks) broadcast(line string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, l := range s.all {
+		go l.writeLine(line)
+	}
+}
+
+// close closes all links.
+func (s *processLinks) close() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, l := range s.all {
+		_ = l.conn.Close()
+	}
+}
+
+// applyDrainLine applies a drain that was requested of the other process.
+func (r *Relay) applyDrainLine(line string) {
+	if line == lineDrain || line == lineUndrain {
+		r.setDrained(line == lineDrain)
+	}
+}
+
+// hotRestartPath is the socket at which a successor finds its predecessor.
+func hotRestartPath(cfg *Config) string {
+	h := fnv.New32a()
+	_, _ = io.WriteString(h, cfg.Listen+" "+cfg.Name)
+	return filepath.Join(cfg.RuntimeDir, fmt.Sprintf("aspenbarrow-%08x.sock", h.Sum32()))
+}
+
+// checkSameUser refuses a process of another user.
+func checkSameUser(conn *net.UnixConn) error {
+	raw, err := conn.SyscallConn()
+	if err != nil {
+		return err
+	}
+	var peer *unix.Ucred
+	controlError := raw.Control(func(fd uintptr) {
+		peer, err = unix.GetsockoptUcred(int(fd), unix.SOL_SOCKET, unix.SO_PEERCRED)
+	})
+	if controlError != nil {
+		return controlError
+	}
+	if err != nil {
+		return err
+	}
+	if int(peer.Uid) != os.Getuid() {
+		return fmt.Errorf("%w: %d", errDifferentUser, peer.Uid)
+	}
+	return nil
+}
--- a/internal/relay/peers.go
+++ b/internal/relay/peers.go
@@ -1,6 +1,3 @@
-// This file drives the datagrams between relays. It must never wait for a peer or
-// read more than the limit; who is heard is the Node's to say.
-
 package relay
 
 import (
@@ -14,46 +11,51 @@
 	"aspenbarrow/internal/controller"
 )
 
+// datagramQueueLength is how many datagrams may wait to be sent; more are lost, as datagrams may be.
+const datagramQueueLength = 64
+
+// datagram is a message to a peer.
 type datagram struct {
-	to   string
-	data []byte
+	address string
+	data    []byte
 }
 
-type peers struct {
+// peerSocket exchanges datagrams with the other relays. The controller decides whose are heard.
+type peerSocket struct {
 	relay  *Relay
-	listen string // empty: nobody is told or heard
-	out    chan datagram
-	conn   net.PacketConn // perhaps of the process before this one
-	heard  chan struct{}  // this process is to hear, now or again
+	listen string // empty: no datagrams
+	outbox chan datagram
+	conn   net.PacketConn // nil until run, unless taken over from the predecessor
+	resume chan struct{}  // tells receive to begin, or to go on
 }
 
-func newPeers(cfg Config, r *Relay) *peers {
-	p := &peers{relay: r, out: make(chan datagram, 64), heard: make(chan struct{}, 1)}
+func newPeerSocket(cfg Config, r *Relay) *peerSocket {
+	p := &peerSocket{relay: r, outbox: make(chan datagram, datagramQueueLength), resume: make(chan struct{}, 1)}
 	if r.settings.Load().Gossip {
 		p.listen = cfg.PeerListen
 	}
 	return p
 }
 
-// tell queues a datagram; with the queue full it is lost, as datagrams may be.
-func (p *peers) tell(to string, data []byte) {
+// queue queues a datagram; a full queue drops it.
+func (p *peerSocket) queue(address string, data []byte) {
 	if p.listen == "" {
 		return
 	}
 	select {
-	case p.out <- datagram{to, data}:
+	case p.outbox <- datagram{address, data}:
 	default:
 	}
 }
 
 // run opens the socket and serves it in the background until ctx is done.
-func (p *peers) run(ctx context.Context) error {
+func (p *peerSocket) run(ctx context.Context) error {
 	if p.listen == "" {
 		return nil
 	}
 	if p.conn == nil {
 		lc := net.ListenConfig{}
-		if p.relay.second != nil { // a next process may open it as well
+		if p.relay.adminServer != nil { // a successor may open it as well
 			lc = listenShared(p.relay.log)
 		}
 		conn, err := lc.ListenPacket(ctx, "udp", p.listen)
@@ -66,7 +68,7 @@
 	go p.send(ctx, p.conn)
 	go func() {
 		select {
-		case <-p.heard:
+		case <-p.resume:
 			p.receive(ctx, p.conn)
 		case <-ctx.Done():
 		}
@@ -74,65 +76,67 @@
 	return nil
 }
 
-// hear begins to take datagrams in. A process that takes over leaves them to the old one until then.
-func (p *peers) hear() { p.park(false) }
+// startReceiving begins to receive datagrams. Until then a successor leaves them to its predecessor.
+func (p *peerSocket) startReceiving() { p.setPaused(false) }
 
-// park leaves datagrams to another process that has the same socket, or takes them again.
-func (p *peers) park(on bool) {
+// setPaused leaves datagrams to another process that shares the socket, or receives them again.
+func (p *peerSocket) setPaused(on bool) {
 	if p.conn == nil {
 		return
 	}
 	if on {
-		_ = p.conn.SetReadDeadline(time.Unix(1, 0))
+		_ = p.conn.SetReadDeadline(expired)
 		return
 	}
 	_ = p.conn.SetReadDeadline(time.Time{})
 	select {
-	case p.heard <- struct{}{}:
+	case p.resume <- struct{}{}:
 	default:
 	}
 }
 
-// socket is what datagrams come by; nil: nothing.
-func (p *peers) socket() net.PacketConn { return p.conn }
+// packetConn returns the socket; nil: there is none.
+func (p *peerSocket) packetConn() net.PacketConn { return p.conn }
 
-func (p *peers) send(ctx context.Context, conn net.PacketConn) {
+// send sends the queued datagrams until ctx is done.
+func (p *peerSocket) send(ctx context.Context, conn net.PacketConn) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case d := <-p.out:
-			addr, err := net.ResolveUDPAddr("udp", d.to)
+		case d := <-p.outbox:
+			address, err := net.ResolveUDPAddr("udp", d.address)
 			if err == nil {
-				_, err = conn.WriteTo(d.data, addr)
+				_, err = conn.WriteTo(d.data, address)
 			}
 			if err != nil {
-				p.relay.log.Warn("datagram not sent", zap.Error(err))
+				p.relay.log.Warn("sending datagram failed", zap.Error(err))
 			}
 		}
 	}
 }
 
-func (p *peers) receive(ctx context.Context, conn net.PacketConn) {
-	buf := make([]byte, controller.MaxDatagramBytes+1)
+// receive posts datagrams until the socket is closed. Those over the limit are dropped.
+func (p *peerSocket) receive(ctx context.Context, conn net.PacketConn) {
+	buffer := make([]byte, controller.MaxDatagramBytes+1)
 	for {
-		n, addr, err := conn.ReadFrom(buf)
+		n, source, err := conn.ReadFrom(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if timedOut(err) { // parked
+		if isTimeout(err) { // paused
 			select {
-			case <-p.heard:
+			case <-p.resume:
 			case <-ctx.Done():
 				return
 			}
 			continue
 		}
-		u, ok := addr.(*net.UDPAddr)
+		udpSource, ok := source.(*net.UDPAddr)
 		if err != nil || !ok || n > controller.MaxDatagramBytes {
 			continue
 		}
-		from, data := u.AddrPort(), append([]byte(nil), buf[:n]...)
-		p.relay.post(func(now time.Duration) { p.relay.node.DatagramReceived(now, from, data) })
+		from, data := udpSource.AddrPort(), append([]byte(nil), buffer[:n]...)
+		p.relay.post(func(now time.Duration) { p.relay.controller.DatagramReceived(now, from, data) })
 	}
 }
--- /dev/null
+++ b/internal/relay/session.go
@@ -0,0 +1,273 @@
+package relay
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"runtime/debug"
+	"sync"
+	"time"
+
+	"go.uber.org/zap"
+
+	"aspenbarrow/internal/handshake"
+	"aspenbarrow/internal/protocol"
+	"aspenbarrow/internal/session"
+)
+
+// attemptResult is the end of an attempt.
+type attemptResult struct {
+	attempt      *session.Attempt
+	backend      *bufferedConn
+	answerLength int // of the UP line, which is first in backend
+	failure      *session.AttemptError
+	established  session.Event
+}
+
+// clientSession drives one client connection and, once established, its backend connection. It reads, feeds the state
+// machine and writes what that says; it answers nothing on its own.
+type clientSession struct {
+	relay    *Relay
+	state    *session.Session
+	client   *bufferedConn
+	commands chan session.Command
+
+	clientGone  chan bool     // the client's end before UP; true: it sent more before its answer
+	established chan struct{} // closed when UP is sent
+	finished    chan struct{} // closed at the end of serve
+	readers     sync.WaitGroup
+
+	cancelAttempt  context.CancelFunc
+	attemptResults chan attemptResult
+
+	mu      sync.Mutex
+	backend *net.TCPConn // set before UP is sent
+}
+
+// serve drives the connection from its first byte to its end.
+func (s *clientSession) serve(pending *handshake.Connection) {
+	admitted := false
+	defer s.relay.connections.Done()
+	defer s.finish(pending, &admitted)
+	if admitted = s.admit(pending); !admitted {
+		return
+	}
+	s.state.Admitted()
+	s.relay.post(func(now time.Duration) { s.relay.sessionOpened(now, s) })
+	s.readers.Add(1)
+	go s.forwardClient()
+	if result := s.awaitAnswer(); result != nil { // awaitAnswer's frame is gone: an established session's stack stays small
+		s.forwardBackend(result)
+	}
+}
+
+// finish releases what the session holds. It is deferred, and ends a panic here.
+func (s *clientSession) finish(pending *handshake.Connection, admitted *bool) {
+	if p := recover(); p != nil {
+		s.relay.log.Error("panic in session", zap.Any("panic", p), zap.ByteString("stack", debug.Stack()))
+		_ = s.client.conn.Close()
+		if s.backend != nil {
+			_ = s.backend.Close()
+		}
+	}
+	close(s.finished)
+	s.state.Ended()
+	if *admitted {
+		_ = s.client.conn.SetReadDeadline(time.Now().Add(session.CloseTimeout))
+		s.readers.Wait()
+	}
+	_ = s.client.conn.Close()
+	s.client.recycle()
+	s.relay.handshakes.remove(pending)
+	if *admitted {
+		s.relay.sessionCount.Add(-1)
+		s.relay.post(func(now time.Duration) { s.relay.sessionClosed(now, s) })
+	}
+}
+
+// admit reads the handshake and counts the session in. A client that is not admitted has had its answer.
+func (s *clientSession) admit(pending *handshake.Connection) bool {
+	opened, err := s.readHandshake()
+	if err != nil {
+		s.relay.logProtocolError(s.client.conn, err)
+		s.sendFinalAnswer(protocol.AnswerFailed)
+		s.relay.handshakes.discardInput(pending)
+		return false
+	}
+	if !opened {
+		return false
+	}
+	if !s.relay.reserveSession() {
+		s.state.Refused()
+		s.relay.log.Warn("session rejected: descriptor or memory limit reached")
+		s.sendFinalAnswer(s.relay.busyAnswer())
+		s.relay.handshakes.discardInput(pending)
+		return false
+	}
+	if !s.relay.handshakes.remove(pending) { // evicted just now
+		s.state.Refused()
+		s.relay.sessionCount.Add(-1)
+		return false
+	}
+	return true
+}
+
+// readHandshake reads up to the OPEN line and answers PING; an error is the client's fault. The deadline was set when
+// the connection was accepted and is not extended by what comes before that line.
+func (s *clientSession) readHandshake() (opened bool, err error) {
+	for seen := 0; ; {
+		b, err := s.client.peekBeyond(seen)
+		if err != nil {
+			return false, s.state.HandshakeEnded(endKind(err), seen)
+		}
+		s.state.SetSettings(s.relay.settings.Load())
+		line, err := s.state.ReadHandshake(s.relay.now(), b, s.relay.controller.Ready())
+		switch {
+		case err != nil:
+			return false, err
+		case line.Opened:
+			_ = s.client.conn.SetDeadline(time.Time{})
+			return true, nil
+		case line.Consumed == 0:
+			seen = len(b)
+			continue
+		}
+		seen = 0
+		s.client.discard(line.Consumed)
+		if _, err := io.WriteString(s.client.conn, line.Reply); err != nil {
+			return false, nil
+		}
+	}
+}
+
+// endKind classifies the error that ended a read.
+func endKind(err error) session.EndKind {
+	switch {
+	case isTimeout(err):
+		return session.EndTimeout
+	case errors.Is(err, io.EOF):
+		return session.EndFIN
+	}
+	return session.EndReset
+}
+
+// awaitAnswer feeds commands and the results of attempts to the state machine until the final answer or UP, whose
+// attempt it returns. Only this goroutine answers the client.
+func (s *clientSession) awaitAnswer() *attemptResult {
+	s.attemptResults = make(chan attemptResult, 1)
+	s.cancelAttempt = func() {}
+	defer func() { s.cancelAttempt() }()
+	clientGone := s.clientGone
+	handleClientGone := func(sentMore bool) {
+		clientGone = nil
+		s.relay.log.Debug("client disconnected while waiting", zap.Bool("spoke", sentMore))
+		s.perform(s.state.ClientClosed(sentMore))
+	}
+	for s.state.AwaitsCommands() {
+		select { // first, since select picks at random: nothing is begun for a client that has left
+		case sentMore := <-clientGone:
+			handleClientGone(sentMore)
+			continue
+		default:
+		}
+		select {
+		case command := <-s.commands:
+			s.perform(s.state.Execute(s.relay.now(), command))
+		case sentMore := <-clientGone:
+			handleClientGone(sentMore)
+		case result := <-s.attemptResults:
+			if s.attemptDone(&result) {
+				return &result
+			}
+		}
+	}
+	return nil
+}
+
+// attemptDone feeds the result of an attempt to the state machine; true: the session is established.
+func (s *clientSession) attemptDone(result *attemptResult) bool {
+	name := result.attempt.Backend.Name
+	if result.failure != nil && result.failure.UnknownAnswer() {
+		s.relay.log.Error("unknown answer from backend", zap.String("backend", name),
+			zap.Error(result.failure))
+	}
+	actions := s.state.AttemptDone(s.relay.now(), result.attempt, result.failure)
+	if actions.Establish {
+		result.established = actions.Event
+		return true
+	}
+	if actions.CloseBackend {
+		_ = result.backend.conn.Close()
+		result.backend.recycle()
+	}
+	s.relay.log.Debug("backend attempt ended", zap.String("backend", name), zap.Error(result.failure))
+	s.perform(actions)
+	return false
+}
+
+// perform carries out the state machine's actions.
+func (s *clientSession) perform(actions session.Actions) {
+	if actions.CancelAttempt {
+		s.cancelAttempt()
+	}
+	if actions.ClientError != nil {
+		s.relay.logProtocolError(s.client.conn, actions.ClientError)
+	}
+	if actions.Answer != "" {
+		s.sendFinalAnswer(actions.Answer)
+	}
+	if actions.Attempt != nil {
+		ctx, cancel := context.WithCancel(context.Background())
+		s.cancelAttempt = cancel
+		go s.runAttempt(ctx, actions.Attempt)
+	}
+	s.postEvent(actions.Event)
+}
+
+// postEvent passes an event to the controller.
+func (s *clientSession) postEvent(event session.Event) {
+	if event.Kind == session.NoEvent {
+		return
+	}
+	captured := event // capturing the parameter would allocate for each line without an event as well
+	s.relay.post(func(now time.Duration) { s.relay.controller.SessionEvent(now, s.state.Seq, captured) })
+}
+
+// runAttempt runs one attempt, repeating the dial where the state machine allows it.
+func (s *clientSession) runAttempt(ctx context.Context, a *session.Attempt) {
+	result := attemptResult{attempt: a}
+	defer func() {
+		if p := recover(); p != nil {
+			s.relay.log.Error("panic in backend attempt", zap.Any("panic", p), zap.ByteString("stack", debug.Stack()))
+			result.failure = a.ConnectionEnded(0, true, fmt.Errorf("panic: %v", p), false)
+		}
+		s.attemptResults <- result
+	}()
+	for {
+		result.backend, result.answerLength, result.failure = s.relay.attempt(ctx, s.client, a)
+		if result.failure == nil {
+			return
+		}
+		delay, ok := a.RetryDelay(s.relay.now(), result.failure)
+		if !ok {
+			return
+		}
+		select {
+		case <-ctx.Done():
+			return
+		case <-time.After(delay):
+		}
+	}
+}
+
+// sendFinalAnswer sends the client's last line and ends our side. What the client still sends is read meanwhile:
+// closing over unread bytes would reset the connection and lose that line.
+func (s *clientSession) sendFinalAnswer(answer string) {
+	conn := s.client.conn
+	_ = conn.SetWriteDeadline(time.Now().Add(session.CloseTimeout))
+	_, _ = io.WriteString(conn, answer)
+	_ = conn.CloseWrite()
+	_ = conn.SetReadDeadline(time.Now().Add(session.CloseTimeout))
+}
