--- a/cmd/aspenbarrow/commands_test.go
+++ b/cmd/aspenbarrow/commands_test.go
@@ -34,7 +34,7 @@
 	return path
 }
 
-func TestCheckTellsAllFaultsOnStandardError(t *testing.T) {
+func TestCheckCommand_ReportsAllProblems(t *testing.T) {
 	good := written(t, "good.toml", example.Config)
 	bad := written(t, "bad.toml", strings.Replace(strings.Replace(example.Config, "max-attempts = 4", "max-atempts = 4", 1),
 		`give-up = "1800ms"`, `give-up = 1800`, 1))
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestShowNamesWhereEachValueCameFrom(t *testing.T) {
+func TestConfigShowCommand_ReportsValueSources(t *testing.T) {
 	t.Setenv("PROXY_NAME", "n7")
 	path := written(t, "a.toml", example.Config)
 	out, _, err := command(t, "config", "show", "--config", path, "--json")
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestExplainAndTheOtherCommands(t *testing.T) {
+func TestCommands_OutputAndUsageErrors(t *testing.T) {
 	path := written(t, "a.toml", example.Config)
 	out, _, err := command(t, "routes", "explain", "--config", path, "--class", "status-watch", "--key", "00000000000000ff")
 	if err != nil || !strings.Contains(out, "class status-watch") || !strings.Contains(out, "second-after     250ms") || !strings.Contains(out, "connect-timeout  100ms") {
--- a/cmd/aspenbarrow/descriptors_test.go
+++ b/cmd/aspenbarrow/descriptors_test.go
@@ -57,7 +57,7 @@
 // Clients that say nothing fill the descriptors while discovery is down, and others ask. The system holds the program to its
 // limit. Nobody who sends a whole OPEN is without an answer, discovery's return is heard within 6 s, no accept fails, and
 // SIGTERM and a smaller limit find it as usual.
-func TestIdleClientsMayFillTheDescriptorsWhileDiscoveryIsDown(t *testing.T) {
+func TestServe_IdleClientsAtDescriptorLimitWhileDiscoveryIsDown(t *testing.T) {
 	ids := 0
 	for _, limit := range []int{64, 256, 1024} {
 		for _, known := range []bool{false, true} {
@@ -192,3 +192,29 @@
 		p.t.Errorf("%s: heard %q, %v", when, got, err)
 	}
 }
+
+func TestServe_RejectsRequestsNearDescriptorLimit(t *testing.T) {
+	p, _, _ := serving(t, setup{sockets: 64}, &fake.Backend{})
+	ups, busy := 0, 0
+	for range 40 {
+		c := p.dial()
+		c.say(open(""))
+		got, err := c.in.ReadString('\n')
+		switch {
+		case err != nil:
+			t.Fatalf("after %d up and %d busy: %v", ups, busy, err)
+		case strings.HasPrefix(got, "UP"):
+			ups++
+		case got == "BUSY 1000\r\n":
+			busy++
+		default:
+			t.Fatalf("heard %q", got)
+		}
+	}
+	if ups < 10 || busy < 10 {
+		t.Errorf("%d up, %d busy", ups, busy)
+	}
+	c := p.dial()
+	c.say("PING")
+	c.hear("PONG")
+}
--- a/cmd/aspenbarrow/upgrade_test.go
+++ b/cmd/aspenbarrow/hotrestart_test.go
@@ -157,7 +157,7 @@
 
 // Ten upgrades in a row while connections open as fast as they can: none is turned back, and each old process exits
 // with 0 once SIGTERM has come.
-func TestUpgradesUnderLoadTurnNobodyBack(t *testing.T) {
+func TestHotRestart_RefusesNoConnectionUnderLoad(t *testing.T) {
 	p := newPair(t, setup{})
 	old := p.next()
 	l := &rush{}
@@ -178,7 +178,7 @@
 }
 
 // A next process that dies before or after it serves leaves the relay as it was: the old one takes who comes again.
-func TestANextProcessThatDiesIsNoHarm(t *testing.T) {
+func TestHotRestart_FailedSuccessorLeavesPredecessorServing(t *testing.T) {
 	p := newPair(t, setup{})
 	old := p.next()
 	l := &rush{}
@@ -203,7 +203,7 @@
 
 // The next process dies, or is told to end itself, while the old one is on its way out: nobody took who came then, and
 // the queue was reset when the old one closed it. The old one takes them again for as long as it is there.
-func TestANextProcessThatDiesWhileTheOldOneLeaves(t *testing.T) {
+func TestHotRestart_SuccessorFailsDuringPredecessorShutdown(t *testing.T) {
 	for _, s := range []syscall.Signal{syscall.SIGKILL, syscall.SIGTERM} {
 		hold := make(chan struct{})
 		b := &fake.Backend{Answer: func(open string) []string {
@@ -242,7 +242,7 @@
 }
 
 // What an old process has left in the folder is no obstacle: killed, it is nobody to take over from.
-func TestLeftoversInTheFolderAreNoObstacle(t *testing.T) {
+func TestHotRestart_IgnoresStaleFiles(t *testing.T) {
 	p := newPair(t, setup{})
 	old := p.next()
 	old.signal(syscall.SIGKILL)
@@ -259,7 +259,7 @@
 
 // A drain told to one of the two processes is told to the relay: both send their clients away, and a yes of either
 // would be one too many.
-func TestADrainIsTheWholeRelays(t *testing.T) {
+func TestHotRestart_DrainAppliesToBothProcesses(t *testing.T) {
 	p := newPair(t, setup{})
 	old := p.next()
 	standing := old.up(open(""))
@@ -276,7 +276,7 @@
 }
 
 // Where the folder cannot hold a socket the relay serves all the same, and the next process shares its address.
-func TestWithoutAMeetingPlaceTheAddressIsShared(t *testing.T) {
+func TestHotRestart_SharesAddressWithoutSocketDirectory(t *testing.T) {
 	p := newPair(t, setup{})
 	p.setup.env = append(p.setup.env, "TMPDIR="+filepath.Join(p.folder, "missing"))
 	old := p.next()
--- a/cmd/aspenbarrow/start_test.go
+++ b/cmd/aspenbarrow/start_test.go
@@ -3,11 +3,13 @@
 import (
 	"bufio"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"net"
 	"net/http"
 	"net/http/httptest"
 	"os"
+	"os/exec"
 	"regexp"
 	"strconv"
 	"strings"
@@ -61,7 +63,7 @@
 
 // Two dozen processes start again at once, each with a thousand servers and peers, whatever discovery and the list that
 // they had are like: nine in ten are ready in time, and nothing at the start waits for the network for good.
-func TestRestartedRelaysAreReadyInTime(t *testing.T) {
+func TestStart_RestartedRelaysBecomeReadyInTime(t *testing.T) {
 	mute, err := net.Listen("tcp", "127.0.0.1:0") // takes calls and answers none
 	if err != nil {
 		t.Fatal(err)
@@ -136,7 +138,7 @@
 
 // A thousand and twenty-four relays and two thousand servers, within the smallest limits of the platform: at a start, on a
 // reload and with a whole list from discovery.
-func TestThousandsOfRelaysAndServersFitTheSmallestLimits(t *testing.T) {
+func TestServe_LargeFleetFitsSmallestLimits(t *testing.T) {
 	var version atomic.Int64 // of discovery's list, which names some servers fewer each time
 	version.Store(2)
 	heard := make(chan int64, 64)
@@ -190,3 +192,31 @@
 	}
 	p.pong(time.Now())
 }
+
+func TestServe_RejectsInvalidConfigurationBeforeListening(t *testing.T) {
+	for name, r := range map[string][2]string{
+		"not JSON":           {`"seed"`, `seed`},
+		"bad seed":           {`8c1f30d27a5be964`, `xyz`},
+		"no deadline":        {`"give-up-ms":2000`, `"gives-up-ms":2000`},
+		"no aim":             {`"on-time-ms":500`, `"on-time-ms":0`},
+		"attempts below one": {`"try-limit":4`, `"try-limit":-4`},
+		"no classes":         {`"classes":[`, `"no-classes":[`},
+		"negative limit":     {`"memory_mb":192`, `"memory_mb":-1`},
+		"no listen address":  {`127.0.0.1:0","m`, `","m`},
+		"bad listen address": {`"listen":"127.0.0.1:0"`, `"listen":"nowhere"`},
+	} {
+		t.Run(name, func(t *testing.T) {
+			if name == "no listen address" {
+				r = [2]string{`"listen":"127.0.0.1:0"`, `"listen":""`}
+			}
+			p := launch(t, setup{discovery: "127.0.0.1:9", replace: r})
+			err := p.ended()
+			if exit := (*exec.ExitError)(nil); !errors.As(err, &exit) || exit.ExitCode() != 1 {
+				t.Errorf("exit: %v", err)
+			}
+			if !strings.HasPrefix(p.log.String(), "aspenbarrow: ") || strings.Contains(p.log.String(), "serving") {
+				t.Errorf("said %q", p.log)
+			}
+		})
+	}
+}
