--- a/cmd/aspenbarrow/codec_test.go
+++ b/cmd/aspenbarrow/codec_test.go
@@ -17,7 +17,7 @@
 var update = flag.Bool("update", false, "write the golden files anew")
 
 // golden holds what was made now to what an earlier version wrote.
-func golden(t *testing.T, name, got string) {
+func checkGolden(t *testing.T, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
 	if *update {
@@ -46,7 +46,7 @@
 }
 
 // goldenFiles lays sound and unsound files into a folder of the test's own.
-func goldenFiles(t *testing.T) string {
+func writeGoldenInputs(t *testing.T) string {
 	t.Helper()
 	every, err := os.ReadFile("../../internal/config/testdata/every.toml")
 	if err != nil {
@@ -69,14 +69,14 @@
 	for _, v := range []string{"PROXY_NAME", "PROXY_LISTEN", "PROXY_DISCOVERY", "PROXY_MANAGEMENT", "PROXY_CONFIG"} {
 		t.Setenv(v, "")
 	}
-	dir := goldenFiles(t)
+	dir := writeGoldenInputs(t)
 	type printed struct{ name, text string }
 	var files []printed
 	t.Run("commands", func(t *testing.T) {
 		t.Chdir(dir)
 		run := func(args ...string) string {
-			out, errs, err := command(t, args...)
-			var u usage
+			out, errs, err := runCommand(t, args...)
+			var u usageError
 			s := out
 			if errs != "" {
 				s += "(on standard error)\n" + errs
@@ -119,7 +119,7 @@
 		files = append(files, printed{"commands.txt", all.String()})
 	})
 	for _, f := range files {
-		golden(t, f.name, f.text)
+		checkGolden(t, f.name, f.text)
 	}
 }
 
@@ -156,5 +156,5 @@
 		}
 		fmt.Fprintf(&out, "%d faults, the first: %v\n", len(fs), fs[0])
 	}
-	golden(t, "sites.txt", out.String())
+	checkGolden(t, "sites.txt", out.String())
 }
--- a/cmd/aspenbarrow/members_test.go
+++ b/cmd/aspenbarrow/command_members_test.go
@@ -9,7 +9,7 @@
 )
 
 // staffAnswers listens as a relay's second address would and answers each call with a text.
-func staffAnswers(t *testing.T, text string) string {
+func startAdminServer(t *testing.T, text string) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -47,9 +47,9 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var out bytes.Buffer
-			c := root()
+			c := newRootCommand()
 			c.SetOut(&out)
-			c.SetArgs(append([]string{"members", "--at", staffAnswers(t, tc.answer)}, tc.args...))
+			c.SetArgs(append([]string{"members", "--at", startAdminServer(t, tc.answer)}, tc.args...))
 			err := c.Execute()
 			if tc.fault != "" && (err == nil || !strings.Contains(err.Error(), tc.fault)) || tc.fault == "" && err != nil {
 				t.Errorf("%v", err)
@@ -59,7 +59,7 @@
 			}
 		})
 	}
-	c := root()
+	c := newRootCommand()
 	c.SetArgs([]string{"members"})
 	if err := c.Execute(); err == nil || !strings.Contains(err.Error(), "--at") {
 		t.Errorf("without an address: %v", err)
--- a/cmd/aspenbarrow/descriptors_test.go
+++ b/cmd/aspenbarrow/descriptors_test.go
@@ -14,38 +14,38 @@
 )
 
 // silence is an agent of discovery that takes calls and answers none, until it is back.
-type silence struct {
-	t    *testing.T
-	addr string
-	l    net.Listener
-	back *fake.Discovery
+type silentDiscovery struct {
+	t        *testing.T
+	address  string
+	listener net.Listener
+	resumed  *fake.Discovery
 }
 
-func newSilence(t *testing.T) *silence {
+func newSilentDiscovery(t *testing.T) *silentDiscovery {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &silence{t: t, addr: l.Addr().String(), l: l}
+	s := &silentDiscovery{t: t, address: l.Addr().String(), listener: l}
 	t.Cleanup(func() { _ = l.Close() })
 	return s
 }
 
 // returns has it speak again, with a list; calls that were taken before stay without an answer.
-func (s *silence) returns(list ...fake.Endpoint) {
+func (s *silentDiscovery) resume(list ...fake.Endpoint) {
 	s.t.Helper()
-	_ = s.l.Close()
-	s.back = &fake.Discovery{}
-	if err := s.back.Listen(s.addr, list...); err != nil {
+	_ = s.listener.Close()
+	s.resumed = &fake.Discovery{}
+	if err := s.resumed.Listen(s.address, list...); err != nil {
 		s.t.Fatal(err)
 	}
-	s.t.Cleanup(s.back.Close)
-	s.back.SetVersion(1000)
+	s.t.Cleanup(s.resumed.Close)
+	s.resumed.SetVersion(1000)
 }
 
 // held is how many descriptors the program has.
-func (p *program) descriptors() int {
+func (p *relayProcess) descriptorCount() int {
 	p.t.Helper()
 	fds, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
 	if err != nil {
@@ -62,7 +62,7 @@
 	for _, limit := range []int{64, 256, 1024} {
 		for _, known := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%d descriptors, a list %v", limit, known), func(t *testing.T) {
-				crowdedWhileDiscoveryIsDown(t, limit, known, &ids)
+				testDescriptorLimitWhileDiscoveryIsDown(t, limit, known, &ids)
 			})
 		}
 	}
@@ -70,46 +70,46 @@
 
 // crowdedWhileDiscoveryIsDown is the test at one limit of descriptors, with or without a list of backends from before.
 // Flow ids go on from ids.
-func crowdedWhileDiscoveryIsDown(t *testing.T, limit int, known bool, ids *int) {
+func testDescriptorLimitWhileDiscoveryIsDown(t *testing.T, limit int, known bool, ids *int) {
 	one, two := &fake.Backend{}, &fake.Backend{}
-	unused, list := backends(t, one, two)
+	unused, list := startBackends(t, one, two)
 	unused.Close()
-	d := newSilence(t)
-	s := setup{discovery: d.addr, sockets: limit, memory: 64}
+	d := newSilentDiscovery(t)
+	s := processOptions{discovery: d.address, sockets: limit, memoryMB: 64}
 	if known { // of one of the two; discovery will say that it is the other
-		s.known = list[:1]
+		s.knownEndpoints = list[:1]
 	}
-	p := crowd{program: start(t, s), t: t, limit: limit, ids: ids}
+	p := crowdedProcess{relayProcess: startProcess(t, s), t: t, limit: limit, lastID: ids}
 	if err := unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: uint64(limit), Max: uint64(limit)}, nil); err != nil {
 		t.Fatal(err)
 	}
-	p.idle(3 * limit)
+	p.dialIdle(3 * limit)
 	var asked []*client
 	for range limit {
-		asked = append(asked, p.asks())
+		asked = append(asked, p.dialOpen())
 	}
-	p.idle(limit)
-	p.staysWithinItsLimit()
+	p.dialIdle(limit)
+	p.checkDescriptors()
 	back := time.Now()
-	d.returns(list[1])
+	d.resume(list[1])
 	if known {
-		p.asksUntilOpenAt(two, back)
+		p.openUntilBackendReached(two, back)
 	}
-	p.answersAll(asked)
+	p.checkAllAnswered(asked)
 	if took := time.Since(back); took > 6*time.Second {
 		t.Errorf("discovery's return was heard of after %v", took)
 	}
-	p.staysWithinItsLimit()
+	p.checkDescriptors()
 	s.sockets = limit / 2
-	p.reload(s)
-	p.logs("configuration reloaded", 1)
-	p.idle(limit)
-	p.answers(p.asks(), "with half of the limit")
+	p.reloadConfig(s)
+	p.waitForLog("configuration reloaded", 1)
+	p.dialIdle(limit)
+	p.checkAnswered(p.dialOpen(), "with half of the limit")
 	if err := p.cmd.Process.Signal(unix.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	p.answers(p.asks(), "after SIGTERM")
-	if err := p.ended(); err != nil {
+	p.checkAnswered(p.dialOpen(), "after SIGTERM")
+	if err := p.waitForExit(); err != nil {
 		t.Errorf("ended with %v", err)
 	}
 	if strings.Contains(p.log.String(), `"msg":"accept"`) || strings.Contains(p.log.String(), "too many open files") {
@@ -118,57 +118,57 @@
 }
 
 // crowd is a program whose clients fill its descriptors.
-type crowd struct {
-	*program
-	t     *testing.T
-	limit int
-	ids   *int
+type crowdedProcess struct {
+	*relayProcess
+	t      *testing.T
+	limit  int
+	lastID *int
 }
 
 // idle dials n clients that say nothing.
-func (p crowd) idle(n int) {
+func (p crowdedProcess) dialIdle(n int) {
 	for range n {
 		p.dial()
 	}
 }
 
 // asks dials a client that sends a whole OPEN.
-func (p crowd) asks() *client {
-	*p.ids++
+func (p crowdedProcess) dialOpen() *client {
+	*p.lastID++
 	c := p.dial()
-	c.say(fmt.Sprintf("OPEN %016x %016x c=chat,d=20000", 1<<20+*p.ids, *p.ids))
+	c.send(fmt.Sprintf("OPEN %016x %016x c=chat,d=20000", 1<<20+*p.lastID, *p.lastID))
 	return c
 }
 
-func (p crowd) staysWithinItsLimit() {
+func (p crowdedProcess) checkDescriptors() {
 	p.t.Helper()
-	if n := p.descriptors(); n > p.limit {
+	if n := p.descriptorCount(); n > p.limit {
 		p.t.Errorf("%d descriptors of %d", n, p.limit)
 	}
 }
 
 // asksUntilOpenAt sends one OPEN after the other, each of which must be answered, until one reached the backend that
 // discovery told of at the time given.
-func (p crowd) asksUntilOpenAt(b *fake.Backend, told time.Time) {
+func (p crowdedProcess) openUntilBackendReached(b *fake.Backend, told time.Time) {
 	p.t.Helper()
 	for len(b.OpenLines()) == 0 {
-		c := p.asks()
-		if got, err := c.in.ReadString('\n'); err != nil {
+		c := p.dialOpen()
+		if got, err := c.reader.ReadString('\n'); err != nil {
 			p.t.Fatalf("an OPEN is without an answer: %q, %v", got, err)
 		}
 		_ = c.Close()
-		if time.Since(told) > patience {
+		if time.Since(told) > testTimeout {
 			p.t.Fatal("discovery's return is not heard of")
 		}
 	}
 }
 
 // answersAll checks that each client hears UP or BUSY, and an eighth of them UP.
-func (p crowd) answersAll(asked []*client) {
+func (p crowdedProcess) checkAllAnswered(asked []*client) {
 	p.t.Helper()
 	ups, busy := 0, 0
 	for i, c := range asked {
-		got, err := c.in.ReadString('\n')
+		got, err := c.reader.ReadString('\n')
 		switch {
 		case err != nil:
 			p.t.Fatalf("OPEN %d of %d is without an answer: %q, %v", i, p.limit, got, err)
@@ -186,20 +186,20 @@
 }
 
 // answers checks that one client hears UP or BUSY.
-func (p crowd) answers(c *client, when string) {
+func (p crowdedProcess) checkAnswered(c *client, when string) {
 	p.t.Helper()
-	if got, err := c.in.ReadString('\n'); err != nil || !strings.HasPrefix(got, "UP") && !strings.HasPrefix(got, "BUSY") {
+	if got, err := c.reader.ReadString('\n'); err != nil || !strings.HasPrefix(got, "UP") && !strings.HasPrefix(got, "BUSY") {
 		p.t.Errorf("%s: heard %q, %v", when, got, err)
 	}
 }
 
 func TestServe_RejectsRequestsNearDescriptorLimit(t *testing.T) {
-	p, _, _ := serving(t, setup{sockets: 64}, &fake.Backend{})
+	p, _, _ := startWithBackends(t, processOptions{sockets: 64}, &fake.Backend{})
 	ups, busy := 0, 0
 	for range 40 {
 		c := p.dial()
-		c.say(open(""))
-		got, err := c.in.ReadString('\n')
+		c.send(openRequest(""))
+		got, err := c.reader.ReadString('\n')
 		switch {
 		case err != nil:
 			t.Fatalf("after %d up and %d busy: %v", ups, busy, err)
@@ -215,6 +215,6 @@
 		t.Errorf("%d up, %d busy", ups, busy)
 	}
 	c := p.dial()
-	c.say("PING")
-	c.hear("PONG")
+	c.send("PING")
+	c.expect("PONG")
 }
--- a/cmd/aspenbarrow/harness_test.go
+++ b/cmd/aspenbarrow/harness_test.go
@@ -31,9 +31,9 @@
 	os.Exit(m.Run())
 }
 
-const patience = 15 * time.Second // far over what anything here takes
+const testTimeout = 15 * time.Second // far over what anything here takes
 
-const settingsText = `{"azs": ["east"], "kinds": ["k"], "n-instances": 1, "me": 0, "tick-ms": 4,
+const settingsTemplate = `{"azs": ["east"], "kinds": ["k"], "n-instances": 1, "me": 0, "tick-ms": 4,
 "classes": [{"name": "chat", "effect": "read_like", "on-time-ms": 500, "give-up-ms": 2000},
  {"name": "order", "effect": "non_idempotent", "on-time-ms": 500, "give-up-ms": 2000}],
 "family-info": {"mode": "MODE", "message-aim-ms": [60, 60], "tells-load": true},
@@ -44,57 +44,57 @@
 "stats": {"how": "on_probe", "fields": ["utilization", "x0"]}, "registry-mode": "pushed", "weights": "nominal"}`
 
 // program is one running relay.
-type program struct {
-	t    *testing.T
-	cmd  *exec.Cmd
-	path string // of its configuration
-	addr string
-	log  *syncBuffer
-	done chan error
+type relayProcess struct {
+	t          *testing.T
+	cmd        *exec.Cmd
+	configPath string // of its configuration
+	address    string
+	log        *logBuffer
+	exited     chan error
 }
 
-type syncBuffer struct {
-	mu sync.Mutex
-	b  bytes.Buffer
+type logBuffer struct {
+	mu     sync.Mutex
+	buffer bytes.Buffer
 }
 
-func (s *syncBuffer) Write(p []byte) (int, error) {
+func (s *logBuffer) Write(p []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.b.Write(p)
+	return s.buffer.Write(p)
 }
 
-func (s *syncBuffer) String() string {
+func (s *logBuffer) String() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.b.String()
+	return s.buffer.String()
 }
 
-type setup struct {
-	discovery string
-	mode      string // of the settings; "proxy" where not said
-	sockets   int
-	known     []fake.Endpoint
-	replace   [2]string // in the configuration's text
-	env       []string  // beyond what names the file
-	memory    int       // MB; 192 where not said
+type processOptions struct {
+	discovery      string
+	mode           string // of the settings; "proxy" where not said
+	sockets        int
+	knownEndpoints []fake.Endpoint
+	replaceText    [2]string // in the configuration's text
+	environment    []string  // beyond what names the file
+	memoryMB       int       // MB; 192 where not said
 
-	program string         // path of another build of the program; the test binary where not said
-	more    map[string]any // keys of the configuration beyond the usual ones, or in place of them
+	executable string         // path of another build of the program; the test binary where not said
+	extraKeys  map[string]any // keys of the configuration beyond the usual ones, or in place of them
 }
 
 // start runs the program and waits until it says where it listens.
-func start(t *testing.T, s setup) *program {
+func startProcess(t *testing.T, s processOptions) *relayProcess {
 	t.Helper()
-	p := launch(t, s)
+	p := launchProcess(t, s)
 	served := regexp.MustCompile(`"msg":"serving".*"address":"([^"]+)"`)
-	for deadline := time.Now().Add(patience); ; {
+	for deadline := time.Now().Add(testTimeout); ; {
 		if m := served.FindStringSubmatch(p.log.String()); m != nil {
-			p.addr = m[1]
+			p.address = m[1]
 			return p
 		}
 		select {
-		case err := <-p.done:
+		case err := <-p.exited:
 			t.Fatalf("the program ended at its start: %v\n%s", err, p.log)
 		case <-time.After(5 * time.Millisecond):
 		}
@@ -105,7 +105,7 @@
 }
 
 // configure writes a configuration.
-func (s setup) configure(t *testing.T, path string) {
+func (s processOptions) writeConfig(t *testing.T, path string) {
 	t.Helper()
 	if s.mode == "" {
 		s.mode = "proxy"
@@ -113,50 +113,50 @@
 	if s.sockets == 0 {
 		s.sockets = 1024
 	}
-	if s.memory == 0 {
-		s.memory = 192
+	if s.memoryMB == 0 {
+		s.memoryMB = 192
 	}
 	config := map[string]any{"name": "n0", "listen": "127.0.0.1:0", "discovery": s.discovery,
-		"seed": "8c1f30d27a5be964", "limits": map[string]any{"cores": 1.0, "memory_mb": s.memory, "sockets": s.sockets},
+		"seed": "8c1f30d27a5be964", "limits": map[string]any{"cores": 1.0, "memory_mb": s.memoryMB, "sockets": s.sockets},
 		"peer_listen": "127.0.0.1:0", "peers": []string{"127.0.0.1:9"}, "peers_all": "127.0.0.1:9",
-		"known":    json.RawMessage(fake.EncodeList(1, s.known)),
-		"settings": json.RawMessage(strings.Replace(settingsText, "MODE", s.mode, 1))}
-	maps.Copy(config, s.more)
+		"known":    json.RawMessage(fake.EncodeList(1, s.knownEndpoints)),
+		"settings": json.RawMessage(strings.Replace(settingsTemplate, "MODE", s.mode, 1))}
+	maps.Copy(config, s.extraKeys)
 	text, err := json.Marshal(config)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.replace[0] != "" {
-		if !bytes.Contains(text, []byte(s.replace[0])) {
-			t.Fatalf("%s is not in the configuration", s.replace[0])
+	if s.replaceText[0] != "" {
+		if !bytes.Contains(text, []byte(s.replaceText[0])) {
+			t.Fatalf("%s is not in the configuration", s.replaceText[0])
 		}
-		text = bytes.Replace(text, []byte(s.replace[0]), []byte(s.replace[1]), 1)
+		text = bytes.Replace(text, []byte(s.replaceText[0]), []byte(s.replaceText[1]), 1)
 	}
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func launch(t *testing.T, s setup) *program {
+func launchProcess(t *testing.T, s processOptions) *relayProcess {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
-	s.configure(t, path)
-	if s.program == "" {
+	s.writeConfig(t, path)
+	if s.executable == "" {
 		self, err := os.Executable()
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.program = self
+		s.executable = self
 	}
-	p := &program{t: t, path: path, cmd: exec.Command(s.program), log: &syncBuffer{}, done: make(chan error, 1)}
+	p := &relayProcess{t: t, configPath: path, cmd: exec.Command(s.executable), log: &logBuffer{}, exited: make(chan error, 1)}
 	p.cmd.Env = append(os.Environ(), "ASPENBARROW_TEST_RUN=1", "PROXY_CONFIG="+path,
 		"PROXY_NAME=", "PROXY_LISTEN=", "PROXY_DISCOVERY=")
-	p.cmd.Env = append(p.cmd.Env, s.env...)
+	p.cmd.Env = append(p.cmd.Env, s.environment...)
 	p.cmd.Stderr = p.log
 	if err := p.cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	go func() { p.done <- p.cmd.Wait() }()
+	go func() { p.exited <- p.cmd.Wait() }()
 	t.Cleanup(func() {
 		_ = p.cmd.Process.Kill()
 		if strings.Contains(p.log.String(), "DATA RACE") || strings.Contains(p.log.String(), `"msg":"panic`) {
@@ -170,26 +170,26 @@
 }
 
 // reload replaces the configuration and tells the program so.
-func (p *program) reload(s setup) {
+func (p *relayProcess) reloadConfig(s processOptions) {
 	p.t.Helper()
-	s.configure(p.t, p.path)
+	s.writeConfig(p.t, p.configPath)
 	if err := p.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		p.t.Fatal(err)
 	}
 }
 
 // logs waits until the program's log holds a text so many times.
-func (p *program) logs(text string, times int) {
+func (p *relayProcess) waitForLog(text string, times int) {
 	p.t.Helper()
-	until(p.t, fmt.Sprintf("%q is logged %d times", text, times), func() bool {
+	waitFor(p.t, fmt.Sprintf("%q is logged %d times", text, times), func() bool {
 		return strings.Count(p.log.String(), text) >= times
 	})
 }
 
 // until waits for a condition.
-func until(t *testing.T, what string, ok func() bool) {
+func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(patience); !ok(); {
+	for deadline := time.Now().Add(testTimeout); !ok(); {
 		if time.Now().After(deadline) {
 			t.Fatalf("never: %s", what)
 		}
@@ -198,12 +198,12 @@
 }
 
 // ended waits for the program's exit.
-func (p *program) ended() error {
+func (p *relayProcess) waitForExit() error {
 	p.t.Helper()
 	select {
-	case err := <-p.done:
+	case err := <-p.exited:
 		return err
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		p.t.Fatal("the program does not end")
 		return nil
 	}
@@ -213,21 +213,21 @@
 type client struct {
 	t *testing.T
 	*net.TCPConn
-	in *bufio.Reader
+	reader *bufio.Reader
 }
 
-func (p *program) dial() *client {
+func (p *relayProcess) dial() *client {
 	p.t.Helper()
-	c, err := net.Dial("tcp", p.addr)
+	c, err := net.Dial("tcp", p.address)
 	if err != nil {
 		p.t.Fatal(err)
 	}
 	p.t.Cleanup(func() { _ = c.Close() })
-	_ = c.SetDeadline(time.Now().Add(patience))
+	_ = c.SetDeadline(time.Now().Add(testTimeout))
 	return &client{p.t, c.(*net.TCPConn), bufio.NewReader(c)}
 }
 
-func (c *client) say(lines ...string) {
+func (c *client) send(lines ...string) {
 	c.t.Helper()
 	for _, l := range lines {
 		if _, err := io.WriteString(c, l+"\r\n"); err != nil {
@@ -236,40 +236,40 @@
 	}
 }
 
-func (c *client) hear(want string) {
+func (c *client) expect(want string) {
 	c.t.Helper()
-	got, err := c.in.ReadString('\n')
+	got, err := c.reader.ReadString('\n')
 	if err != nil || got != want+"\r\n" {
 		c.t.Fatalf("heard %q and %v, want %q", got, err, want)
 	}
 }
 
 // up dials, opens and hears that its connection stands.
-func (p *program) up(line string) *client {
+func (p *relayProcess) openSession(line string) *client {
 	p.t.Helper()
 	c := p.dial()
-	c.say(line)
-	c.hear("UP " + strings.Fields(line)[1])
+	c.send(line)
+	c.expect("UP " + strings.Fields(line)[1])
 	return c
 }
 
 // ends checks that the connection ends cleanly with nothing more on it.
-func (c *client) ends() {
+func (c *client) expectClosed() {
 	c.t.Helper()
-	if rest, err := io.ReadAll(c.in); err != nil || len(rest) != 0 {
+	if rest, err := io.ReadAll(c.reader); err != nil || len(rest) != 0 {
 		c.t.Fatalf("%q and %v before the end", rest, err)
 	}
 }
 
-var lastID = uint64(0x9b1f03aa5c7e0000)
+var lastRequestID = uint64(0x9b1f03aa5c7e0000)
 
-func open(more string) string {
-	lastID++
-	return fmt.Sprintf("OPEN %016x 7f3a9c21e0b4d655 c=chat,d=2000,g=5c0f6e1a2b3d4c59%s", lastID, more)
+func openRequest(more string) string {
+	lastRequestID++
+	return fmt.Sprintf("OPEN %016x 7f3a9c21e0b4d655 c=chat,d=2000,g=5c0f6e1a2b3d4c59%s", lastRequestID, more)
 }
 
 // backends starts fake backends and a discovery that lists them as s-0, s-1, ...
-func backends(t *testing.T, b ...*fake.Backend) (*fake.Discovery, []fake.Endpoint) {
+func startBackends(t *testing.T, b ...*fake.Backend) (*fake.Discovery, []fake.Endpoint) {
 	t.Helper()
 	var list []fake.Endpoint
 	for i := range b {
@@ -292,16 +292,16 @@
 }
 
 // serving starts a relay with backends and waits until it is ready.
-func serving(t *testing.T, s setup, b ...*fake.Backend) (*program, *fake.Discovery, []fake.Endpoint) {
+func startWithBackends(t *testing.T, s processOptions, b ...*fake.Backend) (*relayProcess, *fake.Discovery, []fake.Endpoint) {
 	t.Helper()
-	d, list := backends(t, b...)
-	s.discovery, s.known = d.Addr(), list
-	p := start(t, s)
+	d, list := startBackends(t, b...)
+	s.discovery, s.knownEndpoints = d.Addr(), list
+	p := startProcess(t, s)
 	return p, d, list
 }
 
 // raw starts a backend whose connections, once UP, are the test's, and a relay in front of it.
-func raw(t *testing.T, stands func(c net.Conn, in *bufio.Reader)) *program {
+func startWithRawBackend(t *testing.T, stands func(c net.Conn, in *bufio.Reader)) *relayProcess {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -332,5 +332,5 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(d.Close)
-	return start(t, setup{discovery: d.Addr(), known: []fake.Endpoint{list}})
+	return startProcess(t, processOptions{discovery: d.Addr(), knownEndpoints: []fake.Endpoint{list}})
 }
--- a/cmd/aspenbarrow/input_test.go
+++ b/cmd/aspenbarrow/input_test.go
@@ -19,42 +19,42 @@
 )
 
 func TestServe_AnswersMalformedInputOnce(t *testing.T) {
-	p, _, _ := serving(t, setup{}, &fake.Backend{})
+	p, _, _ := startWithBackends(t, processOptions{}, &fake.Backend{})
 	held := p.dial()
-	first := open("")
-	held.say(first)
-	held.hear("UP " + strings.Fields(first)[1])
+	first := openRequest("")
+	held.send(first)
+	held.expect("UP " + strings.Fields(first)[1])
 	for name, line := range map[string]string{
-		"no protocol": "GET / HTTP/1.1", "unknown class": strings.Replace(open(""), "chat", "cat", 1),
-		"bad number": strings.Replace(open(""), "d=2000", "d=2s", 1), "bad id": "OPEN xyz 7f3a9c21e0b4d655 c=chat,d=2000",
-		"no patience": strings.Replace(open(""), ",d=2000", "", 1), "overlong": strings.Repeat("x", 5000), "duplicate id": first,
-		"exponent": strings.Replace(open(""), "2000", "2e3", 1), "twice": open(",d=2000"), "not pass": open(",mid=1"),
-		"control byte": open(",x=\x07"), "at later": open(",at=s-0"),
-		"bare LF": open("") + "\nPING", "negative patience": strings.Replace(open(""), "2000", "-5", 1), "empty": "",
+		"no protocol": "GET / HTTP/1.1", "unknown class": strings.Replace(openRequest(""), "chat", "cat", 1),
+		"bad number": strings.Replace(openRequest(""), "d=2000", "d=2s", 1), "bad id": "OPEN xyz 7f3a9c21e0b4d655 c=chat,d=2000",
+		"no patience": strings.Replace(openRequest(""), ",d=2000", "", 1), "overlong": strings.Repeat("x", 5000), "duplicate id": first,
+		"exponent": strings.Replace(openRequest(""), "2000", "2e3", 1), "twice": openRequest(",d=2000"), "not pass": openRequest(",mid=1"),
+		"control byte": openRequest(",x=\x07"), "at later": openRequest(",at=s-0"),
+		"bare LF": openRequest("") + "\nPING", "negative patience": strings.Replace(openRequest(""), "2000", "-5", 1), "empty": "",
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := p.dial()
 			c.t = t
-			c.say(line)
-			c.hear("ERR")
-			c.ends()
+			c.send(line)
+			c.expect("ERR")
+			c.expectClosed()
 		})
 	}
 	c := p.dial()
-	c.say("PING")
-	c.hear("PONG")
-	held.say("still")
-	held.hear("echo still")
+	c.send("PING")
+	c.expect("PONG")
+	held.send("still")
+	held.expect("echo still")
 	if n := strings.Count(p.log.String(), `"msg":"bad input"`); n < 15 {
 		t.Errorf("%d of 15 logged", n)
 	}
 }
 
 // turnedAway checks that a bad client hears an error or a close in time, whatever it goes on sending.
-func turnedAway(t *testing.T, c *client, within time.Duration) {
+func expectRejected(t *testing.T, c *client, within time.Duration) {
 	t.Helper()
 	_ = c.SetReadDeadline(time.Now().Add(within))
-	got, err := c.in.ReadString('\n')
+	got, err := c.reader.ReadString('\n')
 	if ne := net.Error(nil); errors.As(err, &ne) && ne.Timeout() {
 		t.Errorf("neither an answer nor a close after %v", within)
 	} else if err == nil && got != "ERR\r\n" && !strings.HasPrefix(got, "BUSY") {
@@ -63,29 +63,29 @@
 }
 
 func TestServe_IdleConnectionsDoNotBlockClients(t *testing.T) {
-	p, _, _ := serving(t, setup{sockets: 256, memory: 32}, &fake.Backend{})
-	held := p.up(open(""))
+	p, _, _ := startWithBackends(t, processOptions{sockets: 256, memoryMB: 32}, &fake.Backend{})
+	held := p.openSession(openRequest(""))
 	var crowd []*client
 	for range 300 {
 		crowd = append(crowd, p.dial())
 	}
 	for range 10 {
 		asked := time.Now()
-		p.up(open(""))
+		p.openSession(openRequest(""))
 		if took := time.Since(asked); took > 1500*time.Millisecond {
 			t.Errorf("a usual client waited for %v", took)
 		}
 	}
 	for _, c := range crowd {
-		turnedAway(t, c, 3*time.Second)
+		expectRejected(t, c, 3*time.Second)
 	}
-	held.say("still")
-	held.hear("echo still")
+	held.send("still")
+	held.expect("echo still")
 }
 
 func TestServe_ClosesConnectionsWithUnboundedInput(t *testing.T) {
-	p, _, _ := serving(t, setup{sockets: 256, memory: 32}, &fake.Backend{})
-	held := p.up(open(""))
+	p, _, _ := startWithBackends(t, processOptions{sockets: 256, memoryMB: 32}, &fake.Backend{})
+	held := p.openSession(openRequest(""))
 	for _, what := range []string{strings.Repeat("k", 64<<10), strings.Repeat("PING\r\n", 8<<10),
 		strings.Repeat("frob 1\r\n", 8<<10), "OPEN " + strings.Repeat("\x00\xff", 32<<10)} {
 		for range 4 { // 60 MB each, at full speed
@@ -99,13 +99,13 @@
 			}()
 			if what[0] == 'P' { // those are answered until they are too many
 				for range 16 {
-					c.hear("PONG")
+					c.expect("PONG")
 				}
 			}
-			turnedAway(t, c, 3*time.Second)
+			expectRejected(t, c, 3*time.Second)
 		}
-		held.say("still")
-		held.hear("echo still")
+		held.send("still")
+		held.expect("echo still")
 	}
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
 	if err != nil {
@@ -120,18 +120,18 @@
 // A client's system that has no room yet for what it was told holds that back at the relay. A relay that closes at once,
 // since the client never stops sending, takes it back.
 func TestServe_DeliversAnswersToClientThatKeepsSending(t *testing.T) {
-	p, _, _ := serving(t, setup{sockets: 256, memory: 32}, &fake.Backend{})
+	p, _, _ := startWithBackends(t, processOptions{sockets: 256, memoryMB: 32}, &fake.Backend{})
 	narrow := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) (err error) {
 		_ = raw.Control(func(fd uintptr) { err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 1) })
 		return err
 	}}
-	conn, err := narrow.Dial("tcp", p.addr)
+	conn, err := narrow.Dial("tcp", p.address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
 	c := &client{t, conn.(*net.TCPConn), bufio.NewReader(conn)}
-	_ = c.SetDeadline(time.Now().Add(patience))
+	_ = c.SetDeadline(time.Now().Add(testTimeout))
 	_ = c.SetWriteDeadline(time.Now().Add(300 * time.Millisecond)) // of the half second that it is owed
 	for err == nil {
 		_, err = io.WriteString(c, strings.Repeat("PING\r\n", 1<<10))
@@ -140,52 +140,52 @@
 		t.Errorf("cut off with %v before it can have heard, not held up", err)
 	}
 	for range 16 {
-		c.hear("PONG")
+		c.expect("PONG")
 	}
-	c.hear("ERR")
-	p.up(open(""))
+	c.expect("ERR")
+	p.openSession(openRequest(""))
 }
 
 func TestServe_RejectsInputBeforeAnswer(t *testing.T) {
 	b := &fake.Backend{Answer: func(open string) []string { return nil }}
-	p, _, _ := serving(t, setup{}, b)
+	p, _, _ := startWithBackends(t, processOptions{}, b)
 	c := p.dial()
-	c.say(open("") + "\r\n" + open("")) // both at once
-	turnedAway(t, c, 3*time.Second)
+	c.send(openRequest("") + "\r\n" + openRequest("")) // both at once
+	expectRejected(t, c, 3*time.Second)
 	if n := len(b.OpenLines()); n != 0 {
 		t.Errorf("%d opens came to a backend", n)
 	}
 	c = p.dial()
-	c.say(open(""))
-	until(t, "the open comes to the backend", func() bool { return len(b.OpenLines()) > 0 })
+	c.send(openRequest(""))
+	waitFor(t, "the open comes to the backend", func() bool { return len(b.OpenLines()) > 0 })
 	asked := time.Now()
-	c.say("more")
-	c.hear("ERR")
+	c.send("more")
+	c.expect("ERR")
 	if took := time.Since(asked); took > time.Second {
 		t.Errorf("turned away after %v", took)
 	}
-	c.ends()
+	c.expectClosed()
 }
 
 func TestServe_AnswersIncompleteCommand(t *testing.T) {
-	p, _, _ := serving(t, setup{}, &fake.Backend{})
+	p, _, _ := startWithBackends(t, processOptions{}, &fake.Backend{})
 	c := p.dial()
 	if _, err := io.WriteString(c, "OPEN 9b1f"); err != nil {
 		t.Fatal(err)
 	}
 	_ = c.CloseWrite()
-	c.hear("ERR")
-	c.ends()
+	c.expect("ERR")
+	c.expectClosed()
 	c = p.dial()
 	if _, err := io.WriteString(c, "OPEN 9b1f"); err != nil {
 		t.Fatal(err)
 	}
-	turnedAway(t, c, 3*time.Second)
+	expectRejected(t, c, 3*time.Second)
 }
 
 // Hundreds come again as soon as they are turned away; usual clients are served all the while.
 func TestServe_FloodOfMalformedInputDoesNotBlockClients(t *testing.T) {
-	p, _, _ := serving(t, setup{sockets: 256, memory: 32}, &fake.Backend{})
+	p, _, _ := startWithBackends(t, processOptions{sockets: 256, memoryMB: 32}, &fake.Backend{})
 	stop := make(chan struct{})
 	var flood sync.WaitGroup
 	for i := range 100 {
@@ -198,11 +198,11 @@
 					return
 				default:
 				}
-				c, err := net.Dial("tcp", p.addr)
+				c, err := net.Dial("tcp", p.address)
 				if err != nil {
 					continue
 				}
-				_ = c.SetDeadline(time.Now().Add(patience))
+				_ = c.SetDeadline(time.Now().Add(testTimeout))
 				_, _ = io.WriteString(c, []string{"frob\r\n", "OPEN 1 2 c=cat,d=1\r\n", "OPEN \x00"}[i%3])
 				_, _ = io.ReadAll(c)
 				_ = c.Close()
@@ -211,7 +211,7 @@
 	}
 	for range 20 {
 		asked := time.Now()
-		p.up(open(""))
+		p.openSession(openRequest(""))
 		if took := time.Since(asked); took > 1500*time.Millisecond {
 			t.Errorf("a usual client waited for %v", took)
 		}
@@ -222,16 +222,16 @@
 
 func TestServe_DuplicateIDDoesNotAffectItsSession(t *testing.T) {
 	b := &fake.Backend{}
-	p, _, _ := serving(t, setup{}, b)
-	line := open("")
-	held := p.up(line)
+	p, _, _ := startWithBackends(t, processOptions{}, b)
+	line := openRequest("")
+	held := p.openSession(line)
 	for range 3 {
 		c := p.dial()
-		c.say(strings.Replace(line, "7f3a9c21e0b4d655", "00000000e0b4d655", 1))
-		c.hear("ERR")
-		c.ends()
-		held.say("still")
-		held.hear("echo still")
+		c.send(strings.Replace(line, "7f3a9c21e0b4d655", "00000000e0b4d655", 1))
+		c.expect("ERR")
+		c.expectClosed()
+		held.send("still")
+		held.expect("echo still")
 	}
 	if n := len(b.OpenLines()); n != 1 {
 		t.Errorf("%d opens came to the backend", n)
--- a/cmd/aspenbarrow/log_keys_test.go
+++ b/cmd/aspenbarrow/log_keys_test.go
@@ -15,7 +15,7 @@
 )
 
 // constant is a string that stands in the source, or * for one that does not.
-func constant(e ast.Expr) string {
+func stringLiteral(e ast.Expr) string {
 	if l, ok := e.(*ast.BasicLit); ok && l.Kind == token.STRING {
 		if s, err := strconv.Unquote(l.Value); err == nil {
 			return s
@@ -25,7 +25,7 @@
 }
 
 // method is a call's last name and the last name of what it is called on, if any.
-func method(c *ast.CallExpr) (on, name string) {
+func calledMethod(c *ast.CallExpr) (on, name string) {
 	s, ok := c.Fun.(*ast.SelectorExpr)
 	if !ok {
 		return "", ""
@@ -40,12 +40,12 @@
 }
 
 // field is the key of a zap field that a call makes; ok says whether it makes one.
-func field(e ast.Expr) (key string, ok bool) {
+func zapFieldKey(e ast.Expr) (key string, ok bool) {
 	c, isCall := e.(*ast.CallExpr)
 	if !isCall {
 		return "", false
 	}
-	on, name := method(c)
+	on, name := calledMethod(c)
 	switch {
 	case on != "zap" || slices.Contains([]string{"New", "NewNop", "NewProductionEncoderConfig"}, name):
 		return "", false
@@ -54,34 +54,34 @@
 	case len(c.Args) == 0:
 		return "*", true
 	}
-	return constant(c.Args[0]), true
+	return stringLiteral(c.Args[0]), true
 }
 
 // logged lists each call of a file that logs: level, message and keys. Fields that are made outside of one stand for themselves.
-func logged(f *ast.File) (lines []string) {
+func logCalls(f *ast.File) (lines []string) {
 	inside := map[ast.Expr]bool{}
 	ast.Inspect(f, func(n ast.Node) bool {
 		c, ok := n.(*ast.CallExpr)
 		if !ok {
 			return true
 		}
-		on, level := method(c)
+		on, level := calledMethod(c)
 		message, fields := "", c.Args
 		switch {
 		case on == "zap" || len(c.Args) == 0:
 			return true
 		case slices.Contains([]string{"Debug", "Info", "Warn", "Error", "DPanic", "Panic", "Fatal"}, level):
-			message, fields = constant(c.Args[0]), c.Args[1:]
-			if !strings.HasPrefix(strings.ToLower(on), "log") && !slices.ContainsFunc(fields, func(e ast.Expr) bool { _, ok := field(e); return ok }) {
+			message, fields = stringLiteral(c.Args[0]), c.Args[1:]
+			if !strings.HasPrefix(strings.ToLower(on), "log") && !slices.ContainsFunc(fields, func(e ast.Expr) bool { _, ok := zapFieldKey(e); return ok }) {
 				return true
 			}
-		case level == "With" && slices.ContainsFunc(fields, func(e ast.Expr) bool { _, ok := field(e); return ok }):
+		case level == "With" && slices.ContainsFunc(fields, func(e ast.Expr) bool { _, ok := zapFieldKey(e); return ok }):
 		default:
 			return true
 		}
 		var keys []string
 		for _, e := range fields {
-			key, ok := field(e)
+			key, ok := zapFieldKey(e)
 			if !ok {
 				key = "*"
 			}
@@ -93,7 +93,7 @@
 	})
 	ast.Inspect(f, func(n ast.Node) bool {
 		if e, ok := n.(ast.Expr); ok && !inside[e] {
-			if key, ok := field(e); ok {
+			if key, ok := zapFieldKey(e); ok {
 				lines = append(lines, "field\t\t"+key)
 			}
 		}
@@ -127,7 +127,7 @@
 		}
 		f, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
 		if err == nil {
-			lines = append(lines, logged(f)...)
+			lines = append(lines, logCalls(f)...)
 		}
 		return err
 	})
--- a/cmd/aspenbarrow/reload_test.go
+++ b/cmd/aspenbarrow/reload_test.go
@@ -14,7 +14,7 @@
 // new one, though its version is lower and the environment still names the old one.
 func TestReload_SwitchesDiscoveryAddressImmediately(t *testing.T) {
 	before, after := &fake.Backend{}, &fake.Backend{}
-	old, list := backends(t, before, after)
+	old, list := startBackends(t, before, after)
 	old.SetVersion(1000)
 	old.SetEndpoints(list[0])
 	fresh := &fake.Discovery{}
@@ -22,16 +22,16 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(fresh.Close)
-	p := start(t, setup{discovery: old.Addr(), known: list[:1], env: []string{"PROXY_DISCOVERY=" + old.Addr()}})
-	held := p.up(open(""))
-	until(t, "the old agent is watched", func() bool { return old.WaitingCalls() > 0 })
+	p := startProcess(t, processOptions{discovery: old.Addr(), knownEndpoints: list[:1], environment: []string{"PROXY_DISCOVERY=" + old.Addr()}})
+	held := p.openSession(openRequest(""))
+	waitFor(t, "the old agent is watched", func() bool { return old.WaitingCalls() > 0 })
 	asked := time.Now()
-	p.reload(setup{discovery: fresh.Addr(), known: list[:1]})
-	held.hear("MOVE") // its backend is not in the new list
+	p.reloadConfig(processOptions{discovery: fresh.Addr(), knownEndpoints: list[:1]})
+	held.expect("MOVE") // its backend is not in the new list
 	if took := time.Since(asked); took > 3*time.Second {
 		t.Errorf("the new list was taken after %v", took)
 	}
-	p.up(open(""))
+	p.openSession(openRequest(""))
 	if len(after.OpenLines()) != 1 || len(before.OpenLines()) != 1 {
 		t.Errorf("%d opens at the old backend, %d at the new", len(before.OpenLines()), len(after.OpenLines()))
 	}
@@ -42,7 +42,7 @@
 
 func TestReload_UnderLoadKeepsSessions(t *testing.T) {
 	b := &fake.Backend{}
-	p, d, list := serving(t, setup{}, b)
+	p, d, list := startWithBackends(t, processOptions{}, b)
 	other := &fake.Discovery{}
 	if err := other.Listen("127.0.0.1:0", list...); err != nil {
 		t.Fatal(err)
@@ -50,50 +50,50 @@
 	t.Cleanup(other.Close)
 	var held []*client
 	for range 10 {
-		held = append(held, p.up(open("")))
+		held = append(held, p.openSession(openRequest("")))
 	}
 	for i := range 6 {
 		at := []string{other.Addr(), d.Addr()}[i%2]
 		if i == 4 { // nobody answers there
 			at = "127.0.0.1:9"
 		}
-		p.reload(setup{discovery: at, known: list})
+		p.reloadConfig(processOptions{discovery: at, knownEndpoints: list})
 		for _, c := range held {
-			c.say("still " + strconv.Itoa(i))
-			c.hear("echo still " + strconv.Itoa(i))
+			c.send("still " + strconv.Itoa(i))
+			c.expect("echo still " + strconv.Itoa(i))
 		}
-		held = append(held, p.up(open("")))
-		p.logs(`"msg":"configuration reloaded"`, i+1)
+		held = append(held, p.openSession(openRequest("")))
+		p.waitForLog(`"msg":"configuration reloaded"`, i+1)
 	}
 	if err := p.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	p.reload(setup{discovery: d.Addr(), known: list}) // while it leaves, too
+	p.reloadConfig(processOptions{discovery: d.Addr(), knownEndpoints: list}) // while it leaves, too
 	for _, c := range held {
-		c.hear("MOVE")
+		c.expect("MOVE")
 	}
-	if err := p.ended(); err != nil {
+	if err := p.waitForExit(); err != nil {
 		t.Errorf("exit: %v", err)
 	}
 }
 
 func TestReload_InvalidFileKeepsRunningConfiguration(t *testing.T) {
-	p, d, list := serving(t, setup{}, &fake.Backend{})
+	p, d, list := startWithBackends(t, processOptions{}, &fake.Backend{})
 	for i, r := range [][2]string{{`"seed"`, `seed`}, {`"no`, `"no`}, {`"full":true`, `"full":"yes"`},
 		{`"memory_mb":192`, `"memory_mb":-1`}, {d.Addr(), "nowhere"}} {
 		if i == 1 { // no file at all
-			if err := os.Remove(p.path); err != nil {
+			if err := os.Remove(p.configPath); err != nil {
 				t.Fatal(err)
 			}
 			if err := p.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 				t.Fatal(err)
 			}
 		} else {
-			p.reload(setup{discovery: d.Addr(), known: list, replace: r})
+			p.reloadConfig(processOptions{discovery: d.Addr(), knownEndpoints: list, replaceText: r})
 		}
-		p.logs(`"msg":"configuration not taken, the running one stays"`, i+1)
-		p.up(open(""))
+		p.waitForLog(`"msg":"configuration not taken, the running one stays"`, i+1)
+		p.openSession(openRequest(""))
 	}
-	p.reload(setup{discovery: d.Addr(), known: list, sockets: 512, replace: [2]string{`"on-time-ms":500`, `"on-time-ms":400`}})
-	p.logs(`"taken":["limits","settings"]`, 1)
+	p.reloadConfig(processOptions{discovery: d.Addr(), knownEndpoints: list, sockets: 512, replaceText: [2]string{`"on-time-ms":500`, `"on-time-ms":400`}})
+	p.waitForLog(`"taken":["limits","settings"]`, 1)
 }
--- a/cmd/aspenbarrow/session_test.go
+++ b/cmd/aspenbarrow/session_test.go
@@ -17,17 +17,17 @@
 
 func TestServe_RelaysLinesUnchanged(t *testing.T) {
 	b := &fake.Backend{}
-	p, _, _ := serving(t, setup{}, b)
-	line := open(",r=1,again=1,x-new=1")
-	c := p.up(line)
-	c.say("hello", "PING", "MOVE along")
-	c.hear("echo hello")
-	c.hear("echo PING")
-	c.hear("echo MOVE along")
+	p, _, _ := startWithBackends(t, processOptions{}, b)
+	line := openRequest(",r=1,again=1,x-new=1")
+	c := p.openSession(line)
+	c.send("hello", "PING", "MOVE along")
+	c.expect("echo hello")
+	c.expect("echo PING")
+	c.expect("echo MOVE along")
 	b.Broadcast("LOAD 12.5", "BYE", "")
-	c.hear("LOAD 12.5")
-	c.hear("BYE")
-	c.ends()
+	c.expect("LOAD 12.5")
+	c.expect("BYE")
+	c.expectClosed()
 	got := b.OpenLines()
 	if len(got) != 1 {
 		t.Fatalf("the backend saw %q", got)
@@ -46,14 +46,14 @@
 
 func TestServe_PropagatesCloseAndReset(t *testing.T) {
 	seen := make(chan error, 2)
-	p := raw(t, func(c net.Conn, in *bufio.Reader) {
+	p := startWithRawBackend(t, func(c net.Conn, in *bufio.Reader) {
 		_, err := in.ReadString('\n')
 		seen <- err
 	})
 	for _, reset := range []bool{false, true} {
 		c := p.dial()
-		c.say(open(""))
-		c.hear("UP here")
+		c.send(openRequest(""))
+		c.expect("UP here")
 		if reset {
 			_ = c.SetLinger(0)
 		}
@@ -63,7 +63,7 @@
 			if reset == errors.Is(err, io.EOF) {
 				t.Errorf("client reset %v, the backend saw %v", reset, err)
 			}
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatal("the backend's connection stays open")
 		}
 	}
@@ -72,10 +72,10 @@
 func TestServe_MovesClientOfStalledBackend(t *testing.T) {
 	done := make(chan struct{})
 	defer close(done)
-	p := raw(t, func(c net.Conn, in *bufio.Reader) { <-done })
+	p := startWithRawBackend(t, func(c net.Conn, in *bufio.Reader) { <-done })
 	c := p.dial()
-	c.say(open(""))
-	c.hear("UP here")
+	c.send(openRequest(""))
+	c.expect("UP here")
 	go func() { // until the connection ends
 		for line := strings.Repeat("x", 4000) + "\r\n"; ; {
 			if _, err := io.WriteString(c, line); err != nil {
@@ -83,11 +83,11 @@
 			}
 		}
 	}()
-	c.hear("MOVE")
+	c.expect("MOVE")
 }
 
 func TestServe_SlowReaderStallsOnlyItsOwnSession(t *testing.T) {
-	p := raw(t, func(c net.Conn, in *bufio.Reader) {
+	p := startWithRawBackend(t, func(c net.Conn, in *bufio.Reader) {
 		for {
 			l, err := in.ReadString('\n')
 			if err != nil {
@@ -100,23 +100,23 @@
 		}
 	})
 	slow := p.dial()
-	slow.say(open(""))
-	slow.hear("UP here")
-	slow.say("flood")
+	slow.send(openRequest(""))
+	slow.expect("UP here")
+	slow.send("flood")
 	c := p.dial()
-	c.say(open(""))
-	c.hear("UP here")
+	c.send(openRequest(""))
+	c.expect("UP here")
 	for i := range 100 {
 		asked := time.Now()
-		c.say(strconv.Itoa(i))
-		c.hear(strconv.Itoa(i))
+		c.send(strconv.Itoa(i))
+		c.expect(strconv.Itoa(i))
 		if took := time.Since(asked); took > time.Second {
 			t.Fatalf("a line took %v", took)
 		}
 	}
 	n := 0
 	for range 20000 { // and what was held up is all there
-		l, err := slow.in.ReadString('\n')
+		l, err := slow.reader.ReadString('\n')
 		if err != nil || len(l) != 1002 {
 			t.Fatalf("%d bytes and %v after %d lines", len(l), err, n)
 		}
@@ -126,10 +126,10 @@
 
 func TestServe_MigratesClientsOffDrainingBackend(t *testing.T) {
 	a, b := &fake.Backend{}, &fake.Backend{}
-	p, d, list := serving(t, setup{}, a, b)
+	p, d, list := startWithBackends(t, processOptions{}, a, b)
 	var at []*client
 	for range 8 {
-		c := p.up(strings.Replace(open(""), "7f3a9c21e0b4d655", fmt.Sprintf("%016x", lastID*7919), 1))
+		c := p.openSession(strings.Replace(openRequest(""), "7f3a9c21e0b4d655", fmt.Sprintf("%016x", lastRequestID*7919), 1))
 		before := len(a.OpenLines())
 		if before > len(at) {
 			at = append(at, c)
@@ -141,12 +141,12 @@
 	list[0].State = "draining"
 	d.SetEndpoints(list...)
 	for _, c := range at {
-		c.hear("MOVE")
-		c.ends()
+		c.expect("MOVE")
+		c.expectClosed()
 	}
 	was := len(a.OpenLines())
 	for range 8 {
-		p.up(strings.Replace(open(""), "7f3a9c21e0b4d655", fmt.Sprintf("%016x", lastID*7919), 1))
+		p.openSession(strings.Replace(openRequest(""), "7f3a9c21e0b4d655", fmt.Sprintf("%016x", lastRequestID*7919), 1))
 	}
 	if n := len(a.OpenLines()); n != was {
 		t.Errorf("%d connections to a draining backend", n-was)
@@ -155,13 +155,13 @@
 
 func TestServe_MovesClientOfUnresponsiveBackend(t *testing.T) {
 	b := &fake.Backend{}
-	p, _, _ := serving(t, setup{}, b)
-	c := p.up(open(""))
+	p, _, _ := startWithBackends(t, processOptions{}, b)
+	c := p.openSession(openRequest(""))
 	b.StopResponding()
 	asked := time.Now()
-	c.say("anyone?")
-	c.hear("MOVE")
-	c.ends()
+	c.send("anyone?")
+	c.expect("MOVE")
+	c.expectClosed()
 	if took := time.Since(asked); took > 6*time.Second {
 		t.Errorf("moved after %v", took)
 	}
@@ -169,11 +169,11 @@
 
 func TestServe_ReconnectsSessionToItsBackend(t *testing.T) {
 	a, b := &fake.Backend{}, &fake.Backend{}
-	p, _, _ := serving(t, setup{mode: "pass"}, a, b)
+	p, _, _ := startWithBackends(t, processOptions{mode: "pass"}, a, b)
 	for i, want := range []*fake.Backend{a, b, a, b} {
 		before := len(want.OpenLines())
-		line := open(",at=s-" + strconv.Itoa(i%2))
-		p.up(line)
+		line := openRequest(",at=s-" + strconv.Itoa(i%2))
+		p.openSession(line)
 		if len(want.OpenLines()) != before+1 {
 			t.Errorf("%q went elsewhere", line)
 		}
@@ -182,7 +182,7 @@
 
 // A backend closes on what it cannot read. That says nothing of the backend: nobody else is moved off it.
 func TestServe_ResetCausedByClientDoesNotEjectBackend(t *testing.T) {
-	p := raw(t, func(c net.Conn, in *bufio.Reader) {
+	p := startWithRawBackend(t, func(c net.Conn, in *bufio.Reader) {
 		for {
 			l, err := in.ReadString('\n')
 			if err != nil {
@@ -197,8 +197,8 @@
 	})
 	up := func() *client {
 		c := p.dial()
-		c.say(open(""))
-		c.hear("UP here")
+		c.send(openRequest(""))
+		c.expect("UP here")
 		return c
 	}
 	var others []*client
@@ -207,14 +207,14 @@
 	}
 	for range 3 {
 		c := up()
-		c.say("junk")
-		if _, err := c.in.ReadString('\n'); err == nil {
+		c.send("junk")
+		if _, err := c.reader.ReadString('\n'); err == nil {
 			t.Fatal("the connection goes on")
 		}
 		for range 20 {
 			for _, o := range others {
-				o.say("still")
-				o.hear("still")
+				o.send("still")
+				o.expect("still")
 			}
 		}
 	}
--- a/cmd/aspenbarrow/shutdown_test.go
+++ b/cmd/aspenbarrow/shutdown_test.go
@@ -16,28 +16,28 @@
 		}
 		return []string{"UP it"}
 	}}
-	p, _, _ := serving(t, setup{}, b)
+	p, _, _ := startWithBackends(t, processOptions{}, b)
 	var standing []*client
 	for range 5 {
 		c := p.dial()
-		c.say(open(""))
-		c.hear("UP it")
+		c.send(openRequest(""))
+		c.expect("UP it")
 		standing = append(standing, c)
 	}
 	pending := p.dial()
-	pending.say(open(",slow=1"))
+	pending.send(openRequest(",slow=1"))
 	if err := p.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	late := p.dial() // the front goes on sending for a while
-	late.say(open(""))
-	late.hear("UP it")
-	pending.hear("UP it")
+	late.send(openRequest(""))
+	late.expect("UP it")
+	pending.expect("UP it")
 	for _, c := range append(standing, pending, late) {
-		c.hear("MOVE")
-		c.ends()
+		c.expect("MOVE")
+		c.expectClosed()
 	}
-	if err := p.ended(); err != nil {
+	if err := p.waitForExit(); err != nil {
 		t.Errorf("exit: %v", err)
 	}
 }
@@ -51,27 +51,27 @@
 		}
 		return []string{"UP it"}
 	}}
-	p, _, _ := serving(t, setup{}, b)
+	p, _, _ := startWithBackends(t, processOptions{}, b)
 	c := p.dial()
-	c.say(open(""))
-	c.hear("UP it")
+	c.send(openRequest(""))
+	c.expect("UP it")
 	waits := p.dial()
-	waits.say(open(",held=1"))
-	until(t, "it is sent", func() bool { return len(b.OpenLines()) == 2 })
+	waits.send(openRequest(",held=1"))
+	waitFor(t, "it is sent", func() bool { return len(b.OpenLines()) == 2 })
 	for _, s := range []syscall.Signal{syscall.SIGTERM, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM} {
 		if err := p.cmd.Process.Signal(s); err != nil {
 			t.Fatal(err)
 		}
 	}
-	p.logs("configuration reloaded", 1)
-	p.logs(`"msg":"graceful shutdown started"`, 1)
+	p.waitForLog("configuration reloaded", 1)
+	p.waitForLog(`"msg":"graceful shutdown started"`, 1)
 	close(hold)
-	waits.hear("UP it")
+	waits.expect("UP it")
 	for _, c := range []*client{c, waits} {
-		c.hear("MOVE")
-		c.ends()
+		c.expect("MOVE")
+		c.expectClosed()
 	}
-	if err := p.ended(); err != nil {
+	if err := p.waitForExit(); err != nil {
 		t.Errorf("exit: %v", err)
 	}
 	if n := strings.Count(p.log.String(), `"msg":"graceful shutdown started"`); n != 1 {
@@ -81,17 +81,17 @@
 
 // Where packets pass through, a relay that is told to stop goes on for its connections until it is stopped.
 func TestShutdown_KeepsPassThroughSessionsUntilClosed(t *testing.T) {
-	p, _, _ := serving(t, setup{mode: "pass"}, &fake.Backend{})
-	c := p.up(open(""))
+	p, _, _ := startWithBackends(t, processOptions{mode: "pass"}, &fake.Backend{})
+	c := p.openSession(openRequest(""))
 	if err := p.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	for told := time.Now(); time.Since(told) < 4*time.Second; {
-		c.say("still")
-		c.hear("echo still")
+		c.send("still")
+		c.expect("echo still")
 	}
 	_ = c.Close()
-	if err := p.ended(); err != nil {
+	if err := p.waitForExit(); err != nil {
 		t.Errorf("exit: %v", err)
 	}
 }
--- a/cmd/aspenbarrow/start_test.go
+++ b/cmd/aspenbarrow/start_test.go
@@ -21,10 +21,10 @@
 )
 
 // readyWithin is by when nine in ten restarted relays have to answer PONG on their listen address.
-const readyWithin = 10 * time.Second
+const readyTimeout = 10 * time.Second
 
 // hosts is a list of so many servers that nobody runs.
-func hosts(n int) (list []fake.Endpoint) {
+func unreachableEndpoints(n int) (list []fake.Endpoint) {
 	for i := range n {
 		list = append(list, fake.Endpoint{ID: fmt.Sprintf("s-%08x", i), Addr: fmt.Sprintf("127.0.%d.%d:9", 1+i/250, 1+i%250), Zone: "east", State: "ready", Weight: 1})
 	}
@@ -32,7 +32,7 @@
 }
 
 // names are so many peers, as the configuration writes them.
-func names(n int) string {
+func peersJSON(n int) string {
 	var list []string
 	for i := range n {
 		list = append(list, fmt.Sprintf("127.1.%d.%d:9", i/250, 1+i%250))
@@ -42,11 +42,11 @@
 }
 
 // pong waits until a relay says that it is to be used and returns how long that took since.
-func (p *program) pong(since time.Time) time.Duration {
+func (p *relayProcess) waitUntilReady(since time.Time) time.Duration {
 	p.t.Helper()
 	for {
-		if c, err := net.Dial("tcp", p.addr); err == nil {
-			_ = c.SetDeadline(time.Now().Add(patience))
+		if c, err := net.Dial("tcp", p.address); err == nil {
+			_ = c.SetDeadline(time.Now().Add(testTimeout))
 			_, _ = fmt.Fprint(c, "PING\r\n")
 			line, _ := bufio.NewReader(c).ReadString('\n')
 			_ = c.Close()
@@ -54,7 +54,7 @@
 				return time.Since(since)
 			}
 		}
-		if time.Since(since) > patience {
+		if time.Since(since) > testTimeout {
 			p.t.Fatalf("never ready\n%s", p.log)
 		}
 		time.Sleep(20 * time.Millisecond) // between two questions
@@ -70,7 +70,7 @@
 	}
 	t.Cleanup(func() { _ = mute.Close() })
 	var slow fake.Discovery
-	if err := slow.Listen("127.0.0.1:0", hosts(1000)...); err != nil {
+	if err := slow.Listen("127.0.0.1:0", unreachableEndpoints(1000)...); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(slow.Close)
@@ -82,44 +82,44 @@
 		replace   [2]string
 		standing  int // connections from before the start that come at once
 	}{
-		{"discovery down, an old list", "127.0.0.1:9", hosts(1000), [2]string{here, names(1000)}, 0},
-		{"discovery silent, an old list", mute.Addr().String(), hosts(1000), [2]string{here, names(1000)}, 0},
-		{"discovery silent, no list", mute.Addr().String(), nil, [2]string{here, names(1000)}, 0},
-		{"discovery down, no list", "127.0.0.1:9", nil, [2]string{here, names(1000)}, 0},
-		{"discovery down, a spoilt list", "127.0.0.1:9", hosts(1), [2]string{`"full":true`, `"full":"yes"`}, 0},
-		{"discovery up, a spoilt list", slow.Addr(), hosts(1000), [2]string{`"full":true`, `"full":"yes"`}, 0},
-		{"discovery up, no list", slow.Addr(), nil, [2]string{here, names(1000)}, 0},
-		{"connections from before the start", "127.0.0.1:9", hosts(1000), [2]string{here, names(1000)}, 40},
+		{"discovery down, an old list", "127.0.0.1:9", unreachableEndpoints(1000), [2]string{here, peersJSON(1000)}, 0},
+		{"discovery silent, an old list", mute.Addr().String(), unreachableEndpoints(1000), [2]string{here, peersJSON(1000)}, 0},
+		{"discovery silent, no list", mute.Addr().String(), nil, [2]string{here, peersJSON(1000)}, 0},
+		{"discovery down, no list", "127.0.0.1:9", nil, [2]string{here, peersJSON(1000)}, 0},
+		{"discovery down, a spoilt list", "127.0.0.1:9", unreachableEndpoints(1), [2]string{`"full":true`, `"full":"yes"`}, 0},
+		{"discovery up, a spoilt list", slow.Addr(), unreachableEndpoints(1000), [2]string{`"full":true`, `"full":"yes"`}, 0},
+		{"discovery up, no list", slow.Addr(), nil, [2]string{here, peersJSON(1000)}, 0},
+		{"connections from before the start", "127.0.0.1:9", unreachableEndpoints(1000), [2]string{here, peersJSON(1000)}, 40},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			began, relays := time.Now(), make([]*program, 3)
+			began, relays := time.Now(), make([]*relayProcess, 3)
 			for i := range relays {
-				relays[i] = start(t, setup{discovery: tc.discovery, known: tc.known, replace: tc.replace, memory: 32, sockets: 256})
+				relays[i] = startProcess(t, processOptions{discovery: tc.discovery, knownEndpoints: tc.known, replaceText: tc.replace, memoryMB: 32, sockets: 256})
 			}
 			late := 0
 			for _, p := range relays {
 				for i := range tc.standing {
 					c := p.dial()
-					c.say(fmt.Sprintf("OPEN %016x %016x c=chat,d=2000,at=s-%08x", i+1, i+1, i))
+					c.send(fmt.Sprintf("OPEN %016x %016x c=chat,d=2000,at=s-%08x", i+1, i+1, i))
 				}
-				took := p.pong(began)
-				if took > readyWithin {
+				took := p.waitUntilReady(began)
+				if took > readyTimeout {
 					late++
 				}
 				if strings.Contains(tc.name, "spoilt") {
-					p.logs("cached endpoint list is malformed", 1)
+					p.waitForLog("cached endpoint list is malformed", 1)
 				}
 			}
 			if 10*late > len(relays) {
-				t.Errorf("%d of %d relays were not ready within %v", late, len(relays), readyWithin)
+				t.Errorf("%d of %d relays were not ready within %v", late, len(relays), readyTimeout)
 			}
 		})
 	}
 }
 
 // resident is what the program takes of memory, in megabytes.
-func (p *program) resident() int {
+func (p *relayProcess) residentMB() int {
 	p.t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
 	if err != nil {
@@ -145,23 +145,23 @@
 	d := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		index, _ := strconv.ParseInt(r.URL.Query().Get("index"), 10, 64)
 		if v := version.Load(); index < v {
-			_, _ = w.Write(fake.EncodeList(int(v), hosts(2000-int(v))))
+			_, _ = w.Write(fake.EncodeList(int(v), unreachableEndpoints(2000-int(v))))
 			return
 		}
 		heard <- index // it has that list
 		for version.Load() == index && r.Context().Err() == nil {
 			time.Sleep(5 * time.Millisecond) // there is nothing newer yet
 		}
-		_, _ = w.Write(fake.EncodeList(int(version.Load()), hosts(2000-int(version.Load()))))
+		_, _ = w.Write(fake.EncodeList(int(version.Load()), unreachableEndpoints(2000-int(version.Load()))))
 	}))
 	t.Cleanup(d.Close)
-	s := setup{discovery: d.Listener.Addr().String(), known: hosts(2000), replace: [2]string{`"peers":["127.0.0.1:9"]`, names(1024)}, memory: 32, sockets: 256}
-	p := start(t, s)
-	p.pong(time.Now())
+	s := processOptions{discovery: d.Listener.Addr().String(), knownEndpoints: unreachableEndpoints(2000), replaceText: [2]string{`"peers":["127.0.0.1:9"]`, peersJSON(1024)}, memoryMB: 32, sockets: 256}
+	p := startProcess(t, s)
+	p.waitUntilReady(time.Now())
 	small := func(when string) {
 		t.Helper()
-		t.Logf("%s: %d MB", when, p.resident())
-		if mb := p.resident(); mb > 32 && !raceEnabled {
+		t.Logf("%s: %d MB", when, p.residentMB())
+		if mb := p.residentMB(); mb > 32 && !raceEnabled {
 			t.Errorf("%s: %d MB of 32", when, mb)
 		}
 		fds, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
@@ -177,7 +177,7 @@
 				if got == want {
 					want = 0
 				}
-			case <-time.After(patience):
+			case <-time.After(testTimeout):
 				t.Fatal("the list is not asked for")
 			}
 			if want == 0 {
@@ -185,12 +185,12 @@
 			}
 		}
 		small("with a list")
-		s.replace[1] = names(1024 - round - 1)
-		p.reload(s)
-		p.logs("configuration reloaded", round+1)
+		s.replaceText[1] = peersJSON(1024 - round - 1)
+		p.reloadConfig(s)
+		p.waitForLog("configuration reloaded", round+1)
 		small("after a reload")
 	}
-	p.pong(time.Now())
+	p.waitUntilReady(time.Now())
 }
 
 func TestServe_RejectsInvalidConfigurationBeforeListening(t *testing.T) {
@@ -209,8 +209,8 @@
 			if name == "no listen address" {
 				r = [2]string{`"listen":"127.0.0.1:0"`, `"listen":""`}
 			}
-			p := launch(t, setup{discovery: "127.0.0.1:9", replace: r})
-			err := p.ended()
+			p := launchProcess(t, processOptions{discovery: "127.0.0.1:9", replaceText: r})
+			err := p.waitForExit()
 			if exit := (*exec.ExitError)(nil); !errors.As(err, &exit) || exit.ExitCode() != 1 {
 				t.Errorf("exit: %v", err)
 			}
