--- a/cmd/aspenbarrow/attempts_test.go
+++ b/cmd/aspenbarrow/attempts_test.go
@@ -15,9 +15,9 @@
 func TestServe_RetriesRefusedAttemptOnOtherBackendOnce(t *testing.T) {
 	full := &fake.Backend{Answer: func(string) []string { return []string{"BUSY", ""} }}
 	good := &fake.Backend{}
-	p, _, _ := startWithBackends(t, processOptions{}, full, good)
+	process, _, _ := startWithBackends(t, processOptions{}, full, good)
 	for range 6 {
-		p.openSession(openRequest(""))
+		process.openSession(openRequest(""))
 	}
 	if n := len(good.OpenLines()); n != 6 {
 		t.Errorf("%d opens where 6 clients are up", n)
@@ -25,13 +25,13 @@
 }
 
 func TestServe_DoesNotRetryCompletedRequest(t *testing.T) {
-	b := &fake.Backend{Answer: func(string) []string { return []string{"BYE", ""} }}
-	p, _, _ := startWithBackends(t, processOptions{}, b)
-	c := p.dial()
+	backend := &fake.Backend{Answer: func(string) []string { return []string{"BYE", ""} }}
+	process, _, _ := startWithBackends(t, processOptions{}, backend)
+	c := process.dial()
 	c.send(openRequest(""))
 	c.expect("BYE")
 	c.expectClosed()
-	if n := len(b.OpenLines()); n != 1 {
+	if n := len(backend.OpenLines()); n != 1 {
 		t.Errorf("sent %d times", n)
 	}
 }
@@ -39,8 +39,8 @@
 func TestServe_DoesNotRetryNonIdempotentRequest(t *testing.T) {
 	broken := &fake.Backend{Answer: func(string) []string { return []string{"RESET"} }}
 	also := &fake.Backend{Answer: broken.Answer}
-	p, _, _ := startWithBackends(t, processOptions{}, broken, also)
-	c := p.dial()
+	process, _, _ := startWithBackends(t, processOptions{}, broken, also)
+	c := process.dial()
 	c.send(strings.Replace(openRequest(""), "c=chat", "c=order", 1))
 	c.expect("ERR")
 	c.expectClosed()
@@ -50,9 +50,9 @@
 }
 
 func TestServe_AnswersWithinClientTimeout(t *testing.T) {
-	b := &fake.Backend{Answer: func(string) []string { return nil }} // never answers
-	p, _, _ := startWithBackends(t, processOptions{}, b)
-	c := p.dial()
+	backend := &fake.Backend{Answer: func(string) []string { return nil }} // never answers
+	process, _, _ := startWithBackends(t, processOptions{}, backend)
+	c := process.dial()
 	asked := time.Now()
 	c.send(strings.Replace(openRequest(""), "d=2000", "d=300", 1))
 	got, err := c.reader.ReadString('\n')
@@ -63,19 +63,19 @@
 	c.expectClosed()
 }
 
-// A backend that answers at the very end of the client's patience races with the
-// relay's own time-out: the client hears one of both.
+// TestServe_SendsOneFinalAnswerAtTimeout has a backend answer at the very end of the client's timeout, at the same
+// moment as the relay's own timeout: the client gets exactly one of the two answers.
 func TestServe_SendsOneFinalAnswerAtTimeout(t *testing.T) {
-	b := &fake.Backend{Answer: func(open string) []string {
+	backend := &fake.Backend{Answer: func(open string) []string {
 		m := regexp.MustCompile(`,d=(\d+),`).FindStringSubmatch(open)
 		left, _ := strconv.Atoi(m[1])
 		<-time.After(time.Duration(left) * time.Millisecond)
 		return []string{"UP late"}
 	}}
-	p, _, _ := startWithBackends(t, processOptions{}, b)
+	process, _, _ := startWithBackends(t, processOptions{}, backend)
 	var all sync.WaitGroup
 	for i := range 40 {
-		c := p.dial()
+		c := process.dial()
 		c.send(strings.Replace(openRequest(""), "d=2000", "d="+strconv.Itoa(100+i), 1))
 		all.Add(1)
 		go func() {
--- a/cmd/aspenbarrow/codec_test.go
+++ b/cmd/aspenbarrow/codec_test.go
@@ -16,7 +16,7 @@
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// golden holds what was made now to what an earlier version wrote.
+// checkGolden compares output with a golden file.
 func checkGolden(t *testing.T, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -45,7 +45,7 @@
 	}
 }
 
-// goldenFiles lays sound and unsound files into a folder of the test's own.
+// writeGoldenInputs writes valid and invalid files into a temporary directory and returns it.
 func writeGoldenInputs(t *testing.T) string {
 	t.Helper()
 	every, err := os.ReadFile("../../internal/config/testdata/every.toml")
@@ -64,7 +64,8 @@
 	return dir
 }
 
-// Each command that only reads prints what it printed: the example, the schema, what is in force, routes and faults.
+// TestCodec_Golden compares the output of each read-only command with golden files: the example, the schema,
+// settings, routes and problems.
 func TestCodec_Golden(t *testing.T) {
 	for _, v := range []string{"PROXY_NAME", "PROXY_LISTEN", "PROXY_DISCOVERY", "PROXY_MANAGEMENT", "PROXY_CONFIG"} {
 		t.Setenv(v, "")
@@ -75,14 +76,14 @@
 	t.Run("commands", func(t *testing.T) {
 		t.Chdir(dir)
 		run := func(args ...string) string {
-			out, errs, err := runCommand(t, args...)
-			var u usageError
-			s := out
-			if errs != "" {
-				s += "(on standard error)\n" + errs
+			stdout, stderr, err := runCommand(t, args...)
+			var usage usageError
+			s := stdout
+			if stderr != "" {
+				s += "(on standard error)\n" + stderr
 			}
 			if err != nil {
-				s += fmt.Sprintf("(ends with, bad usage %v)\n%v\n", errors.As(err, &u), err)
+				s += fmt.Sprintf("(ends with, bad usage %v)\n%v\n", errors.As(err, &usage), err)
 			}
 			return s
 		}
@@ -123,7 +124,7 @@
 	}
 }
 
-// The example that an earlier version printed is still read; what it printed as JSON is JSON.
+// TestCodec_GoldenIsReadAgain checks that the golden example is a valid configuration and the golden JSON is valid.
 func TestCodec_GoldenIsReadAgain(t *testing.T) {
 	none := func(string) string { return "" }
 	if _, err := config.Load(filepath.Join("testdata", "example.toml"), none, false); err != nil {
@@ -137,7 +138,8 @@
 	}
 }
 
-// The bench's site files are no files of a relay: they are refused, for as many reasons as they were.
+// TestCodec_GoldenSites checks that the site files of the test bench are rejected as relay configurations, for the
+// same number of problems.
 func TestCodec_GoldenSites(t *testing.T) {
 	paths, err := filepath.Glob("../../deploy/sites/*.toml")
 	if err != nil || len(paths) == 0 {
@@ -150,11 +152,11 @@
 			t.Fatal(err)
 		}
 		_, err = config.Parse(filepath.Base(p), text, func(string) string { return "" }, false)
-		var fs config.Problems
-		if !errors.As(err, &fs) {
+		var problems config.Problems
+		if !errors.As(err, &problems) {
 			t.Fatalf("%s: %v", p, err)
 		}
-		fmt.Fprintf(&out, "%d faults, the first: %v\n", len(fs), fs[0])
+		fmt.Fprintf(&out, "%d faults, the first: %v\n", len(problems), problems[0])
 	}
 	checkGolden(t, "sites.txt", out.String())
 }
--- a/cmd/aspenbarrow/command_members_test.go
+++ b/cmd/aspenbarrow/command_members_test.go
@@ -8,17 +8,17 @@
 	"testing"
 )
 
-// staffAnswers listens as a relay's second address would and answers each call with a text.
+// startAdminServer starts an admin endpoint that gives the same answer to each command and returns its address.
 func startAdminServer(t *testing.T, text string) string {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = l.Close() })
+	t.Cleanup(func() { _ = listener.Close() })
 	go func() {
 		for {
-			c, err := l.Accept()
+			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
@@ -27,7 +27,7 @@
 			_ = c.Close()
 		}
 	}()
-	return l.Addr().String()
+	return listener.Addr().String()
 }
 
 func TestMembersCommand(t *testing.T) {
@@ -47,10 +47,10 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var out bytes.Buffer
-			c := newRootCommand()
-			c.SetOut(&out)
-			c.SetArgs(append([]string{"members", "--at", startAdminServer(t, tc.answer)}, tc.args...))
-			err := c.Execute()
+			root := newRootCommand()
+			root.SetOut(&out)
+			root.SetArgs(append([]string{"members", "--at", startAdminServer(t, tc.answer)}, tc.args...))
+			err := root.Execute()
 			if tc.fault != "" && (err == nil || !strings.Contains(err.Error(), tc.fault)) || tc.fault == "" && err != nil {
 				t.Errorf("%v", err)
 			}
@@ -59,9 +59,9 @@
 			}
 		})
 	}
-	c := newRootCommand()
-	c.SetArgs([]string{"members"})
-	if err := c.Execute(); err == nil || !strings.Contains(err.Error(), "--at") {
+	root := newRootCommand()
+	root.SetArgs([]string{"members"})
+	if err := root.Execute(); err == nil || !strings.Contains(err.Error(), "--at") {
 		t.Errorf("without an address: %v", err)
 	}
 }
--- a/cmd/aspenbarrow/descriptors_test.go
+++ b/cmd/aspenbarrow/descriptors_test.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"net"
-	"os"
 	"strings"
 	"testing"
 	"time"
@@ -13,7 +12,7 @@
 	"aspenbarrow/internal/fake"
 )
 
-// silence is an agent of discovery that takes calls and answers none, until it is back.
+// silentDiscovery is a discovery service that accepts calls and does not answer them until it resumes.
 type silentDiscovery struct {
 	t        *testing.T
 	address  string
@@ -21,42 +20,34 @@
 	resumed  *fake.Discovery
 }
 
+// newSilentDiscovery starts a silent discovery service.
 func newSilentDiscovery(t *testing.T) *silentDiscovery {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &silentDiscovery{t: t, address: l.Addr().String(), listener: l}
-	t.Cleanup(func() { _ = l.Close() })
-	return s
+	discovery := &silentDiscovery{t: t, address: listener.Addr().String(), listener: listener}
+	t.Cleanup(func() { _ = listener.Close() })
+	return discovery
 }
 
-// returns has it speak again, with a list; calls that were taken before stay without an answer.
-func (s *silentDiscovery) resume(list ...fake.Endpoint) {
-	s.t.Helper()
-	_ = s.listener.Close()
-	s.resumed = &fake.Discovery{}
-	if err := s.resumed.Listen(s.address, list...); err != nil {
-		s.t.Fatal(err)
+// resume makes the service answer new calls with a list; calls accepted before stay unanswered.
+func (discovery *silentDiscovery) resume(endpoints ...fake.Endpoint) {
+	discovery.t.Helper()
+	_ = discovery.listener.Close()
+	discovery.resumed = &fake.Discovery{}
+	if err := discovery.resumed.Listen(discovery.address, endpoints...); err != nil {
+		discovery.t.Fatal(err)
 	}
-	s.t.Cleanup(s.resumed.Close)
-	s.resumed.SetVersion(1000)
+	discovery.t.Cleanup(discovery.resumed.Close)
+	discovery.resumed.SetVersion(1000)
 }
 
-// held is how many descriptors the program has.
-func (p *relayProcess) descriptorCount() int {
-	p.t.Helper()
-	fds, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
-	if err != nil {
-		p.t.Fatal(err)
-	}
-	return len(fds)
-}
-
-// Clients that say nothing fill the descriptors while discovery is down, and others ask. The system holds the program to its
-// limit. Nobody who sends a whole OPEN is without an answer, discovery's return is heard within 6 s, no accept fails, and
-// SIGTERM and a smaller limit find it as usual.
+// TestServe_IdleClientsAtDescriptorLimitWhileDiscoveryIsDown fills the descriptors with idle clients while discovery
+// is down and other clients send requests; the system enforces the limit on the process. Every complete OPEN is
+// answered, the list of a resumed discovery service is in force within 6 s, no accept fails, and SIGTERM and a reload
+// with a smaller limit work as usual.
 func TestServe_IdleClientsAtDescriptorLimitWhileDiscoveryIsDown(t *testing.T) {
 	ids := 0
 	for _, limit := range []int{64, 256, 1024} {
@@ -68,56 +59,56 @@
 	}
 }
 
-// crowdedWhileDiscoveryIsDown is the test at one limit of descriptors, with or without a list of backends from before.
-// Flow ids go on from ids.
+// testDescriptorLimitWhileDiscoveryIsDown is the test at one descriptor limit, with or without a cached list of
+// backends. Request ids continue from ids.
 func testDescriptorLimitWhileDiscoveryIsDown(t *testing.T, limit int, known bool, ids *int) {
 	one, two := &fake.Backend{}, &fake.Backend{}
-	unused, list := startBackends(t, one, two)
+	unused, endpoints := startBackends(t, one, two)
 	unused.Close()
-	d := newSilentDiscovery(t)
-	s := processOptions{discovery: d.address, sockets: limit, memoryMB: 64}
+	discovery := newSilentDiscovery(t)
+	options := processOptions{discovery: discovery.address, sockets: limit, memoryMB: 64}
 	if known { // of one of the two; discovery will say that it is the other
-		s.knownEndpoints = list[:1]
+		options.knownEndpoints = endpoints[:1]
 	}
-	p := crowdedProcess{relayProcess: startProcess(t, s), t: t, limit: limit, lastID: ids}
-	if err := unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: uint64(limit), Max: uint64(limit)}, nil); err != nil {
+	crowd := crowdedProcess{relayProcess: startProcess(t, options), t: t, limit: limit, lastID: ids}
+	if err := unix.Prlimit(crowd.cmd.Process.Pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: uint64(limit), Max: uint64(limit)}, nil); err != nil {
 		t.Fatal(err)
 	}
-	p.dialIdle(3 * limit)
+	crowd.dialIdle(3 * limit)
 	var asked []*client
 	for range limit {
-		asked = append(asked, p.dialOpen())
+		asked = append(asked, crowd.dialOpen())
 	}
-	p.dialIdle(limit)
-	p.checkDescriptors()
+	crowd.dialIdle(limit)
+	crowd.checkDescriptors()
 	back := time.Now()
-	d.resume(list[1])
+	discovery.resume(endpoints[1])
 	if known {
-		p.openUntilBackendReached(two, back)
+		crowd.openUntilBackendReached(two, back)
 	}
-	p.checkAllAnswered(asked)
+	crowd.checkAllAnswered(asked)
 	if took := time.Since(back); took > 6*time.Second {
 		t.Errorf("discovery's return was heard of after %v", took)
 	}
-	p.checkDescriptors()
-	s.sockets = limit / 2
-	p.reloadConfig(s)
-	p.waitForLog("configuration reloaded", 1)
-	p.dialIdle(limit)
-	p.checkAnswered(p.dialOpen(), "with half of the limit")
-	if err := p.cmd.Process.Signal(unix.SIGTERM); err != nil {
+	crowd.checkDescriptors()
+	options.sockets = limit / 2
+	crowd.reloadConfig(options)
+	crowd.waitForLog("configuration reloaded", 1)
+	crowd.dialIdle(limit)
+	crowd.checkAnswered(crowd.dialOpen(), "with half of the limit")
+	if err := crowd.cmd.Process.Signal(unix.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	p.checkAnswered(p.dialOpen(), "after SIGTERM")
-	if err := p.waitForExit(); err != nil {
+	crowd.checkAnswered(crowd.dialOpen(), "after SIGTERM")
+	if err := crowd.waitForExit(); err != nil {
 		t.Errorf("ended with %v", err)
 	}
-	if strings.Contains(p.log.String(), `"msg":"accept"`) || strings.Contains(p.log.String(), "too many open files") {
+	if strings.Contains(crowd.log.String(), `"msg":"accept"`) || strings.Contains(crowd.log.String(), "too many open files") {
 		t.Error("descriptors ran out")
 	}
 }
 
-// crowd is a program whose clients fill its descriptors.
+// crowdedProcess is a relay whose descriptors are filled by its clients.
 type crowdedProcess struct {
 	*relayProcess
 	t      *testing.T
@@ -125,96 +116,97 @@
 	lastID *int
 }
 
-// idle dials n clients that say nothing.
-func (p crowdedProcess) dialIdle(n int) {
+// dialIdle opens n connections that send nothing.
+func (crowd crowdedProcess) dialIdle(n int) {
 	for range n {
-		p.dial()
+		crowd.dial()
 	}
 }
 
-// asks dials a client that sends a whole OPEN.
-func (p crowdedProcess) dialOpen() *client {
-	*p.lastID++
-	c := p.dial()
-	c.send(fmt.Sprintf("OPEN %016x %016x c=chat,d=20000", 1<<20+*p.lastID, *p.lastID))
+// dialOpen opens a connection and sends a complete OPEN line.
+func (crowd crowdedProcess) dialOpen() *client {
+	*crowd.lastID++
+	c := crowd.dial()
+	c.send(fmt.Sprintf("OPEN %016x %016x c=chat,d=20000", 1<<20+*crowd.lastID, *crowd.lastID))
 	return c
 }
 
-func (p crowdedProcess) checkDescriptors() {
-	p.t.Helper()
-	if n := p.descriptorCount(); n > p.limit {
-		p.t.Errorf("%d descriptors of %d", n, p.limit)
+// checkDescriptors fails the test if the process has more descriptors than its limit.
+func (crowd crowdedProcess) checkDescriptors() {
+	crowd.t.Helper()
+	if n := crowd.descriptorCount(); n > crowd.limit {
+		crowd.t.Errorf("%d descriptors of %d", n, crowd.limit)
 	}
 }
 
-// asksUntilOpenAt sends one OPEN after the other, each of which must be answered, until one reached the backend that
-// discovery told of at the time given.
-func (p crowdedProcess) openUntilBackendReached(b *fake.Backend, told time.Time) {
-	p.t.Helper()
-	for len(b.OpenLines()) == 0 {
-		c := p.dialOpen()
+// openUntilBackendReached sends requests, each of which must be answered, until one reaches the backend that
+// discovery has listed since the given time.
+func (crowd crowdedProcess) openUntilBackendReached(backend *fake.Backend, told time.Time) {
+	crowd.t.Helper()
+	for len(backend.OpenLines()) == 0 {
+		c := crowd.dialOpen()
 		if got, err := c.reader.ReadString('\n'); err != nil {
-			p.t.Fatalf("an OPEN is without an answer: %q, %v", got, err)
+			crowd.t.Fatalf("an OPEN is without an answer: %q, %v", got, err)
 		}
 		_ = c.Close()
 		if time.Since(told) > testTimeout {
-			p.t.Fatal("discovery's return is not heard of")
+			crowd.t.Fatal("discovery's return is not heard of")
 		}
 	}
 }
 
-// answersAll checks that each client hears UP or BUSY, and an eighth of them UP.
-func (p crowdedProcess) checkAllAnswered(asked []*client) {
-	p.t.Helper()
-	ups, busy := 0, 0
+// checkAllAnswered fails the test unless every client gets UP or BUSY, and at least one in eight UP.
+func (crowd crowdedProcess) checkAllAnswered(asked []*client) {
+	crowd.t.Helper()
+	accepted, rejected := 0, 0
 	for i, c := range asked {
 		got, err := c.reader.ReadString('\n')
 		switch {
 		case err != nil:
-			p.t.Fatalf("OPEN %d of %d is without an answer: %q, %v", i, p.limit, got, err)
+			crowd.t.Fatalf("OPEN %d of %d is without an answer: %q, %v", i, crowd.limit, got, err)
 		case strings.HasPrefix(got, "UP"):
-			ups++
+			accepted++
 		case strings.HasPrefix(got, "BUSY"):
-			busy++
+			rejected++
 		default:
-			p.t.Errorf("heard %q", got)
+			crowd.t.Errorf("heard %q", got)
 		}
 	}
-	if ups < p.limit/8 || ups+busy != p.limit {
-		p.t.Errorf("%d up, %d busy of %d", ups, busy, p.limit)
+	if accepted < crowd.limit/8 || accepted+rejected != crowd.limit {
+		crowd.t.Errorf("%d up, %d busy of %d", accepted, rejected, crowd.limit)
 	}
 }
 
-// answers checks that one client hears UP or BUSY.
-func (p crowdedProcess) checkAnswered(c *client, when string) {
-	p.t.Helper()
+// checkAnswered fails the test unless the client gets UP or BUSY.
+func (crowd crowdedProcess) checkAnswered(c *client, when string) {
+	crowd.t.Helper()
 	if got, err := c.reader.ReadString('\n'); err != nil || !strings.HasPrefix(got, "UP") && !strings.HasPrefix(got, "BUSY") {
-		p.t.Errorf("%s: heard %q, %v", when, got, err)
+		crowd.t.Errorf("%s: heard %q, %v", when, got, err)
 	}
 }
 
 func TestServe_RejectsRequestsNearDescriptorLimit(t *testing.T) {
-	p, _, _ := startWithBackends(t, processOptions{sockets: 64}, &fake.Backend{})
-	ups, busy := 0, 0
+	process, _, _ := startWithBackends(t, processOptions{sockets: 64}, &fake.Backend{})
+	accepted, rejected := 0, 0
 	for range 40 {
-		c := p.dial()
+		c := process.dial()
 		c.send(openRequest(""))
 		got, err := c.reader.ReadString('\n')
 		switch {
 		case err != nil:
-			t.Fatalf("after %d up and %d busy: %v", ups, busy, err)
+			t.Fatalf("after %d up and %d busy: %v", accepted, rejected, err)
 		case strings.HasPrefix(got, "UP"):
-			ups++
+			accepted++
 		case got == "BUSY 1000\r\n":
-			busy++
+			rejected++
 		default:
 			t.Fatalf("heard %q", got)
 		}
 	}
-	if ups < 10 || busy < 10 {
-		t.Errorf("%d up, %d busy", ups, busy)
+	if accepted < 10 || rejected < 10 {
+		t.Errorf("%d up, %d busy", accepted, rejected)
 	}
-	c := p.dial()
+	c := process.dial()
 	c.send("PING")
 	c.expect("PONG")
 }
--- a/cmd/aspenbarrow/discovery_test.go
+++ b/cmd/aspenbarrow/discovery_test.go
@@ -9,32 +9,32 @@
 )
 
 func TestDiscovery_ServesFromCachedEndpointsWhileDown(t *testing.T) {
-	d, list := startBackends(t, &fake.Backend{})
-	d.Close()
-	p := startProcess(t, processOptions{discovery: d.Addr(), knownEndpoints: list})
-	c := p.dial()
+	discovery, endpoints := startBackends(t, &fake.Backend{})
+	discovery.Close()
+	process := startProcess(t, processOptions{discovery: discovery.Addr(), knownEndpoints: endpoints})
+	c := process.dial()
 	c.send("PING", "STATS")
 	c.expect("PONG")
 	c.expect("PONG")
-	c = p.dial()
+	c = process.dial()
 	line := openRequest("")
 	c.send(line)
 	c.expect("UP " + strings.Fields(line)[1])
 }
 
 func TestDiscovery_MalformedResponseKeepsLastList(t *testing.T) {
-	p, d, _ := startWithBackends(t, processOptions{}, &fake.Backend{})
-	d.SetResponse(`{"version": 9, "full": true, "servers": [{"id": "s-0", "state": "asleep"}]}`)
-	p.waitForLog("asleep", 1)
-	p.openSession(openRequest(""))
+	process, discovery, _ := startWithBackends(t, processOptions{}, &fake.Backend{})
+	discovery.SetResponse(`{"version": 9, "full": true, "servers": [{"id": "s-0", "state": "asleep"}]}`)
+	process.waitForLog("asleep", 1)
+	process.openSession(openRequest(""))
 }
 
 func TestDiscovery_FollowsChangedBackendAddress(t *testing.T) {
 	old, moved := &fake.Backend{}, &fake.Backend{}
-	p, d, list := startWithBackends(t, processOptions{}, old, moved)
-	d.SetEndpoints(fake.Endpoint{ID: list[0].ID, Addr: list[1].Addr, Zone: "east", State: "ready", Weight: 1})
+	process, discovery, endpoints := startWithBackends(t, processOptions{}, old, moved)
+	discovery.SetEndpoints(fake.Endpoint{ID: endpoints[0].ID, Addr: endpoints[1].Addr, Zone: "east", State: "ready", Weight: 1})
 	for deadline := time.Now().Add(testTimeout); len(moved.OpenLines()) == 0; {
-		p.openSession(openRequest(""))
+		process.openSession(openRequest(""))
 		if time.Now().After(deadline) {
 			t.Fatal("the new address is not used")
 		}
--- a/cmd/aspenbarrow/harness_test.go
+++ b/cmd/aspenbarrow/harness_test.go
@@ -22,7 +22,7 @@
 	"aspenbarrow/internal/fake"
 )
 
-// The tests start this very binary as the program and speak to it over loopback.
+// TestMain runs the program itself where startProcess has started this test binary for that, and the tests otherwise.
 func TestMain(m *testing.M) {
 	if os.Getenv("ASPENBARROW_TEST_RUN") != "" {
 		main()
@@ -31,8 +31,10 @@
 	os.Exit(m.Run())
 }
 
+// testTimeout is far above the duration of any single step of the tests.
 const testTimeout = 15 * time.Second // far over what anything here takes
 
+// settingsTemplate is the platform's settings, with MODE for the mode of the family.
 const settingsTemplate = `{"azs": ["east"], "kinds": ["k"], "n-instances": 1, "me": 0, "tick-ms": 4,
 "classes": [{"name": "chat", "effect": "read_like", "on-time-ms": 500, "give-up-ms": 2000},
  {"name": "order", "effect": "non_idempotent", "on-time-ms": 500, "give-up-ms": 2000}],
@@ -43,7 +45,7 @@
  "fall-multiple": 2.5, "fall-ms": 3000, "ask-every-ms": 10000},
 "stats": {"how": "on_probe", "fields": ["utilization", "x0"]}, "registry-mode": "pushed", "weights": "nominal"}`
 
-// program is one running relay.
+// relayProcess is a running relay.
 type relayProcess struct {
 	t          *testing.T
 	cmd        *exec.Cmd
@@ -53,23 +55,25 @@
 	exited     chan error
 }
 
+// logBuffer collects the log of a process.
 type logBuffer struct {
 	mu     sync.Mutex
 	buffer bytes.Buffer
 }
 
-func (s *logBuffer) Write(p []byte) (int, error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.buffer.Write(p)
+func (log *logBuffer) Write(p []byte) (int, error) {
+	log.mu.Lock()
+	defer log.mu.Unlock()
+	return log.buffer.Write(p)
 }
 
-func (s *logBuffer) String() string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.buffer.String()
+func (log *logBuffer) String() string {
+	log.mu.Lock()
+	defer log.mu.Unlock()
+	return log.buffer.String()
 }
 
+// processOptions says how to configure and start a relay. The zero value of a field means its default.
 type processOptions struct {
 	discovery      string
 	mode           string // of the settings; "proxy" where not said
@@ -83,110 +87,120 @@
 	extraKeys  map[string]any // keys of the configuration beyond the usual ones, or in place of them
 }
 
-// start runs the program and waits until it says where it listens.
-func startProcess(t *testing.T, s processOptions) *relayProcess {
+// startProcess starts a relay and waits until it logs its listen address.
+func startProcess(t *testing.T, options processOptions) *relayProcess {
 	t.Helper()
-	p := launchProcess(t, s)
+	process := launchProcess(t, options)
 	served := regexp.MustCompile(`"msg":"serving".*"address":"([^"]+)"`)
 	for deadline := time.Now().Add(testTimeout); ; {
-		if m := served.FindStringSubmatch(p.log.String()); m != nil {
-			p.address = m[1]
-			return p
+		if m := served.FindStringSubmatch(process.log.String()); m != nil {
+			process.address = m[1]
+			return process
 		}
 		select {
-		case err := <-p.exited:
-			t.Fatalf("the program ended at its start: %v\n%s", err, p.log)
+		case err := <-process.exited:
+			t.Fatalf("the program ended at its start: %v\n%s", err, process.log)
 		case <-time.After(5 * time.Millisecond):
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("the program does not serve\n%s", p.log)
+			t.Fatalf("the program does not serve\n%s", process.log)
 		}
 	}
 }
 
-// configure writes a configuration.
-func (s processOptions) writeConfig(t *testing.T, path string) {
+// writeConfig writes the configuration file.
+func (options processOptions) writeConfig(t *testing.T, path string) {
 	t.Helper()
-	if s.mode == "" {
-		s.mode = "proxy"
+	if options.mode == "" {
+		options.mode = "proxy"
 	}
-	if s.sockets == 0 {
-		s.sockets = 1024
+	if options.sockets == 0 {
+		options.sockets = 1024
 	}
-	if s.memoryMB == 0 {
-		s.memoryMB = 192
+	if options.memoryMB == 0 {
+		options.memoryMB = 192
 	}
-	config := map[string]any{"name": "n0", "listen": "127.0.0.1:0", "discovery": s.discovery,
-		"seed": "8c1f30d27a5be964", "limits": map[string]any{"cores": 1.0, "memory_mb": s.memoryMB, "sockets": s.sockets},
+	config := map[string]any{"name": "n0", "listen": "127.0.0.1:0", "discovery": options.discovery,
+		"seed": "8c1f30d27a5be964", "limits": map[string]any{"cores": 1.0, "memory_mb": options.memoryMB, "sockets": options.sockets},
 		"peer_listen": "127.0.0.1:0", "peers": []string{"127.0.0.1:9"}, "peers_all": "127.0.0.1:9",
-		"known":    json.RawMessage(fake.EncodeList(1, s.knownEndpoints)),
-		"settings": json.RawMessage(strings.Replace(settingsTemplate, "MODE", s.mode, 1))}
-	maps.Copy(config, s.extraKeys)
+		"known":    json.RawMessage(fake.EncodeList(1, options.knownEndpoints)),
+		"settings": json.RawMessage(strings.Replace(settingsTemplate, "MODE", options.mode, 1))}
+	maps.Copy(config, options.extraKeys)
 	text, err := json.Marshal(config)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.replaceText[0] != "" {
-		if !bytes.Contains(text, []byte(s.replaceText[0])) {
-			t.Fatalf("%s is not in the configuration", s.replaceText[0])
+	if options.replaceText[0] != "" {
+		if !bytes.Contains(text, []byte(options.replaceText[0])) {
+			t.Fatalf("%s is not in the configuration", options.replaceText[0])
 		}
-		text = bytes.Replace(text, []byte(s.replaceText[0]), []byte(s.replaceText[1]), 1)
+		text = bytes.Replace(text, []byte(options.replaceText[0]), []byte(options.replaceText[1]), 1)
 	}
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func launchProcess(t *testing.T, s processOptions) *relayProcess {
+// launchProcess starts a relay without waiting for it to serve. The relay is killed when the test ends, and its log
+// must hold no data race and no panic.
+func launchProcess(t *testing.T, options processOptions) *relayProcess {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
-	s.writeConfig(t, path)
-	if s.executable == "" {
+	options.writeConfig(t, path)
+	if options.executable == "" {
 		self, err := os.Executable()
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.executable = self
+		options.executable = self
 	}
-	p := &relayProcess{t: t, configPath: path, cmd: exec.Command(s.executable), log: &logBuffer{}, exited: make(chan error, 1)}
-	p.cmd.Env = append(os.Environ(), "ASPENBARROW_TEST_RUN=1", "PROXY_CONFIG="+path,
+	process := &relayProcess{t: t, configPath: path, cmd: exec.Command(options.executable), log: &logBuffer{}, exited: make(chan error, 1)}
+	process.cmd.Env = append(os.Environ(), "ASPENBARROW_TEST_RUN=1", "PROXY_CONFIG="+path,
 		"PROXY_NAME=", "PROXY_LISTEN=", "PROXY_DISCOVERY=")
-	p.cmd.Env = append(p.cmd.Env, s.environment...)
-	p.cmd.Stderr = p.log
-	if err := p.cmd.Start(); err != nil {
+	process.cmd.Env = append(process.cmd.Env, options.environment...)
+	process.cmd.Stderr = process.log
+	if err := process.cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	go func() { p.exited <- p.cmd.Wait() }()
+	go func() { process.exited <- process.cmd.Wait() }()
 	t.Cleanup(func() {
-		_ = p.cmd.Process.Kill()
-		if strings.Contains(p.log.String(), "DATA RACE") || strings.Contains(p.log.String(), `"msg":"panic`) {
+		_ = process.cmd.Process.Kill()
+		if strings.Contains(process.log.String(), "DATA RACE") || strings.Contains(process.log.String(), `"msg":"panic`) {
 			t.Error("the program's log tells of a race or a panic")
 		}
 		if t.Failed() {
-			t.Logf("the program's log:\n%s", p.log)
+			t.Logf("the program's log:\n%s", process.log)
 		}
 	})
-	return p
+	return process
 }
 
-// reload replaces the configuration and tells the program so.
-func (p *relayProcess) reloadConfig(s processOptions) {
-	p.t.Helper()
-	s.writeConfig(p.t, p.configPath)
-	if err := p.cmd.Process.Signal(syscall.SIGHUP); err != nil {
-		p.t.Fatal(err)
+// reloadConfig replaces the configuration file and sends SIGHUP.
+func (process *relayProcess) reloadConfig(options processOptions) {
+	process.t.Helper()
+	options.writeConfig(process.t, process.configPath)
+	if err := process.cmd.Process.Signal(syscall.SIGHUP); err != nil {
+		process.t.Fatal(err)
 	}
 }
 
-// logs waits until the program's log holds a text so many times.
-func (p *relayProcess) waitForLog(text string, times int) {
-	p.t.Helper()
-	waitFor(p.t, fmt.Sprintf("%q is logged %d times", text, times), func() bool {
-		return strings.Count(p.log.String(), text) >= times
+// signal sends a signal to the process.
+func (process *relayProcess) signal(s os.Signal) {
+	process.t.Helper()
+	if err := process.cmd.Process.Signal(s); err != nil {
+		process.t.Fatal(err)
+	}
+}
+
+// waitForLog waits until the log holds a text at least the given number of times.
+func (process *relayProcess) waitForLog(text string, times int) {
+	process.t.Helper()
+	waitFor(process.t, fmt.Sprintf("%q is logged %d times", text, times), func() bool {
+		return strings.Count(process.log.String(), text) >= times
 	})
 }
 
-// until waits for a condition.
+// waitFor polls a condition until it holds.
 func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(testTimeout); !ok(); {
@@ -197,120 +211,62 @@
 	}
 }
 
-// ended waits for the program's exit.
-func (p *relayProcess) waitForExit() error {
-	p.t.Helper()
+// waitForExit waits for the process to exit and returns the result.
+func (process *relayProcess) waitForExit() error {
+	process.t.Helper()
 	select {
-	case err := <-p.exited:
+	case err := <-process.exited:
 		return err
 	case <-time.After(testTimeout):
-		p.t.Fatal("the program does not end")
+		process.t.Fatal("the program does not end")
 		return nil
 	}
 }
 
-// client is one connection to the relay.
-type client struct {
-	t *testing.T
-	*net.TCPConn
-	reader *bufio.Reader
-}
-
-func (p *relayProcess) dial() *client {
-	p.t.Helper()
-	c, err := net.Dial("tcp", p.address)
-	if err != nil {
-		p.t.Fatal(err)
-	}
-	p.t.Cleanup(func() { _ = c.Close() })
-	_ = c.SetDeadline(time.Now().Add(testTimeout))
-	return &client{p.t, c.(*net.TCPConn), bufio.NewReader(c)}
-}
-
-func (c *client) send(lines ...string) {
-	c.t.Helper()
-	for _, l := range lines {
-		if _, err := io.WriteString(c, l+"\r\n"); err != nil {
-			c.t.Fatal(err)
-		}
-	}
-}
-
-func (c *client) expect(want string) {
-	c.t.Helper()
-	got, err := c.reader.ReadString('\n')
-	if err != nil || got != want+"\r\n" {
-		c.t.Fatalf("heard %q and %v, want %q", got, err, want)
-	}
-}
-
-// up dials, opens and hears that its connection stands.
-func (p *relayProcess) openSession(line string) *client {
-	p.t.Helper()
-	c := p.dial()
-	c.send(line)
-	c.expect("UP " + strings.Fields(line)[1])
-	return c
-}
-
-// ends checks that the connection ends cleanly with nothing more on it.
-func (c *client) expectClosed() {
-	c.t.Helper()
-	if rest, err := io.ReadAll(c.reader); err != nil || len(rest) != 0 {
-		c.t.Fatalf("%q and %v before the end", rest, err)
-	}
-}
-
-var lastRequestID = uint64(0x9b1f03aa5c7e0000)
-
-func openRequest(more string) string {
-	lastRequestID++
-	return fmt.Sprintf("OPEN %016x 7f3a9c21e0b4d655 c=chat,d=2000,g=5c0f6e1a2b3d4c59%s", lastRequestID, more)
-}
-
-// backends starts fake backends and a discovery that lists them as s-0, s-1, ...
-func startBackends(t *testing.T, b ...*fake.Backend) (*fake.Discovery, []fake.Endpoint) {
+// startBackends starts fake backends and a discovery service that lists them as s-0, s-1, ...
+func startBackends(t *testing.T, backends ...*fake.Backend) (*fake.Discovery, []fake.Endpoint) {
 	t.Helper()
-	var list []fake.Endpoint
-	for i := range b {
-		if b[i].LoadReport == "" {
-			b[i].LoadReport = "utilization=0.2,x0=0.3"
+	var endpoints []fake.Endpoint
+	for i := range backends {
+		if backends[i].LoadReport == "" {
+			backends[i].LoadReport = "utilization=0.2,x0=0.3"
 		}
-		if err := b[i].Listen("127.0.0.1:0"); err != nil {
+		if err := backends[i].Listen("127.0.0.1:0"); err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(b[i].Close)
-		list = append(list, fake.Endpoint{ID: "s-" + strconv.Itoa(i), Addr: b[i].Addr(), Zone: "east", Kind: "k",
+		t.Cleanup(backends[i].Close)
+		endpoints = append(endpoints, fake.Endpoint{ID: "s-" + strconv.Itoa(i), Addr: backends[i].Addr(), Zone: "east", Kind: "k",
 			State: "ready", Weight: 1})
 	}
-	d := &fake.Discovery{}
-	if err := d.Listen("127.0.0.1:0", list...); err != nil {
+	discovery := &fake.Discovery{}
+	if err := discovery.Listen("127.0.0.1:0", endpoints...); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(d.Close)
-	return d, list
+	t.Cleanup(discovery.Close)
+	return discovery, endpoints
 }
 
-// serving starts a relay with backends and waits until it is ready.
-func startWithBackends(t *testing.T, s processOptions, b ...*fake.Backend) (*relayProcess, *fake.Discovery, []fake.Endpoint) {
+// startWithBackends starts fake backends and a relay in front of them.
+func startWithBackends(t *testing.T, options processOptions, backends ...*fake.Backend) (*relayProcess, *fake.Discovery, []fake.Endpoint) {
 	t.Helper()
-	d, list := startBackends(t, b...)
-	s.discovery, s.knownEndpoints = d.Addr(), list
-	p := startProcess(t, s)
-	return p, d, list
+	discovery, endpoints := startBackends(t, backends...)
+	options.discovery, options.knownEndpoints = discovery.Addr(), endpoints
+	process := startProcess(t, options)
+	return process, discovery, endpoints
 }
 
-// raw starts a backend whose connections, once UP, are the test's, and a relay in front of it.
+// startWithRawBackend starts a relay in front of a backend that accepts every session and then leaves the connection
+// to serve.
 func startWithRawBackend(t *testing.T, stands func(c net.Conn, in *bufio.Reader)) *relayProcess {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = l.Close() })
+	t.Cleanup(func() { _ = listener.Close() })
 	go func() {
 		for {
-			c, err := l.Accept()
+			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
@@ -326,11 +282,105 @@
 			}()
 		}
 	}()
-	d := &fake.Discovery{}
-	list := fake.Endpoint{ID: "s-0", Addr: l.Addr().String(), Zone: "east", State: "ready", Weight: 1}
-	if err := d.Listen("127.0.0.1:0", list); err != nil {
+	discovery := &fake.Discovery{}
+	list := fake.Endpoint{ID: "s-0", Addr: listener.Addr().String(), Zone: "east", State: "ready", Weight: 1}
+	if err := discovery.Listen("127.0.0.1:0", list); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(discovery.Close)
+	return startProcess(t, processOptions{discovery: discovery.Addr(), knownEndpoints: []fake.Endpoint{list}})
+}
+
+// closedAddress returns an address at which nothing listens.
+func closedAddress(t *testing.T) string {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(d.Close)
-	return startProcess(t, processOptions{discovery: d.Addr(), knownEndpoints: []fake.Endpoint{list}})
+	defer listener.Close()
+	return listener.Addr().String()
+}
+
+// descriptorCount returns the number of open file descriptors of the process.
+func (process *relayProcess) descriptorCount() int {
+	process.t.Helper()
+	fds, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", process.cmd.Process.Pid))
+	if err != nil {
+		process.t.Fatal(err)
+	}
+	return len(fds)
+}
+
+// residentMB returns the resident memory of the process in megabytes.
+func (process *relayProcess) residentMB() int {
+	process.t.Helper()
+	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", process.cmd.Process.Pid))
+	if err != nil {
+		process.t.Fatal(err)
+	}
+	m := regexp.MustCompile(`VmRSS:\s+(\d+) kB`).FindSubmatch(text)
+	if m == nil {
+		process.t.Fatal("no VmRSS")
+	}
+	kb, err := strconv.Atoi(string(m[1]))
+	if err != nil {
+		process.t.Fatal(err)
+	}
+	return kb / 1024
+}
+
+// callAdmin sends a command to the admin endpoint and returns the answer, empty if there is none.
+func (process *relayProcess) callAdmin(t *testing.T, text string) string {
+	t.Helper()
+	c, err := net.Dial("tcp", adminAddressPattern.FindStringSubmatch(process.log.String())[1])
+	if err != nil {
+		return ""
+	}
+	defer c.Close()
+	_ = c.SetDeadline(time.Now().Add(testTimeout))
+	_, _ = io.WriteString(c, text+"\n")
+	got, _ := io.ReadAll(c)
+	return string(got)
+}
+
+// adminAddressPattern finds the address of the admin endpoint in the log.
+var adminAddressPattern = regexp.MustCompile(`"msg":"serving".*"management":"([^"]+)"`)
+
+// waitUntilReady waits until the relay answers PING with PONG and returns the time since the given one.
+func (process *relayProcess) waitUntilReady(since time.Time) time.Duration {
+	process.t.Helper()
+	for {
+		if c, err := net.Dial("tcp", process.address); err == nil {
+			_ = c.SetDeadline(time.Now().Add(testTimeout))
+			_, _ = fmt.Fprint(c, "PING\r\n")
+			line, _ := bufio.NewReader(c).ReadString('\n')
+			_ = c.Close()
+			if line == "PONG\r\n" {
+				return time.Since(since)
+			}
+		}
+		if time.Since(since) > testTimeout {
+			process.t.Fatalf("never ready\n%s", process.log)
+		}
+		time.Sleep(20 * time.Millisecond) // between two questions
+	}
+}
+
+// unreachableEndpoints returns a list of n endpoints at which nothing listens.
+func unreachableEndpoints(n int) (endpoints []fake.Endpoint) {
+	for i := range n {
+		endpoints = append(endpoints, fake.Endpoint{ID: fmt.Sprintf("s-%08x", i), Addr: fmt.Sprintf("127.0.%d.%d:9", 1+i/250, 1+i%250), Zone: "east", State: "ready", Weight: 1})
+	}
+	return endpoints
+}
+
+// peersJSON returns n peers as the configuration writes them.
+func peersJSON(n int) string {
+	var list []string
+	for i := range n {
+		list = append(list, fmt.Sprintf("127.1.%d.%d:9", i/250, 1+i%250))
+	}
+	text, _ := json.Marshal(list)
+	return `"peers":` + string(text)
 }
--- a/cmd/aspenbarrow/input_test.go
+++ b/cmd/aspenbarrow/input_test.go
@@ -19,8 +19,8 @@
 )
 
 func TestServe_AnswersMalformedInputOnce(t *testing.T) {
-	p, _, _ := startWithBackends(t, processOptions{}, &fake.Backend{})
-	held := p.dial()
+	process, _, _ := startWithBackends(t, processOptions{}, &fake.Backend{})
+	held := process.dial()
 	first := openRequest("")
 	held.send(first)
 	held.expect("UP " + strings.Fields(first)[1])
@@ -33,45 +33,33 @@
 		"bare LF": openRequest("") + "\nPING", "negative patience": strings.Replace(openRequest(""), "2000", "-5", 1), "empty": "",
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := p.dial()
+			c := process.dial()
 			c.t = t
 			c.send(line)
 			c.expect("ERR")
 			c.expectClosed()
 		})
 	}
-	c := p.dial()
+	c := process.dial()
 	c.send("PING")
 	c.expect("PONG")
 	held.send("still")
 	held.expect("echo still")
-	if n := strings.Count(p.log.String(), `"msg":"bad input"`); n < 15 {
+	if n := strings.Count(process.log.String(), `"msg":"bad input"`); n < 15 {
 		t.Errorf("%d of 15 logged", n)
 	}
 }
 
-// turnedAway checks that a bad client hears an error or a close in time, whatever it goes on sending.
-func expectRejected(t *testing.T, c *client, within time.Duration) {
-	t.Helper()
-	_ = c.SetReadDeadline(time.Now().Add(within))
-	got, err := c.reader.ReadString('\n')
-	if ne := net.Error(nil); errors.As(err, &ne) && ne.Timeout() {
-		t.Errorf("neither an answer nor a close after %v", within)
-	} else if err == nil && got != "ERR\r\n" && !strings.HasPrefix(got, "BUSY") {
-		t.Errorf("heard %q", got)
-	}
-}
-
 func TestServe_IdleConnectionsDoNotBlockClients(t *testing.T) {
-	p, _, _ := startWithBackends(t, processOptions{sockets: 256, memoryMB: 32}, &fake.Backend{})
-	held := p.openSession(openRequest(""))
+	process, _, _ := startWithBackends(t, processOptions{sockets: 256, memoryMB: 32}, &fake.Backend{})
+	held := process.openSession(openRequest(""))
 	var crowd []*client
 	for range 300 {
-		crowd = append(crowd, p.dial())
+		crowd = append(crowd, process.dial())
 	}
 	for range 10 {
 		asked := time.Now()
-		p.openSession(openRequest(""))
+		process.openSession(openRequest(""))
 		if took := time.Since(asked); took > 1500*time.Millisecond {
 			t.Errorf("a usual client waited for %v", took)
 		}
@@ -84,12 +72,12 @@
 }
 
 func TestServe_ClosesConnectionsWithUnboundedInput(t *testing.T) {
-	p, _, _ := startWithBackends(t, processOptions{sockets: 256, memoryMB: 32}, &fake.Backend{})
-	held := p.openSession(openRequest(""))
+	process, _, _ := startWithBackends(t, processOptions{sockets: 256, memoryMB: 32}, &fake.Backend{})
+	held := process.openSession(openRequest(""))
 	for _, what := range []string{strings.Repeat("k", 64<<10), strings.Repeat("PING\r\n", 8<<10),
 		strings.Repeat("frob 1\r\n", 8<<10), "OPEN " + strings.Repeat("\x00\xff", 32<<10)} {
 		for range 4 { // 60 MB each, at full speed
-			c := p.dial()
+			c := process.dial()
 			go func() {
 				for range 60 << 20 / len(what) {
 					if _, err := io.WriteString(c, what); err != nil {
@@ -107,7 +95,7 @@
 		held.send("still")
 		held.expect("echo still")
 	}
-	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
+	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", process.cmd.Process.Pid))
 	if err != nil {
 		t.Skip("no /proc here")
 	}
@@ -117,15 +105,16 @@
 	}
 }
 
-// A client's system that has no room yet for what it was told holds that back at the relay. A relay that closes at once,
-// since the client never stops sending, takes it back.
+// TestServe_DeliversAnswersToClientThatKeepsSending uses a client with a tiny receive buffer that never stops
+// sending, so that its answers wait at the relay. They must arrive before the relay closes the connection: closing at
+// once would discard them.
 func TestServe_DeliversAnswersToClientThatKeepsSending(t *testing.T) {
-	p, _, _ := startWithBackends(t, processOptions{sockets: 256, memoryMB: 32}, &fake.Backend{})
+	process, _, _ := startWithBackends(t, processOptions{sockets: 256, memoryMB: 32}, &fake.Backend{})
 	narrow := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) (err error) {
 		_ = raw.Control(func(fd uintptr) { err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 1) })
 		return err
 	}}
-	conn, err := narrow.Dial("tcp", p.address)
+	conn, err := narrow.Dial("tcp", process.address)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -143,21 +132,21 @@
 		c.expect("PONG")
 	}
 	c.expect("ERR")
-	p.openSession(openRequest(""))
+	process.openSession(openRequest(""))
 }
 
 func TestServe_RejectsInputBeforeAnswer(t *testing.T) {
-	b := &fake.Backend{Answer: func(open string) []string { return nil }}
-	p, _, _ := startWithBackends(t, processOptions{}, b)
-	c := p.dial()
+	backend := &fake.Backend{Answer: func(open string) []string { return nil }}
+	process, _, _ := startWithBackends(t, processOptions{}, backend)
+	c := process.dial()
 	c.send(openRequest("") + "\r\n" + openRequest("")) // both at once
 	expectRejected(t, c, 3*time.Second)
-	if n := len(b.OpenLines()); n != 0 {
+	if n := len(backend.OpenLines()); n != 0 {
 		t.Errorf("%d opens came to a backend", n)
 	}
-	c = p.dial()
+	c = process.dial()
 	c.send(openRequest(""))
-	waitFor(t, "the open comes to the backend", func() bool { return len(b.OpenLines()) > 0 })
+	waitFor(t, "the open comes to the backend", func() bool { return len(backend.OpenLines()) > 0 })
 	asked := time.Now()
 	c.send("more")
 	c.expect("ERR")
@@ -168,24 +157,25 @@
 }
 
 func TestServe_AnswersIncompleteCommand(t *testing.T) {
-	p, _, _ := startWithBackends(t, processOptions{}, &fake.Backend{})
-	c := p.dial()
+	process, _, _ := startWithBackends(t, processOptions{}, &fake.Backend{})
+	c := process.dial()
 	if _, err := io.WriteString(c, "OPEN 9b1f"); err != nil {
 		t.Fatal(err)
 	}
 	_ = c.CloseWrite()
 	c.expect("ERR")
 	c.expectClosed()
-	c = p.dial()
+	c = process.dial()
 	if _, err := io.WriteString(c, "OPEN 9b1f"); err != nil {
 		t.Fatal(err)
 	}
 	expectRejected(t, c, 3*time.Second)
 }
 
-// Hundreds come again as soon as they are turned away; usual clients are served all the while.
+// TestServe_FloodOfMalformedInputDoesNotBlockClients runs a hundred clients that reconnect as soon as they are
+// rejected: valid requests are answered meanwhile.
 func TestServe_FloodOfMalformedInputDoesNotBlockClients(t *testing.T) {
-	p, _, _ := startWithBackends(t, processOptions{sockets: 256, memoryMB: 32}, &fake.Backend{})
+	process, _, _ := startWithBackends(t, processOptions{sockets: 256, memoryMB: 32}, &fake.Backend{})
 	stop := make(chan struct{})
 	var flood sync.WaitGroup
 	for i := range 100 {
@@ -198,7 +188,7 @@
 					return
 				default:
 				}
-				c, err := net.Dial("tcp", p.address)
+				c, err := net.Dial("tcp", process.address)
 				if err != nil {
 					continue
 				}
@@ -211,7 +201,7 @@
 	}
 	for range 20 {
 		asked := time.Now()
-		p.openSession(openRequest(""))
+		process.openSession(openRequest(""))
 		if took := time.Since(asked); took > 1500*time.Millisecond {
 			t.Errorf("a usual client waited for %v", took)
 		}
@@ -221,19 +211,19 @@
 }
 
 func TestServe_DuplicateIDDoesNotAffectItsSession(t *testing.T) {
-	b := &fake.Backend{}
-	p, _, _ := startWithBackends(t, processOptions{}, b)
+	backend := &fake.Backend{}
+	process, _, _ := startWithBackends(t, processOptions{}, backend)
 	line := openRequest("")
-	held := p.openSession(line)
+	held := process.openSession(line)
 	for range 3 {
-		c := p.dial()
+		c := process.dial()
 		c.send(strings.Replace(line, "7f3a9c21e0b4d655", "00000000e0b4d655", 1))
 		c.expect("ERR")
 		c.expectClosed()
 		held.send("still")
 		held.expect("echo still")
 	}
-	if n := len(b.OpenLines()); n != 1 {
+	if n := len(backend.OpenLines()); n != 1 {
 		t.Errorf("%d opens came to the backend", n)
 	}
 }
--- a/cmd/aspenbarrow/log_keys_test.go
+++ b/cmd/aspenbarrow/log_keys_test.go
@@ -14,7 +14,7 @@
 	"testing"
 )
 
-// constant is a string that stands in the source, or * for one that does not.
+// stringLiteral returns the value of a string literal, or * for any other expression.
 func stringLiteral(e ast.Expr) string {
 	if l, ok := e.(*ast.BasicLit); ok && l.Kind == token.STRING {
 		if s, err := strconv.Unquote(l.Value); err == nil {
@@ -24,7 +24,7 @@
 	return "*"
 }
 
-// method is a call's last name and the last name of what it is called on, if any.
+// calledMethod returns the name of a called method and the last name of its receiver.
 func calledMethod(c *ast.CallExpr) (on, name string) {
 	s, ok := c.Fun.(*ast.SelectorExpr)
 	if !ok {
@@ -39,7 +39,7 @@
 	return on, s.Sel.Name
 }
 
-// field is the key of a zap field that a call makes; ok says whether it makes one.
+// zapFieldKey returns the key of the zap field that a call makes; ok reports whether it makes one.
 func zapFieldKey(e ast.Expr) (key string, ok bool) {
 	c, isCall := e.(*ast.CallExpr)
 	if !isCall {
@@ -57,7 +57,8 @@
 	return stringLiteral(c.Args[0]), true
 }
 
-// logged lists each call of a file that logs: level, message and keys. Fields that are made outside of one stand for themselves.
+// logCalls lists the log calls of a file: level, message and keys. Fields made outside of a log call have a line of
+// their own.
 func logCalls(f *ast.File) (lines []string) {
 	inside := map[ast.Expr]bool{}
 	ast.Inspect(f, func(n ast.Node) bool {
@@ -102,7 +103,8 @@
 	return lines
 }
 
-// Whoever reads the log by its keys goes on reading it: no message, level or key changes unseen.
+// TestLog_KeysGolden compares all log messages, levels and keys in the source with the golden list, since log queries
+// depend on them.
 func TestLog_KeysGolden(t *testing.T) {
 	root := "."
 	for range 8 {
--- /dev/null
+++ b/cmd/aspenbarrow/session_load_test.go
@@ -0,0 +1,244 @@
+package main
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"regexp"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+
+	"aspenbarrow/internal/fake"
+)
+
+// sessionLoad is a steady load: clients open a connection, send lines, each of which must be answered once, and
+// close.
+type sessionLoad struct {
+	address string
+	stop    chan struct{}
+	clients sync.WaitGroup
+	mu      sync.Mutex // of what follows
+	ids     int
+	sessionCounts
+	firstError error // what the first one lost, refused or left without an answer met
+}
+
+// sessionCounts counts the events of a load.
+type sessionCounts struct {
+	up         int // connections
+	lines      int // answered
+	moved      int // connections that the relay asked to move
+	repeated   int // lines said again on a client's next connection, since MOVE came before their answer
+	refused    int // connections that the address did not take
+	unanswered int // connections whose OPEN had another answer than UP
+	lost       int // connections that ended with neither MOVE nor the client's own end, or not in order
+	wrong      int // lines that were not the answer to the one said last
+}
+
+// run starts the clients: some close after a few lines, the others stay until they get MOVE.
+func (load *sessionLoad) run(short, staying int) {
+	load.stop = make(chan struct{})
+	for i := range short + staying {
+		load.clients.Go(func() {
+			c := &loadClient{load: load, number: i}
+			pace := time.NewTicker(2 * time.Millisecond) // of its arrivals and lines
+			defer pace.Stop()
+			for !load.stopped(pace) {
+				switch {
+				case i < short:
+					c.runSession(pace, 4)
+				default:
+					c.runSession(pace, -1)
+				}
+			}
+		})
+	}
+}
+
+// stopped waits for the next tick and reports whether the load has been stopped.
+func (load *sessionLoad) stopped(pace *time.Ticker) bool {
+	select {
+	case <-load.stop:
+		return true
+	case <-pace.C:
+		return false
+	}
+}
+
+// count updates the counts.
+func (load *sessionLoad) count(what func(c *sessionCounts)) {
+	load.mu.Lock()
+	defer load.mu.Unlock()
+	what(&load.sessionCounts)
+}
+
+// countFailure updates the counts and keeps the first error.
+func (load *sessionLoad) countFailure(what func(c *sessionCounts), err error) {
+	load.mu.Lock()
+	defer load.mu.Unlock()
+	what(&load.sessionCounts)
+	if load.firstError == nil {
+		load.firstError = err
+	}
+}
+
+// counts returns a copy of the counts.
+func (load *sessionLoad) counts() sessionCounts {
+	load.mu.Lock()
+	defer load.mu.Unlock()
+	return load.sessionCounts
+}
+
+// nextID returns a new request id.
+func (load *sessionLoad) nextID() int {
+	load.mu.Lock()
+	defer load.mu.Unlock()
+	load.ids++
+	return load.ids
+}
+
+// waitForMore waits until so many more connections have been answered with UP and so many more lines answered.
+func (load *sessionLoad) waitForMore(t *testing.T, up, lines int) {
+	t.Helper()
+	was := load.counts()
+	waitFor(t, fmt.Sprintf("%d more connections and %d more lines", up, lines), func() bool {
+		now := load.counts()
+		return now.up >= was.up+up && now.lines >= was.lines+lines
+	})
+}
+
+// stopAndWait stops the clients and waits for their end.
+func (load *sessionLoad) stopAndWait() {
+	close(load.stop)
+	load.clients.Wait()
+}
+
+// loadClient is one client of a load, over all its connections.
+type loadClient struct {
+	load     *sessionLoad
+	number   int
+	answered int  // answered
+	pending  bool // the next one, on an earlier connection
+}
+
+// runSession opens a connection, exchanges so many lines, or lines until MOVE if the number is negative, and closes
+// it.
+func (c *loadClient) runSession(pace *time.Ticker, lines int) {
+	load, id, class := c.load, c.load.nextID(), []string{"chat", "order"}[c.number%2]
+	conn, err := net.Dial("tcp", load.address)
+	if err != nil {
+		load.countFailure(func(n *sessionCounts) { n.refused++ }, err)
+		return
+	}
+	defer conn.Close()
+	_ = conn.SetDeadline(time.Now().Add(testTimeout))
+	in := bufio.NewReader(conn)
+	fmt.Fprintf(conn, "OPEN %016x %016x c=%s,d=2000\r\n", id, c.number, class)
+	switch answer, err := in.ReadString('\n'); {
+	case err != nil:
+		load.countFailure(func(n *sessionCounts) { n.lost++ }, fmt.Errorf("instead of an answer to OPEN: %w", err))
+		return
+	case answer != fmt.Sprintf("UP %016x\r\n", id):
+		load.countFailure(func(n *sessionCounts) { n.unanswered++ }, fmt.Errorf("answer %q to OPEN %016x", answer, id))
+		return
+	}
+	load.count(func(n *sessionCounts) { n.up++ })
+	for n := 0; n != lines && !load.stopped(pace); n++ {
+		moved, err := c.exchangeLine(conn, in)
+		switch {
+		case moved:
+			load.count(func(n *sessionCounts) { n.moved++ })
+			c.close(conn, in)
+			return
+		case err != nil:
+			load.countFailure(func(n *sessionCounts) { n.lost++ }, err)
+			return
+		}
+	}
+	c.close(conn, in)
+}
+
+// exchangeLine sends the next line and reads its answer, or MOVE instead of it.
+func (c *loadClient) exchangeLine(conn net.Conn, in *bufio.Reader) (moved bool, err error) {
+	load, text := c.load, fmt.Sprintf("client %d line %d", c.number, c.answered)
+	if c.pending {
+		load.count(func(n *sessionCounts) { n.repeated++ })
+	}
+	c.pending = true
+	_ = conn.SetDeadline(time.Now().Add(testTimeout))
+	_, err = io.WriteString(conn, text+"\r\n") // where it fails, what came before is read all the same
+	answer, heard := in.ReadString('\n')
+	switch {
+	case heard != nil:
+		return false, fmt.Errorf("instead of the answer to %q: %w", text, errors.Join(err, heard))
+	case answer == "MOVE\r\n":
+		return true, nil
+	case answer != "echo "+text+"\r\n":
+		load.countFailure(func(n *sessionCounts) { n.wrong++ }, fmt.Errorf("answer %q to %q", answer, text))
+	}
+	c.answered, c.pending = c.answered+1, false
+	load.count(func(n *sessionCounts) { n.lines++ })
+	return false, nil
+}
+
+// close closes the sending side and expects the relay to end the connection.
+func (c *loadClient) close(conn net.Conn, in *bufio.Reader) {
+	load := c.load
+	if err := conn.(*net.TCPConn).CloseWrite(); err != nil && !errors.Is(err, syscall.ENOTCONN) { // the relay may have gone first
+		load.countFailure(func(n *sessionCounts) { n.lost++ }, err)
+		return
+	}
+	rest, err := io.ReadAll(in)
+	if err != nil {
+		load.countFailure(func(n *sessionCounts) { n.lost++ }, fmt.Errorf("instead of the end: %w", err))
+		return
+	}
+	if text := string(rest); text != "" && text != "MOVE\r\n" {
+		load.countFailure(func(n *sessionCounts) { n.wrong++ }, fmt.Errorf("%q before the end", text))
+	}
+}
+
+// countAttempts counts the attempts that reached backends, by class and request.
+func countAttempts(backends []*fake.Backend) map[string]map[string]int {
+	seen := map[string]map[string]int{"chat": {}, "order": {}}
+	form := regexp.MustCompile(`^OPEN (\w+) \w+ c=(\w+),`)
+	for _, backend := range backends {
+		for _, line := range backend.OpenLines() {
+			if m := form.FindStringSubmatch(line); m != nil {
+				seen[m[2]][m[1]]++
+			}
+		}
+	}
+	return seen
+}
+
+// check logs the counts and fails the test on any failure or on attempts that differ from the answers.
+func (load *sessionLoad) check(t *testing.T, seen map[string]map[string]int) {
+	t.Helper()
+	c := load.counts()
+	t.Logf("%d connections up, %d lines answered, %d connections moved, %d lines repeated after a move, %d attempts for %d requests that may be repeated; %d lost, %d refused, %d not answered UP, %d answered wrongly",
+		c.up, c.lines, c.moved, c.repeated, sum(seen["chat"]), len(seen["chat"]), c.lost, c.refused, c.unanswered, c.wrong)
+	if c.lost+c.refused+c.unanswered+c.wrong > 0 {
+		t.Errorf("the first that failed: %v", load.firstError)
+	}
+	for id, n := range seen["order"] {
+		if n != 1 {
+			t.Errorf("request %s, which may not be repeated, came to backends %d times", id, n)
+		}
+	}
+	if got := len(seen["chat"]) + len(seen["order"]); got != c.up {
+		t.Errorf("backends have seen %d requests, %d were answered UP", got, c.up)
+	}
+}
+
+// sum adds up counts.
+func sum(counts map[string]int) (sum int) {
+	for _, n := range counts {
+		sum += n
+	}
+	return sum
+}
--- a/cmd/aspenbarrow/session_test.go
+++ b/cmd/aspenbarrow/session_test.go
@@ -16,19 +16,19 @@
 )
 
 func TestServe_RelaysLinesUnchanged(t *testing.T) {
-	b := &fake.Backend{}
-	p, _, _ := startWithBackends(t, processOptions{}, b)
+	backend := &fake.Backend{}
+	process, _, _ := startWithBackends(t, processOptions{}, backend)
 	line := openRequest(",r=1,again=1,x-new=1")
-	c := p.openSession(line)
+	c := process.openSession(line)
 	c.send("hello", "PING", "MOVE along")
 	c.expect("echo hello")
 	c.expect("echo PING")
 	c.expect("echo MOVE along")
-	b.Broadcast("LOAD 12.5", "BYE", "")
+	backend.Broadcast("LOAD 12.5", "BYE", "")
 	c.expect("LOAD 12.5")
 	c.expect("BYE")
 	c.expectClosed()
-	got := b.OpenLines()
+	got := backend.OpenLines()
 	if len(got) != 1 {
 		t.Fatalf("the backend saw %q", got)
 	}
@@ -46,12 +46,12 @@
 
 func TestServe_PropagatesCloseAndReset(t *testing.T) {
 	seen := make(chan error, 2)
-	p := startWithRawBackend(t, func(c net.Conn, in *bufio.Reader) {
+	process := startWithRawBackend(t, func(c net.Conn, in *bufio.Reader) {
 		_, err := in.ReadString('\n')
 		seen <- err
 	})
 	for _, reset := range []bool{false, true} {
-		c := p.dial()
+		c := process.dial()
 		c.send(openRequest(""))
 		c.expect("UP here")
 		if reset {
@@ -72,8 +72,8 @@
 func TestServe_MovesClientOfStalledBackend(t *testing.T) {
 	done := make(chan struct{})
 	defer close(done)
-	p := startWithRawBackend(t, func(c net.Conn, in *bufio.Reader) { <-done })
-	c := p.dial()
+	process := startWithRawBackend(t, func(c net.Conn, in *bufio.Reader) { <-done })
+	c := process.dial()
 	c.send(openRequest(""))
 	c.expect("UP here")
 	go func() { // until the connection ends
@@ -87,7 +87,7 @@
 }
 
 func TestServe_SlowReaderStallsOnlyItsOwnSession(t *testing.T) {
-	p := startWithRawBackend(t, func(c net.Conn, in *bufio.Reader) {
+	process := startWithRawBackend(t, func(c net.Conn, in *bufio.Reader) {
 		for {
 			l, err := in.ReadString('\n')
 			if err != nil {
@@ -99,11 +99,11 @@
 			_, _ = io.WriteString(c, l)
 		}
 	})
-	slow := p.dial()
+	slow := process.dial()
 	slow.send(openRequest(""))
 	slow.expect("UP here")
 	slow.send("flood")
-	c := p.dial()
+	c := process.dial()
 	c.send(openRequest(""))
 	c.expect("UP here")
 	for i := range 100 {
@@ -125,11 +125,11 @@
 }
 
 func TestServe_MigratesClientsOffDrainingBackend(t *testing.T) {
-	a, b := &fake.Backend{}, &fake.Backend{}
-	p, d, list := startWithBackends(t, processOptions{}, a, b)
+	a, backend := &fake.Backend{}, &fake.Backend{}
+	process, discovery, endpoints := startWithBackends(t, processOptions{}, a, backend)
 	var at []*client
 	for range 8 {
-		c := p.openSession(strings.Replace(openRequest(""), "7f3a9c21e0b4d655", fmt.Sprintf("%016x", lastRequestID*7919), 1))
+		c := process.openSession(strings.Replace(openRequest(""), "7f3a9c21e0b4d655", fmt.Sprintf("%016x", lastRequestID*7919), 1))
 		before := len(a.OpenLines())
 		if before > len(at) {
 			at = append(at, c)
@@ -138,15 +138,15 @@
 	if len(at) == 0 {
 		t.Fatal("none of 8 keys has the first backend as its home")
 	}
-	list[0].State = "draining"
-	d.SetEndpoints(list...)
+	endpoints[0].State = "draining"
+	discovery.SetEndpoints(endpoints...)
 	for _, c := range at {
 		c.expect("MOVE")
 		c.expectClosed()
 	}
 	was := len(a.OpenLines())
 	for range 8 {
-		p.openSession(strings.Replace(openRequest(""), "7f3a9c21e0b4d655", fmt.Sprintf("%016x", lastRequestID*7919), 1))
+		process.openSession(strings.Replace(openRequest(""), "7f3a9c21e0b4d655", fmt.Sprintf("%016x", lastRequestID*7919), 1))
 	}
 	if n := len(a.OpenLines()); n != was {
 		t.Errorf("%d connections to a draining backend", n-was)
@@ -154,10 +154,10 @@
 }
 
 func TestServe_MovesClientOfUnresponsiveBackend(t *testing.T) {
-	b := &fake.Backend{}
-	p, _, _ := startWithBackends(t, processOptions{}, b)
-	c := p.openSession(openRequest(""))
-	b.StopResponding()
+	backend := &fake.Backend{}
+	process, _, _ := startWithBackends(t, processOptions{}, backend)
+	c := process.openSession(openRequest(""))
+	backend.StopResponding()
 	asked := time.Now()
 	c.send("anyone?")
 	c.expect("MOVE")
@@ -168,21 +168,22 @@
 }
 
 func TestServe_ReconnectsSessionToItsBackend(t *testing.T) {
-	a, b := &fake.Backend{}, &fake.Backend{}
-	p, _, _ := startWithBackends(t, processOptions{mode: "pass"}, a, b)
-	for i, want := range []*fake.Backend{a, b, a, b} {
+	a, backend := &fake.Backend{}, &fake.Backend{}
+	process, _, _ := startWithBackends(t, processOptions{mode: "pass"}, a, backend)
+	for i, want := range []*fake.Backend{a, backend, a, backend} {
 		before := len(want.OpenLines())
 		line := openRequest(",at=s-" + strconv.Itoa(i%2))
-		p.openSession(line)
+		process.openSession(line)
 		if len(want.OpenLines()) != before+1 {
 			t.Errorf("%q went elsewhere", line)
 		}
 	}
 }
 
-// A backend closes on what it cannot read. That says nothing of the backend: nobody else is moved off it.
+// TestServe_ResetCausedByClientDoesNotEjectBackend has a backend reset sessions on input that it cannot parse: that
+// is no failure of the backend, and other sessions on it continue.
 func TestServe_ResetCausedByClientDoesNotEjectBackend(t *testing.T) {
-	p := startWithRawBackend(t, func(c net.Conn, in *bufio.Reader) {
+	process := startWithRawBackend(t, func(c net.Conn, in *bufio.Reader) {
 		for {
 			l, err := in.ReadString('\n')
 			if err != nil {
@@ -196,7 +197,7 @@
 		}
 	})
 	up := func() *client {
-		c := p.dial()
+		c := process.dial()
 		c.send(openRequest(""))
 		c.expect("UP here")
 		return c
--- a/cmd/aspenbarrow/start_test.go
+++ b/cmd/aspenbarrow/start_test.go
@@ -1,8 +1,6 @@
 package main
 
 import (
-	"bufio"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"net"
@@ -10,7 +8,6 @@
 	"net/http/httptest"
 	"os"
 	"os/exec"
-	"regexp"
 	"strconv"
 	"strings"
 	"sync/atomic"
@@ -20,49 +17,12 @@
 	"aspenbarrow/internal/fake"
 )
 
-// readyWithin is by when nine in ten restarted relays have to answer PONG on their listen address.
+// readyTimeout is the time within which nine in ten restarted relays have to answer PONG at their listen address.
 const readyTimeout = 10 * time.Second
 
-// hosts is a list of so many servers that nobody runs.
-func unreachableEndpoints(n int) (list []fake.Endpoint) {
-	for i := range n {
-		list = append(list, fake.Endpoint{ID: fmt.Sprintf("s-%08x", i), Addr: fmt.Sprintf("127.0.%d.%d:9", 1+i/250, 1+i%250), Zone: "east", State: "ready", Weight: 1})
-	}
-	return list
-}
-
-// names are so many peers, as the configuration writes them.
-func peersJSON(n int) string {
-	var list []string
-	for i := range n {
-		list = append(list, fmt.Sprintf("127.1.%d.%d:9", i/250, 1+i%250))
-	}
-	text, _ := json.Marshal(list)
-	return `"peers":` + string(text)
-}
-
-// pong waits until a relay says that it is to be used and returns how long that took since.
-func (p *relayProcess) waitUntilReady(since time.Time) time.Duration {
-	p.t.Helper()
-	for {
-		if c, err := net.Dial("tcp", p.address); err == nil {
-			_ = c.SetDeadline(time.Now().Add(testTimeout))
-			_, _ = fmt.Fprint(c, "PING\r\n")
-			line, _ := bufio.NewReader(c).ReadString('\n')
-			_ = c.Close()
-			if line == "PONG\r\n" {
-				return time.Since(since)
-			}
-		}
-		if time.Since(since) > testTimeout {
-			p.t.Fatalf("never ready\n%s", p.log)
-		}
-		time.Sleep(20 * time.Millisecond) // between two questions
-	}
-}
-
-// Two dozen processes start again at once, each with a thousand servers and peers, whatever discovery and the list that
-// they had are like: nine in ten are ready in time, and nothing at the start waits for the network for good.
+// TestStart_RestartedRelaysBecomeReadyInTime starts two dozen relays at once with a thousand backends and peers, for
+// several states of discovery and of the cached list: nine in ten are ready in time, so no start waits for the
+// network.
 func TestStart_RestartedRelaysBecomeReadyInTime(t *testing.T) {
 	mute, err := net.Listen("tcp", "127.0.0.1:0") // takes calls and answers none
 	if err != nil {
@@ -98,17 +58,17 @@
 				relays[i] = startProcess(t, processOptions{discovery: tc.discovery, knownEndpoints: tc.known, replaceText: tc.replace, memoryMB: 32, sockets: 256})
 			}
 			late := 0
-			for _, p := range relays {
+			for _, process := range relays {
 				for i := range tc.standing {
-					c := p.dial()
+					c := process.dial()
 					c.send(fmt.Sprintf("OPEN %016x %016x c=chat,d=2000,at=s-%08x", i+1, i+1, i))
 				}
-				took := p.waitUntilReady(began)
+				took := process.waitUntilReady(began)
 				if took > readyTimeout {
 					late++
 				}
 				if strings.Contains(tc.name, "spoilt") {
-					p.waitForLog("cached endpoint list is malformed", 1)
+					process.waitForLog("cached endpoint list is malformed", 1)
 				}
 			}
 			if 10*late > len(relays) {
@@ -118,31 +78,13 @@
 	}
 }
 
-// resident is what the program takes of memory, in megabytes.
-func (p *relayProcess) residentMB() int {
-	p.t.Helper()
-	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
-	if err != nil {
-		p.t.Fatal(err)
-	}
-	m := regexp.MustCompile(`VmRSS:\s+(\d+) kB`).FindSubmatch(text)
-	if m == nil {
-		p.t.Fatal("no VmRSS")
-	}
-	kb, err := strconv.Atoi(string(m[1]))
-	if err != nil {
-		p.t.Fatal(err)
-	}
-	return kb / 1024
-}
-
-// A thousand and twenty-four relays and two thousand servers, within the smallest limits of the platform: at a start, on a
-// reload and with a whole list from discovery.
+// TestServe_LargeFleetFitsSmallestLimits runs a relay with 1,024 relays and 2,000 backends within the smallest limits
+// of the platform: at the start, after reloads and with complete lists from discovery.
 func TestServe_LargeFleetFitsSmallestLimits(t *testing.T) {
 	var version atomic.Int64 // of discovery's list, which names some servers fewer each time
 	version.Store(2)
 	heard := make(chan int64, 64)
-	d := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		index, _ := strconv.ParseInt(r.URL.Query().Get("index"), 10, 64)
 		if v := version.Load(); index < v {
 			_, _ = w.Write(fake.EncodeList(int(v), unreachableEndpoints(2000-int(v))))
@@ -154,17 +96,17 @@
 		}
 		_, _ = w.Write(fake.EncodeList(int(version.Load()), unreachableEndpoints(2000-int(version.Load()))))
 	}))
-	t.Cleanup(d.Close)
-	s := processOptions{discovery: d.Listener.Addr().String(), knownEndpoints: unreachableEndpoints(2000), replaceText: [2]string{`"peers":["127.0.0.1:9"]`, peersJSON(1024)}, memoryMB: 32, sockets: 256}
-	p := startProcess(t, s)
-	p.waitUntilReady(time.Now())
+	t.Cleanup(server.Close)
+	options := processOptions{discovery: server.Listener.Addr().String(), knownEndpoints: unreachableEndpoints(2000), replaceText: [2]string{`"peers":["127.0.0.1:9"]`, peersJSON(1024)}, memoryMB: 32, sockets: 256}
+	process := startProcess(t, options)
+	process.waitUntilReady(time.Now())
 	small := func(when string) {
 		t.Helper()
-		t.Logf("%s: %d MB", when, p.residentMB())
-		if mb := p.residentMB(); mb > 32 && !raceEnabled {
+		t.Logf("%s: %d MB", when, process.residentMB())
+		if mb := process.residentMB(); mb > 32 && !raceEnabled {
 			t.Errorf("%s: %d MB of 32", when, mb)
 		}
-		fds, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
+		fds, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", process.cmd.Process.Pid))
 		if err != nil || len(fds) > 64 {
 			t.Errorf("%s: %d descriptors without a client, %v", when, len(fds), err)
 		}
@@ -185,12 +127,12 @@
 			}
 		}
 		small("with a list")
-		s.replaceText[1] = peersJSON(1024 - round - 1)
-		p.reloadConfig(s)
-		p.waitForLog("configuration reloaded", round+1)
+		options.replaceText[1] = peersJSON(1024 - round - 1)
+		process.reloadConfig(options)
+		process.waitForLog("configuration reloaded", round+1)
 		small("after a reload")
 	}
-	p.waitUntilReady(time.Now())
+	process.waitUntilReady(time.Now())
 }
 
 func TestServe_RejectsInvalidConfigurationBeforeListening(t *testing.T) {
@@ -209,13 +151,13 @@
 			if name == "no listen address" {
 				r = [2]string{`"listen":"127.0.0.1:0"`, `"listen":""`}
 			}
-			p := launchProcess(t, processOptions{discovery: "127.0.0.1:9", replaceText: r})
-			err := p.waitForExit()
+			process := launchProcess(t, processOptions{discovery: "127.0.0.1:9", replaceText: r})
+			err := process.waitForExit()
 			if exit := (*exec.ExitError)(nil); !errors.As(err, &exit) || exit.ExitCode() != 1 {
 				t.Errorf("exit: %v", err)
 			}
-			if !strings.HasPrefix(p.log.String(), "aspenbarrow: ") || strings.Contains(p.log.String(), "serving") {
-				t.Errorf("said %q", p.log)
+			if !strings.HasPrefix(process.log.String(), "aspenbarrow: ") || strings.Contains(process.log.String(), "serving") {
+				t.Errorf("said %q", process.log)
 			}
 		})
 	}
