--- /dev/null
+++ b/cmd/aspenbarrow/command_members_test.go
@@ -0,0 +1,67 @@
+package main
+
+import (
+	"bytes"
+	"io"
+	"net"
+	"strings"
+	"testing"
+)
+
+// startAdminServer starts an admin endpoint that gives the same answer to each command and returns its address.
+func startAdminServer(t *testing.T, text string) string {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = listener.Close() })
+	go func() {
+		for {
+			c, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			_, _ = c.Read(make([]byte, 64))
+			_, _ = io.WriteString(c, text)
+			_ = c.Close()
+		}
+	}()
+	return listener.Addr().String()
+}
+
+func TestMembersCommand(t *testing.T) {
+	complete := "SUCCESS\nhere=1 of=2 own_health=0\nmember=0 name=n0 state=alive since_ms=12000 by=0 incarnation=7 round_trip_us=0 health=0 twice=false\n" +
+		"member=1 name=n1 state=dead since_ms=3000 by=0 incarnation=9 round_trip_us=420 health=1 twice=true\nEOT\n"
+	for _, tc := range []struct {
+		name, answer  string
+		args          []string
+		want, failure string
+	}{
+		{"table", complete, nil, "1 of 2 relays are there", ""},
+		{"duplicate name", complete, nil, "two processes speak under this name", ""},
+		{"json", complete, []string{"--json"}, `"state": "dead"`, ""},
+		{"failure", "FAILURE nobody finds out who is there\n", nil, "", "nobody finds out"},
+		{"truncated", complete[:60], nil, "", "cut short"},
+		{"empty", "SUCCESS\nEOT\n", nil, "", "empty answer"},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			var out bytes.Buffer
+			root := newRootCommand()
+			root.SetOut(&out)
+			root.SetArgs(append([]string{"members", "--at", startAdminServer(t, tc.answer)}, tc.args...))
+			err := root.Execute()
+			if tc.failure != "" && (err == nil || !strings.Contains(err.Error(), tc.failure)) || tc.failure == "" && err != nil {
+				t.Errorf("%v", err)
+			}
+			if !strings.Contains(out.String(), tc.want) {
+				t.Errorf("%q lacks %q", out.String(), tc.want)
+			}
+		})
+	}
+	root := newRootCommand()
+	root.SetArgs([]string{"members"})
+	if err := root.Execute(); err == nil || !strings.Contains(err.Error(), "--at") {
+		t.Errorf("without an address: %v", err)
+	}
+}
--- a/cmd/aspenbarrow/descriptors_test.go
+++ b/cmd/aspenbarrow/descriptors_test.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"net"
-	"os"
 	"strings"
 	"testing"
 	"time"
@@ -13,182 +12,201 @@
 	"aspenbarrow/internal/fake"
 )
 
-// silence is an agent of discovery that takes calls and answers none, until it is back.
-type silence struct {
-	t    *testing.T
-	addr string
-	l    net.Listener
-	back *fake.Discovery
+// silentDiscovery is a discovery service that accepts calls and does not answer them until it resumes.
+type silentDiscovery struct {
+	t        *testing.T
+	address  string
+	listener net.Listener
+	resumed  *fake.Discovery
 }
 
-func newSilence(t *testing.T) *silence {
+// newSilentDiscovery starts a silent discovery service.
+func newSilentDiscovery(t *testing.T) *silentDiscovery {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &silence{t: t, addr: l.Addr().String(), l: l}
-	t.Cleanup(func() { _ = l.Close() })
-	return s
+	discovery := &silentDiscovery{t: t, address: listener.Addr().String(), listener: listener}
+	t.Cleanup(func() { _ = listener.Close() })
+	return discovery
 }
 
-// returns has it speak again, with a list; calls that were taken before stay without an answer.
-func (s *silence) returns(list ...fake.Endpoint) {
-	s.t.Helper()
-	_ = s.l.Close()
-	s.back = &fake.Discovery{}
-	if err := s.back.Listen(s.addr, list...); err != nil {
-		s.t.Fatal(err)
+// resume makes the service answer new calls with a list; calls accepted before stay unanswered.
+func (discovery *silentDiscovery) resume(endpoints ...fake.Endpoint) {
+	discovery.t.Helper()
+	_ = discovery.listener.Close()
+	discovery.resumed = &fake.Discovery{}
+	if err := discovery.resumed.Listen(discovery.address, endpoints...); err != nil {
+		discovery.t.Fatal(err)
 	}
-	s.t.Cleanup(s.back.Close)
-	s.back.SetVersion(1000)
+	discovery.t.Cleanup(discovery.resumed.Close)
+	discovery.resumed.SetVersion(1000)
 }
 
-// held is how many descriptors the program has.
-func (p *program) descriptors() int {
-	p.t.Helper()
-	fds, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
-	if err != nil {
-		p.t.Fatal(err)
-	}
-	return len(fds)
-}
-
-// Clients that say nothing fill the descriptors while discovery is down, and others ask. The system holds the program to its
-// limit. Nobody who sends a whole OPEN is without an answer, discovery's return is heard within 6 s, no accept fails, and
-// SIGTERM and a smaller limit find it as usual.
-func TestIdleClientsMayFillTheDescriptorsWhileDiscoveryIsDown(t *testing.T) {
+// TestServe_IdleClientsAtDescriptorLimitWhileDiscoveryIsDown fills the descriptors with idle clients while discovery
+// is down and other clients send requests; the system enforces the limit on the process. Every complete OPEN is
+// answered, the list of a resumed discovery service is in force within 6 s, no accept fails, and SIGTERM and a reload
+// with a smaller limit work as usual.
+func TestServe_IdleClientsAtDescriptorLimitWhileDiscoveryIsDown(t *testing.T) {
 	ids := 0
 	for _, limit := range []int{64, 256, 1024} {
 		for _, known := range []bool{false, true} {
-			t.Run(fmt.Sprintf("%d descriptors, a list %v", limit, known), func(t *testing.T) {
-				crowdedWhileDiscoveryIsDown(t, limit, known, &ids)
+			t.Run(fmt.Sprintf("%d descriptors, cached list %v", limit, known), func(t *testing.T) {
+				testDescriptorLimitWhileDiscoveryIsDown(t, limit, known, &ids)
 			})
 		}
 	}
 }
 
-// crowdedWhileDiscoveryIsDown is the test at one limit of descriptors, with or without a list of backends from before.
-// Flow ids go on from ids.
-func crowdedWhileDiscoveryIsDown(t *testing.T, limit int, known bool, ids *int) {
-	one, two := &fake.Backend{}, &fake.Backend{}
-	unused, list := backends(t, one, two)
+// testDescriptorLimitWhileDiscoveryIsDown is the test at one descriptor limit, with or without a cached list of
+// backends. Request ids continue from ids.
+func testDescriptorLimitWhileDiscoveryIsDown(t *testing.T, limit int, known bool, ids *int) {
+	cached, listed := &fake.Backend{}, &fake.Backend{}
+	unused, endpoints := startBackends(t, cached, listed)
 	unused.Close()
-	d := newSilence(t)
-	s := setup{discovery: d.addr, sockets: limit, memory: 64}
-	if known { // of one of the two; discovery will say that it is the other
-		s.known = list[:1]
+	discovery := newSilentDiscovery(t)
+	options := processOptions{discovery: discovery.address, sockets: limit, memoryMB: 64}
+	if known { // it names one backend; discovery will name the other
+		options.knownEndpoints = endpoints[:1]
 	}
-	p := crowd{program: start(t, s), t: t, limit: limit, ids: ids}
-	if err := unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: uint64(limit), Max: uint64(limit)}, nil); err != nil {
+	crowd := crowdedProcess{relayProcess: startProcess(t, options), t: t, limit: limit, lastID: ids}
+	if err := unix.Prlimit(crowd.cmd.Process.Pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: uint64(limit), Max: uint64(limit)}, nil); err != nil {
 		t.Fatal(err)
 	}
-	p.idle(3 * limit)
+	crowd.dialIdle(3 * limit)
 	var asked []*client
 	for range limit {
-		asked = append(asked, p.asks())
+		asked = append(asked, crowd.dialOpen())
 	}
-	p.idle(limit)
-	p.staysWithinItsLimit()
-	back := time.Now()
-	d.returns(list[1])
+	crowd.dialIdle(limit)
+	crowd.checkDescriptors()
+	resumed := time.Now()
+	discovery.resume(endpoints[1])
 	if known {
-		p.asksUntilOpenAt(two, back)
-	}
-	p.answersAll(asked)
-	if took := time.Since(back); took > 6*time.Second {
-		t.Errorf("discovery's return was heard of after %v", took)
-	}
-	p.staysWithinItsLimit()
-	s.sockets = limit / 2
-	p.reload(s)
-	p.logs("configuration reloaded", 1)
-	p.idle(limit)
-	p.answers(p.asks(), "with half of the limit")
-	if err := p.cmd.Process.Signal(unix.SIGTERM); err != nil {
+		crowd.openUntilBackendReached(listed, resumed)
+	}
+	crowd.checkAllAnswered(asked)
+	if took := time.Since(resumed); took > 6*time.Second {
+		t.Errorf("the resumed discovery service took effect after %v", took)
+	}
+	crowd.checkDescriptors()
+	options.sockets = limit / 2
+	crowd.reloadConfig(options)
+	crowd.waitForLog(logReloaded, 1)
+	crowd.dialIdle(limit)
+	crowd.checkAnswered(crowd.dialOpen(), "with half of the limit")
+	if err := crowd.cmd.Process.Signal(unix.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	p.answers(p.asks(), "after SIGTERM")
-	if err := p.ended(); err != nil {
+	crowd.checkAnswered(crowd.dialOpen(), "after SIGTERM")
+	if err := crowd.waitForExit(); err != nil {
 		t.Errorf("ended with %v", err)
 	}
-	if strings.Contains(p.log.String(), `"msg":"accept failed"`) || strings.Contains(p.log.String(), "too many open files") {
+	if strings.Contains(crowd.log.String(), `"msg":"accept failed"`) || strings.Contains(crowd.log.String(), "too many open files") {
 		t.Error("descriptors ran out")
 	}
 }
 
-// crowd is a program whose clients fill its descriptors.
-type crowd struct {
-	*program
-	t     *testing.T
-	limit int
-	ids   *int
+// crowdedProcess is a relay whose descriptors are filled by its clients.
+type crowdedProcess struct {
+	*relayProcess
+	t      *testing.T
+	limit  int
+	lastID *int
 }
 
-// idle dials n clients that say nothing.
-func (p crowd) idle(n int) {
+// dialIdle opens n connections that send nothing.
+func (crowd crowdedProcess) dialIdle(n int) {
 	for range n {
-		p.dial()
+		crowd.dial()
 	}
 }
 
-// asks dials a client that sends a whole OPEN.
-func (p crowd) asks() *client {
-	*p.ids++
-	c := p.dial()
-	c.say(fmt.Sprintf("OPEN %016x %016x c=chat,d=20000", 1<<20+*p.ids, *p.ids))
+// dialOpen opens a connection and sends a complete OPEN line.
+func (crowd crowdedProcess) dialOpen() *client {
+	*crowd.lastID++
+	c := crowd.dial()
+	c.send(fmt.Sprintf("OPEN %016x %016x c=chat,d=20000", 1<<20+*crowd.lastID, *crowd.lastID))
 	return c
 }
 
-func (p crowd) staysWithinItsLimit() {
-	p.t.Helper()
-	if n := p.descriptors(); n > p.limit {
-		p.t.Errorf("%d descriptors of %d", n, p.limit)
+// checkDescriptors fails the test if the process has more descriptors than its limit.
+func (crowd crowdedProcess) checkDescriptors() {
+	crowd.t.Helper()
+	if n := crowd.descriptorCount(); n > crowd.limit {
+		crowd.t.Errorf("%d descriptors of %d", n, crowd.limit)
 	}
 }
 
-// asksUntilOpenAt sends one OPEN after the other, each of which must be answered, until one reached the backend that
-// discovery told of at the time given.
-func (p crowd) asksUntilOpenAt(b *fake.Backend, told time.Time) {
-	p.t.Helper()
-	for len(b.OpenLines()) == 0 {
-		c := p.asks()
-		if got, err := c.in.ReadString('\n'); err != nil {
-			p.t.Fatalf("an OPEN is without an answer: %q, %v", got, err)
+// openUntilBackendReached sends requests, each of which must be answered, until one reaches the backend that
+// discovery has listed since the given time.
+func (crowd crowdedProcess) openUntilBackendReached(backend *fake.Backend, told time.Time) {
+	crowd.t.Helper()
+	for len(backend.OpenLines()) == 0 {
+		c := crowd.dialOpen()
+		if got, err := c.reader.ReadString('\n'); err != nil {
+			crowd.t.Fatalf("a request has no answer: %q, %v", got, err)
 		}
 		_ = c.Close()
-		if time.Since(told) > patience {
-			p.t.Fatal("discovery's return is not heard of")
+		if time.Since(told) > testTimeout {
+			crowd.t.Fatal("the resumed discovery service has no effect")
 		}
 	}
 }
 
-// answersAll checks that each client hears UP or BUSY, and an eighth of them UP.
-func (p crowd) answersAll(asked []*client) {
-	p.t.Helper()
-	ups, busy := 0, 0
+// checkAllAnswered fails the test unless every client gets UP or BUSY, and at least one in eight UP.
+func (crowd crowdedProcess) checkAllAnswered(asked []*client) {
+	crowd.t.Helper()
+	accepted, rejected := 0, 0
 	for i, c := range asked {
-		got, err := c.in.ReadString('\n')
+		got, err := c.reader.ReadString('\n')
 		switch {
 		case err != nil:
-			p.t.Fatalf("OPEN %d of %d is without an answer: %q, %v", i, p.limit, got, err)
+			crowd.t.Fatalf("OPEN %d of %d has no answer: %q, %v", i, crowd.limit, got, err)
 		case strings.HasPrefix(got, "UP"):
-			ups++
+			accepted++
 		case strings.HasPrefix(got, "BUSY"):
-			busy++
+			rejected++
 		default:
-			p.t.Errorf("heard %q", got)
+			crowd.t.Errorf("got %q", got)
 		}
 	}
-	if ups < p.limit/8 || ups+busy != p.limit {
-		p.t.Errorf("%d up, %d busy of %d", ups, busy, p.limit)
+	if accepted < crowd.limit/8 || accepted+rejected != crowd.limit {
+		crowd.t.Errorf("%d up, %d busy of %d", accepted, rejected, crowd.limit)
+	}
+}
+
+// checkAnswered fails the test unless the client gets UP or BUSY.
+func (crowd crowdedProcess) checkAnswered(c *client, when string) {
+	crowd.t.Helper()
+	if got, err := c.reader.ReadString('\n'); err != nil || !strings.HasPrefix(got, "UP") && !strings.HasPrefix(got, "BUSY") {
+		crowd.t.Errorf("%s: got %q, %v", when, got, err)
 	}
 }
 
-// answers checks that one client hears UP or BUSY.
-func (p crowd) answers(c *client, when string) {
-	p.t.Helper()
-	if got, err := c.in.ReadString('\n'); err != nil || !strings.HasPrefix(got, "UP") && !strings.HasPrefix(got, "BUSY") {
-		p.t.Errorf("%s: heard %q, %v", when, got, err)
+func TestServe_RejectsRequestsNearDescriptorLimit(t *testing.T) {
+	process, _, _ := startWithBackends(t, processOptions{sockets: 64}, &fake.Backend{})
+	accepted, rejected := 0, 0
+	for range 40 {
+		c := process.dial()
+		c.send(openRequest(""))
+		got, err := c.reader.ReadString('\n')
+		switch {
+		case err != nil:
+			t.Fatalf("after %d up and %d busy: %v", accepted, rejected, err)
+		case strings.HasPrefix(got, "UP"):
+			accepted++
+		case got == "BUSY 1000\r\n":
+			rejected++
+		default:
+			t.Fatalf("got %q", got)
+		}
+	}
+	if accepted < 10 || rejected < 10 {
+		t.Errorf("%d up, %d busy", accepted, rejected)
 	}
+	c := process.dial()
+	c.send("PING")
+	c.expect("PONG")
 }
--- /dev/null
+++ b/cmd/aspenbarrow/input_test.go
@@ -0,0 +1,236 @@
+package main
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"regexp"
+	"strconv"
+	"strings"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+
+	"aspenbarrow/internal/fake"
+)
+
+func TestServe_AnswersMalformedInputOnce(t *testing.T) {
+	process, _, _ := startWithBackends(t, processOptions{}, &fake.Backend{})
+	first := openRequest("")
+	held := process.openSession(first)
+	for name, line := range map[string]string{
+		"no protocol":                 "GET / HTTP/1.1",
+		"unknown class":               strings.Replace(openRequest(""), "chat", "cat", 1),
+		"bad number":                  strings.Replace(openRequest(""), "d=2000", "d=2s", 1),
+		"bad id":                      "OPEN xyz 7f3a9c21e0b4d655 c=chat,d=2000",
+		"no timeout":                  strings.Replace(openRequest(""), ",d=2000", "", 1),
+		"overlong line":               strings.Repeat("x", 5000),
+		"duplicate id":                first,
+		"exponent":                    strings.Replace(openRequest(""), "2000", "2e3", 1),
+		"duplicate field":             openRequest(",d=2000"),
+		"mid outside pass mode":       openRequest(",mid=1"),
+		"control byte":                openRequest(",x=\x07"),
+		"reconnect outside pass mode": openRequest(",at=s-0"),
+		"bare LF":                     openRequest("") + "\nPING",
+		"negative timeout":            strings.Replace(openRequest(""), "2000", "-5", 1),
+		"empty line":                  "",
+	} {
+		t.Run(name, func(t *testing.T) {
+			c := process.dial()
+			c.t = t
+			c.send(line)
+			c.expect("ERR")
+			c.expectClosed()
+		})
+	}
+	c := process.dial()
+	c.send("PING")
+	c.expect("PONG")
+	held.send("still")
+	held.expect("echo still")
+	if n := strings.Count(process.log.String(), `"msg":"protocol error from client"`); n < 15 {
+		t.Errorf("%d of 15 logged", n)
+	}
+}
+
+func TestServe_IdleConnectionsDoNotBlockClients(t *testing.T) {
+	process, _, _ := startWithBackends(t, processOptions{sockets: 256, memoryMB: 32}, &fake.Backend{})
+	held := process.openSession(openRequest(""))
+	var crowd []*client
+	for range 300 {
+		crowd = append(crowd, process.dial())
+	}
+	for range 10 {
+		asked := time.Now()
+		process.openSession(openRequest(""))
+		if took := time.Since(asked); took > 1500*time.Millisecond {
+			t.Errorf("a valid request waited for %v", took)
+		}
+	}
+	for _, c := range crowd {
+		expectRejected(t, c, 3*time.Second)
+	}
+	held.send("still")
+	held.expect("echo still")
+}
+
+func TestServe_ClosesConnectionsWithUnboundedInput(t *testing.T) {
+	process, _, _ := startWithBackends(t, processOptions{sockets: 256, memoryMB: 32}, &fake.Backend{})
+	held := process.openSession(openRequest(""))
+	for _, input := range []string{strings.Repeat("k", 64<<10), strings.Repeat("PING\r\n", 8<<10),
+		strings.Repeat("frob 1\r\n", 8<<10), "OPEN " + strings.Repeat("\x00\xff", 32<<10)} {
+		for range 4 { // up to 60 MB each
+			c := process.dial()
+			go func() {
+				for range 60 << 20 / len(input) {
+					if _, err := io.WriteString(c, input); err != nil {
+						return
+					}
+				}
+			}()
+			if input[0] == 'P' { // PINGs are answered up to a limit
+				for range 16 {
+					c.expect("PONG")
+				}
+			}
+			expectRejected(t, c, 3*time.Second)
+		}
+		held.send("still")
+		held.expect("echo still")
+	}
+	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", process.cmd.Process.Pid))
+	if err != nil {
+		t.Skip("no /proc here")
+	}
+	m := regexp.MustCompile(`VmHWM:\s+(\d+) kB`).FindSubmatch(status)
+	if peakKB, _ := strconv.Atoi(string(m[1])); !raceEnabled && peakKB > 32<<10 {
+		t.Errorf("the relay held %d KiB", peakKB)
+	}
+}
+
+// TestServe_DeliversAnswersToClientThatKeepsSending uses a client with a tiny receive buffer that never stops
+// sending, so that its answers wait at the relay. They must arrive before the relay closes the connection: closing at
+// once would discard them.
+func TestServe_DeliversAnswersToClientThatKeepsSending(t *testing.T) {
+	process, _, _ := startWithBackends(t, processOptions{sockets: 256, memoryMB: 32}, &fake.Backend{})
+	dialer := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) (err error) {
+		_ = raw.Control(func(fd uintptr) { err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 1) })
+		return err
+	}}
+	conn, err := dialer.Dial("tcp", process.address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	c := &client{t, conn.(*net.TCPConn), bufio.NewReader(conn)}
+	_ = c.SetDeadline(time.Now().Add(testTimeout))
+	_ = c.SetWriteDeadline(time.Now().Add(300 * time.Millisecond)) // less than the time for which the relay waits
+	for err == nil {
+		_, err = io.WriteString(c, strings.Repeat("PING\r\n", 1<<10))
+	}
+	if ne := net.Error(nil); !errors.As(err, &ne) || !ne.Timeout() {
+		t.Errorf("closed with %v before the answers could arrive, instead of a write timeout", err)
+	}
+	for range 16 {
+		c.expect("PONG")
+	}
+	c.expect("ERR")
+	process.openSession(openRequest(""))
+}
+
+func TestServe_RejectsInputBeforeAnswer(t *testing.T) {
+	backend := &fake.Backend{Answer: func(open string) []string { return nil }}
+	process, _, _ := startWithBackends(t, processOptions{}, backend)
+	c := process.dial()
+	c.send(openRequest("") + "\r\n" + openRequest("")) // two requests in one write
+	expectRejected(t, c, 3*time.Second)
+	if n := len(backend.OpenLines()); n != 0 {
+		t.Errorf("%d requests reached a backend", n)
+	}
+	c = process.dial()
+	c.send(openRequest(""))
+	waitFor(t, "the request reaches the backend", func() bool { return len(backend.OpenLines()) > 0 })
+	asked := time.Now()
+	c.send("more")
+	c.expect("ERR")
+	if took := time.Since(asked); took > time.Second {
+		t.Errorf("rejected after %v", took)
+	}
+	c.expectClosed()
+}
+
+func TestServe_AnswersIncompleteCommand(t *testing.T) {
+	process, _, _ := startWithBackends(t, processOptions{}, &fake.Backend{})
+	c := process.dial()
+	if _, err := io.WriteString(c, "OPEN 9b1f"); err != nil {
+		t.Fatal(err)
+	}
+	_ = c.CloseWrite()
+	c.expect("ERR")
+	c.expectClosed()
+	c = process.dial()
+	if _, err := io.WriteString(c, "OPEN 9b1f"); err != nil {
+		t.Fatal(err)
+	}
+	expectRejected(t, c, 3*time.Second)
+}
+
+// TestServe_FloodOfMalformedInputDoesNotBlockClients runs a hundred clients that reconnect as soon as they are
+// rejected: valid requests are answered meanwhile.
+func TestServe_FloodOfMalformedInputDoesNotBlockClients(t *testing.T) {
+	process, _, _ := startWithBackends(t, processOptions{sockets: 256, memoryMB: 32}, &fake.Backend{})
+	stop := make(chan struct{})
+	var flood sync.WaitGroup
+	for i := range 100 {
+		flood.Add(1)
+		go func() {
+			defer flood.Done()
+			for {
+				select {
+				case <-stop:
+					return
+				default:
+				}
+				c, err := net.Dial("tcp", process.address)
+				if err != nil {
+					continue
+				}
+				_ = c.SetDeadline(time.Now().Add(testTimeout))
+				_, _ = io.WriteString(c, []string{"frob\r\n", "OPEN 1 2 c=cat,d=1\r\n", "OPEN \x00"}[i%3])
+				_, _ = io.ReadAll(c)
+				_ = c.Close()
+			}
+		}()
+	}
+	for range 20 {
+		asked := time.Now()
+		process.openSession(openRequest(""))
+		if took := time.Since(asked); took > 1500*time.Millisecond {
+			t.Errorf("a valid request waited for %v", took)
+		}
+	}
+	close(stop)
+	flood.Wait()
+}
+
+func TestServe_DuplicateIDDoesNotAffectItsSession(t *testing.T) {
+	backend := &fake.Backend{}
+	process, _, _ := startWithBackends(t, processOptions{}, backend)
+	line := openRequest("")
+	held := process.openSession(line)
+	for range 3 {
+		c := process.dial()
+		c.send(strings.Replace(line, "7f3a9c21e0b4d655", "00000000e0b4d655", 1))
+		c.expect("ERR")
+		c.expectClosed()
+		held.send("still")
+		held.expect("echo still")
+	}
+	if n := len(backend.OpenLines()); n != 1 {
+		t.Errorf("%d requests reached the backend", n)
+	}
+}
--- a/cmd/aspenbarrow/log_keys_test.go
+++ b/cmd/aspenbarrow/log_keys_test.go
@@ -14,8 +14,8 @@
 	"testing"
 )
 
-// constant is a string that stands in the source, or * for one that does not.
-func constant(e ast.Expr) string {
+// stringLiteral returns the value of a string literal, or * for any other expression.
+func stringLiteral(e ast.Expr) string {
 	if l, ok := e.(*ast.BasicLit); ok && l.Kind == token.STRING {
 		if s, err := strconv.Unquote(l.Value); err == nil {
 			return s
@@ -24,8 +24,8 @@
 	return "*"
 }
 
-// method is a call's last name and the last name of what it is called on, if any.
-func method(c *ast.CallExpr) (on, name string) {
+// calledMethod returns the name of a called method and the last name of its receiver.
+func calledMethod(c *ast.CallExpr) (on, name string) {
 	s, ok := c.Fun.(*ast.SelectorExpr)
 	if !ok {
 		return "", ""
@@ -39,13 +39,13 @@
 	return on, s.Sel.Name
 }
 
-// field is the key of a zap field that a call makes; ok says whether it makes one.
-func field(e ast.Expr) (key string, ok bool) {
+// zapFieldKey returns the key of the zap field that a call makes; ok reports whether it makes one.
+func zapFieldKey(e ast.Expr) (key string, ok bool) {
 	c, isCall := e.(*ast.CallExpr)
 	if !isCall {
 		return "", false
 	}
-	on, name := method(c)
+	on, name := calledMethod(c)
 	switch {
 	case on != "zap" || slices.Contains([]string{"New", "NewNop", "NewProductionEncoderConfig"}, name):
 		return "", false
@@ -54,34 +54,35 @@
 	case len(c.Args) == 0:
 		return "*", true
 	}
-	return constant(c.Args[0]), true
+	return stringLiteral(c.Args[0]), true
 }
 
-// logged lists each call of a file that logs: level, message and keys. Fields that are made outside of one stand for themselves.
-func logged(f *ast.File) (lines []string) {
+// logCalls lists the log calls of a file: level, message and keys. Fields made outside of a log call have a line of
+// their own.
+func logCalls(f *ast.File) (lines []string) {
 	inside := map[ast.Expr]bool{}
 	ast.Inspect(f, func(n ast.Node) bool {
 		c, ok := n.(*ast.CallExpr)
 		if !ok {
 			return true
 		}
-		on, level := method(c)
+		on, level := calledMethod(c)
 		message, fields := "", c.Args
 		switch {
 		case on == "zap" || len(c.Args) == 0:
 			return true
 		case slices.Contains([]string{"Debug", "Info", "Warn", "Error", "DPanic", "Panic", "Fatal"}, level):
-			message, fields = constant(c.Args[0]), c.Args[1:]
-			if !strings.HasPrefix(strings.ToLower(on), "log") && !slices.ContainsFunc(fields, func(e ast.Expr) bool { _, ok := field(e); return ok }) {
+			message, fields = stringLiteral(c.Args[0]), c.Args[1:]
+			if !strings.HasPrefix(strings.ToLower(on), "log") && !slices.ContainsFunc(fields, func(e ast.Expr) bool { _, ok := zapFieldKey(e); return ok }) {
 				return true
 			}
-		case level == "With" && slices.ContainsFunc(fields, func(e ast.Expr) bool { _, ok := field(e); return ok }):
+		case level == "With" && slices.ContainsFunc(fields, func(e ast.Expr) bool { _, ok := zapFieldKey(e); return ok }):
 		default:
 			return true
 		}
 		var keys []string
 		for _, e := range fields {
-			key, ok := field(e)
+			key, ok := zapFieldKey(e)
 			if !ok {
 				key = "*"
 			}
@@ -93,7 +94,7 @@
 	})
 	ast.Inspect(f, func(n ast.Node) bool {
 		if e, ok := n.(ast.Expr); ok && !inside[e] {
-			if key, ok := field(e); ok {
+			if key, ok := zapFieldKey(e); ok {
 				lines = append(lines, "field\t\t"+key)
 			}
 		}
@@ -102,7 +103,8 @@
 	return lines
 }
 
-// Whoever reads the log by its keys goes on reading it: no message, level or key changes unseen.
+// TestLog_KeysGolden compares all log messages, levels and keys in the source with the golden list, since log queries
+// depend on them.
 func TestLog_KeysGolden(t *testing.T) {
 	root := "."
 	for range 8 {
@@ -127,7 +129,7 @@
 		}
 		f, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
 		if err == nil {
-			lines = append(lines, logged(f)...)
+			lines = append(lines, logCalls(f)...)
 		}
 		return err
 	})
--- /dev/null
+++ b/cmd/aspenbarrow/reload_test.go
@@ -0,0 +1,92 @@
+package main
+
+import (
+	"os"
+	"strconv"
+	"syscall"
+	"testing"
+	"time"
+
+	"aspenbarrow/internal/fake"
+)
+
+// TestReload_SwitchesDiscoveryAddressImmediately reloads with another discovery address: the pending watch at the old
+// one is cancelled and the complete list comes from the new one, although its version is lower and the environment
+// still names the old address.
+func TestReload_SwitchesDiscoveryAddressImmediately(t *testing.T) {
+	before, after := &fake.Backend{}, &fake.Backend{}
+	old, endpoints := startBackends(t, before, after)
+	old.SetVersion(1000)
+	old.SetEndpoints(endpoints[0])
+	fresh := startDiscovery(t, endpoints[1])
+	process := startProcess(t, processOptions{discovery: old.Addr(), knownEndpoints: endpoints[:1], environment: []string{"PROXY_DISCOVERY=" + old.Addr()}})
+	held := process.openSession(openRequest(""))
+	waitFor(t, "the old discovery address is watched", func() bool { return old.WaitingCalls() > 0 })
+	asked := time.Now()
+	process.reloadConfig(processOptions{discovery: fresh.Addr(), knownEndpoints: endpoints[:1]})
+	held.expect("MOVE") // its backend is not in the new list
+	if took := time.Since(asked); took > 3*time.Second {
+		t.Errorf("the new list was taken after %v", took)
+	}
+	process.openSession(openRequest(""))
+	if len(after.OpenLines()) != 1 || len(before.OpenLines()) != 1 {
+		t.Errorf("%d opens at the old backend, %d at the new", len(before.OpenLines()), len(after.OpenLines()))
+	}
+	if n := old.WaitingCalls(); n != 0 {
+		t.Errorf("%d calls are still pending at the old discovery address", n)
+	}
+}
+
+func TestReload_UnderLoadKeepsSessions(t *testing.T) {
+	backend := &fake.Backend{}
+	process, discovery, endpoints := startWithBackends(t, processOptions{}, backend)
+	other := startDiscovery(t, endpoints...)
+	var held []*client
+	for range 10 {
+		held = append(held, process.openSession(openRequest("")))
+	}
+	for i := range 6 {
+		address := []string{other.Addr(), discovery.Addr()}[i%2]
+		if i == 4 { // nothing listens at this address
+			address = "127.0.0.1:9"
+		}
+		process.reloadConfig(processOptions{discovery: address, knownEndpoints: endpoints})
+		for _, c := range held {
+			c.send("still " + strconv.Itoa(i))
+			c.expect("echo still " + strconv.Itoa(i))
+		}
+		held = append(held, process.openSession(openRequest("")))
+		process.waitForLog(logReloaded, i+1)
+	}
+	if err := process.cmd.Process.Signal(syscall.SIGTERM); err != nil {
+		t.Fatal(err)
+	}
+	process.reloadConfig(processOptions{discovery: discovery.Addr(), knownEndpoints: endpoints}) // during the shutdown, too
+	for _, c := range held {
+		c.expect("MOVE")
+	}
+	if err := process.waitForExit(); err != nil {
+		t.Errorf("exit: %v", err)
+	}
+}
+
+func TestReload_InvalidFileKeepsRunningConfiguration(t *testing.T) {
+	process, discovery, endpoints := startWithBackends(t, processOptions{}, &fake.Backend{})
+	for i, replacement := range [][2]string{{`"seed"`, `seed`}, {`"no`, `"no`}, {`"full":true`, `"full":"yes"`},
+		{`"memory_mb":192`, `"memory_mb":-1`}, {discovery.Addr(), "nowhere"}} {
+		if i == 1 { // the file is missing
+			if err := os.Remove(process.configPath); err != nil {
+				t.Fatal(err)
+			}
+			if err := process.cmd.Process.Signal(syscall.SIGHUP); err != nil {
+				t.Fatal(err)
+			}
+		} else {
+			process.reloadConfig(processOptions{discovery: discovery.Addr(), knownEndpoints: endpoints, replaceText: replacement})
+		}
+		process.waitForLog(logReloadRejected, i+1)
+		process.openSession(openRequest(""))
+	}
+	process.reloadConfig(processOptions{discovery: discovery.Addr(), knownEndpoints: endpoints, sockets: 512, replaceText: [2]string{`"on-time-ms":500`, `"on-time-ms":400`}})
+	process.waitForLog(`"taken":["limits","settings"]`, 1)
+}
--- /dev/null
+++ b/cmd/aspenbarrow/session_test.go
@@ -0,0 +1,208 @@
+package main
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"regexp"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"aspenbarrow/internal/fake"
+)
+
+func TestServe_RelaysLinesUnchanged(t *testing.T) {
+	backend := &fake.Backend{}
+	process, _, _ := startWithBackends(t, processOptions{}, backend)
+	line := openRequest(",r=1,again=1,x-new=1")
+	c := process.openSession(line)
+	c.send("hello", "PING", "MOVE along")
+	c.expect("echo hello")
+	c.expect("echo PING")
+	c.expect("echo MOVE along")
+	backend.Broadcast("LOAD 12.5", "BYE", "")
+	c.expect("LOAD 12.5")
+	c.expect("BYE")
+	c.expectClosed()
+	got := backend.OpenLines()
+	if len(got) != 1 {
+		t.Fatalf("the backend saw %q", got)
+	}
+	m := regexp.MustCompile(`,d=(\d+),`).FindStringSubmatch(got[0])
+	if m == nil {
+		t.Fatalf("no d in %q", got[0])
+	}
+	if left, _ := strconv.Atoi(m[1]); left < 1000 || left > 2000 {
+		t.Errorf("%d ms left of 2000", left)
+	}
+	if strings.Replace(got[0], m[0], ",d=2000,", 1) != line {
+		t.Errorf("the backend saw %q of %q", got[0], line)
+	}
+}
+
+func TestServe_PropagatesCloseAndReset(t *testing.T) {
+	seen := make(chan error, 2)
+	process := startWithRawBackend(t, func(c net.Conn, reader *bufio.Reader) {
+		_, err := reader.ReadString('\n')
+		seen <- err
+	})
+	for _, reset := range []bool{false, true} {
+		c := process.openRawSession()
+		if reset {
+			_ = c.SetLinger(0)
+		}
+		_ = c.Close()
+		select {
+		case err := <-seen:
+			if reset == errors.Is(err, io.EOF) {
+				t.Errorf("client reset %v, the backend saw %v", reset, err)
+			}
+		case <-time.After(testTimeout):
+			t.Fatal("the backend's connection stays open")
+		}
+	}
+}
+
+func TestServe_MovesClientOfStalledBackend(t *testing.T) {
+	done := make(chan struct{})
+	defer close(done)
+	process := startWithRawBackend(t, func(c net.Conn, reader *bufio.Reader) { <-done })
+	c := process.openRawSession()
+	go func() { // until the connection ends
+		for line := strings.Repeat("x", 4000) + "\r\n"; ; {
+			if _, err := io.WriteString(c, line); err != nil {
+				return
+			}
+		}
+	}()
+	c.expect("MOVE")
+}
+
+func TestServe_SlowReaderStallsOnlyItsOwnSession(t *testing.T) {
+	process := startWithRawBackend(t, func(c net.Conn, reader *bufio.Reader) {
+		for {
+			line, err := reader.ReadString('\n')
+			if err != nil {
+				return
+			}
+			if line == "flood\r\n" {
+				line = strings.Repeat(strings.Repeat("y", 1000)+"\r\n", 20000)
+			}
+			_, _ = io.WriteString(c, line)
+		}
+	})
+	slow := process.openRawSession()
+	slow.send("flood")
+	c := process.openRawSession()
+	for i := range 100 {
+		asked := time.Now()
+		c.send(strconv.Itoa(i))
+		c.expect(strconv.Itoa(i))
+		if took := time.Since(asked); took > time.Second {
+			t.Fatalf("a line took %v", took)
+		}
+	}
+	n := 0
+	for range 20000 { // the delayed lines are complete
+		l, err := slow.reader.ReadString('\n')
+		if err != nil || len(l) != 1002 {
+			t.Fatalf("%d bytes and %v after %d lines", len(l), err, n)
+		}
+		n++
+	}
+}
+
+func TestServe_MigratesClientsOffDrainingBackend(t *testing.T) {
+	first, second := &fake.Backend{}, &fake.Backend{}
+	process, discovery, endpoints := startWithBackends(t, processOptions{}, first, second)
+	var onFirst []*client
+	for range 8 {
+		c := process.openSession(strings.Replace(openRequest(""), "7f3a9c21e0b4d655", fmt.Sprintf("%016x", lastRequestID*7919), 1))
+		before := len(first.OpenLines())
+		if before > len(onFirst) {
+			onFirst = append(onFirst, c)
+		}
+	}
+	if len(onFirst) == 0 {
+		t.Fatal("none of 8 keys has the first backend as its primary")
+	}
+	endpoints[0].State = "draining"
+	discovery.SetEndpoints(endpoints...)
+	for _, c := range onFirst {
+		c.expect("MOVE")
+		c.expectClosed()
+	}
+	before := len(first.OpenLines())
+	for range 8 {
+		process.openSession(strings.Replace(openRequest(""), "7f3a9c21e0b4d655", fmt.Sprintf("%016x", lastRequestID*7919), 1))
+	}
+	if n := len(first.OpenLines()); n != before {
+		t.Errorf("%d connections to a draining backend", n-before)
+	}
+}
+
+func TestServe_MovesClientOfUnresponsiveBackend(t *testing.T) {
+	backend := &fake.Backend{}
+	process, _, _ := startWithBackends(t, processOptions{}, backend)
+	c := process.openSession(openRequest(""))
+	backend.StopResponding()
+	asked := time.Now()
+	c.send("anyone?")
+	c.expect("MOVE")
+	c.expectClosed()
+	if took := time.Since(asked); took > 6*time.Second {
+		t.Errorf("moved after %v", took)
+	}
+}
+
+func TestServe_ReconnectsSessionToItsBackend(t *testing.T) {
+	first, second := &fake.Backend{}, &fake.Backend{}
+	process, _, _ := startWithBackends(t, processOptions{mode: "pass"}, first, second)
+	for i, want := range []*fake.Backend{first, second, first, second} {
+		before := len(want.OpenLines())
+		line := openRequest(",at=s-" + strconv.Itoa(i%2))
+		process.openSession(line)
+		if len(want.OpenLines()) != before+1 {
+			t.Errorf("%q went elsewhere", line)
+		}
+	}
+}
+
+// TestServe_ResetCausedByClientDoesNotEjectBackend has a backend reset sessions on input that it cannot parse: that
+// is no failure of the backend, and other sessions on it continue.
+func TestServe_ResetCausedByClientDoesNotEjectBackend(t *testing.T) {
+	process := startWithRawBackend(t, func(c net.Conn, reader *bufio.Reader) {
+		for {
+			line, err := reader.ReadString('\n')
+			if err != nil {
+				return
+			}
+			if line == "junk\r\n" {
+				_ = c.(*net.TCPConn).SetLinger(0)
+				return
+			}
+			_, _ = io.WriteString(c, line)
+		}
+	})
+	var others []*client
+	for range 8 {
+		others = append(others, process.openRawSession())
+	}
+	for range 3 {
+		c := process.openRawSession()
+		c.send("junk")
+		if _, err := c.reader.ReadString('\n'); err == nil {
+			t.Fatal("the connection goes on")
+		}
+		for range 20 {
+			for _, other := range others {
+				other.send("still")
+				other.expect("still")
+			}
+		}
+	}
+}
--- a/cmd/aspenbarrow/start_test.go
+++ b/cmd/aspenbarrow/start_test.go
@@ -1,14 +1,12 @@
 package main
 
 import (
-	"bufio"
-	"encoding/json"
+	"errors"
 	"fmt"
 	"net"
 	"net/http"
 	"net/http/httptest"
-	"os"
-	"regexp"
+	"os/exec"
 	"strconv"
 	"strings"
 	"sync/atomic"
@@ -18,175 +16,168 @@
 	"aspenbarrow/internal/fake"
 )
 
-// readyWithin is by when nine in ten restarted relays have to answer PONG on their listen address.
-const readyWithin = 10 * time.Second
+// readyTimeout is the time within which nine in ten restarted relays have to answer PONG at their listen address.
+const readyTimeout = 10 * time.Second
 
-// hosts is a list of so many servers that nobody runs.
-func hosts(n int) (list []fake.Endpoint) {
-	for i := range n {
-		list = append(list, fake.Endpoint{ID: fmt.Sprintf("s-%08x", i), Addr: fmt.Sprintf("127.0.%d.%d:9", 1+i/250, 1+i%250), Zone: "east", State: "ready", Weight: 1})
-	}
-	return list
-}
-
-// names are so many peers, as the configuration writes them.
-func names(n int) string {
-	var list []string
-	for i := range n {
-		list = append(list, fmt.Sprintf("127.1.%d.%d:9", i/250, 1+i%250))
-	}
-	text, _ := json.Marshal(list)
-	return `"peers":` + string(text)
-}
-
-// pong waits until a relay says that it is to be used and returns how long that took since.
-func (p *program) pong(since time.Time) time.Duration {
-	p.t.Helper()
-	for {
-		if c, err := net.Dial("tcp", p.addr); err == nil {
-			_ = c.SetDeadline(time.Now().Add(patience))
-			_, _ = fmt.Fprint(c, "PING\r\n")
-			line, _ := bufio.NewReader(c).ReadString('\n')
-			_ = c.Close()
-			if line == "PONG\r\n" {
-				return time.Since(since)
-			}
-		}
-		if time.Since(since) > patience {
-			p.t.Fatalf("never ready\n%s", p.log)
-		}
-		time.Sleep(20 * time.Millisecond) // between two questions
-	}
-}
-
-// Two dozen processes start again at once, each with a thousand servers and peers, whatever discovery and the list that
-// they had are like: nine in ten are ready in time, and nothing at the start waits for the network for good.
-func TestRestartedRelaysAreReadyInTime(t *testing.T) {
-	mute, err := net.Listen("tcp", "127.0.0.1:0") // takes calls and answers none
+// TestStart_RestartedRelaysBecomeReadyInTime starts two dozen relays at once with a thousand backends and peers, for
+// several states of discovery and of the cached list: nine in ten are ready in time, so no start waits for the
+// network.
+func TestStart_RestartedRelaysBecomeReadyInTime(t *testing.T) {
+	silent, err := net.Listen("tcp", "127.0.0.1:0") // accepts connections and does not answer
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = mute.Close() })
-	var slow fake.Discovery
-	if err := slow.Listen("127.0.0.1:0", hosts(1000)...); err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(slow.Close)
-	const here = `"peers":["127.0.0.1:9"]`
+	t.Cleanup(func() { _ = silent.Close() })
+	running := startDiscovery(t, unreachableEndpoints(1000)...)
+	const defaultPeers = `"peers":["127.0.0.1:9"]`
 	for _, tc := range []struct {
 		name      string
 		discovery string
 		known     []fake.Endpoint
 		replace   [2]string
-		standing  int // connections from before the start that come at once
+		sessions  int // from before the start, which reconnect at once
 	}{
-		{"discovery down, an old list", "127.0.0.1:9", hosts(1000), [2]string{here, names(1000)}, 0},
-		{"discovery silent, an old list", mute.Addr().String(), hosts(1000), [2]string{here, names(1000)}, 0},
-		{"discovery silent, no list", mute.Addr().String(), nil, [2]string{here, names(1000)}, 0},
-		{"discovery down, no list", "127.0.0.1:9", nil, [2]string{here, names(1000)}, 0},
-		{"discovery down, a spoilt list", "127.0.0.1:9", hosts(1), [2]string{`"full":true`, `"full":"yes"`}, 0},
-		{"discovery up, a spoilt list", slow.Addr(), hosts(1000), [2]string{`"full":true`, `"full":"yes"`}, 0},
-		{"discovery up, no list", slow.Addr(), nil, [2]string{here, names(1000)}, 0},
-		{"connections from before the start", "127.0.0.1:9", hosts(1000), [2]string{here, names(1000)}, 40},
+		{"discovery down, an old list", "127.0.0.1:9", unreachableEndpoints(1000), [2]string{defaultPeers, peersJSON(1000)}, 0},
+		{"discovery silent, an old list", silent.Addr().String(), unreachableEndpoints(1000), [2]string{defaultPeers, peersJSON(1000)}, 0},
+		{"discovery silent, no list", silent.Addr().String(), nil, [2]string{defaultPeers, peersJSON(1000)}, 0},
+		{"discovery down, no list", "127.0.0.1:9", nil, [2]string{defaultPeers, peersJSON(1000)}, 0},
+		{"discovery down, a malformed list", "127.0.0.1:9", unreachableEndpoints(1), [2]string{`"full":true`, `"full":"yes"`}, 0},
+		{"discovery up, a malformed list", running.Addr(), unreachableEndpoints(1000), [2]string{`"full":true`, `"full":"yes"`}, 0},
+		{"discovery up, no list", running.Addr(), nil, [2]string{defaultPeers, peersJSON(1000)}, 0},
+		{"sessions from before the start", "127.0.0.1:9", unreachableEndpoints(1000), [2]string{defaultPeers, peersJSON(1000)}, 40},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			began, relays := time.Now(), make([]*program, 3)
+			began, relays := time.Now(), make([]*relayProcess, 3)
 			for i := range relays {
-				relays[i] = start(t, setup{discovery: tc.discovery, known: tc.known, replace: tc.replace, memory: 32, sockets: 256})
+				relays[i] = startProcess(t, processOptions{discovery: tc.discovery, knownEndpoints: tc.known, replaceText: tc.replace, memoryMB: 32, sockets: 256})
 			}
 			late := 0
-			for _, p := range relays {
-				for i := range tc.standing {
-					c := p.dial()
-					c.say(fmt.Sprintf("OPEN %016x %016x c=chat,d=2000,at=s-%08x", i+1, i+1, i))
+			for _, process := range relays {
+				for i := range tc.sessions {
+					c := process.dial()
+					c.send(fmt.Sprintf("OPEN %016x %016x c=chat,d=2000,at=s-%08x", i+1, i+1, i))
 				}
-				took := p.pong(began)
-				if took > readyWithin {
+				took := process.waitUntilReady(began)
+				if took > readyTimeout {
 					late++
 				}
-				if strings.Contains(tc.name, "spoilt") {
-					p.logs("cached endpoint list is malformed", 1)
+				if strings.Contains(tc.name, "malformed") {
+					process.waitForLog(logCachedListMalformed, 1)
 				}
 			}
 			if 10*late > len(relays) {
-				t.Errorf("%d of %d relays were not ready within %v", late, len(relays), readyWithin)
+				t.Errorf("%d of %d relays were not ready within %v", late, len(relays), readyTimeout)
 			}
 		})
 	}
 }
 
-// resident is what the program takes of memory, in megabytes.
-func (p *program) resident() int {
-	p.t.Helper()
-	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
-	if err != nil {
-		p.t.Fatal(err)
+// TestServe_LargeFleetFitsSmallestLimits runs a relay with 1,024 relays and 2,000 backends within the smallest limits
+// of the platform: at the start, after reloads and with complete lists from discovery.
+func TestServe_LargeFleetFitsSmallestLimits(t *testing.T) {
+	discovery := newChangingDiscovery(t)
+	options := processOptions{discovery: discovery.Listener.Addr().String(), knownEndpoints: unreachableEndpoints(2000),
+		replaceText: [2]string{`"peers":["127.0.0.1:9"]`, peersJSON(1024)}, memoryMB: 32, sockets: 256}
+	process := startProcess(t, options)
+	process.waitUntilReady(time.Now())
+	process.checkIdleFootprint("at the start")
+	for round := range 3 {
+		discovery.publish(t)
+		process.checkIdleFootprint("with a list")
+		options.replaceText[1] = peersJSON(1024 - round - 1)
+		process.reloadConfig(options)
+		process.waitForLog(logReloaded, round+1)
+		process.checkIdleFootprint("after a reload")
 	}
-	m := regexp.MustCompile(`VmRSS:\s+(\d+) kB`).FindSubmatch(text)
-	if m == nil {
-		p.t.Fatal("no VmRSS")
+	process.waitUntilReady(time.Now())
+}
+
+// changingDiscovery is a discovery service that publishes a complete list with each version, one endpoint shorter
+// than the version before.
+type changingDiscovery struct {
+	*httptest.Server
+	version atomic.Int64
+	watches chan int64 // versions that callers have when they begin to wait for the next one
+}
+
+// newChangingDiscovery starts a discovery service at version 2.
+func newChangingDiscovery(t *testing.T) *changingDiscovery {
+	t.Helper()
+	discovery := &changingDiscovery{watches: make(chan int64, 64)}
+	discovery.version.Store(2)
+	discovery.Server = httptest.NewServer(http.HandlerFunc(discovery.serveList))
+	t.Cleanup(discovery.Close)
+	return discovery
+}
+
+// serveList answers with the current list, once it is newer than the caller's.
+func (discovery *changingDiscovery) serveList(w http.ResponseWriter, r *http.Request) {
+	index, _ := strconv.ParseInt(r.URL.Query().Get("index"), 10, 64)
+	if version := discovery.version.Load(); index < version {
+		_, _ = w.Write(fake.EncodeList(int(version), unreachableEndpoints(2000-int(version))))
+		return
 	}
-	kb, err := strconv.Atoi(string(m[1]))
-	if err != nil {
-		p.t.Fatal(err)
+	discovery.watches <- index
+	for discovery.version.Load() == index && r.Context().Err() == nil {
+		time.Sleep(5 * time.Millisecond)
 	}
-	return kb / 1024
+	version := discovery.version.Load()
+	_, _ = w.Write(fake.EncodeList(int(version), unreachableEndpoints(2000-int(version))))
 }
 
-// A thousand and twenty-four relays and two thousand servers, within the smallest limits of the platform: at a start, on a
-// reload and with a whole list from discovery.
-func TestThousandsOfRelaysAndServersFitTheSmallestLimits(t *testing.T) {
-	var version atomic.Int64 // of discovery's list, which names some servers fewer each time
-	version.Store(2)
-	heard := make(chan int64, 64)
-	d := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		index, _ := strconv.ParseInt(r.URL.Query().Get("index"), 10, 64)
-		if v := version.Load(); index < v {
-			_, _ = w.Write(fake.EncodeList(int(v), hosts(2000-int(v))))
-			return
-		}
-		heard <- index // it has that list
-		for version.Load() == index && r.Context().Err() == nil {
-			time.Sleep(5 * time.Millisecond) // there is nothing newer yet
-		}
-		_, _ = w.Write(fake.EncodeList(int(version.Load()), hosts(2000-int(version.Load()))))
-	}))
-	t.Cleanup(d.Close)
-	s := setup{discovery: d.Listener.Addr().String(), known: hosts(2000), replace: [2]string{`"peers":["127.0.0.1:9"]`, names(1024)}, memory: 32, sockets: 256}
-	p := start(t, s)
-	p.pong(time.Now())
-	small := func(when string) {
-		t.Helper()
-		t.Logf("%s: %d MB", when, p.resident())
-		if mb := p.resident(); mb > 32 && !raceEnabled {
-			t.Errorf("%s: %d MB of 32", when, mb)
-		}
-		fds, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
-		if err != nil || len(fds) > 64 {
-			t.Errorf("%s: %d descriptors without a client, %v", when, len(fds), err)
+// publish changes the list and waits until a caller has it.
+func (discovery *changingDiscovery) publish(t *testing.T) {
+	t.Helper()
+	published := discovery.version.Add(1)
+	for {
+		select {
+		case received := <-discovery.watches:
+			if received == published {
+				return
+			}
+		case <-time.After(testTimeout):
+			t.Fatal("no caller waits with the published list")
 		}
 	}
-	small("at the start")
-	for round := range 3 { // each server named anew, three times over
-		for want := version.Add(1); ; {
-			select {
-			case got := <-heard:
-				if got == want {
-					want = 0
-				}
-			case <-time.After(patience):
-				t.Fatal("the list is not asked for")
+}
+
+// checkIdleFootprint fails the test if a relay without clients holds more than 32 MB or 64 descriptors.
+func (process *relayProcess) checkIdleFootprint(when string) {
+	process.t.Helper()
+	process.t.Logf("%s: %d MB", when, process.residentMB())
+	if mb := process.residentMB(); mb > 32 && !raceEnabled {
+		process.t.Errorf("%s: %d MB of 32", when, mb)
+	}
+	if count := process.descriptorCount(); count > 64 {
+		process.t.Errorf("%s: %d descriptors without a client", when, count)
+	}
+}
+
+func TestServe_RejectsInvalidConfigurationBeforeListening(t *testing.T) {
+	for name, r := range map[string][2]string{
+		"not JSON":           {`"seed"`, `seed`},
+		"bad seed":           {`8c1f30d27a5be964`, `xyz`},
+		"no deadline":        {`"give-up-ms":2000`, `"gives-up-ms":2000`},
+		"no aim":             {`"on-time-ms":500`, `"on-time-ms":0`},
+		"attempts below one": {`"try-limit":4`, `"try-limit":-4`},
+		"no classes":         {`"classes":[`, `"no-classes":[`},
+		"negative limit":     {`"memory_mb":192`, `"memory_mb":-1`},
+		"no listen address":  {`127.0.0.1:0","m`, `","m`},
+		"bad listen address": {`"listen":"127.0.0.1:0"`, `"listen":"nowhere"`},
+	} {
+		t.Run(name, func(t *testing.T) {
+			if name == "no listen address" {
+				r = [2]string{`"listen":"127.0.0.1:0"`, `"listen":""`}
 			}
-			if want == 0 {
-				break
+			process := launchProcess(t, processOptions{discovery: "127.0.0.1:9", replaceText: r})
+			err := process.waitForExit()
+			if exit := (*exec.ExitError)(nil); !errors.As(err, &exit) || exit.ExitCode() != 1 {
+				t.Errorf("exit: %v", err)
 			}
-		}
-		small("with a list")
-		s.replace[1] = names(1024 - round - 1)
-		p.reload(s)
-		p.logs("configuration reloaded", round+1)
-		small("after a reload")
+			if !strings.HasPrefix(process.log.String(), "aspenbarrow: ") || strings.Contains(process.log.String(), "serving") {
+				t.Errorf("output %q", process.log)
+			}
+		})
 	}
-	p.pong(time.Now())
 }
--- a/cmd/aspenbarrow/versions_test.go
+++ b/cmd/aspenbarrow/versions_test.go
@@ -1,17 +1,13 @@
 package main
 
 import (
-	"bufio"
 	"encoding/json"
-	"errors"
 	"fmt"
-	"io"
 	"net"
 	"os"
 	"regexp"
 	"strconv"
 	"strings"
-	"sync"
 	"syscall"
 	"testing"
 	"time"
@@ -19,242 +15,53 @@
 	"aspenbarrow/internal/fake"
 )
 
-// otherProgramVariable names the path of another build of the program, such as that of the release before. Unset, the
-// program under test stands in for both.
-const otherProgramVariable = "ASPENBARROW_OTHER_PROGRAM"
+// otherExecutableVariable is the environment variable that names another build of the program, such as that of the
+// previous release. Without it the program under test takes both roles.
+const otherExecutableVariable = "ASPENBARROW_OTHER_PROGRAM"
 
-// otherProgram is the path of the other build; empty: the program under test.
-func otherProgram(t *testing.T) string {
+// otherExecutable returns the path of the other build, empty for the program under test.
+func otherExecutable(t *testing.T) string {
 	t.Helper()
-	path := os.Getenv(otherProgramVariable)
+	path := os.Getenv(otherExecutableVariable)
 	if path == "" {
 		return ""
 	}
 	if info, err := os.Stat(path); err != nil || info.IsDir() || info.Mode()&0o111 == 0 {
-		t.Fatalf("%s=%s cannot be executed: %v", otherProgramVariable, path, err)
+		t.Fatalf("%s=%s cannot be executed: %v", otherExecutableVariable, path, err)
 	}
 	return path
 }
 
-// traffic is a steady load: clients that open a connection, say lines of which each is to be answered once, and close.
-type traffic struct {
-	addr    string
-	stop    chan struct{}
-	clients sync.WaitGroup
-	mu      sync.Mutex // of what follows
-	ids     int
-	trafficCounts
-	first error // what the first one lost, refused or left without an answer met
-}
-
-type trafficCounts struct {
-	up         int // connections
-	lines      int // answered
-	moved      int // connections that the relay asked to move
-	repeated   int // lines said again on a client's next connection, since MOVE came before their answer
-	refused    int // connections that the address did not take
-	unanswered int // connections whose OPEN had another answer than UP
-	lost       int // connections that ended with neither MOVE nor the client's own end, or not in order
-	wrong      int // lines that were not the answer to the one said last
-}
-
-// run starts the clients: some close after a few lines, the others stay until they are asked to move.
-func (l *traffic) run(short, staying int) {
-	l.stop = make(chan struct{})
-	for i := range short + staying {
-		l.clients.Go(func() {
-			c := &trafficClient{load: l, number: i}
-			pace := time.NewTicker(2 * time.Millisecond) // of its arrivals and lines
-			defer pace.Stop()
-			for !l.over(pace) {
-				switch {
-				case i < short:
-					c.connect(pace, 4)
-				default:
-					c.connect(pace, -1)
-				}
-			}
-		})
-	}
-}
-
-// over waits for the next beat and says whether the load has ended.
-func (l *traffic) over(pace *time.Ticker) bool {
-	select {
-	case <-l.stop:
-		return true
-	case <-pace.C:
-		return false
-	}
-}
-
-func (l *traffic) count(what func(c *trafficCounts)) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	what(&l.trafficCounts)
-}
-
-func (l *traffic) failed(what func(c *trafficCounts), err error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	what(&l.trafficCounts)
-	if l.first == nil {
-		l.first = err
-	}
-}
-
-func (l *traffic) counts() trafficCounts {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.trafficCounts
-}
-
-func (l *traffic) id() int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.ids++
-	return l.ids
-}
-
-// more waits until so many further connections have been brought up and lines answered.
-func (l *traffic) more(t *testing.T, up, lines int) {
-	t.Helper()
-	was := l.counts()
-	until(t, fmt.Sprintf("%d more connections and %d more lines", up, lines), func() bool {
-		now := l.counts()
-		return now.up >= was.up+up && now.lines >= was.lines+lines
-	})
-}
-
-func (l *traffic) end() {
-	close(l.stop)
-	l.clients.Wait()
-}
-
-type trafficClient struct {
-	load   *traffic
-	number int
-	lines  int  // answered
-	said   bool // the next one, on an earlier connection
-}
-
-// connect opens a connection and says so many lines on it, below 0 until it is asked to move, and closes.
-func (c *trafficClient) connect(pace *time.Ticker, lines int) {
-	l, id, class := c.load, c.load.id(), []string{"chat", "order"}[c.number%2]
-	conn, err := net.Dial("tcp", l.addr)
-	if err != nil {
-		l.failed(func(n *trafficCounts) { n.refused++ }, err)
-		return
-	}
-	defer conn.Close()
-	_ = conn.SetDeadline(time.Now().Add(patience))
-	in := bufio.NewReader(conn)
-	fmt.Fprintf(conn, "OPEN %016x %016x c=%s,d=2000\r\n", id, c.number, class)
-	switch answer, err := in.ReadString('\n'); {
-	case err != nil:
-		l.failed(func(n *trafficCounts) { n.lost++ }, fmt.Errorf("instead of an answer to OPEN: %w", err))
-		return
-	case answer != fmt.Sprintf("UP %016x\r\n", id):
-		l.failed(func(n *trafficCounts) { n.unanswered++ }, fmt.Errorf("answer %q to OPEN %016x", answer, id))
-		return
-	}
-	l.count(func(n *trafficCounts) { n.up++ })
-	for n := 0; n != lines && !l.over(pace); n++ {
-		moved, err := c.line(conn, in)
-		switch {
-		case moved:
-			l.count(func(n *trafficCounts) { n.moved++ })
-			c.close(conn, in)
-			return
-		case err != nil:
-			l.failed(func(n *trafficCounts) { n.lost++ }, err)
-			return
-		}
-	}
-	c.close(conn, in)
-}
-
-// line says the next line and hears its answer, or MOVE before that.
-func (c *trafficClient) line(conn net.Conn, in *bufio.Reader) (moved bool, err error) {
-	l, text := c.load, fmt.Sprintf("client %d line %d", c.number, c.lines)
-	if c.said {
-		l.count(func(n *trafficCounts) { n.repeated++ })
-	}
-	c.said = true
-	_ = conn.SetDeadline(time.Now().Add(patience))
-	_, err = io.WriteString(conn, text+"\r\n") // where it fails, what came before is read all the same
-	answer, heard := in.ReadString('\n')
-	switch {
-	case heard != nil:
-		return false, fmt.Errorf("instead of the answer to %q: %w", text, errors.Join(err, heard))
-	case answer == "MOVE\r\n":
-		return true, nil
-	case answer != "echo "+text+"\r\n":
-		l.failed(func(n *trafficCounts) { n.wrong++ }, fmt.Errorf("answer %q to %q", answer, text))
-	}
-	c.lines, c.said = c.lines+1, false
-	l.count(func(n *trafficCounts) { n.lines++ })
-	return false, nil
-}
-
-// close ends a connection in order and hears that the relay does so too.
-func (c *trafficClient) close(conn net.Conn, in *bufio.Reader) {
-	l := c.load
-	if err := conn.(*net.TCPConn).CloseWrite(); err != nil && !errors.Is(err, syscall.ENOTCONN) { // the relay may have gone first
-		l.failed(func(n *trafficCounts) { n.lost++ }, err)
-		return
-	}
-	rest, err := io.ReadAll(in)
-	if err != nil {
-		l.failed(func(n *trafficCounts) { n.lost++ }, fmt.Errorf("instead of the end: %w", err))
-		return
-	}
-	if text := string(rest); text != "" && text != "MOVE\r\n" {
-		l.failed(func(n *trafficCounts) { n.wrong++ }, fmt.Errorf("%q before the end", text))
-	}
-}
-
-// attemptsSeen counts the attempts that backends have seen, by class and request.
-func attemptsSeen(b []*fake.Backend) map[string]map[string]int {
-	seen := map[string]map[string]int{"chat": {}, "order": {}}
-	form := regexp.MustCompile(`^OPEN (\w+) \w+ c=(\w+),`)
-	for _, b := range b {
-		for _, line := range b.OpenLines() {
-			if m := form.FindStringSubmatch(line); m != nil {
-				seen[m[2]][m[1]]++
-			}
-		}
-	}
-	return seen
-}
-
+// Log messages of a hot restart, in the wording of this build and of earlier ones.
 var (
-	takenOver  = regexp.MustCompile(`"msg":"(?:taken over from the old process|state restored from predecessor process)",.*"backends":(\d+),"drained":(true|false)`)
-	handedOver = regexp.MustCompile(`"msg":"(?:handed over to the next process|state handed over to successor process)"`)
-	notOver    = regexp.MustCompile(`"msg":"(?:nothing is (?:taken|handed) over|hot restart: (?:takeover|handover) failed)"`)
+	restoredMessagePattern = regexp.MustCompile(`"msg":"(?:[^"]*taken over|state restored from predecessor process|hot restart: takeover failed)[^"]*"`)
+	restoredPattern        = regexp.MustCompile(`"msg":"(?:taken over from the old process|state restored from predecessor process)",.*"backends":(\d+),"drained":(true|false)`)
+	handedOverPattern      = regexp.MustCompile(`"msg":"(?:handed over to the next process|state handed over to successor process)"`)
+	failedHandoverPattern  = regexp.MustCompile(`"msg":"(?:nothing is (?:taken|handed) over|hot restart: (?:takeover|handover) failed)"`)
 )
 
-// succeeded waits for a process's ready answer at its second address: that it serves or that it is drained, as its
-// predecessor was, and checks by its log that it has taken over the list of so many backends.
-func (p *program) succeeded(drained bool, backends int) {
-	p.t.Helper()
+// waitForSuccession waits until a successor's admin endpoint reports ready, or drained if its predecessor was, and
+// checks that the log says that it restored a list of so many backends.
+func (process *relayProcess) waitForSuccession(drained bool, backends int) {
+	process.t.Helper()
 	want := "SUCCESS"
 	if drained {
 		want = "FAILURE drained"
 	}
-	until(p.t, "the successor says "+want, func() bool { return strings.HasPrefix(p.call(p.t, "READY"), want) })
-	m := takenOver.FindAllStringSubmatch(p.log.String(), -1)
+	waitFor(process.t, "the successor says "+want, func() bool { return strings.HasPrefix(process.callAdmin("READY"), want) })
+	m := restoredPattern.FindAllStringSubmatch(process.log.String(), -1)
 	if len(m) != 1 || m[0][1] != strconv.Itoa(backends) || m[0][2] != strconv.FormatBool(drained) {
-		p.t.Fatalf("taken over is %q, wanted are %d backends and drained %v\n%s", m, backends, drained, p.log)
+		process.t.Fatalf("taken over is %q, wanted are %d backends and drained %v\n%s", m, backends, drained, process.log)
 	}
 }
 
-var dispatched = regexp.MustCompile(`(?m)^dispatches=(\d+)`)
+// dispatchesPattern finds the number of dispatched attempts in the answer to STATS.
+var dispatchesPattern = regexp.MustCompile(`(?m)^dispatches=(\d+)`)
 
-// dispatches is how many attempts a process says that it has sent; -1: it does not say.
-func (p *program) dispatches() int {
-	p.t.Helper()
-	if m := dispatched.FindStringSubmatch(p.call(p.t, "STATS")); m != nil {
+// dispatchCount returns the number of attempts that a process has dispatched, -1 if it does not answer.
+func (process *relayProcess) dispatchCount() int {
+	process.t.Helper()
+	if m := dispatchesPattern.FindStringSubmatch(process.callAdmin("STATS")); m != nil {
 		if n, err := strconv.Atoi(m[1]); err == nil {
 			return n
 		}
@@ -262,18 +69,19 @@
 	return -1
 }
 
-// memberOf finds what a relay says of a member by its number.
-var memberOf = regexp.MustCompile(`(?m)^member=(\d+) name=\S+ state=(\w+) .*incarnation=(\d+) `)
+// memberPattern finds a member in the answer to MEMBERS.
+var memberPattern = regexp.MustCompile(`(?m)^member=(\d+) name=\S+ state=(\w+) .*incarnation=(\d+) `)
 
+// memberView is the state of a member as a relay sees it.
 type memberView struct {
 	state       string
 	incarnation uint64
 }
 
-// members is what a process holds of the relays, by their numbers.
-func (p *program) members() map[int]memberView {
+// members returns the members that a process knows, by their numbers.
+func (process *relayProcess) members() map[int]memberView {
 	out := map[int]memberView{}
-	for _, m := range memberOf.FindAllStringSubmatch(p.call(p.t, "MEMBERS"), -1) {
+	for _, m := range memberPattern.FindAllStringSubmatch(process.callAdmin("MEMBERS"), -1) {
 		number, _ := strconv.Atoi(m[1])
 		incarnation, _ := strconv.ParseUint(m[3], 10, 64)
 		out[number] = memberView{m[2], incarnation}
@@ -281,10 +89,10 @@
 	return out
 }
 
-// peerAddresses are the places of so many relays that find out by datagrams who of them is there.
+// peerAddresses returns free datagram addresses for n relays of a fleet.
 func peerAddresses(t *testing.T, n int) (addresses []string) {
 	t.Helper()
-	for i := range n { // an address of its own for each, so that nobody else takes the port between
+	for i := range n { // a distinct IP address for each, so that no other program takes the port in between
 		c, err := net.ListenPacket("udp4", fmt.Sprintf("127.77.0.%d:0", i+1))
 		if err != nil {
 			t.Fatal(err)
@@ -295,54 +103,55 @@
 	return addresses
 }
 
-// asMember makes a setup that of one of several relays.
-func (s setup) asMember(number int, addresses []string) setup {
+// asMember returns the options for one of several relays of a fleet.
+func (options processOptions) asMember(number int, addresses []string) processOptions {
 	settings := strings.NewReplacer("MODE", "proxy", `"n-instances": 1`, fmt.Sprintf(`"n-instances": %d`, len(addresses)),
-		`"me": 0`, fmt.Sprintf(`"me": %d`, number)).Replace(settingsText)
-	s.more = map[string]any{"name": fmt.Sprintf("n%d", number), "settings": json.RawMessage(settings), "peers": addresses,
+		`"me": 0`, fmt.Sprintf(`"me": %d`, number)).Replace(settingsTemplate)
+	options.extraKeys = map[string]any{"name": fmt.Sprintf("n%d", number), "settings": json.RawMessage(settings), "peers": addresses,
 		"peer_listen": addresses[number], "membership": map[string]any{"fleet": "versions"}}
-	return s
+	return options
 }
 
-// watchMember asks relays again and again what they hold of the first one, until it is told to stop. It returns how often
-// they held it for what: a state, or "no answer".
-func watchMember(relays []*program) (stop func() map[string]int) {
-	end, done := make(chan struct{}), make(chan struct{})
-	held := map[string]int{}
+// observeMember polls relays for their view of member 0 until it is stopped, and returns how often they reported each
+// state, or "no answer".
+func observeMember(relays []*relayProcess) (stop func() map[string]int) {
+	stopped, done := make(chan struct{}), make(chan struct{})
+	answers := map[string]int{}
 	go func() {
 		defer close(done)
-		beat := time.NewTicker(20 * time.Millisecond)
-		defer beat.Stop()
+		ticker := time.NewTicker(20 * time.Millisecond)
+		defer ticker.Stop()
 		for {
 			select {
-			case <-end:
+			case <-stopped:
 				return
-			case <-beat.C:
+			case <-ticker.C:
 			}
-			for _, p := range relays {
-				if m, ok := p.members()[0]; ok {
-					held[m.state]++
+			for _, process := range relays {
+				if m, ok := process.members()[0]; ok {
+					answers[m.state]++
 				} else {
-					held["no answer"]++
+					answers["no answer"]++
 				}
 			}
 		}
 	}()
 	return func() map[string]int {
-		close(end)
+		close(stopped)
 		<-done
-		return held
+		return answers
 	}
 }
 
-// oneView waits until a relay and its observers hold all of them alive, and that relay in one and the same incarnation.
-func (p *program) oneView(observers []*program) uint64 {
-	p.t.Helper()
+// waitForConvergence waits until a relay and its observers see all members alive and agree on the relay's
+// incarnation, which it returns.
+func (process *relayProcess) waitForConvergence(observers []*relayProcess) uint64 {
+	process.t.Helper()
 	var own uint64
-	until(p.t, "the relay and its observers have one view", func() bool {
-		own = p.members()[0].incarnation
-		for _, q := range append([]*program{p}, observers...) {
-			view := q.members()
+	waitFor(process.t, "the relay and its observers have one view", func() bool {
+		own = process.members()[0].incarnation
+		for _, observed := range append([]*relayProcess{process}, observers...) {
+			view := observed.members()
 			if view[0].incarnation != own || own == 0 {
 				return false
 			}
@@ -357,121 +166,129 @@
 	return own
 }
 
-// Processes of two versions of the program restart into each other by turns under a steady load: nobody is refused, no
-// connection is broken, each request is answered once, and each successor has the list of backends from its predecessor
-// alone and is drained when that one was. To relays of either version, which hear its datagrams, it is there all the time.
+// TestUpgrade_BetweenVersions hot restarts processes of two builds into each other by turns under a steady load: no
+// connection is refused or broken, each request is answered once, and each successor has its list of backends from
+// its predecessor alone and is drained if the predecessor was. Observers of either build see the relay as a member
+// all the time.
 func TestUpgrade_BetweenVersions(t *testing.T) {
 	const restarts = 6
-	programs := []string{otherProgram(t), ""}
-	b := []*fake.Backend{{}, {}, {}}
-	p := newPair(t, setup{}, b...)
-	addresses := peerAddresses(t, 3)
-	var observers []*program
-	for i, path := range programs {
-		s := p.setup.asMember(i+1, addresses)
-		s.program, s.env = path, []string{"TMPDIR=" + p.folder, "PROXY_MANAGEMENT=127.0.0.1:0"}
-		observers = append(observers, start(t, s))
-	}
-	p.setup = p.setup.asMember(0, addresses)
-	p.setup.program = programs[0]
-	old := p.next()
-	incarnation := old.oneView(observers)
-	stopWatch := watchMember(observers)
-	// From here on there is no list of backends but the one that is handed over.
-	p.setup.known, p.setup.discovery = nil, closedAddress(t)
-	l := &traffic{addr: old.addr}
-	l.run(6, 3)
+	executables := []string{otherExecutable(t), ""}
+	upgrade := newVersionUpgrade(t, executables)
+	stopObserving := observeMember(upgrade.observers)
+	upgrade.load.run(6, 3)
 	for i := 1; i <= restarts; i++ {
-		l.more(t, 100, 300)
 		drained := i == 3 || i == 4 // once in either direction
-		if drained {
-			if got := old.call(t, "DRAIN"); !strings.HasPrefix(got, "SUCCESS") {
-				t.Fatalf("restart %d: DRAIN is answered %q", i, got)
-			}
-		}
-		p.setup.program = programs[i%2]
-		successor := start(t, p.setup)
-		successor.succeeded(drained, len(b))
-		until(t, "while both run the successor takes all who come", func() bool {
-			was, before := old.dispatches(), successor.dispatches()
-			l.more(t, 50, 20)
-			return was >= 0 && old.dispatches() == was && successor.dispatches() > before
-		})
-		old.signal(syscall.SIGTERM)
-		if err := old.ended(); err != nil {
-			t.Fatalf("restart %d: the predecessor: %v", i, err)
-		}
-		if n := len(handedOver.FindAllString(old.log.String(), -1)); n != 1 {
-			t.Errorf("restart %d: the predecessor has logged %d times that it handed over", i, n)
-		}
-		l.more(t, 50, 20)
-		if drained {
-			successor.succeeded(true, len(b))
-			if got := successor.call(t, "UNDRAIN"); !strings.HasPrefix(got, "SUCCESS") {
-				t.Fatalf("restart %d: UNDRAIN is answered %q", i, got)
-			}
-			until(t, "the successor takes clients again", func() bool { return strings.HasPrefix(successor.call(t, "READY"), "SUCCESS") })
-		}
-		for _, p := range []*program{old, successor} {
-			if line := notOver.FindString(p.log.String()); line != "" {
-				t.Errorf("restart %d: %s", i, line)
-			}
-		}
-		if is := successor.oneView(observers); is <= incarnation {
-			t.Errorf("restart %d: the successor's incarnation is %d, the predecessor's was %d", i, is, incarnation)
-		} else {
-			incarnation = is
-		}
-		old = successor
-	}
-	l.more(t, 100, 300)
-	l.end()
-	held := stopWatch()
-	t.Logf("%d restarts; the relay as its observers held it, by answers: %v", restarts, held)
-	for state, n := range held { // a doubt, which a late timer on a busy machine may give rise to, is no verdict
-		if state != "alive" && state != "suspect" {
-			t.Errorf("the relay was held %s in %d answers of its observers", state, n)
-		}
+		upgrade.restart(i, executables[i%2], drained)
 	}
-	if held["alive"] == 0 {
-		t.Error("the observers never held the relay alive")
+	upgrade.load.waitForMore(t, 100, 300)
+	upgrade.load.stopAndWait()
+	checkObservedStates(t, restarts, stopObserving())
+	upgrade.load.check(t, countAttempts(upgrade.backends))
+}
+
+// versionUpgrade is a relay under load that is hot restarted with other builds, with observers in its fleet.
+type versionUpgrade struct {
+	t           *testing.T
+	backends    []*fake.Backend
+	sequence    *restartSequence
+	observers   []*relayProcess
+	load        *sessionLoad
+	current     *relayProcess
+	incarnation uint64
+}
+
+// newVersionUpgrade starts an observer of each build and the relay's first process, of the first build.
+func newVersionUpgrade(t *testing.T, executables []string) *versionUpgrade {
+	t.Helper()
+	upgrade := &versionUpgrade{t: t, backends: []*fake.Backend{{}, {}, {}}}
+	upgrade.sequence = newRestartSequence(t, processOptions{}, upgrade.backends...)
+	addresses := peerAddresses(t, len(executables)+1)
+	for i, executable := range executables {
+		options := upgrade.sequence.options.asMember(i+1, addresses)
+		options.executable = executable
+		options.environment = []string{"TMPDIR=" + upgrade.sequence.directory, "PROXY_MANAGEMENT=127.0.0.1:0"}
+		upgrade.observers = append(upgrade.observers, startProcess(t, options))
 	}
-	l.check(t, attemptsSeen(b))
+	upgrade.sequence.options = upgrade.sequence.options.asMember(0, addresses)
+	upgrade.sequence.options.executable = executables[0]
+	upgrade.current = upgrade.sequence.startNext()
+	upgrade.incarnation = upgrade.current.waitForConvergence(upgrade.observers)
+	upgrade.load = &sessionLoad{address: upgrade.current.address}
+	// From here on the predecessor is the only source of the list of backends.
+	upgrade.sequence.options.knownEndpoints, upgrade.sequence.options.discovery = nil, closedAddress(t)
+	return upgrade
 }
 
-// check logs what has come of the load and holds it to what is wanted: backends have seen so many attempts.
-func (l *traffic) check(t *testing.T, seen map[string]map[string]int) {
+// restart replaces the current process by one of the given build, drained or not, and checks the handover.
+func (upgrade *versionUpgrade) restart(number int, executable string, drained bool) {
+	t := upgrade.t
 	t.Helper()
-	c := l.counts()
-	t.Logf("%d connections up, %d lines answered, %d connections moved, %d lines repeated after a move, %d attempts for %d requests that may be repeated; %d lost, %d refused, %d not answered UP, %d answered wrongly",
-		c.up, c.lines, c.moved, c.repeated, sumOf(seen["chat"]), len(seen["chat"]), c.lost, c.refused, c.unanswered, c.wrong)
-	if c.lost+c.refused+c.unanswered+c.wrong > 0 {
-		t.Errorf("the first that failed: %v", l.first)
+	predecessor := upgrade.current
+	upgrade.load.waitForMore(t, 100, 300)
+	if drained {
+		predecessor.expectAdminSuccess("DRAIN")
 	}
-	for id, n := range seen["order"] {
-		if n != 1 {
-			t.Errorf("request %s, which may not be repeated, came to backends %d times", id, n)
-		}
+	upgrade.sequence.options.executable = executable
+	successor := startProcess(t, upgrade.sequence.options)
+	successor.waitForSuccession(drained, len(upgrade.backends))
+	upgrade.waitForTakeover(predecessor, successor)
+	predecessor.signal(syscall.SIGTERM)
+	if err := predecessor.waitForExit(); err != nil {
+		t.Fatalf("restart %d: the predecessor: %v", number, err)
+	}
+	if n := len(handedOverPattern.FindAllString(predecessor.log.String(), -1)); n != 1 {
+		t.Errorf("restart %d: the predecessor has logged %d times that it handed over", number, n)
+	}
+	upgrade.load.waitForMore(t, 50, 20)
+	if drained {
+		successor.waitForSuccession(true, len(upgrade.backends))
+		successor.expectAdminSuccess("UNDRAIN")
+		waitFor(t, "the successor takes clients again", successor.isReady)
 	}
-	if got := len(seen["chat"]) + len(seen["order"]); got != c.up {
-		t.Errorf("backends have seen %d requests, %d were answered UP", got, c.up)
+	for _, process := range []*relayProcess{predecessor, successor} {
+		if line := failedHandoverPattern.FindString(process.log.String()); line != "" {
+			t.Errorf("restart %d: %s", number, line)
+		}
 	}
+	upgrade.current = successor
+	upgrade.checkIncarnation(number)
+}
+
+// waitForTakeover waits until, with both processes running, only the successor dispatches new requests.
+func (upgrade *versionUpgrade) waitForTakeover(predecessor, successor *relayProcess) {
+	upgrade.t.Helper()
+	waitFor(upgrade.t, "while both run the successor takes all who come", func() bool {
+		predecessorBefore, successorBefore := predecessor.dispatchCount(), successor.dispatchCount()
+		upgrade.load.waitForMore(upgrade.t, 50, 20)
+		return predecessorBefore >= 0 && predecessor.dispatchCount() == predecessorBefore &&
+			successor.dispatchCount() > successorBefore
+	})
 }
 
-func sumOf(counts map[string]int) (sum int) {
-	for _, n := range counts {
-		sum += n
+// checkIncarnation waits until the observers agree on the current process and checks that its incarnation is a later
+// one than its predecessor's.
+func (upgrade *versionUpgrade) checkIncarnation(number int) {
+	upgrade.t.Helper()
+	incarnation := upgrade.current.waitForConvergence(upgrade.observers)
+	if incarnation <= upgrade.incarnation {
+		upgrade.t.Errorf("restart %d: the successor's incarnation is %d, the predecessor's was %d", number, incarnation,
+			upgrade.incarnation)
+		return
 	}
-	return sum
+	upgrade.incarnation = incarnation
 }
 
-// closedAddress is an address at which nobody listens.
-func closedAddress(t *testing.T) string {
+// checkObservedStates fails the test if observers saw the relay in any state but alive or suspect. A late timer on a
+// busy machine may raise a suspicion, which is not a verdict.
+func checkObservedStates(t *testing.T, restarts int, answers map[string]int) {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
+	t.Logf("%d restarts; the relay as its observers held it, by answers: %v", restarts, answers)
+	for state, n := range answers {
+		if state != "alive" && state != "suspect" {
+			t.Errorf("the relay was held %s in %d answers of its observers", state, n)
+		}
+	}
+	if answers["alive"] == 0 {
+		t.Error("the observers never held the relay alive")
 	}
-	defer l.Close()
-	return l.Addr().String()
 }
