--- a/cmd/aspenlab/golden_test.go
+++ b/cmd/aspenlab/golden_test.go
@@ -219,12 +219,12 @@
 	// What seeds --script takes of it.
 	var played []fault.Fault
 	for _, f := range kept {
-		if slices.Contains(simulation.Kinds(), f.Kind) {
+		if slices.Contains(simulation.FaultKinds(), f.Kind) {
 			played = append(played, f)
 		}
 	}
-	if len(played) != len(simulation.Kinds()) {
-		t.Errorf("%d of %d kinds are stored", len(played), len(simulation.Kinds()))
+	if len(played) != len(simulation.FaultKinds()) {
+		t.Errorf("%d of %d kinds are stored", len(played), len(simulation.FaultKinds()))
 	}
 	if text, err = json.Marshal(played); err != nil {
 		t.Fatal(err)
@@ -251,12 +251,12 @@
 var (
 	spread  = loadstats.Imbalance{Variation: 0.1, MinOverMean: 0.8, MaxOverMean: 1.3, JainIndex: 0.97}
 	second  = loadstats.Second{Imbalance: spread, MeanLoad: 0.5, HashingVariation: 0.2, GreedyVariation: 0.05, IdleSeconds: 0.25, HerdRatio: 1.5, HerdExpected: 9.5, Loads: []float64{0.4, -1, 1e-9}, HashingHerdRatio: 1.75, Arrivals: 12}
-	service = simulation.Second{Asked: 10.5, Served: 9.25}
+	service = simulation.ServiceSecond{Requested: 10.5, Served: 9.25}
 )
 
 func outcome(program string) scenario.Outcome {
 	return scenario.Outcome{Script: "a <bad> day & night", Seed: 1<<63 + 1, Service: 0.9, WorstWindow: 0.7, WorstWindowStart: 3, Classes: map[string]float64{"fetch": 0.8, "submit": 0.85, "watch": 0.95},
-		Seconds: []simulation.Second{service, service}, Evenness: []loadstats.Second{second}, Counts: map[string]int{"attempt": 9, "moved": 2}, Program: program,
+		Seconds: []simulation.ServiceSecond{service, service}, Evenness: []loadstats.Second{second}, Counts: map[string]int{"attempt": 9, "moved": 2}, Program: program,
 		Faults: []testcluster.Effect{{Fault: everyFieldFault("relays paused", 4), Began: 2 * time.Second, Ended: 5 * time.Second, Did: map[string]int{"struck": 3}}},
 		Waits:  &testcluster.Waits{Count: 7, P50: 1.5, P99: 120, P999: 180.5, Max: 200},
 		Rates:  &testcluster.Rates{Probes: 1.5, ProbesOne: 2, Handshakes: 3.5, HandshakeOne: 4, Datagrams: 5.5, DatagramOne: 6, Calls: 7.5},
@@ -324,8 +324,8 @@
 		loadstats.Summary{Imbalance: spread, MeanLoad: 0.5, HashingVariation: 0.2, GreedyVariation: 0.05, RelativeVariation: 0.55, WorstVariation: 0.6, LowestOverMean: 0.3, IdleSeconds: 1.25, HerdRatio: 1.5, HashingHerdRatio: 1.75},
 		[]scenario.Cell{{Script: "s", Policy: "hash", Service: 0.9, WorstWindow: 0.8, Difference: -0.01, ConfidenceBound: 0.005, FailedSeeds: 1, SeedsNeeded: 12}},
 		simulation.Result{Seed: 9, Relays: 2, Backends: 3, Clients: 4, Faults: []simulation.Fault{everyFieldFault("relay killed", 1)},
-			Violations: []invariant.Violation{{Rule: "drain", At: 3 * time.Second, Detail: "sent late"}}, Counts: o.Counts, Pairs: map[string]int{"a + b": 2}, Worth: 5.5,
-			Asked: 6, Refused: 7, Failed: 8, Attempts: 10, Steps: 11, Service: o.Seconds, ByClass: o.Seconds, Even: o.Evenness},
+			Violations: []invariant.Violation{{Rule: "drain", At: 3 * time.Second, Detail: "sent late"}}, Counts: o.Counts, FaultPairs: map[string]int{"a + b": 2}, ServedWeight: 5.5,
+			Answered: 6, Refused: 7, Failed: 8, Attempts: 10, Events: 11, ServiceBySecond: o.Seconds, ServiceByClass: o.Seconds, Evenness: o.Evenness},
 		testcluster.Result{Program: "a", Seed: 9, Ready: time.Second, Service: o.Seconds, Evenness: o.Evenness, Faults: o.Faults, Violations: o.Violations, Counts: o.Counts,
 			Waits: *o.Waits, Rates: *o.Rates, Usage: *o.Usage, Machine: o.Cores, Attempts: []int{3, 4}},
 	}
--- a/cmd/aspenlab/seeds.go
+++ b/cmd/aspenlab/seeds.go
@@ -74,14 +74,14 @@
 
 // options reads the files that the runs have in common.
 func (f *seedsFlags) options() (err error) {
-	f.opt = simulation.Options{Length: f.length}
+	f.opt = simulation.Options{Duration: f.length}
 	if f.script != "" {
 		if f.opt.Script, err = readFaults(f.script); err != nil {
 			return err
 		}
 	}
 	if f.timing != "" {
-		f.opt.Timings, err = readTimings(f.timing)
+		f.opt.RetryPolicies, err = readTimings(f.timing)
 	}
 	return err
 }
@@ -98,7 +98,7 @@
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	for i := range faults {
-		if !slices.Contains(simulation.Kinds(), faults[i].Kind) {
+		if !slices.Contains(simulation.FaultKinds(), faults[i].Kind) {
 			return nil, fmt.Errorf("%s: there is no fault %q", path, faults[i].Kind)
 		}
 	}
--- a/internal/report/csv.go
+++ b/internal/report/csv.go
@@ -37,7 +37,7 @@
 		cores = o.Cores[second]
 	}
 	line := []string{o.Program, strconv.FormatUint(o.Seed, 10), strconv.Itoa(second + 1)}
-	for _, v := range []float64{o.Seconds[second].Asked, o.Seconds[second].Served, e.MeanLoad, e.Variation, e.HashingVariation, e.GreedyVariation, e.MinOverMean, e.MaxOverMean, e.JainIndex,
+	for _, v := range []float64{o.Seconds[second].Requested, o.Seconds[second].Served, e.MeanLoad, e.Variation, e.HashingVariation, e.GreedyVariation, e.MinOverMean, e.MaxOverMean, e.JainIndex,
 		e.IdleSeconds, e.HerdRatio, e.HerdExpected, float64(e.Arrivals), cores} {
 		line = append(line, strconv.FormatFloat(v, 'g', 6, 64))
 	}
--- a/internal/report/plots.go
+++ b/internal/report/plots.go
@@ -104,10 +104,10 @@
 // serviceSeries is the service by second.
 func serviceSeries(o *scenario.Outcome, colour color.Color) series {
 	return series{label: runName(o), colour: colour, seconds: len(o.Seconds), value: func(second int) float64 {
-		if o.Seconds[second].Asked == 0 {
+		if o.Seconds[second].Requested == 0 {
 			return 1
 		}
-		return o.Seconds[second].Served / o.Seconds[second].Asked
+		return o.Seconds[second].Served / o.Seconds[second].Requested
 	}}
 }
 
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -18,7 +18,7 @@
 	o := scenario.Outcome{Script: "a <bad> day", Program: program, Seed: 7, Service: 0.9, Violations: broken, Waits: &testcluster.Waits{P99: 120}, Rates: &testcluster.Rates{}, Usage: &testcluster.Usage{},
 		Faults: []testcluster.Effect{{Fault: fault.Fault{Kind: "relays <paused>", ScriptLine: 12}, Began: 2 * time.Second, Ended: 5 * time.Second, Did: map[string]int{"struck": 3}}}}
 	for i := range 14 {
-		o.Seconds = append(o.Seconds, simulation.Second{Asked: 10, Served: 9})
+		o.Seconds = append(o.Seconds, simulation.ServiceSecond{Requested: 10, Served: 9})
 		o.Evenness = append(o.Evenness, loadstats.Second{Imbalance: loadstats.Imbalance{Variation: 0.1, MinOverMean: 0.8, MaxOverMean: 1.2, JainIndex: 0.99}, HashingVariation: 0.2, MeanLoad: 0.5,
 			Loads: []float64{0.4, 0.6, -1, float64(i) / 20}})
 		o.Cores = append(o.Cores, 0.5)
--- a/internal/scenario/incident.go
+++ b/internal/scenario/incident.go
@@ -20,7 +20,7 @@
 
 // Kinds returns the names of all kinds of incidents, of the virtual clock and of processes, sorted.
 func Kinds() []string {
-	all := append(simulation.Scriptable(), testcluster.Kinds()...)
+	all := append(simulation.ScriptableFaultKinds(), testcluster.Kinds()...)
 	slices.Sort(all)
 	return slices.Compact(all)
 }
@@ -50,9 +50,9 @@
 // checkSimulated returns an error if the virtual clock cannot play a fault.
 func checkSimulated(f *fault.Fault) error {
 	switch {
-	case !slices.Contains(simulation.Scriptable(), f.Kind):
+	case !slices.Contains(simulation.ScriptableFaultKinds(), f.Kind):
 		return fmt.Errorf("the virtual clock can't play %q", f.Kind)
-	case f.Targets != nil && !simulation.Groups(f.Kind):
+	case f.Targets != nil && !simulation.AcceptsTargets(f.Kind):
 		return fmt.Errorf("the virtual clock can't strike a group with %q", f.Kind)
 	}
 	return nil
--- a/internal/scenario/outcome.go
+++ b/internal/scenario/outcome.go
@@ -19,15 +19,15 @@
 
 // Outcome is the result of playing a script once. The JSON keys are those of stored outcomes.
 type Outcome struct {
-	Script           string              `json:"script"`
-	Seed             uint64              `json:"seed"`
-	Service          float64             `json:"whole"`      // over the whole run, 1 at best
-	WorstWindow      float64             `json:"worst_ten"`  // service over the worst ten consecutive seconds
-	WorstWindowStart int                 `json:"worst_at_s"` // the first of these seconds, from 0
-	Classes          map[string]float64  `json:"classes"`    // service by class; empty for processes
-	Seconds          []simulation.Second `json:"seconds"`    // service by second
-	Evenness         []loadstats.Second  `json:"evenness"`   // of the load, by second
-	Counts           map[string]int      `json:"counts"`     // how often what came up
+	Script           string                     `json:"script"`
+	Seed             uint64                     `json:"seed"`
+	Service          float64                    `json:"whole"`      // over the whole run, 1 at best
+	WorstWindow      float64                    `json:"worst_ten"`  // service over the worst ten consecutive seconds
+	WorstWindowStart int                        `json:"worst_at_s"` // the first of these seconds, from 0
+	Classes          map[string]float64         `json:"classes"`    // service by class; empty for processes
+	Seconds          []simulation.ServiceSecond `json:"seconds"`    // service by second
+	Evenness         []loadstats.Second         `json:"evenness"`   // of the load, by second
+	Counts           map[string]int             `json:"counts"`     // how often what came up
 
 	// Of processes only; a run on the virtual clock has none of these.
 	Program string               `json:"program,omitempty"` // the relays'
@@ -51,10 +51,10 @@
 }
 
 // serviceOf returns the service over some seconds: the worth served over the worth asked for.
-func serviceOf(seconds []simulation.Second) float64 {
+func serviceOf(seconds []simulation.ServiceSecond) float64 {
 	asked, served := 0.0, 0.0
 	for _, s := range seconds {
-		asked, served = asked+s.Asked, served+s.Served
+		asked, served = asked+s.Requested, served+s.Served
 	}
 	if asked == 0 {
 		return 1
--- a/internal/scenario/play.go
+++ b/internal/scenario/play.go
@@ -18,10 +18,10 @@
 	if seed == 0 {
 		seed = s.Seed
 	}
-	result := simulation.Run(simulation.Options{Seed: seed, Length: time.Duration(s.Length), Script: s.faults(), Fleet: s.installation(), Policy: policy})
-	o := Outcome{Script: s.Name, Seed: seed, Seconds: result.Service, Evenness: result.Even, Counts: result.Counts, Classes: map[string]float64{}}
+	result := simulation.Run(simulation.Options{Seed: seed, Duration: time.Duration(s.Length), Script: s.faults(), Installation: s.installation(), Policy: policy})
+	o := Outcome{Script: s.Name, Seed: seed, Seconds: result.ServiceBySecond, Evenness: result.Evenness, Counts: result.Counts, Classes: map[string]float64{}}
 	for i, class := range classNames {
-		o.Classes[class] = serviceOf(result.ByClass[i : i+1])
+		o.Classes[class] = serviceOf(result.ServiceByClass[i : i+1])
 	}
 	o.summarize()
 	for _, violation := range result.Violations {
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -46,7 +46,7 @@
 			if !bytes.Equal(one, two) {
 				t.Error("two runs differ")
 			}
-			if len(o.Seconds) < 58 || o.Seconds[0].Asked == 0 && o.Seconds[3].Asked == 0 || len(o.Violations) > 0 {
+			if len(o.Seconds) < 58 || o.Seconds[0].Requested == 0 && o.Seconds[3].Requested == 0 || len(o.Violations) > 0 {
 				t.Errorf("%d seconds, broken %v", len(o.Seconds), o.Violations)
 			}
 			calm := s
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -216,9 +216,9 @@
 )
 
 // installation returns the installation that the script describes, as both drivers take it.
-func (s *Script) installation() *simulation.Fleet {
+func (s *Script) installation() *simulation.Installation {
 	server, fleet := &s.Server, &s.Fleet
-	return &simulation.Fleet{
+	return &simulation.Installation{
 		Relays: fleet.Relays, Backends: fleet.Backends, Clients: fleet.Clients,
 		Server: emulator.Config{
 			Cores: server.Cores, Speed: server.Speed, MaxRequests: server.Queue, Backlog: server.Backlog,
@@ -226,13 +226,13 @@
 			ReportInterval: time.Duration(server.ReportEvery), ReportNoise: server.ReportNoise,
 			WarmRequestRate: max(minWarmRate, float64(fleet.Clients)/float64(fleet.Backends)/clientsPerOpen),
 		},
-		SetUpWork: time.Duration(server.SessionWork).Seconds(), LineWork: time.Duration(server.LineWork).Seconds(),
-		ConnLoad:   server.ConnectionLoad,
-		PoolPlaces: s.Shared.Places, PoolHold: time.Duration(s.Shared.Hold),
-		Rush: fleet.arrivalPeriod(), Stay: fleet.sessionDuration(), Return: time.Duration(fleet.ReconnectDelay),
-		HotKey: fleet.HotKeyShare, HotRelay: fleet.HotRelayShare,
-		LateShare: server.LateReportShare, LateBy: time.Duration(server.ReportDelay), Sizes: server.Sizes,
-		Weights: fleet.AdvertiseWeights, Silent: fleet.NoLoadReports, Peers: !fleet.NoGossip, Membership: fleet.Membership,
+		SetupWork: time.Duration(server.SessionWork).Seconds(), LineWork: time.Duration(server.LineWork).Seconds(),
+		ConnectionLoad:  server.ConnectionLoad,
+		DependencySlots: s.Shared.Places, DependencyHoldTime: time.Duration(s.Shared.Hold),
+		ArrivalWindow: fleet.arrivalPeriod(), StayRange: fleet.sessionDuration(), ReconnectWindow: time.Duration(fleet.ReconnectDelay),
+		HotKeyShare: fleet.HotKeyShare, HotRelayShare: fleet.HotRelayShare,
+		LateReportShare: server.LateReportShare, LateReportDelay: time.Duration(server.ReportDelay), BackendSizes: server.Sizes,
+		ListsWeights: fleet.AdvertiseWeights, NoLoadReports: fleet.NoLoadReports, Gossip: !fleet.NoGossip, Membership: fleet.Membership,
 	}
 }
 
--- a/internal/simulation/backend.go
+++ b/internal/simulation/backend.go
@@ -44,7 +44,7 @@
 
 func (b *backend) entry() entry {
 	weight := 1.0
-	if f := b.run.opt.Fleet; f != nil && f.Weights {
+	if f := b.run.opt.Installation; f != nil && f.ListsWeights {
 		weight = b.size
 	}
 	return entry{id: b.name, addr: b.addr, zone: zones[b.zone], cell: b.id % 2, state: b.state, weight: weight, started: b.started}
@@ -61,7 +61,7 @@
 		b.jobs, b.tickAt = map[uint64]func(bool){}, 0
 	}
 	if b.model != nil {
-		b.run.log.BackendUp(b.w.now-epoch, b.id, b.size*b.run.opt.Fleet.Server.Cores*b.run.opt.Fleet.Server.Speed)
+		b.run.log.BackendUp(b.w.now-epoch, b.id, b.size*b.run.opt.Installation.Server.Cores*b.run.opt.Installation.Server.Speed)
 	}
 	if b.w.now > epoch {
 		b.started = b.w.now.Truncate(time.Millisecond)
@@ -300,7 +300,7 @@
 		n := s.lines
 		took := 100 * time.Microsecond
 		if b.model != nil {
-			took = time.Duration(float64(b.model.MessageLatency(b.w.now, b.run.opt.Fleet.LineWork)) / b.slow / b.run.slow)
+			took = time.Duration(float64(b.model.MessageLatency(b.w.now, b.run.opt.Installation.LineWork)) / b.slow / b.run.slow)
 		}
 		b.does(took, func() {
 			s.say(fmt.Sprintf("R %s %d %s", s.receipt, n, line))
@@ -338,7 +338,7 @@
 	b := s.b
 	if b.model != nil {
 		s.busy = true
-		b.works(b.run.opt.Fleet.SetUpWork*(0.5+b.w.rng.Float64()), func(full bool) {
+		b.works(b.run.opt.Installation.SetupWork*(0.5+b.w.rng.Float64()), func(full bool) {
 			s.busy = false
 			switch {
 			case s.e.got != session.NoEnd || s.e.dead:
@@ -349,7 +349,7 @@
 			default:
 				s.counted = true
 				b.conns++
-				load := b.run.opt.Fleet.ConnLoad * (0.5 + b.w.rng.Float64())
+				load := b.run.opt.Installation.ConnectionLoad * (0.5 + b.w.rng.Float64())
 				b.model.SetConnection(b.w.now, uint64(s.e.id), load, 0)
 				b.run.log.ConnectionOpened(uint64(s.e.id), loadstats.Connection{Key: s.key, Backend: b.id, Load: load, Opened: b.w.now - epoch})
 				s.answers()
--- a/internal/simulation/batch/batch.go
+++ b/internal/simulation/batch/batch.go
@@ -67,10 +67,10 @@
 // nil, is called after each one, by one worker at a time.
 func Run(firstSeed uint64, count, workers int, options simulation.Options, progress func(done int, result SeedResult)) Batch {
 	started := time.Now()
-	if options.Length == 0 {
-		options.Length = defaultRunLength
+	if options.Duration == 0 {
+		options.Duration = defaultRunLength
 	}
-	b := Batch{FirstSeed: firstSeed, SeedCount: count, RunLength: options.Length, Counts: map[string]int{}, FaultPairs: map[string]int{},
+	b := Batch{FirstSeed: firstSeed, SeedCount: count, RunLength: options.Duration, Counts: map[string]int{}, FaultPairs: map[string]int{},
 		Results: make([]SeedResult, count)}
 	var next atomic.Int64
 	var mu sync.Mutex // of b and done
@@ -101,7 +101,7 @@
 func (b *Batch) add(i int, result *simulation.Result) {
 	b.Results[i] = seedResult(result)
 	addCounts(b.Counts, result.Counts)
-	addCounts(b.FaultPairs, result.Pairs)
+	addCounts(b.FaultPairs, result.FaultPairs)
 	if len(result.Violations) > 0 {
 		b.FailedSeeds++
 	}
@@ -114,8 +114,8 @@
 }
 
 func seedResult(result *simulation.Result) SeedResult {
-	s := SeedResult{Seed: result.Seed, Worth: result.Worth, Answers: result.Asked, Rejected: result.Refused, Failed: result.Failed,
-		Attempts: result.Attempts, Steps: result.Steps, Classes: map[string]ClassResult{}}
+	s := SeedResult{Seed: result.Seed, Worth: result.ServedWeight, Answers: result.Answered, Rejected: result.Refused, Failed: result.Failed,
+		Attempts: result.Attempts, Steps: result.Events, Classes: map[string]ClassResult{}}
 	for _, class := range classNames {
 		s.Classes[class] = ClassResult{
 			Requests: result.Counts["request "+class],
@@ -137,7 +137,7 @@
 // MissingCoverage names what never came up in the batch though it should: kinds of faults and expected counts.
 func (b *Batch) MissingCoverage() []string {
 	var missing []string
-	for _, kind := range simulation.Kinds() {
+	for _, kind := range simulation.FaultKinds() {
 		if b.Counts["fault "+kind] == 0 {
 			missing = append(missing, "fault "+kind)
 		}
@@ -153,7 +153,7 @@
 // WriteReport writes as text how often everything came up, and the first violations of each seed. Errors of out
 // are ignored.
 func (b *Batch) WriteReport(out io.Writer) {
-	kinds := len(simulation.Kinds())
+	kinds := len(simulation.FaultKinds())
 	pairs := kinds * (kinds + 1) / 2 // a kind overlaps itself too
 	fmt.Fprintf(out, "pairs of faults that overlapped: %d of %d\n", len(b.FaultPairs), pairs)
 	for _, name := range slices.Sorted(maps.Keys(b.Counts)) {
--- a/internal/simulation/batch/batch_test.go
+++ b/internal/simulation/batch/batch_test.go
@@ -11,8 +11,8 @@
 )
 
 func TestRun_IsTheSameForAnyNumberOfWorkers(t *testing.T) {
-	one := Run(5, 6, 1, simulation.Options{Length: 20 * time.Second}, nil)
-	many := Run(5, 6, 4, simulation.Options{Length: 20 * time.Second}, nil)
+	one := Run(5, 6, 1, simulation.Options{Duration: 20 * time.Second}, nil)
+	many := Run(5, 6, 4, simulation.Options{Duration: 20 * time.Second}, nil)
 	for i := range one.Results {
 		a, b := one.Results[i], many.Results[i]
 		if a.Seed != uint64(5+i) || a.Seed != b.Seed || a.Steps != b.Steps || a.Worth != b.Worth || a.Worth == 0 {
@@ -56,7 +56,7 @@
 }
 
 func TestBatch_MissingCoverageNamesFaults(t *testing.T) {
-	b := Run(0, 2, 2, simulation.Options{Length: 10 * time.Second}, nil)
+	b := Run(0, 2, 2, simulation.Options{Duration: 10 * time.Second}, nil)
 	if m := strings.Join(b.MissingCoverage(), ", "); !strings.Contains(m, "fault ") {
 		t.Errorf("two seeds have brought everything about: %q", m)
 	}
--- a/internal/simulation/client.go
+++ b/internal/simulation/client.go
@@ -109,7 +109,7 @@
 	if len(good) == 0 {
 		return nil
 	}
-	if f := fr.run.opt.Fleet; f != nil && f.HotRelay > 0 && fr.good[0] && fr.run.w.rng.Float64() < f.HotRelay {
+	if f := fr.run.opt.Installation; f != nil && f.HotRelayShare > 0 && fr.good[0] && fr.run.w.rng.Float64() < f.HotRelayShare {
 		return fr.run.relays[0]
 	}
 	return good[fr.run.w.rng.IntN(len(good))]
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -44,7 +44,7 @@
 		return nil
 	}},
 	{"settings change", func(run *run, f Fault) func() {
-		if run.opt.Fleet != nil || len(run.relays[0].cfg.Settings.Classes) > len(run.set.Classes) { // one at a time
+		if run.opt.Installation != nil || len(run.relays[0].cfg.Settings.Classes) > len(run.set.Classes) { // one at a time
 			return nil
 		}
 		effect := []balance.Idempotency{balance.Idempotent, balance.NonIdempotent}[f.Target%2]
@@ -269,7 +269,7 @@
 }
 
 // Groups says whether a script may name whom a kind strikes.
-func Groups(kind string) bool { return kind == "link" || kind == "relays die together" }
+func AcceptsTargets(kind string) bool { return kind == "link" || kind == "relays die together" }
 
 // rehearsed are kinds that only scripts bring about: they want the model.
 var rehearsed = []kind{{"shared dependency slow", func(run *run, f Fault) func() {
@@ -292,7 +292,7 @@
 	}
 	return nil
 }}, {"link", func(run *run, f Fault) func() {
-	run.w.links = append(run.w.links, troubledLink{f.Link, min(epoch+f.Start+f.Duration, epoch+run.opt.Length)})
+	run.w.links = append(run.w.links, troubledLink{f.Link, min(epoch+f.Start+f.Duration, epoch+run.opt.Duration)})
 	return nil // it has its end in it
 }}, {"power cut", func(run *run, f Fault) func() { // all backends at once, and cold ones a little after one another
 	for i, b := range run.backends {
@@ -356,15 +356,15 @@
 		s = append(s, f)
 	}
 	for i := range s { // drawn for a minute
-		s[i].Start = time.Duration(float64(s[i].Start) * run.opt.Length.Minutes())
-		s[i].Duration = time.Duration(float64(s[i].Duration) * run.opt.Length.Minutes())
+		s[i].Start = time.Duration(float64(s[i].Start) * run.opt.Duration.Minutes())
+		s[i].Duration = time.Duration(float64(s[i].Duration) * run.opt.Duration.Minutes())
 	}
 	slices.SortStableFunc(s, func(a, b Fault) int { return int(a.Start - b.Start) })
 	return s
 }
 
 // Kinds names all kinds of fault.
-func Kinds() []string {
+func FaultKinds() []string {
 	names := make([]string, len(kinds))
 	for i, k := range kinds {
 		names[i] = k.name
@@ -373,8 +373,8 @@
 }
 
 // Scriptable names all kinds that a script may hold.
-func Scriptable() []string {
-	names := Kinds()
+func ScriptableFaultKinds() []string {
+	names := FaultKinds()
 	for _, k := range rehearsed {
 		names = append(names, k.name)
 	}
@@ -400,7 +400,7 @@
 					run.w.note("fault %s begins", f.Kind)
 				}
 				if end := k.begin(run, f); end != nil {
-					run.w.at(min(epoch+f.Start+f.Duration, epoch+run.opt.Length), func() {
+					run.w.at(min(epoch+f.Start+f.Duration, epoch+run.opt.Duration), func() {
 						end()
 						if run.w.trace != nil {
 							run.w.note("fault %s ends", f.Kind)
--- a/internal/simulation/relay.go
+++ b/internal/simulation/relay.go
@@ -132,7 +132,7 @@
 }
 
 func (r *relay) MigrateSession(seq uint64) {
-	if r.run.broken(BreakDrain) && r.node.Drained() {
+	if r.run.broken(MutationDrainKeepsSessions) && r.node.Drained() {
 		return
 	}
 	if f := r.flows[seq]; f != nil {
@@ -154,7 +154,7 @@
 
 func (r *relay) SendDatagram(to string, data []byte) { r.run.datagram(r, to, data) }
 func (r *relay) SetDiscoveryAddress(address string) {
-	if r.run.broken(BreakOldWatch) {
+	if r.run.broken(MutationStaleDiscovery) {
 		return
 	}
 	r.soon(func() { r.follow(address, true) })
@@ -246,7 +246,7 @@
 func (r *relay) heardFrom(n discovery.Update) {
 	if n.Changed {
 		deliver := func(now time.Duration) { r.node.EndpointsUpdated(now, n.Endpoints, n.Kind) }
-		if r.run.broken(BreakLateDrain) && n.Kind != balance.UpdateFailed {
+		if r.run.broken(MutationLateDrain) && n.Kind != balance.UpdateFailed {
 			r.w.in(r.node.Settings().DrainGrace+110*time.Millisecond, r.alive(func() { r.post(deliver) }))
 		} else {
 			r.post(deliver)
@@ -425,7 +425,7 @@
 			return
 		}
 		f.m.SetSettings(f.r.node.Settings())
-		g, err := f.m.ReadHandshake(f.r.w.now, f.c.in, f.r.node.Ready() || f.r.run.broken(BreakYes))
+		g, err := f.m.ReadHandshake(f.r.w.now, f.c.in, f.r.node.Ready() || f.r.run.broken(MutationDrainedSaysReady))
 		switch {
 		case err != nil:
 			f.reject(err)
@@ -480,10 +480,10 @@
 
 // answer sends the client's last line and ends our side.
 func (f *flow) answer(last string) {
-	if f.r.run.broken(BreakLostAnswer) && last == protocol.AnswerFailed {
+	if f.r.run.broken(MutationLostAnswer) && last == protocol.AnswerFailed {
 		last = ""
 	}
-	if f.r.run.broken(BreakLateAnswer) && f.state == waiting {
+	if f.r.run.broken(MutationLateAnswer) && f.state == waiting {
 		late := f.r.node.Settings().AnswerSlack + 110*time.Millisecond
 		f.late = true
 		f.r.w.in(f.m.ArrivedAt+f.m.Timeout()+late-f.r.w.now, f.r.alive(func() {
@@ -493,7 +493,7 @@
 		return
 	}
 	f.say(last)
-	if f.r.run.broken(BreakSecondAnswer) && last != "" {
+	if f.r.run.broken(MutationSecondAnswer) && last != "" {
 		f.c.fin = false
 		f.say(last)
 	}
@@ -509,7 +509,7 @@
 func (f *flow) opened() {
 	r := f.r
 	if r.flowing >= r.room {
-		if !r.run.broken(BreakCountLobby) {
+		if !r.run.broken(MutationRefusalsUncounted) {
 			f.m.Refused()
 		}
 		f.turnAway(protocol.BusyAnswer(session.RetryAfter(r.node.Settings())))
@@ -540,14 +540,14 @@
 	f.left = true
 	spoke := len(f.c.in) > head
 	soon := f.r.soon
-	if f.r.run.broken(BreakLeft) {
+	if f.r.run.broken(MutationLateClientClose) {
 		soon = func(do func()) { f.r.w.in(400*time.Millisecond, f.r.alive(do)) }
 	}
 	soon(func() {
 		switch {
 		case f.state == waiting:
 			f.carryOut(f.m.ClientClosed(spoke))
-			if f.r.run.broken(BreakCountGone) {
+			if f.r.run.broken(MutationAbandonedStayCounted) {
 				f.m.Admitted()
 			}
 		case f.state == standing && spoke:
@@ -562,7 +562,7 @@
 	if f.state != waiting {
 		return
 	}
-	if f.r.run.broken(BreakOverlap) && o.Backend != nil && f.try == nil {
+	if f.r.run.broken(MutationOverlappingAttempts) && o.Backend != nil && f.try == nil {
 		f.carryOut(f.m.Execute(f.r.w.now, o))
 		if f.try != nil {
 			second := &try{f: f, a: f.try.a}
@@ -595,7 +595,7 @@
 	if e.Kind == session.NoEvent {
 		return
 	}
-	if e.Kind == session.AttemptEnded && e.Result.Status == balance.StatusCancelled && r.run.broken(BreakBooks) {
+	if e.Kind == session.AttemptEnded && e.Result.Status == balance.StatusCancelled && r.run.broken(MutationLoadMiscounted) {
 		e.Result.Attempt++ // the module does not know it
 	}
 	r.post(func(now time.Duration) { r.node.SessionEvent(now, f.m.Seq, e) })
@@ -610,7 +610,7 @@
 			f.c.close()
 			r := f.r
 			r.flowing--
-			if r.run.broken(BreakLeak) {
+			if r.run.broken(MutationSessionLeak) {
 				return
 			}
 			r.post(func(now time.Duration) {
@@ -670,7 +670,7 @@
 			return
 		}
 		t.asking = true
-		lost := r.run.broken(BreakCountAttempt) && r.w.rng.IntN(50) == 0 || r.run.broken(BreakCountLeaving) && r.leaving
+		lost := r.run.broken(MutationAttemptsUndercounted) && r.w.rng.IntN(50) == 0 || r.run.broken(MutationShutdownAttemptsUncounted) && r.leaving
 		if !lost {
 			t.a.RequestSent()
 		}
@@ -723,7 +723,7 @@
 	if fail != nil {
 		t.asking = false
 		if t.e != nil {
-			if !r.run.broken(BreakDescriptor) {
+			if !r.run.broken(MutationDescriptorLeak) {
 				t.e.close()
 			}
 			t.e = nil
@@ -763,7 +763,7 @@
 	f.state, f.back = standing, t.e
 	f.c.take(f.m.Open.Len())
 	up := t.up
-	if f.r.run.broken(BreakMadeUp) {
+	if f.r.run.broken(MutationForgedUp) {
 		up = []byte("UP made-up\r\n")
 	}
 	f.c.write(up, func(bool) {})
@@ -854,7 +854,7 @@
 }
 
 func (f *flow) moved() {
-	if f.r.run.broken(BreakMoveInLine) { // not now, but in the middle of the next line
+	if f.r.run.broken(MutationMoveInsideLine) { // not now, but in the middle of the next line
 		f.inLine = true
 		return
 	}
@@ -864,7 +864,7 @@
 func (f *flow) down() {
 	for f.state == standing && !f.downBusy {
 		if v, now := f.m.AtLineBoundary(); now && !f.inLine {
-			if f.r.run.broken(BreakCutOff) {
+			if f.r.run.broken(MutationMigrateWithoutMove) {
 				v.LastLine = ""
 			}
 			f.over(v)
@@ -880,7 +880,7 @@
 			if n > 0 {
 				f.tell(told)
 				f.downBusy = true
-				if f.r.run.broken(BreakHeldLine) {
+				if f.r.run.broken(MutationDelayedLines) {
 					f.r.w.in(1200*time.Millisecond, f.r.alive(func() { f.pass(n) }))
 					return
 				}
@@ -965,7 +965,7 @@
 		if err := r.node.Reload(now, r.sabotaged(cfg), cfg.MaxDescriptors); err != nil {
 			panic(fmt.Sprintf("a sound configuration is not taken: %v", err))
 		}
-		if r.run.broken(BreakOldRules) {
+		if r.run.broken(MutationStaleIdempotency) {
 			s := r.node.Settings().Settings
 			s.Classes = slices.Clone(s.Classes)
 			for i := range s.Classes {
@@ -976,7 +976,7 @@
 			r.node.Balancer().UpdateSettings(s)
 		}
 		r.reloads++
-		if !r.run.broken(BreakCountReload) {
+		if !r.run.broken(MutationReloadsUncounted) {
 			r.node.Metrics().Reloaded(true)
 		}
 	})
@@ -1012,7 +1012,7 @@
 	r.tell()
 	w.in(after, r.alive(func() {
 		r.leaving = true
-		if run.broken(BreakHandOver) {
+		if run.broken(MutationUpgradeDropsSessions) {
 			r.kill()
 			r.succeeded()
 			return
--- a/internal/simulation/run.go
+++ b/internal/simulation/run.go
@@ -30,65 +30,65 @@
 
 // Options say how a seed is played. Only Seed has to be set.
 type Options struct {
-	Seed    uint64
-	Length  time.Duration         // virtual; 0: a minute
-	Timings []balance.RetryPolicy // by class; nil: none has a timing of its own
-	Script  []Fault               // instead of the seed's own; nil: the seed's
-	Fleet   *Fleet                // a fleet as written, with modelled servers; nil: as the seed has it
-	Policy  string                // what decides instead of the module, by a name of package baseline; empty: the module
-	Break   Break                 // tests only
-	Trace   io.Writer             // nil: none
+	Seed          uint64
+	Duration      time.Duration         // virtual; 0: a minute
+	RetryPolicies []balance.RetryPolicy // by class; nil: none has a timing of its own
+	Script        []Fault               // instead of the seed's own; nil: the seed's
+	Installation  *Installation         // a fleet as written, with modelled servers; nil: as the seed has it
+	Policy        string                // what decides instead of the module, by a name of package baseline; empty: the module
+	Mutation      Mutation              // tests only
+	Trace         io.Writer             // nil: none
 }
 
 // Fleet is an installation as a script writes it.
-type Fleet struct {
+type Installation struct {
 	Relays, Backends, Clients int
 	Server                    emulator.Config  // of each backend, but for Sizes
-	SetUpWork                 float64          // of a request, in seconds of a nominal core
+	SetupWork                 float64          // of a request, in seconds of a nominal core
 	LineWork                  float64          // of a line
-	ConnLoad                  float64          // cores that a standing connection takes
-	PoolPlaces                int              // of a dependency that all set-ups use; 0: none
-	PoolHold                  time.Duration    // how long a set-up has its place
-	Rush                      time.Duration    // the first clients come within this
-	Stay                      [2]time.Duration // how long one stays: anything between the two
-	Return                    time.Duration    // whose connection broke is back within this
-	HotKey                    float64          // share of the clients that have one key
-	HotRelay                  float64          // share of the clients that come through the first relay; 0: its part
-	LateShare                 float64          // share of the backends whose reports are late by LateBy as well
-	LateBy                    time.Duration    // how late the reports of those of LateShare are
-	Sizes                     []float64        // of backends by turns, in parts of Server.Cores; nil: all the same
-	Weights                   bool             // the list gives them
-	Silent                    bool             // backends report nothing
-	Peers                     bool             // relays may send one another messages
+	ConnectionLoad            float64          // cores that a standing connection takes
+	DependencySlots           int              // of a dependency that all set-ups use; 0: none
+	DependencyHoldTime        time.Duration    // how long a set-up has its place
+	ArrivalWindow             time.Duration    // the first clients come within this
+	StayRange                 [2]time.Duration // how long one stays: anything between the two
+	ReconnectWindow           time.Duration    // whose connection broke is back within this
+	HotKeyShare               float64          // share of the clients that have one key
+	HotRelayShare             float64          // share of the clients that come through the first relay; 0: its part
+	LateReportShare           float64          // share of the backends whose reports are late by LateBy as well
+	LateReportDelay           time.Duration    // how late the reports of those of LateShare are
+	BackendSizes              []float64        // of backends by turns, in parts of Server.Cores; nil: all the same
+	ListsWeights              bool             // the list gives them
+	NoLoadReports             bool             // backends report nothing
+	Gossip                    bool             // relays may send one another messages
 	Membership                bool             // relays find out who of them is there
 	ConnectTimeout            time.Duration    // for a connection to a backend to come up, on processes; 0: 250 ms
 }
 
 // Second is the service of one second, in worth.
-type Second struct {
-	Asked  float64 `json:"asked"`  // of clients that wanted a connection
-	Served float64 `json:"served"` // of those that had one whose last line came back in time
+type ServiceSecond struct {
+	Requested float64 `json:"asked"`  // of clients that wanted a connection
+	Served    float64 `json:"served"` // of those that had one whose last line came back in time
 }
 
 // Result is what a run came to.
 type Result struct {
-	Seed       uint64                `json:"seed"`
-	Relays     int                   `json:"relays"`
-	Backends   int                   `json:"backends"`
-	Clients    int                   `json:"clients"`
-	Faults     []Fault               `json:"faults"`             // as they were played
-	Violations []invariant.Violation `json:"broken,omitempty"`   // rules
-	Counts     map[string]int        `json:"counts"`             // how often what came up
-	Pairs      map[string]int        `json:"pairs,omitempty"`    // how often two kinds of fault overlapped
-	Worth      float64               `json:"worth"`              // served, by the classes' worths
-	Asked      int                   `json:"asked"`              // final answers
-	Refused    int                   `json:"refused"`            // of them BUSY
-	Failed     int                   `json:"failed"`             // and ERR
-	Attempts   int                   `json:"attempts"`           // OPENs at backends
-	Steps      int                   `json:"steps"`              // events
-	Service    []Second              `json:"service,omitempty"`  // by second, of a Fleet
-	ByClass    []Second              `json:"by_class,omitempty"` // of a Fleet: sums of the run
-	Even       []loadstats.Second    `json:"evenness,omitempty"` // by second, of a Fleet
+	Seed            uint64                `json:"seed"`
+	Relays          int                   `json:"relays"`
+	Backends        int                   `json:"backends"`
+	Clients         int                   `json:"clients"`
+	Faults          []Fault               `json:"faults"`             // as they were played
+	Violations      []invariant.Violation `json:"broken,omitempty"`   // rules
+	Counts          map[string]int        `json:"counts"`             // how often what came up
+	FaultPairs      map[string]int        `json:"pairs,omitempty"`    // how often two kinds of fault overlapped
+	ServedWeight    float64               `json:"worth"`              // served, by the classes' worths
+	Answered        int                   `json:"asked"`              // final answers
+	Refused         int                   `json:"refused"`            // of them BUSY
+	Failed          int                   `json:"failed"`             // and ERR
+	Attempts        int                   `json:"attempts"`           // OPENs at backends
+	Events          int                   `json:"steps"`              // events
+	ServiceBySecond []ServiceSecond       `json:"service,omitempty"`  // by second, of a Fleet
+	ServiceByClass  []ServiceSecond       `json:"by_class,omitempty"` // of a Fleet: sums of the run
+	Evenness        []loadstats.Second    `json:"evenness,omitempty"` // by second, of a Fleet
 }
 
 // class is a class of requests as clients know it.
@@ -124,8 +124,8 @@
 	poolAt   time.Duration
 	turns    map[uint64]func()
 	turn     uint64
-	service  []Second
-	byClass  []Second
+	service  []ServiceSecond
+	byClass  []ServiceSecond
 	log      loadstats.Recorder // of what modelled backends hold
 }
 
@@ -141,16 +141,16 @@
 // Run plays one seed to its end and reports what came of it. It panics if the options
 // make no installation, such as timings that contradict one another.
 func Run(opt Options) Result {
-	if opt.Length == 0 {
-		opt.Length = time.Minute
+	if opt.Duration == 0 {
+		opt.Duration = time.Minute
 	}
 	w := newWorld(opt.Seed, opt.Trace)
 	run := &run{w: w, opt: opt, byAddr: map[string]*backend{}, counts: map[string]int{}, pairs: map[string]int{}, slow: 1}
 	run.settle()
 	w.window = 1 << (9 + w.rng.IntN(6))
 	n := run.size()
-	if opt.Fleet != nil {
-		run.model(opt.Fleet)
+	if opt.Installation != nil {
+		run.model(opt.Installation)
 	}
 	run.watch(n)
 	run.populate(n)
@@ -162,7 +162,7 @@
 	run.play(script)
 	run.releases(n.backends)
 	w.in(time.Second, run.sweep)
-	end := epoch + opt.Length
+	end := epoch + opt.Duration
 	w.at(end, run.close)
 	for w.step(end + letGo) {
 	}
@@ -181,19 +181,19 @@
 func (run *run) size() size {
 	rng := run.w.rng
 	n := size{relays: 2 + rng.IntN(6), backends: 6 + rng.IntN(27), clients: 100 + rng.IntN(41)}
-	if f := run.opt.Fleet; f != nil {
+	if f := run.opt.Installation; f != nil {
 		n = size{f.Relays, f.Backends, f.Clients}
 	}
 	return n
 }
 
 // model prepares what only a script's installation has: a shared dependency and the measure of the service.
-func (run *run) model(f *Fleet) {
+func (run *run) model(f *Installation) {
 	run.turns = map[uint64]func(){}
-	if f.PoolPlaces > 0 {
-		run.pool = emulator.NewDependency(f.PoolPlaces)
+	if f.DependencySlots > 0 {
+		run.pool = emulator.NewDependency(f.DependencySlots)
 	}
-	run.byClass = make([]Second, len(run.classes))
+	run.byClass = make([]ServiceSecond, len(run.classes))
 	run.w.in(time.Second, run.measure)
 }
 
@@ -226,8 +226,8 @@
 	}
 	for range n.clients {
 		rush := 2500 * time.Millisecond
-		if f := run.opt.Fleet; f != nil {
-			rush = f.Rush
+		if f := run.opt.Installation; f != nil {
+			rush = f.ArrivalWindow
 		}
 		run.addClient().come(500*time.Millisecond + w.between(0, rush))
 	}
@@ -237,7 +237,7 @@
 func (run *run) releases(backends int) {
 	w := run.w
 	releases := w.rng.IntN(4)
-	if run.opt.Fleet != nil {
+	if run.opt.Installation != nil {
 		releases = 0 // a script says all that happens
 	}
 	for range releases {
@@ -268,7 +268,7 @@
 func (run *run) settle() {
 	rng := run.w.rng
 	run.classes = []class{{"watch", 2 * time.Second, 1}, {"fetch", 1800 * time.Millisecond, 2}, {"submit", 3 * time.Second, 5}}
-	if run.opt.Fleet == nil {
+	if run.opt.Installation == nil {
 		run.classes = append(run.classes, class{"extra", 1500 * time.Millisecond, 3}) // only while the settings have it
 	}
 	run.served = make([]int, len(run.classes))
@@ -285,11 +285,11 @@
 			{LatencyObjective: 400 * time.Millisecond, ClientTimeout: 1800 * time.Millisecond, MessageLatencyObjective: 60 * time.Millisecond,
 				Idempotency: balance.IdempotentWithKey, DedupScope: balance.ScopeCell, DedupWindow: 3 * time.Second, PriorityWeight: 2},
 			{LatencyObjective: 600 * time.Millisecond, ClientTimeout: 3 * time.Second, MessageLatencyObjective: 60 * time.Millisecond, Idempotency: balance.NonIdempotent, PriorityWeight: 5}}}
-	if f := run.opt.Fleet; f != nil { // a script's installation is the same whatever the seed
-		if f.Silent {
+	if f := run.opt.Installation; f != nil { // a script's installation is the same whatever the seed
+		if f.NoLoadReports {
 			s.ReportFields = nil
 		}
-		s.HealthChecks, s.Gossip, s.RetryAfter, s.Groups, s.PollEndpoints = true, f.Peers, true, false, false
+		s.HealthChecks, s.Gossip, s.RetryAfter, s.Groups, s.PollEndpoints = true, f.Gossip, true, false, false
 	}
 	run.set = s
 }
@@ -331,8 +331,8 @@
 		{Name: "submit", ClientTimeout: 3 * time.Second, Idempotency: invariant.NonIdempotent}}
 	for i := range classes {
 		classes[i].LatencyObjective = s.Classes[i].LatencyObjective
-		if i < len(run.opt.Timings) {
-			classes[i].MaxAttempts, classes[i].TotalTimeout = run.opt.Timings[i].MaxAttempts, run.opt.Timings[i].RequestTimeout
+		if i < len(run.opt.RetryPolicies) {
+			classes[i].MaxAttempts, classes[i].TotalTimeout = run.opt.RetryPolicies[i].MaxAttempts, run.opt.RetryPolicies[i].RequestTimeout
 		}
 	}
 	return classes
@@ -383,15 +383,15 @@
 	b := &backend{run: run, id: id, name: fmt.Sprintf("s-%02d", id), zone: id % 2,
 		service: run.w.between(2*time.Millisecond, 30*time.Millisecond),
 		box:     run.w.box(fmt.Sprintf("s-%02d", id), fmt.Sprintf("10.1.0.%d:5000", id)).of(fault.Backends, id)}
-	if f := run.opt.Fleet; f != nil {
+	if f := run.opt.Installation; f != nil {
 		b.size = 1
-		if len(f.Sizes) > 0 {
-			b.size = f.Sizes[id%len(f.Sizes)]
+		if len(f.BackendSizes) > 0 {
+			b.size = f.BackendSizes[id%len(f.BackendSizes)]
 		}
 		cfg := f.Server
 		cfg.Cores, cfg.WarmRequestRate = cfg.Cores*b.size, cfg.WarmRequestRate*b.size
-		if id%100 >= 100-int(f.LateShare*100) {
-			cfg.ReportDelay = f.LateBy
+		if id%100 >= 100-int(f.LateReportShare*100) {
+			cfg.ReportDelay = f.LateReportDelay
 		}
 		b.model, b.jobs = emulator.New(cfg, run.w.rng.Uint64(), run.w.now), map[uint64]func(bool){}
 	}
@@ -417,7 +417,7 @@
 	}
 	r := &relay{box: run.w.box(cfg.Name, "").of(fault.Relays, i), run: run, number: i, cfg: cfg}
 	r.accept = r.accepted
-	r.few = run.w.rng.IntN(12) == 0 && run.opt.Fleet == nil
+	r.few = run.w.rng.IntN(12) == 0 && run.opt.Installation == nil
 	run.relays = append(run.relays, r)
 	run.bring(r)
 	run.front.look(r)
@@ -426,7 +426,7 @@
 // routes gives each class its timing.
 func (run *run) routes() *routing.Table {
 	var all []routing.Route
-	for i, t := range run.opt.Timings {
+	for i, t := range run.opt.RetryPolicies {
 		m := routing.MatchAll
 		m.Class = i
 		all = append(all, routing.Route{Name: run.classes[i].name, Match: m, RetryPolicy: t})
@@ -444,12 +444,12 @@
 func (run *run) addClient() *client {
 	rng := run.w.rng
 	stay := [2]time.Duration{2 * time.Second, 25 * time.Second}
-	if run.opt.Fleet != nil {
-		stay = run.opt.Fleet.Stay
+	if run.opt.Installation != nil {
+		stay = run.opt.Installation.StayRange
 	}
 	c := &client{run: run, number: len(run.clients), key: rng.Uint64(), class: []int{0, 0, 1, 1, 2}[rng.IntN(5)],
 		stays: run.w.between(stay[0], stay[1]), bulky: rng.IntN(12) == 0}
-	if f := run.opt.Fleet; f != nil && f.HotKey > 0 && rng.Float64() < f.HotKey {
+	if f := run.opt.Installation; f != nil && f.HotKeyShare > 0 && rng.Float64() < f.HotKeyShare {
 		c.key = 0x407
 	}
 	if run.set.Groups {
@@ -618,14 +618,14 @@
 	if run.closing {
 		return
 	}
-	var sum Second
+	var sum ServiceSecond
 	for _, c := range run.clients {
 		if !c.wants {
 			continue
 		}
 		worth := run.classes[c.class].worth
-		sum.Asked += worth
-		run.byClass[c.class].Asked += worth
+		sum.Requested += worth
+		run.byClass[c.class].Requested += worth
 		if c.up && c.e != nil && c.inTime() {
 			sum.Served += worth
 			run.byClass[c.class].Served += worth
@@ -639,7 +639,7 @@
 func (run *run) shares(then func()) {
 	run.turn++
 	run.turns[run.turn] = then
-	run.pool.Acquire(run.w.now, run.turn, run.opt.Fleet.PoolHold)
+	run.pool.Acquire(run.w.now, run.turn, run.opt.Installation.DependencyHoldTime)
 	run.poolTick()
 }
 
@@ -756,18 +756,18 @@
 // result sums the run up.
 func (run *run) result(n size, script []Fault) Result {
 	res := Result{Seed: run.opt.Seed, Relays: n.relays, Backends: n.backends, Clients: n.clients, Faults: script,
-		Violations: run.check.Violations, Counts: run.counts, Pairs: run.pairs, Steps: run.w.steps}
-	res.Service, res.ByClass = run.service, run.byClass
-	if run.opt.Fleet != nil {
-		res.Even = run.log.PerSecond(run.opt.Length)
+		Violations: run.check.Violations, Counts: run.counts, FaultPairs: run.pairs, Events: run.w.steps}
+	res.ServiceBySecond, res.ServiceByClass = run.service, run.byClass
+	if run.opt.Installation != nil {
+		res.Evenness = run.log.PerSecond(run.opt.Duration)
 	}
 	for i, n := range run.served {
-		res.Worth += float64(n) * run.classes[i].worth
+		res.ServedWeight += float64(n) * run.classes[i].worth
 	}
 	for what, n := range run.check.Counts {
 		res.Counts[what] += n
 		if strings.HasPrefix(what, "answer ") {
-			res.Asked += n
+			res.Answered += n
 		}
 	}
 	res.Refused, res.Failed = res.Counts["answer BUSY"], res.Counts["answer ERR"]
--- a/internal/simulation/timing_test.go
+++ b/internal/simulation/timing_test.go
@@ -57,7 +57,7 @@
 				held[r]++
 			}
 		}
-		opt := Options{Seed: rapid.Uint64().Draw(t, "seed"), Length: 15 * time.Second}
+		opt := Options{Seed: rapid.Uint64().Draw(t, "seed"), Duration: 15 * time.Second}
 		for _, name := range []string{"watch", "fetch", "submit"} {
 			q, err := cfg.RoutingRequest(config.RequestDescription{Class: name, Protocol: "line"})
 			if err != nil {
@@ -67,7 +67,7 @@
 			if r := cfg.Relay.Routes.Lookup(q); r != nil {
 				timing = r.RetryPolicy
 			}
-			opt.Timings = append(opt.Timings, timing)
+			opt.RetryPolicies = append(opt.RetryPolicies, timing)
 		}
 		if res := Run(opt); len(res.Violations) > 0 {
 			t.Fatalf("%v\n%s", res.Violations[0], text)
@@ -82,7 +82,7 @@
 func TestATimingThatIsNotKeptIsCaught(t *testing.T) {
 	once := balance.RetryPolicy{MaxAttempts: 1}
 	for seed := uint64(0); seed < 40; seed++ {
-		for _, b := range Run(Options{Seed: seed, Break: BreakTiming, Timings: []balance.RetryPolicy{once, once, once}}).Violations {
+		for _, b := range Run(Options{Seed: seed, Mutation: MutationRetryPolicyIgnored, RetryPolicies: []balance.RetryPolicy{once, once, once}}).Violations {
 			if b.Rule == "attempt-limit" {
 				return
 			}
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -9,9 +9,9 @@
 // source of randomness. What a run draws must not depend on whether it is traced.
 //
 // Package invariant watches the bytes that pass and reports the rules that are broken.
-// Break makes relays break one on purpose, for tests of the checker; Shrink reduces a
+// A Mutation makes relays break one on purpose, for tests of the checker; Shrink reduces a
 // failing script of faults. Backends either answer after drawn delays or, where
-// Options.Fleet is set, follow the model of package emulator. Their figures are those
+// Options.Installation is set, follow the model of package emulator. Their figures are those
 // of the model and say nothing of real servers.
 package simulation
 
--- a/internal/simulation/world_test.go
+++ b/internal/simulation/world_test.go
@@ -47,7 +47,7 @@
 				t.Errorf("seed %d: %v", res.Seed, b)
 			}
 		}
-		if res.Counts["answer UP"] < 100 || res.Steps < 20000 {
+		if res.Counts["answer UP"] < 100 || res.Events < 20000 {
 			t.Errorf("seed %d played little: %v", res.Seed, res.Counts)
 		}
 	})
@@ -111,8 +111,8 @@
 	if raceEnabled {
 		t.Skip("one goroutine a run: the race detector has nothing to find, and it takes ten times as long")
 	}
-	names := make([]Break, 0, len(Breaks))
-	for b := range Breaks {
+	names := make([]Mutation, 0, len(Mutations))
+	for b := range Mutations {
 		names = append(names, b)
 	}
 	slices.Sort(names)
@@ -125,8 +125,8 @@
 				if int64(i) > first.Load() {
 					return
 				}
-				for _, f := range Run(Options{Seed: uint64(i), Break: b}).Violations {
-					if slices.Contains(Breaks[b], f.Rule) {
+				for _, f := range Run(Options{Seed: uint64(i), Mutation: b}).Violations {
+					if slices.Contains(Mutations[b], f.Rule) {
 						for was := first.Load(); int64(i) < was; was = first.Load() {
 							if first.CompareAndSwap(was, int64(i)) {
 								rule.Store(f)
@@ -137,7 +137,7 @@
 				}
 			})
 			if first.Load() == 1<<30 {
-				t.Errorf("not caught by %v in 200 seeds", Breaks[b])
+				t.Errorf("not caught by %v in 200 seeds", Mutations[b])
 				return
 			}
 			t.Logf("seed %d: %v", first.Load(), rule.Load())
@@ -164,7 +164,7 @@
 
 func traced(seed uint64) (sum [32]byte) {
 	h := sha256.New()
-	Run(Options{Seed: seed, Trace: h, Length: 30 * time.Second})
+	Run(Options{Seed: seed, Trace: h, Duration: 30 * time.Second})
 	h.Sum(sum[:0])
 	return sum
 }
@@ -191,7 +191,7 @@
 // Shrinking must keep what fails and drop what does not matter.
 func TestAScriptShrinksToWhatFails(t *testing.T) {
 	// Only a reload can make an old watch matter, so of any script that is what must be left.
-	opt := Options{Break: BreakOldWatch, Script: []Fault{{Kind: "datagrams lost", Start: 5 * time.Second, Duration: 5 * time.Second},
+	opt := Options{Mutation: MutationStaleDiscovery, Script: []Fault{{Kind: "datagrams lost", Start: 5 * time.Second, Duration: 5 * time.Second},
 		{Kind: "reload to another agent", Start: 6 * time.Second, Duration: 5 * time.Second},
 		{Kind: "network slow", Start: 12 * time.Second, Duration: 5 * time.Second, Severity: 0.1}}}
 	// On some seeds a slower network is what lets the old watch be caught: one is taken on which the reload
@@ -215,7 +215,7 @@
 	if res := Run(opt); len(res.Violations) == 0 || res.Violations[0].Rule != "drain" {
 		t.Errorf("what is left breaks %v", res.Violations)
 	}
-	opt.Break = NoBreak
+	opt.Mutation = NoMutation
 	if small, rule := Shrink(opt, nil); rule != "" || small != nil {
 		t.Errorf("a sound seed shrinks to %v by %q", small, rule)
 	}
--- a/internal/testcluster/backends.go
+++ b/internal/testcluster/backends.go
@@ -57,8 +57,8 @@
 		sessions: map[*session]bool{}, state: "ready"}
 	cfg := r.opt.Fleet.Server
 	cfg.Cores *= size
-	if number%100 >= 100-int(r.opt.Fleet.LateShare*100) {
-		cfg.ReportDelay = r.opt.Fleet.LateBy
+	if number%100 >= 100-int(r.opt.Fleet.LateReportShare*100) {
+		cfg.ReportDelay = r.opt.Fleet.LateReportDelay
 	}
 	cfg.WarmRequestRate *= size
 	b.model = emulator.New(cfg, r.opt.Seed*1000+uint64(number), r.now())
@@ -71,7 +71,7 @@
 
 func (b *backend) entry() entry {
 	weight := 1.0
-	if b.rig.opt.Fleet.Weights {
+	if b.rig.opt.Fleet.ListsWeights {
 		weight = b.size
 	}
 	return entry{ID: b.name, Zone: zones[b.zone], Kind: "k", Cell: b.number % 2, State: b.state, Weight: weight,
@@ -372,7 +372,7 @@
 	}
 	b.job++
 	id, life := b.job, b.life
-	switch b.model.Arrive(r.now(), emulator.Request{ID: id, Work: r.opt.Fleet.SetUpWork * (0.5 + r.roll())}) {
+	switch b.model.Arrive(r.now(), emulator.Request{ID: id, Work: r.opt.Fleet.SetupWork * (0.5 + r.roll())}) {
 	case emulator.Rejected:
 		s.answer("BUSY", true)
 	case emulator.Crashed:
--- a/internal/testcluster/clients.go
+++ b/internal/testcluster/clients.go
@@ -62,7 +62,7 @@
 func (f *front) pick(rng *rand.Rand) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if hot := f.rig.opt.Fleet.HotRelay; hot > 0 && f.good[0] && rng.Float64() < hot {
+	if hot := f.rig.opt.Fleet.HotRelayShare; hot > 0 && f.good[0] && rng.Float64() < hot {
 		return 0
 	}
 	n := 0
@@ -108,16 +108,16 @@
 }
 
 // plan draws all visits of a run: those that come in the first rush, and who comes later so that as many are there.
-func plan(f *simulation.Fleet, seed uint64, length time.Duration) []visit {
+func plan(f *simulation.Installation, seed uint64, length time.Duration) []visit {
 	rng := rand.New(rand.NewPCG(seed, 0xc11e))
 	stay := func() time.Duration {
-		least, most := f.Stay[0], f.Stay[1]
+		least, most := f.StayRange[0], f.StayRange[1]
 		return least + time.Duration(rng.Float64()*float64(most-least))
 	}
 	hot := rng.Uint64()
 	draw := func(from time.Duration, stays time.Duration) visit {
 		v := visit{key: rng.Uint64(), class: []int{0, 0, 1, 1, 2}[rng.IntN(5)], from: from, until: from + stays, seed: rng.Uint64()}
-		if rng.Float64() < f.HotKey {
+		if rng.Float64() < f.HotKeyShare {
 			v.key = hot
 		}
 		return v
@@ -125,13 +125,13 @@
 	var out []visit
 	for range f.Clients { // what is left of the stay of those who would be there: long ones are the likelier
 		s := stay()
-		for rng.Float64() > float64(s)/float64(f.Stay[1]) {
+		for rng.Float64() > float64(s)/float64(f.StayRange[1]) {
 			s = stay()
 		}
-		out = append(out, draw(time.Duration(rng.Float64()*float64(f.Rush)), time.Duration(rng.Float64()*float64(s))))
+		out = append(out, draw(time.Duration(rng.Float64()*float64(f.ArrivalWindow)), time.Duration(rng.Float64()*float64(s))))
 	}
-	mean := (f.Stay[0] + f.Stay[1]).Seconds() / 2
-	for t := f.Rush.Seconds(); ; {
+	mean := (f.StayRange[0] + f.StayRange[1]).Seconds() / 2
+	for t := f.ArrivalWindow.Seconds(); ; {
 		t += rng.ExpFloat64() * mean / float64(f.Clients)
 		if t >= length.Seconds() {
 			return out
@@ -178,12 +178,12 @@
 }
 
 // measure weighs the present moment, as world does: what clients want and what they have, by worth.
-func (cs *clients) measure() (s simulation.Second) {
+func (cs *clients) measure() (s simulation.ServiceSecond) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	for c := range cs.here {
 		worth := classes[c.class].worth
-		s.Asked += worth
+		s.Requested += worth
 		if c.served(cs.rig.now()) {
 			s.Served += worth
 		}
@@ -411,7 +411,7 @@
 
 // returns is when who has lost a connection comes again.
 func (c *client) returns() time.Duration {
-	if d := c.rig.opt.Fleet.Return; d > 0 {
+	if d := c.rig.opt.Fleet.ReconnectWindow; d > 0 {
 		return c.between(0, d)
 	}
 	return c.between(30*time.Millisecond, 300*time.Millisecond)
--- a/internal/testcluster/fleet.go
+++ b/internal/testcluster/fleet.go
@@ -43,13 +43,13 @@
 //
 // Program, Length and Fleet's numbers of parties have to be set.
 type Options struct {
-	Program string           // the relay's, built already
-	Seed    uint64           // of what clients draw and of what faults strike
-	Length  time.Duration    // once all relays are ready
-	Fleet   simulation.Fleet // the installation
-	Script  []fault.Fault    // what goes wrong
-	Look    func(v *View)    // called now and then while the run takes its course; nil: nobody looks
-	Keep    string           // a folder for the relays' files; empty: a temporary one that is removed
+	Program string                  // the relay's, built already
+	Seed    uint64                  // of what clients draw and of what faults strike
+	Length  time.Duration           // once all relays are ready
+	Fleet   simulation.Installation // the installation
+	Script  []fault.Fault           // what goes wrong
+	Look    func(v *View)           // called now and then while the run takes its course; nil: nobody looks
+	Keep    string                  // a folder for the relays' files; empty: a temporary one that is removed
 
 	// ProgramOf names the program, by an absolute path, that a relay's process runs: start 0 is the relay's first process,
 	// 1 the one after its first restart. It may be called from several goroutines at once. nil: Program for all.
@@ -58,19 +58,19 @@
 
 // Result is what a run came to.
 type Result struct {
-	Program    string              `json:"program"`
-	Seed       uint64              `json:"seed"`
-	Ready      time.Duration       `json:"ready_ns"` // until all relays took clients
-	Service    []simulation.Second `json:"service"`  // by second
-	Evenness   []loadstats.Second  `json:"evenness"` // of the load, by second
-	Faults     []Effect            `json:"faults"`
-	Violations []string            `json:"broken,omitempty"` // rules
-	Counts     map[string]int      `json:"counts"`           // how often what came up
-	Waits      Waits               `json:"waits"`
-	Rates      Rates               `json:"rates"`
-	Usage      Usage               `json:"usage"`
-	Machine    []float64           `json:"machine"`  // processor seconds a second, of all relays
-	Attempts   []int               `json:"attempts"` // by backend
+	Program    string                     `json:"program"`
+	Seed       uint64                     `json:"seed"`
+	Ready      time.Duration              `json:"ready_ns"` // until all relays took clients
+	Service    []simulation.ServiceSecond `json:"service"`  // by second
+	Evenness   []loadstats.Second         `json:"evenness"` // of the load, by second
+	Faults     []Effect                   `json:"faults"`
+	Violations []string                   `json:"broken,omitempty"` // rules
+	Counts     map[string]int             `json:"counts"`           // how often what came up
+	Waits      Waits                      `json:"waits"`
+	Rates      Rates                      `json:"rates"`
+	Usage      Usage                      `json:"usage"`
+	Machine    []float64                  `json:"machine"`  // processor seconds a second, of all relays
+	Attempts   []int                      `json:"attempts"` // by backend
 }
 
 // Effect is what a fault really did.
@@ -209,7 +209,7 @@
 func (r *rig) loadOf(request string) float64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(request))
-	return r.opt.Fleet.ConnLoad * (0.5 + float64(h.Sum64()>>11)/(1<<53))
+	return r.opt.Fleet.ConnectionLoad * (0.5 + float64(h.Sum64()>>11)/(1<<53))
 }
 
 // attempted takes in an attempt that has come. One that its relay has given up may not have been read to its end
@@ -428,7 +428,7 @@
 
 // addBackend brings one more up: cold in the run, warm before it.
 func (r *rig) addBackend(cold bool) *backend {
-	sizes := r.opt.Fleet.Sizes
+	sizes := r.opt.Fleet.BackendSizes
 	r.mu.Lock()
 	n, size := len(r.backends), 1.0
 	if len(sizes) > 0 {
@@ -496,7 +496,7 @@
 	}
 	f := &r.opt.Fleet
 	var peers []string
-	if f.Peers {
+	if f.Gossip {
 		for j := range r.relays {
 			peers = append(peers, r.ports.peerAddr(x.number, j))
 		}
--- a/internal/testcluster/fleet_test.go
+++ b/internal/testcluster/fleet_test.go
@@ -44,14 +44,14 @@
 }
 
 // small is a fleet that a test can afford; its clients fill its backends to six tenths.
-func small(relays, backends, clients int) simulation.Fleet {
-	f := simulation.Fleet{Relays: relays, Backends: backends, Clients: clients, SetUpWork: 0.004, LineWork: 0.0005, Peers: true,
-		Rush: time.Second, Stay: [2]time.Duration{8 * time.Second, 30 * time.Second}, Return: 200 * time.Millisecond,
+func small(relays, backends, clients int) simulation.Installation {
+	f := simulation.Installation{Relays: relays, Backends: backends, Clients: clients, SetupWork: 0.004, LineWork: 0.0005, Gossip: true,
+		ArrivalWindow: time.Second, StayRange: [2]time.Duration{8 * time.Second, 30 * time.Second}, ReconnectWindow: 200 * time.Millisecond,
 		Server: emulator.Config{Cores: 4, Speed: 1, MaxRequests: 200, Backlog: 128, ColdCapacity: coldFrom, WarmUpTime: warmUp, ColdCrashFactor: fallMultiple,
 			ColdCrashWindow: fallSpan, ReportInterval: 500 * time.Millisecond, ReportNoise: 0.03}}
 	usual := float64(clients) / float64(backends)
 	f.Server.WarmRequestRate = max(4, usual/3)
-	f.ConnLoad = 0.6 * f.Server.Cores / usual
+	f.ConnectionLoad = 0.6 * f.Server.Cores / usual
 	return f
 }
 
@@ -74,7 +74,7 @@
 func service(res Result, from, to int) float64 {
 	asked, served := 0.0, 0.0
 	for _, s := range res.Service[from:min(to, len(res.Service))] {
-		asked, served = asked+s.Asked, served+s.Served
+		asked, served = asked+s.Requested, served+s.Served
 	}
 	return served / asked
 }
@@ -89,20 +89,20 @@
 	}
 	for _, tc := range []struct {
 		name   string
-		change func(f *simulation.Fleet)
+		change func(f *simulation.Installation)
 		script []fault.Fault
 		from   int     // second from which it is measured
 		most   float64 // of the deviation over the other fleet's
 		hard   float64 // the other fleet's deviation at least
 	}{
 		{name: "all relays start in one second", from: 8, most: 0.75, hard: 0.12},
-		{name: "all reports are of the same moment", from: 8, most: 0.85, hard: 0.12, change: func(f *simulation.Fleet) { f.Server.ReportInterval = 3 * time.Second }},
-		{name: "one relay has a fifth of the traffic", from: 8, most: 0.75, hard: 0.12, change: func(f *simulation.Fleet) { f.HotRelay = 0.2 }},
-		{name: "one key has a fifth of the traffic", from: 8, most: 0.5, hard: 0.4, change: func(f *simulation.Fleet) { f.HotKey = 0.2 }},
+		{name: "all reports are of the same moment", from: 8, most: 0.85, hard: 0.12, change: func(f *simulation.Installation) { f.Server.ReportInterval = 3 * time.Second }},
+		{name: "one relay has a fifth of the traffic", from: 8, most: 0.75, hard: 0.12, change: func(f *simulation.Installation) { f.HotRelayShare = 0.2 }},
+		{name: "one key has a fifth of the traffic", from: 8, most: 0.5, hard: 0.4, change: func(f *simulation.Installation) { f.HotKeyShare = 0.2 }},
 		{name: "half of the relays die, their clients return at once", from: 10, most: 0.8, hard: 0.12,
 			script: []fault.Fault{{Kind: "relays die together", Start: 8 * time.Second, Duration: 4 * time.Second, Targets: half}}},
-		{name: "sizes of one and three that no list tells", from: 8, most: 0.6, hard: 0.3, change: func(f *simulation.Fleet) { f.Sizes = []float64{0.5, 1.5} }},
-		{name: "half of the reports late", from: 8, most: 0.8, hard: 0.12, change: func(f *simulation.Fleet) { f.LateShare, f.LateBy = 0.5, 2*time.Second }},
+		{name: "sizes of one and three that no list tells", from: 8, most: 0.6, hard: 0.3, change: func(f *simulation.Installation) { f.BackendSizes = []float64{0.5, 1.5} }},
+		{name: "half of the reports late", from: 8, most: 0.8, hard: 0.12, change: func(f *simulation.Installation) { f.LateReportShare, f.LateReportDelay = 0.5, 2*time.Second }},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
@@ -113,7 +113,7 @@
 				if tc.change != nil {
 					tc.change(&f)
 				}
-				f.Silent = i == 1
+				f.NoLoadReports = i == 1
 				res[i] = play(t, Options{Length: 20 * time.Second, Fleet: f, Script: tc.script, Seed: 2})
 				e[i] = loadstats.Summarize(res[i].Evenness, tc.from)
 			}
@@ -142,7 +142,7 @@
 	// Up after four times the delay: the opening's way there and back, the line's and its answer's.
 	far := &fault.Link{From: fault.NodeSet{Kind: fault.Relays}, To: fault.NodeSet{Kind: fault.Backends}, Bidirectional: true, Delay: 52 * time.Millisecond}
 	fleet := small(10, 8, 120)
-	fleet.Stay = [2]time.Duration{time.Second, 3 * time.Second}
+	fleet.StayRange = [2]time.Duration{time.Second, 3 * time.Second}
 	res := play(t, Options{Length: 15 * time.Second, Fleet: fleet, Script: []fault.Fault{{Kind: "link", Start: time.Second, Duration: 13 * time.Second, Link: far}}})
 	t.Logf("%d served, %d refused, %d failed", res.Counts["served"], res.Counts["refused"], res.Counts["failed"])
 	if served, refused := res.Counts["served"], res.Counts["refused"]; served < 500 || 2*refused > served {
@@ -502,7 +502,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			f := small(40, 12, 360)
-			f.Stay, f.ConnectTimeout = [2]time.Duration{2 * time.Second, 6 * time.Second}, tc.connect
+			f.StayRange, f.ConnectTimeout = [2]time.Duration{2 * time.Second, 6 * time.Second}, tc.connect
 			res := play(t, Options{Length: 20 * time.Second, Fleet: f, Script: []fault.Fault{
 				{Kind: "backends failing fast", Start: 4 * time.Second, Duration: 14 * time.Second, Targets: []int{2, 5, 9}, Severity: 0.3}}})
 			lost, asked, errs := res.Counts["failed submit"], res.Counts["request submit"], res.Counts["backend said ERR"]
@@ -522,7 +522,7 @@
 func TestColdBackendsTakeWhoFindsTheirHomeFull(t *testing.T) {
 	t.Parallel()
 	f := small(60, 10, 300)
-	f.Stay = [2]time.Duration{4 * time.Second, 12 * time.Second}
+	f.StayRange = [2]time.Duration{4 * time.Second, 12 * time.Second}
 	res := play(t, Options{Length: 14 * time.Second, Fleet: f, Script: []fault.Fault{
 		{Kind: "backends start", Start: 4 * time.Second, Duration: 9 * time.Second, Severity: 0.5},
 		{Kind: "backends drain", Start: 4500 * time.Millisecond, Duration: 9 * time.Second, Targets: []int{0, 1, 2, 3, 4}}}})
@@ -552,7 +552,7 @@
 			opens := tc.calls / (fallMultiple * coldFrom * fallSpan.Seconds())
 			f := small(tc.relays, backends, int(3*opens*backends))
 			f.Server.WarmRequestRate = opens
-			f.Stay = [2]time.Duration{400 * time.Millisecond, 1600 * time.Millisecond} // many come again while they are cold
+			f.StayRange = [2]time.Duration{400 * time.Millisecond, 1600 * time.Millisecond} // many come again while they are cold
 			var half []int
 			for i := range tc.relays {
 				if i%2 == 1 {
--- a/internal/testcluster/members_test.go
+++ b/internal/testcluster/members_test.go
@@ -151,7 +151,7 @@
 		t.Skip("a measurement, asked for by MEMBERS=200")
 	}
 	var most, every, first []time.Duration
-	var fl simulation.Fleet
+	var fl simulation.Installation
 	for seed := range uint64(3) {
 		fl = small(relays, 10, 100)
 		fl.Membership = true
--- a/internal/testcluster/settings.go
+++ b/internal/testcluster/settings.go
@@ -39,7 +39,7 @@
 func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
 // settingsOf is the settings object of one relay, with the names and units of the platform's page.
-func settingsOf(f *simulation.Fleet, me int) map[string]any {
+func settingsOf(f *simulation.Installation, me int) map[string]any {
 	var list []map[string]any
 	var aims []float64
 	for _, c := range classes {
@@ -48,17 +48,17 @@
 		aims = append(aims, ms(messageAim))
 	}
 	stats := map[string]any{"how": "on_probe", "fields": []string{"x0", "errors_per_s"}}
-	if f.Silent {
+	if f.NoLoadReports {
 		stats = map[string]any{"how": "off"}
 	}
 	weights := "off"
-	if f.Weights {
+	if f.ListsWeights {
 		weights = "nominal"
 	}
 	return map[string]any{"azs": zones, "kinds": []string{"k"}, "classes": list, "me": me, "n-instances": f.Relays, "zone": me % len(zones),
 		"tick-ms": 4, "registry-mode": "pushed", "weights": weights, "over-share-worth": 1, "stats": stats,
 		"family-info": map[string]any{"mode": "proxy", "message-aim-ms": aims},
-		"limits": map[string]any{"probes": true, "cancelling": true, "retry-after": true, "peers": f.Peers,
+		"limits": map[string]any{"probes": true, "cancelling": true, "retry-after": true, "peers": f.Gossip,
 			"dial-timeout-ms": ms(cmp.Or(f.ConnectTimeout, 250*time.Millisecond)),
 			"idle-close-ms":   5000, "max-retry-after-ms": 1500, "try-limit": tryLimit},
 		"rules": map[string]any{"answer-slack-ms": ms(answerSlack), "stop-sending-within-ms": ms(drainGrace), "cold-from": coldFrom,
@@ -66,7 +66,7 @@
 }
 
 // rulesOf are the same for the checker, with what an onlooker on a busy machine has to allow.
-func rulesOf(f *simulation.Fleet) invariant.Limits {
+func rulesOf(f *simulation.Installation) invariant.Limits {
 	const sockets = 50 * time.Millisecond
 	allowed := sockets + Allowance
 	rules := invariant.Limits{MaxAttempts: tryLimit, AnswerSlack: answerSlack + allowed, DrainGrace: drainGrace + allowed, DiscoveryDelay: 6 * time.Second,
