--- a/internal/simulation/client.go
+++ b/internal/simulation/client.go
@@ -12,147 +12,147 @@
 
 // front deals connections out among the relays that it takes for good ones. It goes on
 // sending to a relay that has died until it notices.
-type front struct {
-	run  *run
-	good []bool
+type loadBalancer struct {
+	run     *run
+	healthy []bool
 }
 
 // look asks a relay with PING until it answers, and from then on whether it still does.
-func (fr *front) look(r *relay) {
-	w := fr.run.w
-	r = fr.run.relays[r.number] // the process that takes who comes
-	again := func(after time.Duration) { w.in(after, func() { fr.look(r) }) }
-	if fr.good[r.number] {
-		if !r.up || r.leaving {
-			notice := w.between(200*time.Millisecond, 2600*time.Millisecond)
+func (lb *loadBalancer) checkRelay(r *relay) {
+	engine := lb.run.engine
+	r = lb.run.relays[r.number] // the process that takes who comes
+	again := func(after time.Duration) { engine.schedule(after, func() { lb.checkRelay(r) }) }
+	if lb.healthy[r.number] {
+		if !r.up || r.shuttingDown {
+			notice := engine.randomDuration(200*time.Millisecond, 2600*time.Millisecond)
 			if r.up { // it is leaving, which is known sooner
-				notice = w.between(200*time.Millisecond, 400*time.Millisecond)
+				notice = engine.randomDuration(200*time.Millisecond, 400*time.Millisecond)
 			}
-			w.in(notice, func() { fr.good[r.number] = false })
+			engine.schedule(notice, func() { lb.healthy[r.number] = false })
 			again(3 * time.Second)
 			return
 		}
-		if r.node.Drained() {
-			w.in(w.between(0, 200*time.Millisecond), func() { fr.good[r.number] = false })
+		if r.controller.Drained() {
+			engine.schedule(engine.randomDuration(0, 200*time.Millisecond), func() { lb.healthy[r.number] = false })
 		}
 		again(200 * time.Millisecond)
 		return
 	}
-	if r.leaving { // its restart is planned: nobody asks it meanwhile
+	if r.shuttingDown { // its restart is planned: nobody asks it meanwhile
 		again(100 * time.Millisecond)
 		return
 	}
-	fr.run.outside.dial(r.box, time.Second, func(e *end) {
-		if e == nil {
+	lb.run.clientHost.dial(r.host, time.Second, func(conn *connEnd) {
+		if conn == nil {
 			again(500 * time.Millisecond)
 			return
 		}
 		over := false
-		e.wake = func() {
-			if over || !bytes.Contains(e.in, []byte("\n")) && e.got == session.NoEnd {
+		conn.onReadable = func() {
+			if over || !bytes.Contains(conn.received, []byte("\n")) && conn.remoteEnd == session.NoEnd {
 				return
 			}
 			over = true
-			fr.good[r.number] = bytes.HasPrefix(e.in, []byte("PONG")) && !r.leaving
-			e.take(len(e.in))
-			e.close()
+			lb.healthy[r.number] = bytes.HasPrefix(conn.received, []byte("PONG")) && !r.shuttingDown
+			conn.consume(len(conn.received))
+			conn.close()
 			again(300 * time.Millisecond)
 		}
-		w.in(time.Second, func() {
+		engine.schedule(time.Second, func() {
 			if !over {
 				over = true
-				e.close()
+				conn.close()
 				again(300 * time.Millisecond)
 			}
 		})
-		e.write([]byte("PING\r\n"), func(bool) {})
+		conn.write([]byte("PING\r\n"), func(bool) {})
 	})
 }
 
 // yes holds a relay that takes clients again to saying so within two seconds.
-func (run *run) yes(r *relay) {
+func (run *run) checkReadyAfterDrain(r *relay) {
 	r = run.relays[r.number]
-	life := r.life
-	run.w.in(drainedNoMore, func() {
-		if r.life != life || !r.up || r.leaving || r.node.Drained() || run.closing {
+	life := r.incarnation
+	run.engine.schedule(undrainDeadline, func() {
+		if r.incarnation != life || !r.up || r.shuttingDown || r.controller.Drained() || run.closing {
 			return
 		}
-		run.outside.dial(r.box, time.Second, func(e *end) {
-			if e == nil {
+		run.clientHost.dial(r.host, time.Second, func(conn *connEnd) {
+			if conn == nil {
 				return
 			}
-			e.wake = func() {
-				if bytes.Contains(e.in, []byte("\n")) {
-					if !bytes.HasPrefix(e.in, []byte("PONG")) && r.node.Ready() {
-						run.fail("drained", "%s says %q though it is drained no more", r.name, e.in)
+			conn.onReadable = func() {
+				if bytes.Contains(conn.received, []byte("\n")) {
+					if !bytes.HasPrefix(conn.received, []byte("PONG")) && r.controller.Ready() {
+						run.reportViolation("drained", "%s says %q though it is drained no more", r.name, conn.received)
 					}
-					e.close()
+					conn.close()
 				}
 			}
-			e.write([]byte("PING\r\n"), func(bool) {})
-			run.w.in(3*time.Second, e.close)
+			conn.write([]byte("PING\r\n"), func(bool) {})
+			run.engine.schedule(3*time.Second, conn.close)
 		})
 	})
 }
 
 // drainedNoMore is how long after the second call a relay has to say yes.
-const drainedNoMore = 2 * time.Second
+const undrainDeadline = 2 * time.Second
 
 // pick is a relay for a new connection.
-func (fr *front) pick() *relay {
-	good := make([]*relay, 0, len(fr.good))
-	for _, r := range fr.run.relays {
-		if fr.good[r.number] {
+func (lb *loadBalancer) pickRelay() *relay {
+	good := make([]*relay, 0, len(lb.healthy))
+	for _, r := range lb.run.relays {
+		if lb.healthy[r.number] {
 			good = append(good, r)
 		}
 	}
 	if len(good) == 0 {
 		return nil
 	}
-	if f := fr.run.opt.Installation; f != nil && f.HotRelayShare > 0 && fr.good[0] && fr.run.w.rng.Float64() < f.HotRelayShare {
-		return fr.run.relays[0]
+	if f := lb.run.options.Installation; f != nil && f.HotRelayShare > 0 && lb.healthy[0] && lb.run.engine.rng.Float64() < f.HotRelayShare {
+		return lb.run.relays[0]
 	}
-	return good[fr.run.w.rng.IntN(len(good))]
+	return good[lb.run.engine.rng.IntN(len(good))]
 }
 
 type client struct {
-	run     *run
-	number  int
-	key     uint64
-	group   uint64
-	class   int
-	back    bool // it was moved, or its connection broke
-	tries   int
-	stays   time.Duration
-	deaf    bool // it stops reading for a while, once
-	bulky   bool // it sends much at once
-	comes   int  // counts connections, so that what belongs to an older one is dropped
-	stopped bool
-	e       *end
-	id      string
-	up      bool
-	lines   int
-	heardAt time.Duration
-	saidAt  time.Duration // when the oldest line without an answer went out; 0: none
-	late    bool          // the last answer took longer than is wanted
-	wants   bool          // a connection, now: from when it meant to have one, not from when it got to ask
+	run              *run
+	number           int
+	key              uint64
+	group            uint64
+	class            int
+	reconnecting     bool // it was moved, or its connection broke
+	retries          int
+	stayDuration     time.Duration
+	notReading       bool // it stops reading for a while, once
+	sendsBursts      bool // it sends much at once
+	visit            int  // counts connections, so that what belongs to an older one is dropped
+	stopped          bool
+	conn             *connEnd
+	requestID        string
+	established      bool
+	lineCount        int
+	lastReceived     time.Duration
+	oldestUnanswered time.Duration // when the oldest line without an answer went out; 0: none
+	lastReplyLate    bool          // the last answer took longer than is wanted
+	wantsConnection  bool          // a connection, now: from when it meant to have one, not from when it got to ask
 }
 
 // lineAim is how soon a line is to come back.
-const lineAim = 60 * time.Millisecond
+const messageLatencyObjective = 60 * time.Millisecond
 
 // inTime says whether its lines come back as they should.
-func (c *client) inTime() bool {
-	return !c.late && (c.saidAt == 0 || c.run.w.now-c.saidAt <= lineAim)
+func (c *client) meetsObjective() bool {
+	return !c.lastReplyLate && (c.oldestUnanswered == 0 || c.run.engine.now-c.oldestUnanswered <= messageLatencyObjective)
 }
 
 // come opens a connection, after a while.
-func (c *client) come(after time.Duration) {
-	c.comes++
-	comes := c.comes
-	c.run.w.in(after, func() {
-		if c.comes == comes && !c.run.closing && !c.stopped {
-			c.wants = true
+func (c *client) connectAfter(after time.Duration) {
+	c.visit++
+	comes := c.visit
+	c.run.engine.schedule(after, func() {
+		if c.visit == comes && !c.run.closing && !c.stopped {
+			c.wantsConnection = true
 			c.connect()
 		}
 	})
@@ -160,201 +160,201 @@
 
 func (c *client) connect() {
 	run := c.run
-	r := run.front.pick()
+	r := run.loadBalancer.pickRelay()
 	if r == nil {
-		c.come(500 * time.Millisecond)
+		c.connectAfter(500 * time.Millisecond)
 		return
 	}
-	comes := c.comes
-	run.outside.dial(r.box, 2*time.Second, func(e *end) {
+	comes := c.visit
+	run.clientHost.dial(r.host, 2*time.Second, func(conn *connEnd) {
 		switch {
-		case e == nil:
-			c.come(run.w.between(50*time.Millisecond, 400*time.Millisecond))
+		case conn == nil:
+			c.connectAfter(run.engine.randomDuration(50*time.Millisecond, 400*time.Millisecond))
 			return
-		case c.comes != comes || run.closing:
-			e.close()
+		case c.visit != comes || run.closing:
+			conn.close()
 			return
 		}
-		c.e, c.up, c.lines, c.saidAt, c.late = e, false, 0, 0, false
-		run.ids++
-		c.id = fmt.Sprintf("%016x", uint64(run.ids)*0x9e3779b97f4a7c15)
-		patience := run.classes[c.class].giveUp
-		line := fmt.Sprintf("OPEN %s %016x c=%s,d=%d", c.id, c.key, run.classes[c.class].name, patience.Milliseconds())
+		c.conn, c.established, c.lineCount, c.oldestUnanswered, c.lastReplyLate = conn, false, 0, 0, false
+		run.lastRequestID++
+		c.requestID = fmt.Sprintf("%016x", uint64(run.lastRequestID)*0x9e3779b97f4a7c15)
+		patience := run.classes[c.class].timeout
+		line := fmt.Sprintf("OPEN %s %016x c=%s,d=%d", c.requestID, c.key, run.classes[c.class].name, patience.Milliseconds())
 		if c.group != 0 {
 			line += fmt.Sprintf(",g=%016x", c.group)
 		}
-		if c.tries > 0 {
+		if c.retries > 0 {
 			line += ",r=1"
 		}
-		if c.back {
+		if c.reconnecting {
 			line += ",again=1"
 		}
-		e.wake = c.heard
-		e.write([]byte(line+"\r\n"), func(bool) {})
-		if run.w.rng.IntN(40) == 0 { // impatient
-			run.w.in(run.w.between(0, 300*time.Millisecond), func() { c.breakOff(e) })
+		conn.onReadable = c.readLines
+		conn.write([]byte(line+"\r\n"), func(bool) {})
+		if run.engine.rng.IntN(40) == 0 { // impatient
+			run.engine.schedule(run.engine.randomDuration(0, 300*time.Millisecond), func() { c.disconnect(conn) })
 		}
-		run.w.in(patience+500*time.Millisecond, func() {
-			if c.e == e && !c.up {
+		run.engine.schedule(patience+500*time.Millisecond, func() {
+			if c.conn == conn && !c.established {
 				run.count("client gave up")
-				c.lost(e)
+				c.reconnect(conn)
 			}
 		})
 	})
 }
 
 // breakOff ends a connection from this side, now and then without any manners.
-func (c *client) breakOff(e *end) {
-	if c.e != e {
+func (c *client) disconnect(conn *connEnd) {
+	if c.conn != conn {
 		return
 	}
-	if c.run.w.rng.IntN(4) == 0 {
-		e.reset()
+	if c.run.engine.rng.IntN(4) == 0 {
+		conn.reset()
 	} else {
-		e.closeWrite()
-		c.run.w.in(500*time.Millisecond, e.close)
+		conn.closeWrite()
+		c.run.engine.schedule(500*time.Millisecond, conn.close)
 	}
-	c.e = nil
-	c.tries, c.back, c.wants = 0, false, false
-	c.come(c.run.w.between(200*time.Millisecond, 4*time.Second))
+	c.conn = nil
+	c.retries, c.reconnecting, c.wantsConnection = 0, false, false
+	c.connectAfter(c.run.engine.randomDuration(200*time.Millisecond, 4*time.Second))
 }
 
 // lost comes back after a connection that did not hold.
-func (c *client) lost(e *end) {
-	e.close()
-	c.e = nil
-	c.tries++
-	wait := c.run.w.between(30*time.Millisecond, 300*time.Millisecond)
-	if c.tries > 4 {
-		c.tries = 0
-		wait = c.run.w.between(time.Second, 4*time.Second)
+func (c *client) reconnect(conn *connEnd) {
+	conn.close()
+	c.conn = nil
+	c.retries++
+	wait := c.run.engine.randomDuration(30*time.Millisecond, 300*time.Millisecond)
+	if c.retries > 4 {
+		c.retries = 0
+		wait = c.run.engine.randomDuration(time.Second, 4*time.Second)
 	}
-	c.come(wait)
+	c.connectAfter(wait)
 }
 
-func (c *client) heard() {
-	e := c.e
-	if e == nil || c.deaf {
+func (c *client) readLines() {
+	conn := c.conn
+	if conn == nil || c.notReading {
 		return
 	}
 	for {
-		i := bytes.IndexByte(e.in, '\n')
+		i := bytes.IndexByte(conn.received, '\n')
 		if i < 0 {
 			break
 		}
-		line := string(bytes.TrimRight(e.in[:i], "\r\n"))
-		e.take(i + 1)
-		c.heardAt = c.run.w.now
-		if c.up && strings.HasPrefix(line, "R ") {
-			c.late = c.saidAt != 0 && c.run.w.now-c.saidAt > lineAim
-			c.saidAt = 0
+		line := string(bytes.TrimRight(conn.received[:i], "\r\n"))
+		conn.consume(i + 1)
+		c.lastReceived = c.run.engine.now
+		if c.established && strings.HasPrefix(line, "R ") {
+			c.lastReplyLate = c.oldestUnanswered != 0 && c.run.engine.now-c.oldestUnanswered > messageLatencyObjective
+			c.oldestUnanswered = 0
 		}
-		c.line(e, line)
-		if c.e != e {
+		c.handleLine(conn, line)
+		if c.conn != conn {
 			return
 		}
 	}
-	if e.got != session.NoEnd {
-		if c.up {
+	if conn.remoteEnd != session.NoEnd {
+		if c.established {
 			c.run.count("connection lost")
-			c.back = true
+			c.reconnecting = true
 		}
-		c.lost(e)
+		c.reconnect(conn)
 	}
 }
 
-func (c *client) line(e *end, line string) {
+func (c *client) handleLine(conn *connEnd, line string) {
 	run := c.run
 	word, rest, _ := strings.Cut(line, " ")
 	switch {
-	case !c.up && word == "UP":
+	case !c.established && word == "UP":
 		run.count("served")
-		run.served[c.class]++
-		c.up, c.tries, c.back = true, 0, false
-		run.w.in(c.stays, func() { c.breakOff(e) })
-		c.talk(e)
-	case !c.up && word == "BYE":
+		run.servedByClass[c.class]++
+		c.established, c.retries, c.reconnecting = true, 0, false
+		run.engine.schedule(c.stayDuration, func() { c.disconnect(conn) })
+		c.sendLines(conn)
+	case !c.established && word == "BYE":
 		run.count("served to its end")
-		run.served[c.class]++
-		e.close()
-		c.e, c.wants = nil, false
-		c.come(run.w.between(200*time.Millisecond, 2*time.Second))
-	case !c.up && word == "BUSY":
+		run.servedByClass[c.class]++
+		conn.close()
+		c.conn, c.wantsConnection = nil, false
+		c.connectAfter(run.engine.randomDuration(200*time.Millisecond, 2*time.Second))
+	case !c.established && word == "BUSY":
 		run.count("refused")
-		wait := run.w.between(100*time.Millisecond, 600*time.Millisecond)
+		wait := run.engine.randomDuration(100*time.Millisecond, 600*time.Millisecond)
 		if ms, err := strconv.Atoi(rest); err == nil {
 			wait = time.Duration(ms) * time.Millisecond
 		}
-		e.close()
-		c.e = nil
-		c.tries++
-		c.come(wait)
-	case !c.up:
+		conn.close()
+		c.conn = nil
+		c.retries++
+		c.connectAfter(wait)
+	case !c.established:
 		run.count("failed")
-		c.lost(e)
+		c.reconnect(conn)
 	case word == "MOVE":
 		run.count("moved")
-		c.back = true
-		e.close()
-		c.e = nil
-		c.come(run.w.between(20*time.Millisecond, 400*time.Millisecond))
+		c.reconnecting = true
+		conn.close()
+		c.conn = nil
+		c.connectAfter(run.engine.randomDuration(20*time.Millisecond, 400*time.Millisecond))
 	}
 }
 
 // talk sends a line every two seconds.
-func (c *client) talk(e *end) {
-	if c.e != e || e.dead {
+func (c *client) sendLines(conn *connEnd) {
+	if c.conn != conn || conn.closed {
 		return
 	}
-	if !c.deaf && c.run.w.now-c.heardAt > 9*time.Second { // its relay has vanished
+	if !c.notReading && c.run.engine.now-c.lastReceived > 9*time.Second { // its relay has vanished
 		c.run.count("connection silent")
-		c.back = true
-		c.lost(e)
+		c.reconnecting = true
+		c.reconnect(conn)
 		return
 	}
-	if c.saidAt == 0 {
-		c.saidAt = c.run.w.now
+	if c.oldestUnanswered == 0 {
+		c.oldestUnanswered = c.run.engine.now
 	}
-	c.lines++
+	c.lineCount++
 	n := 1
-	if c.bulky && c.lines == 2 {
+	if c.sendsBursts && c.lineCount == 2 {
 		n = 40
 	}
 	for i := range n {
-		e.write(fmt.Appendf(nil, "line %s %d.%d\r\n", c.id, c.lines, i), func(bool) {})
+		conn.write(fmt.Appendf(nil, "line %s %d.%d\r\n", c.requestID, c.lineCount, i), func(bool) {})
 	}
-	if c.run.w.rng.IntN(200) == 0 {
-		c.deaf = true
+	if c.run.engine.rng.IntN(200) == 0 {
+		c.notReading = true
 		c.run.count("client stopped reading")
-		c.run.w.in(c.run.w.between(time.Second, 5*time.Second), func() {
-			c.deaf = false
-			c.heard()
+		c.run.engine.schedule(c.run.engine.randomDuration(time.Second, 5*time.Second), func() {
+			c.notReading = false
+			c.readLines()
 		})
 	}
-	c.run.w.in(2*time.Second, func() { c.talk(e) })
+	c.run.engine.schedule(2*time.Second, func() { c.sendLines(conn) })
 }
 
 // bad plays one client that does not keep to the protocol.
-func (run *run) bad(kind int) {
-	r := run.front.pick()
+func (run *run) startMisbehavingClient(kind int) {
+	r := run.loadBalancer.pickRelay()
 	if r == nil || run.closing {
 		return
 	}
-	w := run.w
+	engine := run.engine
 	run.count("bad client")
-	run.outside.dial(r.box, 2*time.Second, func(e *end) {
-		if e == nil {
+	run.clientHost.dial(r.host, 2*time.Second, func(conn *connEnd) {
+		if conn == nil {
 			return
 		}
-		e.wake = func() {
-			e.take(len(e.in))
-			if e.got != session.NoEnd {
-				e.close()
+		conn.onReadable = func() {
+			conn.consume(len(conn.received))
+			if conn.remoteEnd != session.NoEnd {
+				conn.close()
 			}
 		}
-		say := func(text string) { e.write([]byte(text), func(bool) {}) }
-		run.ids++
-		open := fmt.Sprintf("OPEN %016x %016x c=%s,d=900", run.ids, run.ids, run.classes[0].name)
+		say := func(text string) { conn.write([]byte(text), func(bool) {}) }
+		run.lastRequestID++
+		open := fmt.Sprintf("OPEN %016x %016x c=%s,d=900", run.lastRequestID, run.lastRequestID, run.classes[0].name)
 		switch kind % 9 {
 		case 0:
 			say("HELLO\r\n")
@@ -362,7 +362,7 @@
 			say(open[:20]) // and nothing more
 		case 2:
 			say(open[:30])
-			e.closeWrite()
+			conn.closeWrite()
 		case 3:
 			say(open + ",d=5\r\n")
 		case 4:
@@ -374,8 +374,8 @@
 		case 7: // silence
 		case 8: // breaks off at once
 			say(open + "\r\n")
-			w.in(w.between(0, 5*time.Millisecond), e.reset)
+			engine.schedule(engine.randomDuration(0, 5*time.Millisecond), conn.reset)
 		}
-		w.in(6*time.Second, e.close) // the run lets go for longer
+		engine.schedule(6*time.Second, conn.close) // the run lets go for longer
 	})
 }
--- a/internal/simulation/discovery.go
+++ b/internal/simulation/discovery.go
@@ -9,51 +9,51 @@
 )
 
 // entry is one backend in discovery's list.
-type entry struct {
-	id      string
-	addr    string
-	zone    string
-	cell    int
-	state   string
-	weight  float64
-	started time.Duration // 0: long ago
-	rev     int           // counts what has been published
+type endpointEntry struct {
+	id       string
+	address  string
+	zone     string
+	cell     int
+	state    string
+	weight   float64
+	started  time.Duration // 0: long ago
+	revision int           // counts what has been published
 }
 
 // catalog is the truth about the backends.
 type catalog struct {
-	run    *run
-	agents []*agent // two for each relay
-	late   time.Duration
-	rev    int
+	run          *run
+	agents       []*discoveryAgent // two for each relay
+	publishDelay time.Duration
+	revision     int
 }
 
 // agent is one of discovery's processes. It learns of the truth late, counts versions of
 // its own, and answers with what it has learnt or not at all.
-type agent struct {
-	c       *catalog
-	relay   int
-	address string
-	out     bool
-	deaf    bool // learns nothing any more: the machines follow another
-	version int
-	list    []known // in the order in which they were learnt of
-	watches []*watch
+type discoveryAgent struct {
+	catalog     *catalog
+	relay       int
+	address     string
+	unavailable bool
+	frozen      bool // learns nothing any more: the machines follow another
+	version     int
+	entries     []agentEntry // in the order in which they were learnt of
+	watches     []*pendingWatch
 }
 
-type known struct {
-	entry
-	since   int           // version
-	learned time.Duration // when this agent had it
+type agentEntry struct {
+	endpointEntry
+	version   int           // version
+	learnedAt time.Duration // when this agent had it
 }
 
-type watch struct {
-	from   int
-	answer func(body []byte, tell func())
-	over   bool
+type pendingWatch struct {
+	fromVersion int
+	answer      func(body []byte, tell func())
+	done        bool
 }
 
-func (c *catalog) agent(address string) *agent {
+func (c *catalog) agent(address string) *discoveryAgent {
 	for _, a := range c.agents {
 		if a.address == address {
 			return a
@@ -63,113 +63,113 @@
 }
 
 // publish has all agents learn an entry, each in its own time.
-func (c *catalog) publish(e entry) {
-	w := c.run.w
-	c.rev++
-	e.rev = c.rev
+func (c *catalog) publish(e endpointEntry) {
+	engine := c.run.engine
+	c.revision++
+	e.revision = c.revision
 	for _, a := range c.agents {
-		w.in(w.between(200*time.Millisecond, 900*time.Millisecond)+c.late, func() { a.learn(e) })
+		engine.schedule(engine.randomDuration(200*time.Millisecond, 900*time.Millisecond)+c.publishDelay, func() { a.learn(e) })
 	}
 }
 
-func (a *agent) learn(e entry) {
-	if a.deaf {
+func (a *discoveryAgent) learn(e endpointEntry) {
+	if a.frozen {
 		return
 	}
-	for i := range a.list {
-		if a.list[i].id == e.id && a.list[i].rev > e.rev { // what is late must not undo what is newer
+	for i := range a.entries {
+		if a.entries[i].id == e.id && a.entries[i].revision > e.revision { // what is late must not undo what is newer
 			return
 		}
 	}
 	a.version++
-	w := a.c.run.w
-	a.c.run.check.AgentLearned(a.relay, a.address, e.id, e.state)
-	k := known{e, a.version, w.now}
-	for i := range a.list {
-		if a.list[i].id == e.id {
-			a.list[i] = k
+	engine := a.catalog.run.engine
+	a.catalog.run.checker.AgentLearned(a.relay, a.address, e.id, e.state)
+	k := agentEntry{e, a.version, engine.now}
+	for i := range a.entries {
+		if a.entries[i].id == e.id {
+			a.entries[i] = k
 			k.id = ""
 			break
 		}
 	}
 	if k.id != "" {
-		a.list = append(a.list, k)
+		a.entries = append(a.entries, k)
 	}
-	a.flush()
+	a.answerWatches()
 }
 
 // flush answers the watches that something is newer for.
-func (a *agent) flush() {
-	if a.out {
+func (a *discoveryAgent) answerWatches() {
+	if a.unavailable {
 		return
 	}
-	ws := a.watches
+	watches := a.watches
 	a.watches = nil
-	for _, x := range ws {
+	for _, watch := range watches {
 		switch {
-		case x.over:
-		case a.version > x.from:
-			x.over = true
-			a.reply(x.from, false, x.answer)
+		case watch.done:
+		case a.version > watch.fromVersion:
+			watch.done = true
+			a.reply(watch.fromVersion, false, watch.answer)
 		default:
-			a.watches = append(a.watches, x)
+			a.watches = append(a.watches, watch)
 		}
 	}
 }
 
 // ask takes in a call. The answer comes with what is to be done when it arrives.
-func (a *agent) ask(c discovery.Request, answer func(body []byte, tell func())) {
-	w := a.c.run.w
-	w.in(w.delay()/4+w.agentWay(a.relay), func() {
-		if a.out {
+func (a *discoveryAgent) request(request discovery.Request, answer func(body []byte, tell func())) {
+	engine := a.catalog.run.engine
+	engine.schedule(engine.segmentDelay()/4+engine.discoveryDelay(a.relay), func() {
+		if a.unavailable {
 			return // silent; the caller gives up by itself
 		}
-		if c.FullList {
+		if request.FullList {
 			a.reply(0, true, answer)
 			return
 		}
 		var from, wait int
-		if _, err := fmt.Sscanf(c.Query, "index=%d&wait=%d", &from, &wait); err != nil {
-			panic("a call that discovery does not know: " + c.Query)
+		if _, err := fmt.Sscanf(request.Query, "index=%d&wait=%d", &from, &wait); err != nil {
+			panic("a call that discovery does not know: " + request.Query)
 		}
 		if a.version > from {
 			a.reply(from, false, answer)
 			return
 		}
-		x := &watch{from: from, answer: answer}
-		a.watches = append(a.watches, x)
-		w.in(time.Duration(wait)*time.Millisecond, func() {
-			if !x.over && !a.out {
-				x.over = true
+		watch := &pendingWatch{fromVersion: from, answer: answer}
+		a.watches = append(a.watches, watch)
+		engine.schedule(time.Duration(wait)*time.Millisecond, func() {
+			if !watch.done && !a.unavailable {
+				watch.done = true
 				a.reply(from, false, answer)
 			}
 		})
 	})
 }
 
-func (a *agent) reply(from int, full bool, answer func(body []byte, tell func())) {
-	var told []entry
-	for i := range a.list {
-		if k := &a.list[i]; k.since > from && (!full || k.state != "gone") {
-			told = append(told, k.entry)
+func (a *discoveryAgent) reply(from int, full bool, answer func(body []byte, tell func())) {
+	var entries []endpointEntry
+	for i := range a.entries {
+		if k := &a.entries[i]; k.version > from && (!full || k.state != "gone") {
+			entries = append(entries, k.endpointEntry)
 		}
 	}
 	relay := a.relay
-	answer(body(a.version, full, told), func() { a.c.run.told(relay, full, told) })
+	answer(encodeEndpoints(a.version, full, entries), func() { a.catalog.run.endpointsDelivered(relay, full, entries) })
 }
 
-func (a *agent) setOut(out bool) {
-	a.out = out
+func (a *discoveryAgent) setUnavailable(out bool) {
+	a.unavailable = out
 	if out {
 		a.watches = nil
 	} else {
-		a.flush()
+		a.answerWatches()
 	}
-	a.c.run.check.SetAgentSilent(a.relay, a.address, out)
+	a.catalog.run.checker.SetAgentSilent(a.relay, a.address, out)
 }
 
 // body is an answer in discovery's form.
-func body(version int, full bool, list []entry) []byte {
+func encodeEndpoints(version int, full bool, list []endpointEntry) []byte {
 	var b strings.Builder
 	fmt.Fprintf(&b, `{"version":%d,"full":%v,"servers":[`, version, full)
 	for i, e := range list {
@@ -181,7 +181,7 @@
 			ms = e.started.Milliseconds()
 		}
 		fmt.Fprintf(&b, `{"id":%q,"addr":%q,"zone":%q,"kind":"k","cell":%d,"state":%q,"weight":%g,"started_ms":%d}`,
-			e.id, e.addr, e.zone, e.cell, e.state, e.weight, ms)
+			e.id, e.address, e.zone, e.cell, e.state, e.weight, ms)
 	}
 	b.WriteString("]}")
 	return []byte(b.String())
--- a/internal/simulation/world.go
+++ b/internal/simulation/engine.go
@@ -27,50 +27,50 @@
 const epoch = 1_700_000_000 * time.Second
 
 // world is the clock, the events to come and the network.
-type world struct {
-	now    time.Duration
-	queue  []occasion
-	seq    uint64
-	steps  int
-	rng    *rand.Rand
-	trace  *bufio.Writer // nil: none is wanted
-	ends   int           // connections' ends so far, which numbers them
-	net    weather
-	window int    // how much a side takes in that nobody reads
-	after  func() // called after every step
-	links  []troubledLink
+type engine struct {
+	now           time.Duration
+	queue         []event
+	lastSequence  uint64
+	eventCount    int
+	rng           *rand.Rand
+	trace         *bufio.Writer // nil: none is wanted
+	connCount     int           // connections' ends so far, which numbers them
+	conditions    networkConditions
+	receiveWindow int    // how much a side takes in that nobody reads
+	afterEvent    func() // called after every step
+	linkFaults    []linkFault
 }
 
 // weather is how the network does at the moment.
-type weather struct {
-	slow    float64 // messages take so many times the usual
-	lossy   float64 // share of datagrams lost beyond the usual
-	resets  float64 // share of segments that find their connection reset
-	lostSYN float64 // share of connections that nobody answers
+type networkConditions struct {
+	latencyFactor    float64 // messages take so many times the usual
+	datagramLossRate float64 // share of datagrams lost beyond the usual
+	resetRate        float64 // share of segments that find their connection reset
+	synLossRate      float64 // share of connections that nobody answers
 }
 
 // occasion is an event to come; seq keeps those of one time in the order in which they were arranged.
-type occasion struct {
-	at  time.Duration
-	seq uint64
-	do  func()
+type event struct {
+	at     time.Duration
+	seq    uint64
+	action func()
 }
 
-func newWorld(seed uint64, trace io.Writer) *world {
-	w := &world{now: epoch, rng: rand.New(rand.NewPCG(seed, 0x5eed)), net: weather{slow: 1}}
+func newEngine(seed uint64, trace io.Writer) *engine {
+	engine := &engine{now: epoch, rng: rand.New(rand.NewPCG(seed, 0x5eed)), conditions: networkConditions{latencyFactor: 1}}
 	if trace != nil {
-		w.trace = bufio.NewWriter(trace)
+		engine.trace = bufio.NewWriter(trace)
 	}
-	return w
+	return engine
 }
 
 // in has something happen after a while.
-func (w *world) in(d time.Duration, do func()) { w.at(w.now+max(0, d), do) }
+func (e *engine) schedule(d time.Duration, do func()) { e.scheduleAt(e.now+max(0, d), do) }
 
 // at has something happen at a time; what is due at once keeps its order.
-func (w *world) at(t time.Duration, do func()) {
-	w.seq++
-	q := append(w.queue, occasion{t, w.seq, do})
+func (e *engine) scheduleAt(t time.Duration, do func()) {
+	e.lastSequence++
+	q := append(e.queue, event{t, e.lastSequence, do})
 	i := len(q) - 1
 	for i > 0 {
 		up := (i - 1) / 4
@@ -80,21 +80,23 @@
 		q[i], q[up] = q[up], q[i]
 		i = up
 	}
-	w.queue = q
+	e.queue = q
 }
 
-func (o *occasion) before(p *occasion) bool { return o.at < p.at || o.at == p.at && o.seq < p.seq }
+func (e *event) before(other *event) bool {
+	return e.at < other.at || e.at == other.at && e.seq < other.seq
+}
 
 // step plays the next event; false: there is none before the end.
-func (w *world) step(end time.Duration) bool {
-	if len(w.queue) == 0 || w.queue[0].at > end {
+func (e *engine) runNext(end time.Duration) bool {
+	if len(e.queue) == 0 || e.queue[0].at > end {
 		return false
 	}
-	q := w.queue
+	q := e.queue
 	o := q[0]
 	last := len(q) - 1
 	q[0] = q[last]
-	q[last].do = nil
+	q[last].action = nil
 	q = q[:last]
 	for i := 0; ; {
 		least := i
@@ -109,38 +111,38 @@
 		q[i], q[least] = q[least], q[i]
 		i = least
 	}
-	w.queue = q
-	w.now = o.at
-	w.steps++
-	o.do()
-	if w.after != nil {
-		w.after()
+	e.queue = q
+	e.now = o.at
+	e.eventCount++
+	o.action()
+	if e.afterEvent != nil {
+		e.afterEvent()
 	}
 	return true
 }
 
 // note writes a line of the trace; callers look whether one is wanted first, since
 // the arguments cost something.
-func (w *world) note(format string, args ...any) {
-	fmt.Fprintf(w.trace, "%10.6f ", (w.now - epoch).Seconds())
-	fmt.Fprintf(w.trace, format, args...)
-	_ = w.trace.WriteByte('\n')
+func (e *engine) tracef(format string, args ...any) {
+	fmt.Fprintf(e.trace, "%10.6f ", (e.now - epoch).Seconds())
+	fmt.Fprintf(e.trace, format, args...)
+	_ = e.trace.WriteByte('\n')
 }
 
 // between is a random time between two.
-func (w *world) between(least, most time.Duration) time.Duration {
+func (e *engine) randomDuration(least, most time.Duration) time.Duration {
 	if most <= least {
 		return least
 	}
-	return least + time.Duration(w.rng.Int64N(int64(most-least)))
+	return least + time.Duration(e.rng.Int64N(int64(most-least)))
 }
 
-func (w *world) chance(p float64) bool { return p > 0 && w.rng.Float64() < p }
+func (e *engine) randomChance(p float64) bool { return p > 0 && e.rng.Float64() < p }
 
 // handover is how long one goroutine of a relay takes to hear another.
-func (w *world) handover() time.Duration {
-	if w.rng.IntN(64) == 0 {
-		return w.between(0, 3*time.Millisecond)
+func (e *engine) goroutineDelay() time.Duration {
+	if e.rng.IntN(64) == 0 {
+		return e.randomDuration(0, 3*time.Millisecond)
 	}
-	return w.between(0, 60*time.Microsecond)
+	return e.randomDuration(0, 60*time.Microsecond)
 }
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -12,140 +12,140 @@
 type Fault = fault.Fault
 
 // kind is a fault that can be injected. end, if there is one, takes back what is left of it; no fault outlasts a run.
-type kind struct {
+type faultKind struct {
 	name  string
 	begin func(run *run, f Fault) (end func())
 }
 
 // kinds are all faults: each begins, and may return what ends it.
-var kinds = []kind{
+var faultKinds = []faultKind{
 	{"relay killed", func(run *run, f Fault) func() {
 		r := run.relays[f.Target%len(run.relays)]
-		run.stop(r, false)
-		run.w.in(500*time.Millisecond+f.Duration/4, func() { run.bring(r) })
+		run.stopRelay(r, false)
+		run.engine.schedule(500*time.Millisecond+f.Duration/4, func() { run.startRelay(r) })
 		return nil
 	}},
 	{"relay vanished", func(run *run, f Fault) func() {
 		r := run.relays[f.Target%len(run.relays)]
-		run.stop(r, true)
-		run.w.in(time.Second+f.Duration/2, func() { run.bring(r) })
+		run.stopRelay(r, true)
+		run.engine.schedule(time.Second+f.Duration/2, func() { run.startRelay(r) })
 		return nil
 	}},
 	{"rolling restart", func(run *run, f Fault) func() {
 		for i := range run.relays {
 			r := run.relays[(f.Target+i)%len(run.relays)]
-			run.w.in(time.Duration(i)*(3*time.Second+f.Duration/4), func() { run.restart(r) })
+			run.engine.schedule(time.Duration(i)*(3*time.Second+f.Duration/4), func() { run.restartRelay(r) })
 		}
 		return nil
 	}},
 	{"reload to another agent", func(run *run, f Fault) func() {
 		r := run.relays[f.Target%len(run.relays)]
-		run.reload(r, true, r.cfg.MaxDescriptors, r.cfg.MemoryMB)
+		run.reloadRelay(r, true, r.cfg.MaxDescriptors, r.cfg.MemoryMB)
 		return nil
 	}},
 	{"settings change", func(run *run, f Fault) func() {
-		if run.opt.Installation != nil || len(run.relays[0].cfg.Settings.Classes) > len(run.set.Classes) { // one at a time
+		if run.options.Installation != nil || len(run.relays[0].cfg.Settings.Classes) > len(run.settings.Classes) { // one at a time
 			return nil
 		}
 		effect := []balance.Idempotency{balance.Idempotent, balance.NonIdempotent}[f.Target%2]
-		run.plain = false
-		run.retune(true, effect, 1+int(f.Severity*4))
+		run.baseClassesOnly = false
+		run.changeSettings(true, effect, 1+int(f.Severity*4))
 		return func() {
-			run.plain = true
+			run.baseClassesOnly = true
 			for i, c := range run.clients {
 				if c.class == len(run.classes)-1 {
-					c.class = i % len(run.set.Classes)
+					c.class = i % len(run.settings.Classes)
 				}
 			}
-			run.w.in(newClass, func() { run.retune(false, 0, 0) })
+			run.engine.schedule(classRolloutDelay, func() { run.changeSettings(false, 0, 0) })
 		}
 	}},
 	{"relay upgraded", func(run *run, f Fault) func() {
 		for i := range 1 + int(f.Severity*3) { // perhaps another right after, or one after the other
 			number := (f.Target + i/2) % len(run.relays)
-			run.w.in(time.Duration(i)*(4*time.Second+f.Duration/8), func() { run.upgrade(run.relays[number], f.Duration/10) })
+			run.engine.schedule(time.Duration(i)*(4*time.Second+f.Duration/8), func() { run.upgradeRelay(run.relays[number], f.Duration/10) })
 		}
 		return nil
 	}},
 	{"relay drained", func(run *run, f Fault) func() {
 		r := run.relays[f.Target%len(run.relays)]
-		run.drain(r, true)
+		run.setRelayDrained(r, true)
 		return func() {
-			run.drain(r, false)
-			run.yes(r)
+			run.setRelayDrained(r, false)
+			run.checkReadyAfterDrain(r)
 		}
 	}},
 	{"relay drained and not", func(run *run, f Fault) func() {
 		for i := range 1 + int(f.Severity*6) { // called again and again, while it is told other things
 			r := run.relays[(f.Target+i/3)%len(run.relays)]
-			run.w.in(time.Duration(i)*f.Duration/12, func() { run.drain(r, i%3 != 2) })
+			run.engine.schedule(time.Duration(i)*f.Duration/12, func() { run.setRelayDrained(r, i%3 != 2) })
 			if i == 1 {
-				run.w.in(f.Duration/12, func() { run.reload(r, true, r.cfg.MaxDescriptors, r.cfg.MemoryMB) })
+				run.engine.schedule(f.Duration/12, func() { run.reloadRelay(r, true, r.cfg.MaxDescriptors, r.cfg.MemoryMB) })
 			}
 			if i == 4 {
-				run.w.in(f.Duration/3, func() { run.restart(r) })
+				run.engine.schedule(f.Duration/3, func() { run.restartRelay(r) })
 			}
 		}
 		return func() {
 			for _, r := range run.relays {
-				run.drain(r, false)
+				run.setRelayDrained(r, false)
 			}
 		}
 	}},
 	{"reload while leaving", func(run *run, f Fault) func() {
 		r := run.relays[f.Target%len(run.relays)]
-		run.restart(r)
-		run.w.in(f.Duration/20, func() { run.reload(r, true, r.cfg.MaxDescriptors, r.cfg.MemoryMB) })
+		run.restartRelay(r)
+		run.engine.schedule(f.Duration/20, func() { run.reloadRelay(r, true, r.cfg.MaxDescriptors, r.cfg.MemoryMB) })
 		return nil
 	}},
 	{"few descriptors", func(run *run, f Fault) func() {
 		for _, r := range run.relays {
-			run.reload(r, false, 48+int(f.Severity*80), r.cfg.MemoryMB)
+			run.reloadRelay(r, false, 48+int(f.Severity*80), r.cfg.MemoryMB)
 		}
 		return func() {
 			for _, r := range run.relays {
-				run.reload(r, false, sockets, r.cfg.MemoryMB)
+				run.reloadRelay(r, false, defaultDescriptors, r.cfg.MemoryMB)
 			}
 		}
 	}},
 	{"little memory", func(run *run, f Fault) func() {
 		for _, r := range run.relays {
-			run.reload(r, false, r.cfg.MaxDescriptors, 1+int(f.Severity*4))
+			run.reloadRelay(r, false, r.cfg.MaxDescriptors, 1+int(f.Severity*4))
 		}
 		return func() {
 			for _, r := range run.relays {
-				run.reload(r, false, r.cfg.MaxDescriptors, memory)
+				run.reloadRelay(r, false, r.cfg.MaxDescriptors, defaultMemoryMB)
 			}
 		}
 	}},
-	{"backends stop reading", some(func(b *backend, f Fault) func() {
-		b.deaf = true
-		return func() { b.hear() }
+	{"backends stop reading", onSomeBackends(func(b *backend, f Fault) func() {
+		b.notReading = true
+		return func() { b.resumeReading() }
 	})},
 	{"list late", func(run *run, f Fault) func() {
-		was := run.catalog.late
-		run.catalog.late = time.Second + time.Duration(f.Severity*float64(6*time.Second))
-		return func() { run.catalog.late = was }
+		was := run.catalog.publishDelay
+		run.catalog.publishDelay = time.Second + time.Duration(f.Severity*float64(6*time.Second))
+		return func() { run.catalog.publishDelay = was }
 	}},
 	{"list out", func(run *run, f Fault) func() {
-		var out []*agent
+		var out []*discoveryAgent
 		for _, a := range run.catalog.agents {
 			if f.Severity > 0.5 || a.relay == f.Target%len(run.relays) {
-				a.setOut(true)
+				a.setUnavailable(true)
 				out = append(out, a)
 			}
 		}
 		return func() {
 			for _, a := range out {
-				a.setOut(false)
+				a.setUnavailable(false)
 			}
 		}
 	}},
-	{"backends slow", some(func(b *backend, f Fault) func() {
-		b.slowDown(4 + 30*f.Severity)
-		return func() { b.slowDown(1) }
+	{"backends slow", onSomeBackends(func(b *backend, f Fault) func() {
+		b.setSlowdown(4 + 30*f.Severity)
+		return func() { b.setSlowdown(1) }
 	})},
-	{"backends paused", some(func(b *backend, f Fault) func() {
+	{"backends paused", onSomeBackends(func(b *backend, f Fault) func() {
 		b.pause()
 		return func() {
 			if b.paused {
@@ -153,54 +153,54 @@
 			}
 		}
 	})},
-	{"backends vanished", some(func(b *backend, f Fault) func() {
-		b.vanish()
-		life := b.life
+	{"backends vanished", onSomeBackends(func(b *backend, f Fault) func() {
+		b.disconnect()
+		life := b.incarnation
 		run := b.run
-		run.w.in(5*time.Second+time.Duration(f.Severity*float64(7*time.Second)), func() {
-			if b.life == life {
+		run.engine.schedule(5*time.Second+time.Duration(f.Severity*float64(7*time.Second)), func() {
+			if b.incarnation == life {
 				b.state = "gone"
 				run.catalog.publish(b.entry())
 			}
 		})
 		return func() {
-			if b.life == life {
+			if b.incarnation == life {
 				b.launch()
 			}
 		}
 	})},
-	{"backends die", some(func(b *backend, f Fault) func() {
-		b.die()
-		life := b.life
+	{"backends die", onSomeBackends(func(b *backend, f Fault) func() {
+		b.terminate()
+		life := b.incarnation
 		return func() {
-			if b.life == life {
+			if b.incarnation == life {
 				b.launch()
 			}
 		}
 	})},
-	{"backends failing fast", some(func(b *backend, f Fault) func() {
-		b.errs = 0.4 + 0.6*f.Severity
-		return func() { b.errs = 0 }
+	{"backends failing fast", onSomeBackends(func(b *backend, f Fault) func() {
+		b.errorRate = 0.4 + 0.6*f.Severity
+		return func() { b.errorRate = 0 }
 	})},
-	{"backends resetting", some(func(b *backend, f Fault) func() {
-		b.breaks = 0.3 + 0.6*f.Severity
-		return func() { b.breaks = 0 }
+	{"backends resetting", onSomeBackends(func(b *backend, f Fault) func() {
+		b.resetRate = 0.3 + 0.6*f.Severity
+		return func() { b.resetRate = 0 }
 	})},
-	{"backends full", some(func(b *backend, f Fault) func() {
-		b.full, b.early = 0.5+0.4*f.Severity, 0.05
-		return func() { b.full, b.early = 0, 0 }
+	{"backends full", onSomeBackends(func(b *backend, f Fault) func() {
+		b.busyRate, b.earlyEndRate = 0.5+0.4*f.Severity, 0.05
+		return func() { b.busyRate, b.earlyEndRate = 0, 0 }
 	})},
 	{"all backends full", func(run *run, f Fault) func() {
 		for _, b := range run.backends {
-			b.full = 0.6 + 0.4*f.Severity
+			b.busyRate = 0.6 + 0.4*f.Severity
 		}
 		return func() {
 			for _, b := range run.backends {
-				b.full = 0
+				b.busyRate = 0
 			}
 		}
 	}},
-	{"backends drain", some(func(b *backend, f Fault) func() {
+	{"backends drain", onSomeBackends(func(b *backend, f Fault) func() {
 		long := 4*time.Second + time.Duration(f.Severity*float64(12*time.Second))
 		b.release(long, f.Duration)
 		return nil
@@ -212,30 +212,30 @@
 		return nil
 	}},
 	{"datagrams lost", func(run *run, f Fault) func() {
-		run.w.net.lossy = 0.3 + 0.7*f.Severity
-		return func() { run.w.net.lossy = 0 }
+		run.engine.conditions.datagramLossRate = 0.3 + 0.7*f.Severity
+		return func() { run.engine.conditions.datagramLossRate = 0 }
 	}},
 	{"network slow", func(run *run, f Fault) func() {
-		run.w.net.slow = 3 + 20*f.Severity
-		return func() { run.w.net.slow = 1 }
+		run.engine.conditions.latencyFactor = 3 + 20*f.Severity
+		return func() { run.engine.conditions.latencyFactor = 1 }
 	}},
 	{"SYNs lost", func(run *run, f Fault) func() {
-		run.w.net.lostSYN = 0.1 + 0.4*f.Severity
-		return func() { run.w.net.lostSYN = 0 }
+		run.engine.conditions.synLossRate = 0.1 + 0.4*f.Severity
+		return func() { run.engine.conditions.synLossRate = 0 }
 	}},
 	{"network resets", func(run *run, f Fault) func() {
-		run.w.net.resets = 0.002 + 0.02*f.Severity
-		return func() { run.w.net.resets = 0 }
+		run.engine.conditions.resetRate = 0.002 + 0.02*f.Severity
+		return func() { run.engine.conditions.resetRate = 0 }
 	}},
 	{"everything slow", func(run *run, f Fault) func() {
-		run.slow = 3 + 20*f.Severity
-		return func() { run.slow = 1 }
+		run.slowdown = 3 + 20*f.Severity
+		return func() { run.slowdown = 1 }
 	}},
 	{"burst", func(run *run, f Fault) func() {
 		for range 20 + int(f.Severity*40) {
 			c := run.addClient()
-			c.come(run.w.between(0, time.Second))
-			run.w.in(f.Duration, func() { c.stopped = true })
+			c.connectAfter(run.engine.randomDuration(0, time.Second))
+			run.engine.schedule(f.Duration, func() { c.stopped = true })
 		}
 		return nil
 	}},
@@ -254,15 +254,15 @@
 	}},
 	{"clients break off", func(run *run, f Fault) func() {
 		for i, c := range run.clients {
-			if e := c.e; e != nil && i%2 == f.Target%2 {
-				run.w.in(run.w.between(0, 300*time.Millisecond), func() { c.breakOff(e) })
+			if conn := c.conn; conn != nil && i%2 == f.Target%2 {
+				run.engine.schedule(run.engine.randomDuration(0, 300*time.Millisecond), func() { c.disconnect(conn) })
 			}
 		}
 		return nil
 	}},
 	{"bad clients", func(run *run, f Fault) func() {
 		for i := range 30 + int(f.Severity*100) {
-			run.w.in(run.w.between(0, f.Duration), func() { run.bad(f.Target + i) })
+			run.engine.schedule(run.engine.randomDuration(0, f.Duration), func() { run.startMisbehavingClient(f.Target + i) })
 		}
 		return nil
 	}},
@@ -272,12 +272,12 @@
 func AcceptsTargets(kind string) bool { return kind == "link" || kind == "relays die together" }
 
 // rehearsed are kinds that only scripts bring about: they want the model.
-var rehearsed = []kind{{"shared dependency slow", func(run *run, f Fault) func() {
-	if run.pool == nil {
+var scriptOnlyFaultKinds = []faultKind{{"shared dependency slow", func(run *run, f Fault) func() {
+	if run.dependency == nil {
 		return nil
 	}
-	run.pool.SetSlowdown(1 + 20*f.Severity)
-	return func() { run.pool.SetSlowdown(1) }
+	run.dependency.SetSlowdown(1 + 20*f.Severity)
+	return func() { run.dependency.SetSlowdown(1) }
 }}, {"relays die together", func(run *run, f Fault) func() {
 	struck := f.Targets
 	if struck == nil {
@@ -287,27 +287,27 @@
 	}
 	for _, i := range struck {
 		r := run.relays[i]
-		run.stop(r, false)
-		run.w.in(f.Duration, func() { run.bring(r) })
+		run.stopRelay(r, false)
+		run.engine.schedule(f.Duration, func() { run.startRelay(r) })
 	}
 	return nil
 }}, {"link", func(run *run, f Fault) func() {
-	run.w.links = append(run.w.links, troubledLink{f.Link, min(epoch+f.Start+f.Duration, epoch+run.opt.Duration)})
+	run.engine.linkFaults = append(run.engine.linkFaults, linkFault{f.Link, min(epoch+f.Start+f.Duration, epoch+run.options.Duration)})
 	return nil // it has its end in it
 }}, {"power cut", func(run *run, f Fault) func() { // all backends at once, and cold ones a little after one another
 	for i, b := range run.backends {
 		if b.up {
-			b.die()
-			run.w.in(f.Duration+time.Duration(i)*200*time.Millisecond, b.launch)
+			b.terminate()
+			run.engine.schedule(f.Duration+time.Duration(i)*200*time.Millisecond, b.launch)
 		}
 	}
 	return nil
 }}, {"zone cut off", func(run *run, f Fault) func() {
 	for _, b := range run.backends {
 		if b.up && b.zone == f.Target%len(zones) {
-			b.vanish()
-			run.w.in(f.Duration, b.launch)
-			run.w.in(time.Duration(f.Severity*float64(6*time.Second)), func() {
+			b.disconnect()
+			run.engine.schedule(f.Duration, b.launch)
+			run.engine.schedule(time.Duration(f.Severity*float64(6*time.Second)), func() {
 				if !b.up {
 					b.state = "gone"
 					run.catalog.publish(b.entry())
@@ -319,7 +319,7 @@
 }}}
 
 // some has a trouble come to one backend or to a third of them.
-func some(begin func(b *backend, f Fault) func()) func(run *run, f Fault) func() {
+func onSomeBackends(begin func(b *backend, f Fault) func()) func(run *run, f Fault) func() {
 	return func(run *run, f Fault) func() {
 		n := 1
 		if f.Severity > 0.4 {
@@ -344,20 +344,20 @@
 }
 
 // script draws a run's faults: one to six, half of them right on another.
-func (run *run) script() []Fault {
-	rng := run.w.rng
+func (run *run) drawScript() []Fault {
+	rng := run.engine.rng
 	var s []Fault
 	for range 1 + rng.IntN(6) {
-		f := Fault{Kind: kinds[rng.IntN(len(kinds))].name, Start: run.w.between(5*time.Second, 42*time.Second),
-			Duration: run.w.between(2*time.Second, 14*time.Second), Target: rng.IntN(64), Severity: rng.Float64()}
+		f := Fault{Kind: faultKinds[rng.IntN(len(faultKinds))].name, Start: run.engine.randomDuration(5*time.Second, 42*time.Second),
+			Duration: run.engine.randomDuration(2*time.Second, 14*time.Second), Target: rng.IntN(64), Severity: rng.Float64()}
 		if len(s) > 0 && rng.IntN(2) == 0 {
-			f.Start = min(42*time.Second, max(5*time.Second, s[rng.IntN(len(s))].Start+run.w.between(-time.Second, 2*time.Second)))
+			f.Start = min(42*time.Second, max(5*time.Second, s[rng.IntN(len(s))].Start+run.engine.randomDuration(-time.Second, 2*time.Second)))
 		}
 		s = append(s, f)
 	}
 	for i := range s { // drawn for a minute
-		s[i].Start = time.Duration(float64(s[i].Start) * run.opt.Duration.Minutes())
-		s[i].Duration = time.Duration(float64(s[i].Duration) * run.opt.Duration.Minutes())
+		s[i].Start = time.Duration(float64(s[i].Start) * run.options.Duration.Minutes())
+		s[i].Duration = time.Duration(float64(s[i].Duration) * run.options.Duration.Minutes())
 	}
 	slices.SortStableFunc(s, func(a, b Fault) int { return int(a.Start - b.Start) })
 	return s
@@ -365,8 +365,8 @@
 
 // Kinds names all kinds of fault.
 func FaultKinds() []string {
-	names := make([]string, len(kinds))
-	for i, k := range kinds {
+	names := make([]string, len(faultKinds))
+	for i, k := range faultKinds {
 		names[i] = k.name
 	}
 	return names
@@ -375,35 +375,35 @@
 // Scriptable names all kinds that a script may hold.
 func ScriptableFaultKinds() []string {
 	names := FaultKinds()
-	for _, k := range rehearsed {
+	for _, k := range scriptOnlyFaultKinds {
 		names = append(names, k.name)
 	}
 	return names
 }
 
 // play has a script happen.
-func (run *run) play(script []Fault) {
+func (run *run) scheduleFaults(script []Fault) {
 	for i, f := range script {
 		run.count("fault " + f.Kind)
 		for _, g := range script[:i] {
 			if f.Start < g.Start+g.Duration {
 				a, b := min(f.Kind, g.Kind), max(f.Kind, g.Kind)
-				run.pairs[a+" + "+b]++
+				run.faultPairs[a+" + "+b]++
 			}
 		}
-		for _, k := range slices.Concat(kinds, rehearsed) {
+		for _, k := range slices.Concat(faultKinds, scriptOnlyFaultKinds) {
 			if k.name != f.Kind {
 				continue
 			}
-			run.w.at(epoch+f.Start, func() {
-				if run.w.trace != nil {
-					run.w.note("fault %s begins", f.Kind)
+			run.engine.scheduleAt(epoch+f.Start, func() {
+				if run.engine.trace != nil {
+					run.engine.tracef("fault %s begins", f.Kind)
 				}
 				if end := k.begin(run, f); end != nil {
-					run.w.at(min(epoch+f.Start+f.Duration, epoch+run.opt.Duration), func() {
+					run.engine.scheduleAt(min(epoch+f.Start+f.Duration, epoch+run.options.Duration), func() {
 						end()
-						if run.w.trace != nil {
-							run.w.note("fault %s ends", f.Kind)
+						if run.engine.trace != nil {
+							run.engine.tracef("fault %s ends", f.Kind)
 						}
 					})
 				}
--- /dev/null
+++ b/internal/simulation/link_faults.go
@@ -0,0 +1,108 @@
+package simulation
+
+import (
+	"time"
+
+	"aspenbarrow/internal/fault"
+)
+
+// retransmission is what a lost segment costs a stream, reopening a lost opening.
+const (
+	retransmissionDelay    = 200 * time.Millisecond
+	synRetransmissionDelay = time.Second
+)
+
+// troubledLink is a link fault in force. While there is none no chance is drawn for it, so that runs without such
+// faults go as they would without this code. A stream's bytes are delayed, never lost or reordered.
+type linkFault struct {
+	link  *fault.Link
+	until time.Duration
+}
+
+// met are the links in trouble between two machines, in one direction.
+func (e *engine) activeLinkFaults(from, to *host) (out []linkFault) {
+	if len(e.linkFaults) == 0 || from.nodeKind == "" || to.nodeKind == "" {
+		return nil
+	}
+	a, b := from.nodeIndex, to.nodeIndex
+	if from.nodeKind == fault.Clients { // a relay's own clients
+		a = b
+	}
+	if to.nodeKind == fault.Clients {
+		b = a
+	}
+	for _, l := range e.linkFaults {
+		if l.until > e.now && l.link.Affects(from.nodeKind, a, to.nodeKind, b) {
+			out = append(out, l)
+		}
+	}
+	return out
+}
+
+func (e *engine) linkDelay(l *fault.Link) time.Duration {
+	return l.Delay + e.randomDuration(0, l.Jitter)
+}
+
+// streamWay is how much longer than usual a piece of a stream takes. A cut holds it to its end.
+func (e *engine) streamDelay(from, to *host) (late time.Duration) {
+	for _, l := range e.activeLinkFaults(from, to) {
+		switch {
+		case l.link.Partitioned || l.link.Buffered:
+			late = max(late, l.until-e.now)
+		case e.randomChance(l.link.LossRate):
+			late += retransmissionDelay + e.linkDelay(l.link)
+		default:
+			late += e.linkDelay(l.link)
+		}
+	}
+	return late
+}
+
+// opensWay says how much later a connection comes up, or that it doesn't.
+func (e *engine) connectDelay(from, to *host) (late time.Duration, cut bool) {
+	for _, d := range [2][2]*host{{from, to}, {to, from}} {
+		for _, l := range e.activeLinkFaults(d[0], d[1]) {
+			if l.link.Partitioned || l.link.Buffered {
+				return 0, true
+			}
+			if late += l.link.Delay; e.randomChance(l.link.LossRate) {
+				late += synRetransmissionDelay
+			}
+		}
+	}
+	return late, false
+}
+
+// datagramWay says how much later a datagram arrives, or that it is lost.
+func (e *engine) datagramDelay(from, to *host) (late time.Duration, lost bool) {
+	for _, l := range e.activeLinkFaults(from, to) {
+		switch {
+		case l.link.Partitioned, e.randomChance(l.link.LossRate):
+			return 0, true
+		case l.link.Buffered:
+			late = max(late, l.until-e.now)
+		default:
+			if late += e.linkDelay(l.link); e.randomChance(l.link.ReorderRate) {
+				late += e.randomDuration(5*time.Millisecond, 50*time.Millisecond)
+			}
+		}
+	}
+	return late, false
+}
+
+// doubledWay says whether a datagram comes once more.
+func (e *engine) datagramDuplicated(from, to *host) (twice bool) {
+	for _, l := range e.activeLinkFaults(from, to) {
+		twice = e.randomChance(l.link.DuplicateRate) || twice
+	}
+	return twice
+}
+
+// agentWay is how much longer a call to discovery takes, there and back.
+func (e *engine) discoveryDelay(relay int) (late time.Duration) {
+	if len(e.linkFaults) == 0 {
+		return 0
+	}
+	r, d := &host{nodeKind: fault.Relays, nodeIndex: relay}, &host{nodeKind: fault.Discovery, nodeIndex: relay}
+	return e.streamDelay(r, d) + e.streamDelay(d, r)
+}
--- a/internal/simulation/sabotage.go
+++ b/internal/simulation/mutations.go
@@ -74,22 +74,22 @@
 	MutationStaleIdempotency:          {"unsafe-repeat"},
 }
 
-func (run *run) broken(b Mutation) bool { return run.opt.Mutation == b }
+func (run *run) hasMutation(b Mutation) bool { return run.options.Mutation == b }
 
 // sabotaged is the configuration as a broken relay reads it.
-func (r *relay) sabotaged(cfg controller.Config) controller.Config {
+func (r *relay) mutate(cfg controller.Config) controller.Config {
 	s := &cfg.Settings
-	switch r.run.opt.Mutation {
+	switch r.run.options.Mutation {
 	case MutationExtraAttempt:
 		s.MaxAttempts++
 	case MutationRetryNonIdempotent, MutationRetryOutsideDedupScope:
 		s.Classes = append([]balance.Class(nil), s.Classes...)
 		for i := range s.Classes {
 			c := &s.Classes[i]
-			if r.run.broken(MutationRetryNonIdempotent) && c.Idempotency == balance.NonIdempotent {
+			if r.run.hasMutation(MutationRetryNonIdempotent) && c.Idempotency == balance.NonIdempotent {
 				c.Idempotency = balance.Idempotent
 			}
-			if r.run.broken(MutationRetryOutsideDedupScope) {
+			if r.run.hasMutation(MutationRetryOutsideDedupScope) {
 				c.DedupScope = balance.ScopeAll
 			}
 		}
--- a/internal/simulation/net.go
+++ b/internal/simulation/net.go
@@ -8,49 +8,49 @@
 )
 
 // box is one machine with one process on it.
-type box struct {
-	w      *world
-	name   string
-	addr   string
-	up     bool // the process runs and listens
-	cut    bool // the machine says nothing and hears nothing
-	life   int  // counts the processes
-	accept func(*end)
-	ends   []*end // open
-	kind   fault.NodeKind
-	who    int
+type host struct {
+	engine      *engine
+	name        string
+	addr        string
+	up          bool // the process runs and listens
+	unreachable bool // the machine says nothing and hears nothing
+	incarnation int  // counts the processes
+	onAccept    func(*connEnd)
+	conns       []*connEnd // open
+	nodeKind    fault.NodeKind
+	nodeIndex   int
 }
 
-// end is one side of a connection, as TCP has them: bytes arrive in order, late and
+// connEnd is one side of a connection, as TCP has them: bytes arrive in order, late and
 // split anywhere; a side may end orderly, break off, refuse, say nothing, or stop
 // taking bytes. Nothing is delivered out of order, twice, or past an end.
-type end struct {
-	w       *world
-	id      int
-	box     *box
-	life    int
-	peer    *end
-	in      []byte          // arrived, not taken yet
-	base    []byte          // where in begins, to be used again
-	got     session.EndKind // how the other side ended, once that has arrived
-	wake    func()          // called when something has arrived
-	tap     tap             // who watches; nil: nobody
-	arrive  time.Duration
-	unread  int // bytes of ours that the other side has not taken
-	waiting []*pendingWrite
-	fin     bool
-	dead    bool
-	dirty   bool // a reset has been sent back already
+type connEnd struct {
+	engine        *engine
+	id            int
+	host          *host
+	incarnation   int
+	peer          *connEnd
+	received      []byte          // arrived, not taken yet
+	receiveBuffer []byte          // where in begins, to be used again
+	remoteEnd     session.EndKind // how the other side ended, once that has arrived
+	onReadable    func()          // called when something has arrived
+	observer      connObserver    // who watches; nil: nobody
+	lastArrival   time.Duration
+	unreadByPeer  int // bytes of ours that the other side has not taken
+	pendingWrites []*pendingWrite
+	writeClosed   bool
+	closed        bool
+	resetSent     bool // a reset has been sent back already
 }
 
 type pendingWrite struct {
-	b    []byte
-	done func(ok bool)
-	off  bool
+	data      []byte
+	done      func(ok bool)
+	cancelled bool
 }
 
 // tap sees what passes on the relay's side of a connection, in bytes.
-type tap interface {
+type connObserver interface {
 	Received(b []byte)               // from the other side
 	ReceivedEnd(how session.EndKind) //
 	Written(b []byte)                // by the relay
@@ -58,306 +58,306 @@
 	SetBlocked(on bool)              // the other side takes nothing
 }
 
-func (w *world) box(name, addr string) *box { return &box{w: w, name: name, addr: addr} }
+func (e *engine) newHost(name, addr string) *host { return &host{engine: e, name: name, addr: addr} }
 
 // of says which party the machine is.
-func (b *box) of(kind fault.NodeKind, who int) *box {
-	b.kind, b.who = kind, who
-	return b
+func (h *host) withNode(kind fault.NodeKind, who int) *host {
+	h.nodeKind, h.nodeIndex = kind, who
+	return h
 }
 
 // delay is how long a segment is under way.
-func (w *world) delay() time.Duration {
-	d := w.between(80*time.Microsecond, 700*time.Microsecond)
-	if w.net.slow != 1 {
-		d = time.Duration(float64(d) * w.net.slow)
+func (e *engine) segmentDelay() time.Duration {
+	d := e.randomDuration(80*time.Microsecond, 700*time.Microsecond)
+	if e.conditions.latencyFactor != 1 {
+		d = time.Duration(float64(d) * e.conditions.latencyFactor)
 	}
 	return d
 }
 
 // start brings a new process up.
-func (b *box) start() {
-	b.up, b.cut = true, false
-	b.life++
+func (h *host) start() {
+	h.up, h.unreachable = true, false
+	h.incarnation++
 }
 
 // kill ends the process; its system breaks all connections off.
-func (b *box) kill() {
-	b.up = false
-	b.life++
-	for len(b.ends) > 0 {
-		b.ends[len(b.ends)-1].reset()
+func (h *host) kill() {
+	h.up = false
+	h.incarnation++
+	for len(h.conns) > 0 {
+		h.conns[len(h.conns)-1].reset()
 	}
 }
 
 // vanish takes the machine off the network: no word to anybody.
-func (b *box) vanish() {
-	b.up, b.cut = false, true
-	b.life++
-	for _, e := range b.ends {
-		e.dead = true
+func (h *host) disconnect() {
+	h.up, h.unreachable = false, true
+	h.incarnation++
+	for _, conn := range h.conns {
+		conn.closed = true
 	}
-	b.ends = nil
+	h.conns = nil
 }
 
 // dial opens a connection. The callback has nil if it was refused or did not come
 // up in time; it is not called any more once the dialling process has ended.
-func (b *box) dial(addr *box, within time.Duration, done func(e *end)) {
-	w, life, over := b.w, b.life, false
-	finish := func(e *end) {
-		if over || b.life != life {
-			if e != nil {
-				e.reset()
+func (h *host) dial(addr *host, within time.Duration, done func(conn *connEnd)) {
+	engine, life, over := h.engine, h.incarnation, false
+	finish := func(conn *connEnd) {
+		if over || h.incarnation != life {
+			if conn != nil {
+				conn.reset()
 			}
 			return
 		}
 		over = true
-		done(e)
+		done(conn)
 	}
-	w.in(within, func() {
+	engine.schedule(within, func() {
 		if !over {
 			finish(nil)
 		}
 	})
-	late, cut := w.opensWay(b, addr)
-	if cut || w.chance(w.net.lostSYN) {
+	late, cut := engine.connectDelay(h, addr)
+	if cut || engine.randomChance(engine.conditions.synLossRate) {
 		return
 	}
-	w.in(late+w.delay(), func() {
+	engine.schedule(late+engine.segmentDelay(), func() {
 		switch {
-		case addr.cut:
+		case addr.unreachable:
 		case !addr.up:
-			w.in(w.delay(), func() { finish(nil) })
+			engine.schedule(engine.segmentDelay(), func() { finish(nil) })
 		default:
-			w.ends += 2
-			near := &end{w: w, id: w.ends - 1, box: b, life: life}
-			far := &end{w: w, id: w.ends, box: addr, life: addr.life, peer: near}
+			engine.connCount += 2
+			near := &connEnd{engine: engine, id: engine.connCount - 1, host: h, incarnation: life}
+			far := &connEnd{engine: engine, id: engine.connCount, host: addr, incarnation: addr.incarnation, peer: near}
 			near.peer = far
-			if b.life != life { // whoever dialled is gone
-				near.dead = true
+			if h.incarnation != life { // whoever dialled is gone
+				near.closed = true
 			} else {
-				b.ends = append(b.ends, near)
+				h.conns = append(h.conns, near)
 			}
-			addr.ends = append(addr.ends, far)
-			addr.accept(far)
-			w.in(w.delay(), func() { finish(near) })
+			addr.conns = append(addr.conns, far)
+			addr.onAccept(far)
+			engine.schedule(engine.segmentDelay(), func() { finish(near) })
 		}
 	})
 }
 
 // drop forgets an end among those that are open.
-func (e *end) drop() {
-	for i, o := range e.box.ends {
-		if o == e {
-			last := len(e.box.ends) - 1
-			e.box.ends[i] = e.box.ends[last]
-			e.box.ends = e.box.ends[:last]
+func (c *connEnd) removeFromHost() {
+	for i, o := range c.host.conns {
+		if o == c {
+			last := len(c.host.conns) - 1
+			c.host.conns[i] = c.host.conns[last]
+			c.host.conns = c.host.conns[:last]
 			return
 		}
 	}
 }
 
 // send has something arrive at the other side, after what was sent before.
-func (e *end) send(arrives func(to *end)) {
-	w, to := e.w, e.peer
-	e.arrive = max(e.arrive, w.now+w.delay()+w.streamWay(e.box, to.box))
-	w.at(e.arrive, func() {
-		if to.box.cut || e.box.cut {
+func (c *connEnd) transmit(arrives func(peer *connEnd)) {
+	engine, peer := c.engine, c.peer
+	c.lastArrival = max(c.lastArrival, engine.now+engine.segmentDelay()+engine.streamDelay(c.host, peer.host))
+	engine.scheduleAt(c.lastArrival, func() {
+		if peer.host.unreachable || c.host.unreachable {
 			return
 		}
-		arrives(to)
+		arrives(peer)
 	})
 }
 
 // write sends bytes. While the other side takes none the call waits; done hears
 // of it (at once, mostly). The pending write may be called off.
-func (e *end) write(b []byte, done func(ok bool)) *pendingWrite {
-	if e.dead || e.fin || e.got == session.EndReset {
+func (c *connEnd) write(b []byte, done func(ok bool)) *pendingWrite {
+	if c.closed || c.writeClosed || c.remoteEnd == session.EndReset {
 		done(false)
 		return nil
 	}
-	if len(e.waiting) > 0 || e.unread > 0 && e.unread+len(b) > e.w.window {
-		p := &pendingWrite{b: append([]byte(nil), b...), done: done}
-		e.waiting = append(e.waiting, p)
-		if e.tap != nil {
-			e.tap.SetBlocked(true)
+	if len(c.pendingWrites) > 0 || c.unreadByPeer > 0 && c.unreadByPeer+len(b) > c.engine.receiveWindow {
+		p := &pendingWrite{data: append([]byte(nil), b...), done: done}
+		c.pendingWrites = append(c.pendingWrites, p)
+		if c.observer != nil {
+			c.observer.SetBlocked(true)
 		}
 		return p
 	}
-	e.put(b)
+	c.transmitBytes(b)
 	done(true)
 	return nil
 }
 
 // put sends bytes, split anywhere.
-func (e *end) put(b []byte) {
-	if e.tap != nil {
-		e.tap.Written(b)
+func (c *connEnd) transmitBytes(b []byte) {
+	if c.observer != nil {
+		c.observer.Written(b)
 	}
-	if e.w.trace != nil {
-		e.w.note("%s %d> %q", e.box.name, e.id, b)
+	if c.engine.trace != nil {
+		c.engine.tracef("%s %d> %q", c.host.name, c.id, b)
 	}
-	e.unread += len(b)
+	c.unreadByPeer += len(b)
 	b = append([]byte(nil), b...)
 	for len(b) > 0 {
 		n := len(b)
-		if e.w.rng.IntN(8) == 0 {
-			n = 1 + e.w.rng.IntN(n)
+		if c.engine.rng.IntN(8) == 0 {
+			n = 1 + c.engine.rng.IntN(n)
 		}
 		part := b[:n]
 		b = b[n:]
-		e.send(func(to *end) { to.arrived(part) })
+		c.transmit(func(peer *connEnd) { peer.receive(part) })
 	}
 }
 
 // arrived takes in a segment.
-func (e *end) arrived(b []byte) {
-	if e.dead || e.box.life != e.life || e.w.chance(e.w.net.resets) {
-		e.refuse()
+func (c *connEnd) receive(b []byte) {
+	if c.closed || c.host.incarnation != c.incarnation || c.engine.randomChance(c.engine.conditions.resetRate) {
+		c.rejectSegment()
 		return
 	}
-	if e.got == session.EndReset {
+	if c.remoteEnd == session.EndReset {
 		return // what was under way when the connection broke is lost
 	}
-	if e.tap != nil {
-		e.tap.Received(b)
+	if c.observer != nil {
+		c.observer.Received(b)
 	}
-	if len(e.in) == 0 {
-		e.in = e.base[:0]
+	if len(c.received) == 0 {
+		c.received = c.receiveBuffer[:0]
 	}
-	e.in = append(e.in, b...)
-	if len(e.in) == len(b) {
-		e.base = e.in
+	c.received = append(c.received, b...)
+	if len(c.received) == len(b) {
+		c.receiveBuffer = c.received
 	}
-	e.woken()
+	c.notifyReadable()
 }
 
 // refuse answers what nobody takes any more: the other side's connection breaks.
-func (e *end) refuse() {
-	if e.dirty || !e.box.up {
+func (c *connEnd) rejectSegment() {
+	if c.resetSent || !c.host.up {
 		return
 	}
-	e.dirty = true
-	e.send(func(to *end) { to.gotEnd(session.EndReset) })
-	if !e.dead {
-		e.gotEnd(session.EndReset)
+	c.resetSent = true
+	c.transmit(func(peer *connEnd) { peer.receiveEnd(session.EndReset) })
+	if !c.closed {
+		c.receiveEnd(session.EndReset)
 	}
 }
 
-func (e *end) woken() {
-	if e.wake != nil && !e.dead {
-		e.wake()
+func (c *connEnd) notifyReadable() {
+	if c.onReadable != nil && !c.closed {
+		c.onReadable()
 	}
 }
 
 // take is done with the first bytes of what has arrived.
-func (e *end) take(n int) {
-	if n = min(n, len(e.in)); n == 0 { // a reset takes what had not been read
+func (c *connEnd) consume(n int) {
+	if n = min(n, len(c.received)); n == 0 { // a reset takes what had not been read
 		return
 	}
-	e.in = e.in[n:]
-	if len(e.in) == 0 {
-		e.in = nil
+	c.received = c.received[n:]
+	if len(c.received) == 0 {
+		c.received = nil
 	}
-	p := e.peer
-	p.unread -= n
-	for len(p.waiting) > 0 && !p.dead {
-		next := p.waiting[0]
-		if next.off {
-			p.waiting = p.waiting[1:]
+	p := c.peer
+	p.unreadByPeer -= n
+	for len(p.pendingWrites) > 0 && !p.closed {
+		next := p.pendingWrites[0]
+		if next.cancelled {
+			p.pendingWrites = p.pendingWrites[1:]
 			continue
 		}
-		if p.unread > 0 && p.unread+len(next.b) > p.w.window {
+		if p.unreadByPeer > 0 && p.unreadByPeer+len(next.data) > p.engine.receiveWindow {
 			return
 		}
-		p.waiting = p.waiting[1:]
-		if len(p.waiting) == 0 && p.tap != nil {
-			p.tap.SetBlocked(false)
+		p.pendingWrites = p.pendingWrites[1:]
+		if len(p.pendingWrites) == 0 && p.observer != nil {
+			p.observer.SetBlocked(false)
 		}
-		p.put(next.b)
+		p.transmitBytes(next.data)
 		next.done(true)
 	}
 }
 
 // gotEnd hears that the other side has ended.
-func (e *end) gotEnd(how session.EndKind) {
-	if e.got == session.EndReset || e.got != session.NoEnd && how == session.EndFIN {
+func (c *connEnd) receiveEnd(how session.EndKind) {
+	if c.remoteEnd == session.EndReset || c.remoteEnd != session.NoEnd && how == session.EndFIN {
 		return
 	}
-	e.got = how
-	if e.w.trace != nil {
-		e.w.note("%s %d< end %d", e.box.name, e.id, how)
+	c.remoteEnd = how
+	if c.engine.trace != nil {
+		c.engine.tracef("%s %d< end %d", c.host.name, c.id, how)
 	}
-	if e.tap != nil {
-		e.tap.ReceivedEnd(how)
+	if c.observer != nil {
+		c.observer.ReceivedEnd(how)
 	}
 	if how == session.EndReset {
-		e.in = nil
-		e.failWrites()
+		c.received = nil
+		c.failWrites()
 	}
-	e.woken()
+	c.notifyReadable()
 }
 
-func (e *end) failWrites() {
-	ws := e.waiting
-	e.waiting = nil
+func (c *connEnd) failWrites() {
+	ws := c.pendingWrites
+	c.pendingWrites = nil
 	for _, p := range ws {
-		if !p.off {
+		if !p.cancelled {
 			p.done(false)
 		}
 	}
 }
 
 // closeWrite ends our side after all that was written.
-func (e *end) closeWrite() {
-	if e.dead || e.fin || e.got == session.EndReset {
+func (c *connEnd) closeWrite() {
+	if c.closed || c.writeClosed || c.remoteEnd == session.EndReset {
 		return
 	}
-	e.fin = true
-	e.ended(session.EndFIN)
-	e.send(func(to *end) { to.gotEnd(session.EndFIN) })
+	c.writeClosed = true
+	c.observeEnd(session.EndFIN)
+	c.transmit(func(peer *connEnd) { peer.receiveEnd(session.EndFIN) })
 }
 
-func (e *end) ended(how session.EndKind) {
-	if e.w.trace != nil {
-		e.w.note("%s %d> end %d", e.box.name, e.id, how)
+func (c *connEnd) observeEnd(how session.EndKind) {
+	if c.engine.trace != nil {
+		c.engine.tracef("%s %d> end %d", c.host.name, c.id, how)
 	}
-	if e.tap != nil {
-		e.tap.WrittenEnd(how)
+	if c.observer != nil {
+		c.observer.WrittenEnd(how)
 	}
 }
 
 // reset breaks the connection off: what has not arrived is lost.
-func (e *end) reset() {
-	if e.dead {
+func (c *connEnd) reset() {
+	if c.closed {
 		return
 	}
-	e.dead = true
-	e.drop()
-	e.ended(session.EndReset)
-	e.in, e.wake = nil, nil
-	e.waiting = nil
-	e.send(func(to *end) {
-		if !to.dead {
-			to.gotEnd(session.EndReset)
+	c.closed = true
+	c.removeFromHost()
+	c.observeEnd(session.EndReset)
+	c.received, c.onReadable = nil, nil
+	c.pendingWrites = nil
+	c.transmit(func(peer *connEnd) {
+		if !peer.closed {
+			peer.receiveEnd(session.EndReset)
 		}
 	})
 }
 
 // close is done with the connection; over unread bytes it is a reset.
-func (e *end) close() {
-	if e.dead {
+func (c *connEnd) close() {
+	if c.closed {
 		return
 	}
-	if len(e.in) > 0 {
-		e.reset()
+	if len(c.received) > 0 {
+		c.reset()
 		return
 	}
-	e.closeWrite()
-	e.dead = true
-	e.drop()
-	if e.tap != nil {
-		e.tap.WrittenEnd(session.EndTimeout) // no reader any more
+	c.closeWrite()
+	c.closed = true
+	c.removeFromHost()
+	if c.observer != nil {
+		c.observer.WrittenEnd(session.EndTimeout) // no reader any more
 	}
-	e.wake, e.waiting = nil, nil
+	c.onReadable, c.pendingWrites = nil, nil
 }
--- a/internal/simulation/relay.go
+++ b/internal/simulation/relay.go
@@ -28,93 +28,93 @@
 // relay drives the machines of one relay, as package relay does on sockets. What there
 // are goroutines are events here, and how long one waits for another is the seed's.
 type relay struct {
-	*box
-	run      *run
-	number   int
-	cfg      controller.Config
-	node     *controller.Controller
-	lobby    *handshake.Pool
-	probes   *healthcheck.Checker
-	room     int
-	flowing  int
-	seq      uint64
-	flows    map[uint64]*flow // never ranged over
-	queue    []*end           // accepted, while the acceptor waits
-	postAt   time.Duration
-	timerAt  time.Duration
-	follows  int // counts the agents followed
-	agent    *discovery.Client
-	talking  bool // a call to the agent is out, or the pause after one
-	leaving  bool
-	few      bool    // it has few descriptors from the start
-	process  int     // its number, as the checker counts
-	old      *relay  // the process before this one, while it runs
-	heir     *relay  // the process after this one
-	reloads  int     // files that this process took
-	refusals int     // and turned down
-	last     []entry // what discovery has told, as its configuration will say it
+	*host
+	run                 *run
+	number              int
+	cfg                 controller.Config
+	controller          *controller.Controller
+	handshakes          *handshake.Pool
+	healthChecks        *healthcheck.Checker
+	sessionLimit        int
+	sessionCount        int
+	lastSession         uint64
+	sessions            map[uint64]*sessionDriver // never ranged over
+	acceptQueue         []*connEnd                // accepted, while the acceptor waits
+	lastPost            time.Duration
+	timerDeadline       time.Duration
+	discoveryGeneration int // counts the agents followed
+	discoveryClient     *discovery.Client
+	discoveryBusy       bool // a call to the agent is out, or the pause after one
+	shuttingDown        bool
+	lowDescriptors      bool            // it has few descriptors from the start
+	processNumber       int             // its number, as the checker counts
+	predecessor         *relay          // the process before this one, while it runs
+	successor           *relay          // the process after this one
+	reloadCount         int             // files that this process took
+	rejectedReloads     int             // and turned down
+	knownEndpoints      []endpointEntry // what discovery has told, as its configuration will say it
 }
 
 // boot starts a process with the configuration that is at hand.
 func (r *relay) boot() {
 	r.start()
-	w := r.w
-	r.cfg.Seed = w.rng.Uint64()
-	r.flows, r.queue, r.flowing, r.seq, r.leaving = map[uint64]*flow{}, nil, 0, 0, false
-	r.reloads, r.refusals = 0, 0
-	r.process = r.run.check.RelayProcess(r.number)
-	r.postAt, r.timerAt, r.agent = w.now, 0, nil
+	engine := r.engine
+	r.cfg.Seed = engine.rng.Uint64()
+	r.sessions, r.acceptQueue, r.sessionCount, r.lastSession, r.shuttingDown = map[uint64]*sessionDriver{}, nil, 0, 0, false
+	r.reloadCount, r.rejectedReloads = 0, 0
+	r.processNumber = r.run.checker.RelayProcess(r.number)
+	r.lastPost, r.timerDeadline, r.discoveryClient = engine.now, 0, nil
 	shares := controller.AllocateDescriptors(r.cfg.MaxDescriptors, r.cfg.MemoryMB, r.cfg.AdminListen != "")
-	r.room = shares.Sessions
-	r.lobby = handshake.NewPool(shares.Handshakes)
-	node, err := controller.New(w.now, r.sabotaged(r.cfg), r, zap.NewNop())
+	r.sessionLimit = shares.Sessions
+	r.handshakes = handshake.NewPool(shares.Handshakes)
+	node, err := controller.New(engine.now, r.mutate(r.cfg), r, zap.NewNop())
 	if err != nil {
 		panic(fmt.Sprintf("a relay does not start: %v", err))
 	}
-	r.node = node
-	r.probes = healthcheck.New(node.Settings(), shares.HealthChecks)
-	r.follow(r.cfg.Discovery, false)
-	r.tick()
-	if w.trace != nil {
-		w.note("%s up", r.name)
+	r.controller = node
+	r.healthChecks = healthcheck.New(node.Settings(), shares.HealthChecks)
+	r.followAgent(r.cfg.Discovery, false)
+	r.scheduleTimer()
+	if engine.trace != nil {
+		engine.tracef("%s up", r.name)
 	}
 }
 
 // alive wraps what is to happen to this process only.
-func (r *relay) alive(do func()) func() {
-	life := r.life
+func (r *relay) whileRunning(do func()) func() {
+	life := r.incarnation
 	return func() {
-		if r.life == life {
+		if r.incarnation == life {
 			do()
 		}
 	}
 }
 
-func (r *relay) soon(do func()) { r.w.in(r.w.handover(), r.alive(do)) }
+func (r *relay) handOff(do func()) { r.engine.schedule(r.engine.goroutineDelay(), r.whileRunning(do)) }
 
 // post has the Node hear something, in the order in which it was posted.
 func (r *relay) post(e func(now time.Duration)) {
-	r.postAt = max(r.postAt, r.w.now+r.w.handover())
-	r.w.at(r.postAt, r.alive(func() {
-		e(r.w.now)
-		r.tick()
+	r.lastPost = max(r.lastPost, r.engine.now+r.engine.goroutineDelay())
+	r.engine.scheduleAt(r.lastPost, r.whileRunning(func() {
+		e(r.engine.now)
+		r.scheduleTimer()
 	}))
 }
 
 // tick has the Node's next timer fire.
-func (r *relay) tick() {
-	at, ok := r.node.NextTimer()
-	if !ok || r.timerAt > r.w.now && r.timerAt <= at {
+func (r *relay) scheduleTimer() {
+	at, ok := r.controller.NextTimer()
+	if !ok || r.timerDeadline > r.engine.now && r.timerDeadline <= at {
 		return
 	}
-	at = max(at, r.w.now)
-	r.timerAt = at
-	r.w.at(at, r.alive(func() {
-		if r.timerAt == at {
-			r.timerAt = 0
+	at = max(at, r.engine.now)
+	r.timerDeadline = at
+	r.engine.scheduleAt(at, r.whileRunning(func() {
+		if r.timerDeadline == at {
+			r.timerDeadline = 0
 		}
-		r.node.FireTimers(r.w.now)
-		r.tick()
+		r.controller.FireTimers(r.engine.now)
+		r.scheduleTimer()
 	}))
 }
 
@@ -122,141 +122,141 @@
 
 var _ controller.Driver = (*relay)(nil)
 
-func (r *relay) SendCommand(seq uint64, o session.Command) {
-	f := r.flows[seq]
-	if f == nil {
+func (r *relay) SendCommand(seq uint64, command session.Command) {
+	driver := r.sessions[seq]
+	if driver == nil {
 		return
 	}
-	f.orderAt = max(f.orderAt, r.w.now+r.w.handover())
-	r.w.at(f.orderAt, r.alive(func() { f.order(o) }))
+	driver.lastCommand = max(driver.lastCommand, r.engine.now+r.engine.goroutineDelay())
+	r.engine.scheduleAt(driver.lastCommand, r.whileRunning(func() { driver.handleCommand(command) }))
 }
 
 func (r *relay) MigrateSession(seq uint64) {
-	if r.run.broken(MutationDrainKeepsSessions) && r.node.Drained() {
+	if r.run.hasMutation(MutationDrainKeepsSessions) && r.controller.Drained() {
 		return
 	}
-	if f := r.flows[seq]; f != nil {
-		f.m.Migrate()
-		r.soon(f.moved)
+	if driver := r.sessions[seq]; driver != nil {
+		driver.session.Migrate()
+		r.handOff(driver.migrate)
 	}
 }
 
 func (r *relay) ReportClientError(uint64, error) {}
 func (r *relay) EndpointsReceived()              {}
 
-func (r *relay) SetSettings(s *settings.Settings) { r.probes.SetSettings(s) }
+func (r *relay) SetSettings(s *settings.Settings) { r.healthChecks.SetSettings(s) }
 
 func (r *relay) ReleaseHealthCheck(id balance.BackendID) {
-	if c := r.probes.DropIdle(id); c != nil {
-		c.(*end).close()
+	if c := r.healthChecks.DropIdle(id); c != nil {
+		c.(*connEnd).close()
 	}
 }
 
-func (r *relay) SendDatagram(to string, data []byte) { r.run.datagram(r, to, data) }
+func (r *relay) SendDatagram(to string, data []byte) { r.run.deliverDatagram(r, to, data) }
 func (r *relay) SetDiscoveryAddress(address string) {
-	if r.run.broken(MutationStaleDiscovery) {
+	if r.run.hasMutation(MutationStaleDiscovery) {
 		return
 	}
-	r.soon(func() { r.follow(address, true) })
+	r.handOff(func() { r.followAgent(address, true) })
 }
 
-func (r *relay) SetLimits(s controller.Limits) {
-	r.room = s.Sessions
-	r.lobby.Resize(s.Handshakes)
-	r.probes.Resize(s.HealthChecks)
+func (r *relay) SetLimits(limits controller.Limits) {
+	r.sessionLimit = limits.Sessions
+	r.handshakes.Resize(limits.Handshakes)
+	r.healthChecks.Resize(limits.HealthChecks)
 }
 
 // StopAccepting changes nothing here: who comes before the end is served, and the end waits for it.
 func (r *relay) StopAccepting() {}
 
 func (r *relay) Stopped() {
-	if r.w.trace != nil {
-		r.w.note("%s left", r.name)
+	if r.engine.trace != nil {
+		r.engine.tracef("%s left", r.name)
 	}
-	for _, g := range r.lobby.RemoveAll() {
-		c := g.Conn.(*end)
-		if g.AwaitsAnswer() {
-			c.write([]byte(protocol.BusyAnswer(session.RetryAfter(r.node.Settings()))), func(bool) {})
+	for _, handshake := range r.handshakes.RemoveAll() {
+		c := handshake.Conn.(*connEnd)
+		if handshake.AwaitsAnswer() {
+			c.write([]byte(protocol.BusyAnswer(session.RetryAfter(r.controller.Settings()))), func(bool) {})
 		}
 		c.closeWrite()
 	}
 	r.kill() // what it still holds breaks; the checker counts that as cut off
-	if r.heir != nil {
+	if r.successor != nil {
 		r.run.count("old process left")
-		r.succeeded()
+		r.completeUpgrade()
 		return
 	}
-	r.run.check.RelayStopped(r.number)
+	r.run.checker.RelayStopped(r.number)
 	r.run.count("relay left")
 }
 
 // --- discovery -------------------------------------------------------------------
 
 func (r *relay) RequestEndpoints(watch bool) {
-	r.soon(func() {
-		r.agent.Schedule(watch)
-		r.call()
+	r.handOff(func() {
+		r.discoveryClient.Schedule(watch)
+		r.requestEndpoints()
 	})
 }
 
-func (r *relay) follow(address string, moved bool) {
-	r.follows++
+func (r *relay) followAgent(address string, moved bool) {
+	r.discoveryGeneration++
 	rng := rand.New(rand.NewPCG(r.cfg.Seed, 0xd15c))
-	r.agent = discovery.NewClient(address, r.node.Settings(), moved, rng)
-	if v, ok := r.node.CachedVersion(); ok && !moved {
-		r.agent.ResumeFrom(v)
+	r.discoveryClient = discovery.NewClient(address, r.controller.Settings(), moved, rng)
+	if v, ok := r.controller.CachedVersion(); ok && !moved {
+		r.discoveryClient.ResumeFrom(v)
 	}
-	r.talking = false
-	r.call()
+	r.discoveryBusy = false
+	r.requestEndpoints()
 }
 
 // call makes the next call to the agent, if one is due.
-func (r *relay) call() {
-	if r.talking {
+func (r *relay) requestEndpoints() {
+	if r.discoveryBusy {
 		return
 	}
-	c, ok := r.agent.NextRequest()
+	request, ok := r.discoveryClient.NextRequest()
 	if !ok {
 		return
 	}
-	r.talking = true
-	life, follows, over := r.life, r.follows, false
+	r.discoveryBusy = true
+	life, follows, over := r.incarnation, r.discoveryGeneration, false
 	current := func(do func()) func() { // an answer may come after this process has ended
 		return func() {
-			if r.life == life && r.follows == follows && !over {
+			if r.incarnation == life && r.discoveryGeneration == follows && !over {
 				over = true
 				do()
 			}
 		}
 	}
-	failed := current(func() { r.heardFrom(r.agent.HandleFailure(true)) })
-	r.w.in(c.Timeout, failed)
-	r.run.catalog.agent(r.agent.Address).ask(c, func(body []byte, tell func()) {
-		r.w.in(r.w.delay()/4, current(func() {
-			news, err := r.agent.HandleResponse(body)
+	failed := current(func() { r.handleDiscoveryUpdate(r.discoveryClient.HandleFailure(true)) })
+	r.engine.schedule(request.Timeout, failed)
+	r.run.catalog.agent(r.discoveryClient.Address).request(request, func(body []byte, tell func()) {
+		r.engine.schedule(r.engine.segmentDelay()/4, current(func() {
+			news, err := r.discoveryClient.HandleResponse(body)
 			if err != nil {
 				panic(fmt.Sprintf("a body cannot be read: %v", err))
 			}
 			tell()
-			r.heardFrom(news)
+			r.handleDiscoveryUpdate(news)
 		}))
 	})
 }
 
-func (r *relay) heardFrom(n discovery.Update) {
-	if n.Changed {
-		deliver := func(now time.Duration) { r.node.EndpointsUpdated(now, n.Endpoints, n.Kind) }
-		if r.run.broken(MutationLateDrain) && n.Kind != balance.UpdateFailed {
-			r.w.in(r.node.Settings().DrainGrace+110*time.Millisecond, r.alive(func() { r.post(deliver) }))
+func (r *relay) handleDiscoveryUpdate(update discovery.Update) {
+	if update.Changed {
+		deliver := func(now time.Duration) { r.controller.EndpointsUpdated(now, update.Endpoints, update.Kind) }
+		if r.run.hasMutation(MutationLateDrain) && update.Kind != balance.UpdateFailed {
+			r.engine.schedule(r.controller.Settings().DrainGrace+110*time.Millisecond, r.whileRunning(func() { r.post(deliver) }))
 		} else {
 			r.post(deliver)
 		}
 	}
-	follows := r.follows
-	r.w.in(n.RetryDelay, r.alive(func() {
-		if r.follows == follows {
-			r.talking = false
-			r.call()
+	follows := r.discoveryGeneration
+	r.engine.schedule(update.RetryDelay, r.whileRunning(func() {
+		if r.discoveryGeneration == follows {
+			r.discoveryBusy = false
+			r.requestEndpoints()
 		}
 	}))
 }
@@ -264,720 +264,720 @@
 // --- probes ----------------------------------------------------------------------
 
 func (r *relay) StartHealthCheck(b *upstream.Backend) {
-	r.soon(func() {
-		p, step := r.probes.Start(r.w.now, b)
-		r.probing(p, step)
+	r.handOff(func() {
+		check, step := r.healthChecks.Start(r.engine.now, b)
+		r.continueHealthCheck(check, step)
 	})
 }
 
-func (r *relay) probing(p *healthcheck.Check, step healthcheck.Step) {
+func (r *relay) continueHealthCheck(check *healthcheck.Check, step healthcheck.Step) {
 	for _, c := range step.Close {
-		c.(*end).close()
+		c.(*connEnd).close()
 	}
 	if k := step.Keep; k != nil {
-		e := k.Conn.(*end)
-		e.wake = nil
-		r.w.in(r.probes.IdleTimeout(), r.alive(func() {
-			if r.probes.ExpireIdle(k) {
-				e.close()
+		conn := k.Conn.(*connEnd)
+		conn.onReadable = nil
+		r.engine.schedule(r.healthChecks.IdleTimeout(), r.whileRunning(func() {
+			if r.healthChecks.ExpireIdle(k) {
+				conn.close()
 			}
 		}))
 	}
 	switch {
 	case step.Done:
-		r.post(func(now time.Duration) { r.node.HealthCheckDone(now, p.Result) })
+		r.post(func(now time.Duration) { r.controller.HealthCheckDone(now, check.Result) })
 	case step.Dial:
-		r.dialBackend(p.Address, r.node.Settings().DialTimeout, func(e *end) {
-			if e == nil {
-				r.probing(p, p.DialFailed(r.w.now))
+		r.dialBackend(check.Address, r.controller.Settings().DialTimeout, func(conn *connEnd) {
+			if conn == nil {
+				r.continueHealthCheck(check, check.DialFailed(r.engine.now))
 				return
 			}
-			r.probing(p, p.Connected(r.w.now, e))
+			r.continueHealthCheck(check, check.Connected(r.engine.now, conn))
 		})
 	default:
-		r.ask(p, step.Send.(*end))
+		r.sendHealthCheck(check, step.Send.(*connEnd))
 	}
 }
 
-func (r *relay) ask(p *healthcheck.Check, e *end) {
+func (r *relay) sendHealthCheck(check *healthcheck.Check, conn *connEnd) {
 	over := false
 	finish := func(next func(now time.Duration) healthcheck.Step) {
 		if !over {
 			over = true
-			e.wake = nil
-			r.probing(p, next(r.w.now))
+			conn.onReadable = nil
+			r.continueHealthCheck(check, next(r.engine.now))
 		}
 	}
-	e.wake = func() {
-		if i := bytes.IndexByte(e.in, '\n'); i >= 0 {
-			answer := string(bytes.TrimRight(e.in[:i], "\r\n"))
-			e.take(i + 1)
-			finish(func(now time.Duration) healthcheck.Step { return p.ReadAnswer(now, answer) })
-		} else if e.got != session.NoEnd {
-			finish(func(now time.Duration) healthcheck.Step { return p.ConnectionEnded(now, false) })
+	conn.onReadable = func() {
+		if i := bytes.IndexByte(conn.received, '\n'); i >= 0 {
+			answer := string(bytes.TrimRight(conn.received[:i], "\r\n"))
+			conn.consume(i + 1)
+			finish(func(now time.Duration) healthcheck.Step { return check.ReadAnswer(now, answer) })
+		} else if conn.remoteEnd != session.NoEnd {
+			finish(func(now time.Duration) healthcheck.Step { return check.ConnectionEnded(now, false) })
 		}
 	}
-	r.w.at(max(p.Deadline, r.w.now), r.alive(func() {
-		finish(func(now time.Duration) healthcheck.Step { return p.ConnectionEnded(now, true) })
+	r.engine.scheduleAt(max(check.Deadline, r.engine.now), r.whileRunning(func() {
+		finish(func(now time.Duration) healthcheck.Step { return check.ConnectionEnded(now, true) })
 	}))
-	e.write([]byte(r.probes.RequestLine()), func(bool) {})
-	e.woken()
+	conn.write([]byte(r.healthChecks.RequestLine()), func(bool) {})
+	conn.notifyReadable()
 }
 
 // dialBackend dials an address and has the connection watched.
-func (r *relay) dialBackend(addr string, within time.Duration, done func(*end)) {
+func (r *relay) dialBackend(addr string, within time.Duration, done func(*connEnd)) {
 	b := r.run.backendAt(addr)
 	if b == nil {
-		r.soon(func() { done(nil) })
+		r.handOff(func() { done(nil) })
 		return
 	}
-	r.dial(b.box, within, func(e *end) {
-		if e != nil {
-			e.tap = backendTap{r.run.check.BackendConnected(e.id, r.number, b.id)}
+	r.dial(b.host, within, func(conn *connEnd) {
+		if conn != nil {
+			conn.observer = backendObserver{r.run.checker.BackendConnected(conn.id, r.number, b.id)}
 		}
-		done(e)
+		done(conn)
 	})
 }
 
 // --- clients ---------------------------------------------------------------------
 
-func (r *relay) accepted(e *end) {
-	e.tap = clientTap{r.run.check.ClientAccepted(e.id, r.number, r.process)}
-	r.queue = append(r.queue, e)
-	if len(r.queue) == 1 {
-		r.admitNext()
+func (r *relay) acceptConn(conn *connEnd) {
+	conn.observer = clientObserver{r.run.checker.ClientAccepted(conn.id, r.number, r.processNumber)}
+	r.acceptQueue = append(r.acceptQueue, conn)
+	if len(r.acceptQueue) == 1 {
+		r.admitQueued()
 	}
 }
 
 // admitNext takes the next connection into the lobby, as soon as that has room.
-func (r *relay) admitNext() {
-	for len(r.queue) > 0 {
-		e := r.queue[0]
-		in, out, wait := r.lobby.Add(r.w.now, e)
+func (r *relay) admitQueued() {
+	for len(r.acceptQueue) > 0 {
+		conn := r.acceptQueue[0]
+		in, out, wait := r.handshakes.Add(r.engine.now, conn)
 		if out != nil {
-			c := out.Conn.(*end)
+			c := out.Conn.(*connEnd)
 			if out.AwaitsAnswer() {
-				c.write([]byte(protocol.BusyAnswer(session.RetryAfter(r.node.Settings()))), func(bool) {})
+				c.write([]byte(protocol.BusyAnswer(session.RetryAfter(r.controller.Settings()))), func(bool) {})
 			}
 			c.close()
 		}
 		if wait > 0 {
-			r.w.in(wait, r.alive(r.admitNext))
+			r.engine.schedule(wait, r.whileRunning(r.admitQueued))
 			return
 		}
 		if in == nil {
 			continue
 		}
-		r.queue = r.queue[1:]
-		r.seq++
-		f := &flow{r: r, m: session.New(r.seq, r.node.Settings(), r.node.Metrics()), c: e, g: in}
-		f.m.Accepted(in)
-		e.wake = f.hello
-		r.w.in(handshake.HandshakeTimeout, r.alive(func() {
-			if f.state == greeting {
-				f.reject(f.m.HandshakeEnded(session.EndTimeout, len(f.c.in)))
+		r.acceptQueue = r.acceptQueue[1:]
+		r.lastSession++
+		driver := &sessionDriver{relay: r, session: session.New(r.lastSession, r.controller.Settings(), r.controller.Metrics()), client: conn, handshake: in}
+		driver.session.Accepted(in)
+		conn.onReadable = driver.readHandshake
+		r.engine.schedule(handshake.HandshakeTimeout, r.whileRunning(func() {
+			if driver.state == stateHandshake {
+				driver.reject(driver.session.HandshakeEnded(session.EndTimeout, len(driver.client.received)))
 			}
 		}))
-		r.soon(f.hello)
+		r.handOff(driver.readHandshake)
 	}
 }
 
 // The states of a flow.
 const (
-	greeting = iota
-	readOff
-	waiting
-	standing
-	ending
-	closed
+	stateHandshake = iota
+	stateLingering
+	stateWaiting
+	stateEstablished
+	stateClosing
+	stateClosed
 )
 
-type flow struct {
-	r        *relay
-	m        *session.Session
-	c        *end
-	g        *handshake.Connection
-	state    int
-	orderAt  time.Duration
-	left     bool
-	off      int // bytes read off
-	try      *try
-	back     *end
-	upBusy   bool
-	downBusy bool
-	glancing bool
-	inLine   bool // broken on purpose: MOVE goes out in the middle of a line
-	late     bool // broken on purpose: the answer is still to go out
+type sessionDriver struct {
+	relay            *relay
+	session          *session.Session
+	client           *connEnd
+	handshake        *handshake.Connection
+	state            int
+	lastCommand      time.Duration
+	clientDone       bool
+	lingeredBytes    int // bytes read off
+	attempt          *attemptDriver
+	backend          *connEnd
+	upstreamBusy     bool
+	downstreamBusy   bool
+	idleCheckPending bool
+	moveInsideLine   bool // broken on purpose: MOVE goes out in the middle of a line
+	answerDelayed    bool // broken on purpose: the answer is still to go out
 }
 
-func (f *flow) hello() {
-	if f.state != greeting {
+func (d *sessionDriver) readHandshake() {
+	if d.state != stateHandshake {
 		return
 	}
 	for seen := 0; ; {
-		if len(f.c.in) == seen {
+		if len(d.client.received) == seen {
 			switch {
-			case f.c.dead: // it had to give way
-				f.state = closed
-			case f.c.got != session.NoEnd:
-				f.reject(f.m.HandshakeEnded(f.c.got, seen))
+			case d.client.closed: // it had to give way
+				d.state = stateClosed
+			case d.client.remoteEnd != session.NoEnd:
+				d.reject(d.session.HandshakeEnded(d.client.remoteEnd, seen))
 			}
 			return
 		}
-		f.m.SetSettings(f.r.node.Settings())
-		g, err := f.m.ReadHandshake(f.r.w.now, f.c.in, f.r.node.Ready() || f.r.run.broken(MutationDrainedSaysReady))
+		d.session.SetSettings(d.relay.controller.Settings())
+		g, err := d.session.ReadHandshake(d.relay.engine.now, d.client.received, d.relay.controller.Ready() || d.relay.run.hasMutation(MutationDrainedSaysReady))
 		switch {
 		case err != nil:
-			f.reject(err)
+			d.reject(err)
 			return
 		case g.Opened:
-			f.opened()
+			d.openSession()
 			return
 		case g.Consumed == 0:
-			seen = len(f.c.in)
+			seen = len(d.client.received)
 			continue
 		}
-		f.c.take(g.Consumed)
-		f.c.write([]byte(g.Reply), func(bool) {})
+		d.client.consume(g.Consumed)
+		d.client.write([]byte(g.Reply), func(bool) {})
 	}
 }
 
 // reject answers what was no request and reads its sender off; without an error
 // the client has just left.
-func (f *flow) reject(err error) {
+func (d *sessionDriver) reject(err error) {
 	if err == nil {
-		f.state = closed
-		f.c.close()
-		f.r.lobby.Remove(f.g)
+		d.state = stateClosed
+		d.client.close()
+		d.relay.handshakes.Remove(d.handshake)
 		return
 	}
-	f.turnAway(protocol.AnswerFailed)
+	d.refuse(protocol.AnswerFailed)
 }
 
-func (f *flow) turnAway(answer string) {
-	f.state = readOff
-	f.answer(answer)
-	f.r.lobby.MarkAnswered(f.g)
+func (d *sessionDriver) refuse(answer string) {
+	d.state = stateLingering
+	d.sendAnswer(answer)
+	d.relay.handshakes.MarkAnswered(d.handshake)
 	done := func() {
-		if f.state == readOff {
-			f.state = closed
-			f.c.close()
-			f.r.lobby.Remove(f.g)
+		if d.state == stateLingering {
+			d.state = stateClosed
+			d.client.close()
+			d.relay.handshakes.Remove(d.handshake)
 		}
 	}
-	f.c.wake = func() {
-		if f.off < handshake.MaxLingerBytes {
-			f.off += len(f.c.in)
-			f.c.take(len(f.c.in))
+	d.client.onReadable = func() {
+		if d.lingeredBytes < handshake.MaxLingerBytes {
+			d.lingeredBytes += len(d.client.received)
+			d.client.consume(len(d.client.received))
 		}
-		if f.c.got != session.NoEnd { // whoever never stops is held up until the time is over
+		if d.client.remoteEnd != session.NoEnd { // whoever never stops is held up until the time is over
 			done()
 		}
 	}
-	f.r.w.in(handshake.LingerTimeout, f.r.alive(done))
-	f.c.woken()
+	d.relay.engine.schedule(handshake.LingerTimeout, d.relay.whileRunning(done))
+	d.client.notifyReadable()
 }
 
 // answer sends the client's last line and ends our side.
-func (f *flow) answer(last string) {
-	if f.r.run.broken(MutationLostAnswer) && last == protocol.AnswerFailed {
+func (d *sessionDriver) sendAnswer(last string) {
+	if d.relay.run.hasMutation(MutationLostAnswer) && last == protocol.AnswerFailed {
 		last = ""
 	}
-	if f.r.run.broken(MutationLateAnswer) && f.state == waiting {
-		late := f.r.node.Settings().AnswerSlack + 110*time.Millisecond
-		f.late = true
-		f.r.w.in(f.m.ArrivedAt+f.m.Timeout()+late-f.r.w.now, f.r.alive(func() {
-			f.say(last)
-			f.wind()
+	if d.relay.run.hasMutation(MutationLateAnswer) && d.state == stateWaiting {
+		late := d.relay.controller.Settings().AnswerSlack + 110*time.Millisecond
+		d.answerDelayed = true
+		d.relay.engine.schedule(d.session.ArrivedAt+d.session.Timeout()+late-d.relay.engine.now, d.relay.whileRunning(func() {
+			d.writeLastLine(last)
+			d.awaitClientClose()
 		}))
 		return
 	}
-	f.say(last)
-	if f.r.run.broken(MutationSecondAnswer) && last != "" {
-		f.c.fin = false
-		f.say(last)
+	d.writeLastLine(last)
+	if d.relay.run.hasMutation(MutationSecondAnswer) && last != "" {
+		d.client.writeClosed = false
+		d.writeLastLine(last)
 	}
 }
 
-func (f *flow) say(last string) {
+func (d *sessionDriver) writeLastLine(last string) {
 	if last != "" {
-		f.c.write([]byte(last), func(bool) {})
+		d.client.write([]byte(last), func(bool) {})
 	}
-	f.c.closeWrite()
+	d.client.closeWrite()
 }
 
-func (f *flow) opened() {
-	r := f.r
-	if r.flowing >= r.room {
-		if !r.run.broken(MutationRefusalsUncounted) {
-			f.m.Refused()
+func (d *sessionDriver) openSession() {
+	r := d.relay
+	if r.sessionCount >= r.sessionLimit {
+		if !r.run.hasMutation(MutationRefusalsUncounted) {
+			d.session.Refused()
 		}
-		f.turnAway(protocol.BusyAnswer(session.RetryAfter(r.node.Settings())))
+		d.refuse(protocol.BusyAnswer(session.RetryAfter(r.controller.Settings())))
 		return
 	}
-	if !r.lobby.Remove(f.g) {
-		f.m.Refused()
-		f.state = closed
+	if !r.handshakes.Remove(d.handshake) {
+		d.session.Refused()
+		d.state = stateClosed
 		return
 	}
-	r.flowing++
-	f.m.Admitted()
-	f.state = waiting
-	f.c.wake = f.waits
+	r.sessionCount++
+	d.session.Admitted()
+	d.state = stateWaiting
+	d.client.onReadable = d.watchClient
 	r.post(func(now time.Duration) {
-		r.flows[f.m.Seq] = f
-		r.node.SessionOpened(now, f.m)
+		r.sessions[d.session.Seq] = d
+		r.controller.SessionOpened(now, d.session)
 	})
-	f.waits()
+	d.watchClient()
 }
 
 // waits looks whether the client leaves or goes on before its answer.
-func (f *flow) waits() {
-	head := f.m.Open.Len()
-	if f.left || f.state != waiting || len(f.c.in) <= head && f.c.got == session.NoEnd {
+func (d *sessionDriver) watchClient() {
+	head := d.session.Open.Len()
+	if d.clientDone || d.state != stateWaiting || len(d.client.received) <= head && d.client.remoteEnd == session.NoEnd {
 		return
 	}
-	f.left = true
-	spoke := len(f.c.in) > head
-	soon := f.r.soon
-	if f.r.run.broken(MutationLateClientClose) {
-		soon = func(do func()) { f.r.w.in(400*time.Millisecond, f.r.alive(do)) }
+	d.clientDone = true
+	spoke := len(d.client.received) > head
+	soon := d.relay.handOff
+	if d.relay.run.hasMutation(MutationLateClientClose) {
+		soon = func(do func()) { d.relay.engine.schedule(400*time.Millisecond, d.relay.whileRunning(do)) }
 	}
 	soon(func() {
 		switch {
-		case f.state == waiting:
-			f.carryOut(f.m.ClientClosed(spoke))
-			if f.r.run.broken(MutationAbandonedStayCounted) {
-				f.m.Admitted()
+		case d.state == stateWaiting:
+			d.perform(d.session.ClientClosed(spoke))
+			if d.relay.run.hasMutation(MutationAbandonedStayCounted) {
+				d.session.Admitted()
 			}
-		case f.state == standing && spoke:
-			f.hang(f.m.ClientEnded(session.EndReset))
-		case f.state == standing:
-			f.hang(f.m.ClientEnded(f.c.got))
+		case d.state == stateEstablished && spoke:
+			d.closeBackend(d.session.ClientEnded(session.EndReset))
+		case d.state == stateEstablished:
+			d.closeBackend(d.session.ClientEnded(d.client.remoteEnd))
 		}
 	})
 }
 
-func (f *flow) order(o session.Command) {
-	if f.state != waiting {
+func (d *sessionDriver) handleCommand(command session.Command) {
+	if d.state != stateWaiting {
 		return
 	}
-	if f.r.run.broken(MutationOverlappingAttempts) && o.Backend != nil && f.try == nil {
-		f.carryOut(f.m.Execute(f.r.w.now, o))
-		if f.try != nil {
-			second := &try{f: f, a: f.try.a}
-			second.begin()
+	if d.relay.run.hasMutation(MutationOverlappingAttempts) && command.Backend != nil && d.attempt == nil {
+		d.perform(d.session.Execute(d.relay.engine.now, command))
+		if d.attempt != nil {
+			second := &attemptDriver{driver: d, attempt: d.attempt.attempt}
+			second.start()
 		}
 		return
 	}
-	f.carryOut(f.m.Execute(f.r.w.now, o))
+	d.perform(d.session.Execute(d.relay.engine.now, command))
 }
 
-func (f *flow) carryOut(do session.Actions) {
-	if do.CancelAttempt && f.try != nil {
-		f.try.cancel()
+func (d *sessionDriver) perform(actions session.Actions) {
+	if actions.CancelAttempt && d.attempt != nil {
+		d.attempt.cancel()
 	}
-	if do.Answer != "" {
-		f.answer(do.Answer)
+	if actions.Answer != "" {
+		d.sendAnswer(actions.Answer)
 	}
-	if do.Attempt != nil {
-		f.try = &try{f: f, a: do.Attempt}
-		f.try.begin()
+	if actions.Attempt != nil {
+		d.attempt = &attemptDriver{driver: d, attempt: actions.Attempt}
+		d.attempt.start()
 	}
-	f.tell(do.Event)
-	if f.state == waiting && !f.m.AwaitsCommands() && !f.late {
-		f.wind()
+	d.postEvent(actions.Event)
+	if d.state == stateWaiting && !d.session.AwaitsCommands() && !d.answerDelayed {
+		d.awaitClientClose()
 	}
 }
 
-func (f *flow) tell(e session.Event) {
-	r := f.r
-	if e.Kind == session.NoEvent {
+func (d *sessionDriver) postEvent(event session.Event) {
+	r := d.relay
+	if event.Kind == session.NoEvent {
 		return
 	}
-	if e.Kind == session.AttemptEnded && e.Result.Status == balance.StatusCancelled && r.run.broken(MutationLoadMiscounted) {
-		e.Result.Attempt++ // the module does not know it
+	if event.Kind == session.AttemptEnded && event.Result.Status == balance.StatusCancelled && r.run.hasMutation(MutationLoadMiscounted) {
+		event.Result.Attempt++ // the module does not know it
 	}
-	r.post(func(now time.Duration) { r.node.SessionEvent(now, f.m.Seq, e) })
+	r.post(func(now time.Duration) { r.controller.SessionEvent(now, d.session.Seq, event) })
 }
 
 // wind waits for the client's end, for a while.
-func (f *flow) wind() {
-	f.state = ending
+func (d *sessionDriver) awaitClientClose() {
+	d.state = stateClosing
 	done := func() {
-		if f.state == ending {
-			f.state = closed
-			f.c.close()
-			r := f.r
-			r.flowing--
-			if r.run.broken(MutationSessionLeak) {
+		if d.state == stateClosing {
+			d.state = stateClosed
+			d.client.close()
+			r := d.relay
+			r.sessionCount--
+			if r.run.hasMutation(MutationSessionLeak) {
 				return
 			}
 			r.post(func(now time.Duration) {
-				delete(r.flows, f.m.Seq)
-				r.node.SessionClosed(now, f.m.Seq)
+				delete(r.sessions, d.session.Seq)
+				r.controller.SessionClosed(now, d.session.Seq)
 			})
 		}
 	}
-	f.c.wake = func() {
-		f.c.take(len(f.c.in))
-		if f.c.got != session.NoEnd {
+	d.client.onReadable = func() {
+		d.client.consume(len(d.client.received))
+		if d.client.remoteEnd != session.NoEnd {
 			done()
 		}
 	}
-	f.r.w.in(session.CloseTimeout, f.r.alive(done))
-	if f.c.dead {
+	d.relay.engine.schedule(session.CloseTimeout, d.relay.whileRunning(done))
+	if d.client.closed {
 		done()
 		return
 	}
-	f.c.woken()
+	d.client.notifyReadable()
 }
 
 // try is one attempt on its way.
-type try struct {
-	f      *flow
-	a      *session.Attempt
-	e      *end
-	up     []byte // the UP line
-	asking bool
-	over   bool
+type attemptDriver struct {
+	driver         *sessionDriver
+	attempt        *session.Attempt
+	conn           *connEnd
+	upLine         []byte // the UP line
+	awaitingAnswer bool
+	done           bool
 }
 
-func (t *try) begin() {
-	r := t.f.r
-	t.asking, t.e = false, nil
-	r.dialBackend(t.a.Backend.Address(), min(t.a.DialTimeout, t.a.Deadline-r.w.now), func(e *end) {
+func (a *attemptDriver) start() {
+	r := a.driver.relay
+	a.awaitingAnswer, a.conn = false, nil
+	r.dialBackend(a.attempt.Backend.Address(), min(a.attempt.DialTimeout, a.attempt.Deadline-r.engine.now), func(conn *connEnd) {
 		switch {
-		case t.over:
-			if e != nil {
-				e.close()
+		case a.done:
+			if conn != nil {
+				conn.close()
 			}
 			return
-		case e == nil:
-			t.finish(t.a.DialFailed(errNotUp, false))
+		case conn == nil:
+			a.finish(a.attempt.DialFailed(errNotUp, false))
 			return
 		}
-		t.e = e
-		head, fail := t.a.Connected(r.w.now)
-		if fail != nil {
-			t.finish(fail)
+		a.conn = conn
+		head, failure := a.attempt.Connected(r.engine.now)
+		if failure != nil {
+			a.finish(failure)
 			return
 		}
 		ok := false
-		e.write(bytes.Join(head[:], nil), func(sent bool) { ok = sent })
+		conn.write(bytes.Join(head[:], nil), func(sent bool) { ok = sent })
 		if !ok {
-			t.finish(t.a.ConnectionEnded(0, false, errNotUp, false))
+			a.finish(a.attempt.ConnectionEnded(0, false, errNotUp, false))
 			return
 		}
-		t.asking = true
-		lost := r.run.broken(MutationAttemptsUndercounted) && r.w.rng.IntN(50) == 0 || r.run.broken(MutationShutdownAttemptsUncounted) && r.leaving
+		a.awaitingAnswer = true
+		lost := r.run.hasMutation(MutationAttemptsUndercounted) && r.engine.rng.IntN(50) == 0 || r.run.hasMutation(MutationShutdownAttemptsUncounted) && r.shuttingDown
 		if !lost {
-			t.a.RequestSent()
+			a.attempt.RequestSent()
 		}
-		e.wake = t.heard
-		r.w.at(t.a.Deadline, r.alive(func() {
-			if t.e == e && t.asking {
-				t.finish(t.a.ConnectionEnded(0, true, errNotUp, true))
+		conn.onReadable = a.readAnswer
+		r.engine.scheduleAt(a.attempt.Deadline, r.whileRunning(func() {
+			if a.conn == conn && a.awaitingAnswer {
+				a.finish(a.attempt.ConnectionEnded(0, true, errNotUp, true))
 			}
 		}))
-		t.heard()
+		a.readAnswer()
 	})
 }
 
-func (t *try) heard() {
-	if t.over || !t.asking {
+func (a *attemptDriver) readAnswer() {
+	if a.done || !a.awaitingAnswer {
 		return
 	}
-	if len(t.e.in) > 0 {
-		n, fail := t.a.ReadAnswer(t.e.in)
-		if n > 0 || fail != nil {
-			t.up = slices.Clone(t.e.in[:n]) // read: a reset takes only what is not
-			t.e.take(n)
-			t.finish(fail)
+	if len(a.conn.received) > 0 {
+		n, failure := a.attempt.ReadAnswer(a.conn.received)
+		if n > 0 || failure != nil {
+			a.upLine = slices.Clone(a.conn.received[:n]) // read: a reset takes only what is not
+			a.conn.consume(n)
+			a.finish(failure)
 			return
 		}
 	}
-	if t.e.got != session.NoEnd {
-		t.finish(t.a.ConnectionEnded(0, true, errNotUp, false))
+	if a.conn.remoteEnd != session.NoEnd {
+		a.finish(a.attempt.ConnectionEnded(0, true, errNotUp, false))
 	}
 }
 
 // cancel breaks the attempt off.
-func (t *try) cancel() {
-	if t.over {
+func (a *attemptDriver) cancel() {
+	if a.done {
 		return
 	}
-	fail := t.a.DialFailed(errNotUp, true)
-	if t.asking {
-		fail = t.a.ConnectionEnded(0, true, errNotUp, false)
-		fail.Abandon()
+	failure := a.attempt.DialFailed(errNotUp, true)
+	if a.awaitingAnswer {
+		failure = a.attempt.ConnectionEnded(0, true, errNotUp, false)
+		failure.Abandon()
 	}
-	t.finish(fail)
+	a.finish(failure)
 }
 
-func (t *try) finish(fail *session.AttemptError) {
-	r := t.f.r
-	if t.over {
+func (a *attemptDriver) finish(failure *session.AttemptError) {
+	r := a.driver.relay
+	if a.done {
 		return
 	}
-	if fail != nil {
-		t.asking = false
-		if t.e != nil {
-			if !r.run.broken(MutationDescriptorLeak) {
-				t.e.close()
+	if failure != nil {
+		a.awaitingAnswer = false
+		if a.conn != nil {
+			if !r.run.hasMutation(MutationDescriptorLeak) {
+				a.conn.close()
 			}
-			t.e = nil
+			a.conn = nil
 		}
-		if pause, ok := t.a.RetryDelay(r.w.now, fail); ok {
-			r.w.in(pause, r.alive(func() {
-				if !t.over {
-					t.begin()
+		if pause, ok := a.attempt.RetryDelay(r.engine.now, failure); ok {
+			r.engine.schedule(pause, r.whileRunning(func() {
+				if !a.done {
+					a.start()
 				}
 			}))
 			return
 		}
 	}
-	t.over = true
-	if t.e != nil {
-		t.e.wake = nil
+	a.done = true
+	if a.conn != nil {
+		a.conn.onReadable = nil
 	}
-	r.soon(func() { t.f.tried(t, fail) })
+	r.handOff(func() { a.driver.attemptDone(a, failure) })
 }
 
-func (f *flow) tried(t *try, fail *session.AttemptError) {
-	if t != f.try || f.state != waiting {
-		if t.e != nil {
-			t.e.close()
+func (d *sessionDriver) attemptDone(attempt *attemptDriver, failure *session.AttemptError) {
+	if attempt != d.attempt || d.state != stateWaiting {
+		if attempt.conn != nil {
+			attempt.conn.close()
 		}
 		return
 	}
-	f.try = nil
-	do := f.m.AttemptDone(f.r.w.now, t.a, fail)
-	if do.CloseBackend {
-		t.e.close()
+	d.attempt = nil
+	actions := d.session.AttemptDone(d.relay.engine.now, attempt.attempt, failure)
+	if actions.CloseBackend {
+		attempt.conn.close()
 	}
-	if !do.Establish {
-		f.carryOut(do)
+	if !actions.Establish {
+		d.perform(actions)
 		return
 	}
-	f.state, f.back = standing, t.e
-	f.c.take(f.m.Open.Len())
-	up := t.up
-	if f.r.run.broken(MutationForgedUp) {
+	d.state, d.backend = stateEstablished, attempt.conn
+	d.client.consume(d.session.Open.Len())
+	up := attempt.upLine
+	if d.relay.run.hasMutation(MutationForgedUp) {
 		up = []byte("UP made-up\r\n")
 	}
-	f.c.write(up, func(bool) {})
-	f.tell(do.Event)
-	f.c.wake, f.back.wake = f.up, f.down
-	if !f.left {
-		f.up()
+	d.client.write(up, func(bool) {})
+	d.postEvent(actions.Event)
+	d.client.onReadable, d.backend.onReadable = d.forwardUpstream, d.forwardDownstream
+	if !d.clientDone {
+		d.forwardUpstream()
 	}
-	f.down()
+	d.forwardDownstream()
 }
 
 // --- once it stands --------------------------------------------------------------
 
-func (f *flow) up() {
-	for f.state == standing && !f.upBusy && !f.left {
-		b := f.c.in
+func (d *sessionDriver) forwardUpstream() {
+	for d.state == stateEstablished && !d.upstreamBusy && !d.clientDone {
+		b := d.client.received
 		if len(b) > 0 {
-			n, err := f.m.FromClient(f.r.w.now, b)
+			n, err := d.session.FromClient(d.relay.engine.now, b)
 			if err != nil {
-				f.left = true
-				f.hang(f.m.ClientEnded(session.EndReset))
+				d.clientDone = true
+				d.closeBackend(d.session.ClientEnded(session.EndReset))
 				return
 			}
 			if n > 0 {
-				f.glance()
-				f.upBusy = true
+				d.scheduleIdleCheck()
+				d.upstreamBusy = true
 				var p *pendingWrite
-				p = f.back.write(b[:n], func(bool) {
-					f.upBusy = false
-					f.c.take(n)
+				p = d.backend.write(b[:n], func(bool) {
+					d.upstreamBusy = false
+					d.client.consume(n)
 					if p != nil {
-						f.up()
+						d.forwardUpstream()
 					}
 				})
 				if p != nil {
-					f.r.w.in(session.BackendSilenceTimeout, f.r.alive(func() {
-						if f.upBusy && !p.off {
-							p.off = true
-							f.m.BackendBlocked()
-							f.glance()
+					d.relay.engine.schedule(session.BackendSilenceTimeout, d.relay.whileRunning(func() {
+						if d.upstreamBusy && !p.cancelled {
+							p.cancelled = true
+							d.session.BackendBlocked()
+							d.scheduleIdleCheck()
 						}
 					}))
 				}
 				continue
 			}
 		}
-		if f.c.got != session.NoEnd {
-			f.left = true
-			f.hang(f.m.ClientEnded(f.c.got))
+		if d.client.remoteEnd != session.NoEnd {
+			d.clientDone = true
+			d.closeBackend(d.session.ClientEnded(d.client.remoteEnd))
 		}
 		return
 	}
 }
 
-func (f *flow) hang(h session.CloseMode) {
-	switch h {
+func (d *sessionDriver) closeBackend(mode session.CloseMode) {
+	switch mode {
 	case session.CloseFIN:
-		f.back.closeWrite()
-		f.glance()
+		d.backend.closeWrite()
+		d.scheduleIdleCheck()
 	case session.CloseReset:
-		f.back.reset()
-		f.c.reset()
-		f.over(f.m.BackendEnded(session.EndReset))
+		d.backend.reset()
+		d.client.reset()
+		d.terminate(d.session.BackendEnded(session.EndReset))
 	}
 }
 
 // glance looks at a flow again and again while there is something to look for.
-func (f *flow) glance() {
-	if f.glancing || f.state != standing {
+func (d *sessionDriver) scheduleIdleCheck() {
+	if d.idleCheckPending || d.state != stateEstablished {
 		return
 	}
-	f.glancing = true
-	f.r.w.in(session.IdleCheckInterval, f.r.alive(func() {
-		f.glancing = false
-		if f.state != standing {
+	d.idleCheckPending = true
+	d.relay.engine.schedule(session.IdleCheckInterval, d.relay.whileRunning(func() {
+		d.idleCheckPending = false
+		if d.state != stateEstablished {
 			return
 		}
-		if !f.downBusy {
-			if v, over := f.m.CheckIdle(f.r.w.now); over {
-				f.over(v)
+		if !d.downstreamBusy {
+			if termination, over := d.session.CheckIdle(d.relay.engine.now); over {
+				d.terminate(termination)
 				return
 			}
 		}
-		if f.downBusy || !f.m.Idle() {
-			f.glance()
+		if d.downstreamBusy || !d.session.Idle() {
+			d.scheduleIdleCheck()
 		}
 	}))
 }
 
-func (f *flow) moved() {
-	if f.r.run.broken(MutationMoveInsideLine) { // not now, but in the middle of the next line
-		f.inLine = true
+func (d *sessionDriver) migrate() {
+	if d.relay.run.hasMutation(MutationMoveInsideLine) { // not now, but in the middle of the next line
+		d.moveInsideLine = true
 		return
 	}
-	f.down()
+	d.forwardDownstream()
 }
 
-func (f *flow) down() {
-	for f.state == standing && !f.downBusy {
-		if v, now := f.m.AtLineBoundary(); now && !f.inLine {
-			if f.r.run.broken(MutationMigrateWithoutMove) {
-				v.LastLine = ""
+func (d *sessionDriver) forwardDownstream() {
+	for d.state == stateEstablished && !d.downstreamBusy {
+		if termination, now := d.session.AtLineBoundary(); now && !d.moveInsideLine {
+			if d.relay.run.hasMutation(MutationMigrateWithoutMove) {
+				termination.LastLine = ""
 			}
-			f.over(v)
+			d.terminate(termination)
 			return
 		}
-		b := f.back.in
+		b := d.backend.received
 		if len(b) > 0 {
-			n, told, err := f.m.FromBackend(b)
+			n, told, err := d.session.FromBackend(b)
 			if err != nil {
-				f.over(f.m.BackendEnded(session.EndReset))
+				d.terminate(d.session.BackendEnded(session.EndReset))
 				return
 			}
 			if n > 0 {
-				f.tell(told)
-				f.downBusy = true
-				if f.r.run.broken(MutationDelayedLines) {
-					f.r.w.in(1200*time.Millisecond, f.r.alive(func() { f.pass(n) }))
+				d.postEvent(told)
+				d.downstreamBusy = true
+				if d.relay.run.hasMutation(MutationDelayedLines) {
+					d.relay.engine.schedule(1200*time.Millisecond, d.relay.whileRunning(func() { d.writeDownstream(n) }))
 					return
 				}
-				f.pass(n)
+				d.writeDownstream(n)
 				continue
 			}
 		}
-		if f.back.got != session.NoEnd {
-			f.over(f.m.BackendEnded(f.back.got))
+		if d.backend.remoteEnd != session.NoEnd {
+			d.terminate(d.session.BackendEnded(d.backend.remoteEnd))
 		}
 		return
 	}
 }
 
 // pass writes so many bytes of the backend's to the client.
-func (f *flow) pass(n int) {
-	if f.state != standing || len(f.back.in) < n {
-		f.downBusy = false
+func (d *sessionDriver) writeDownstream(n int) {
+	if d.state != stateEstablished || len(d.backend.received) < n {
+		d.downstreamBusy = false
 		return
 	}
-	if f.inLine {
-		f.c.write(f.back.in[:n/2], func(bool) {})
-		f.back.take(n / 2)
-		v, _ := f.m.AtLineBoundary()
-		f.over(v)
+	if d.moveInsideLine {
+		d.client.write(d.backend.received[:n/2], func(bool) {})
+		d.backend.consume(n / 2)
+		termination, _ := d.session.AtLineBoundary()
+		d.terminate(termination)
 		return
 	}
 	var p *pendingWrite
-	p = f.c.write(f.back.in[:n], func(ok bool) {
-		f.downBusy = false
-		if f.state != standing {
+	p = d.client.write(d.backend.received[:n], func(ok bool) {
+		d.downstreamBusy = false
+		if d.state != stateEstablished {
 			return
 		}
 		if !ok {
-			f.deaf()
+			d.clientBlocked()
 			return
 		}
-		f.back.take(n)
+		d.backend.consume(n)
 		if p != nil {
-			f.down()
+			d.forwardDownstream()
 		}
 	})
 	if p != nil {
-		f.r.w.in(session.ClientWriteTimeout, f.r.alive(func() {
-			if f.downBusy && !p.off {
-				p.off = true
-				f.downBusy = false
-				f.deaf()
+		d.relay.engine.schedule(session.ClientWriteTimeout, d.relay.whileRunning(func() {
+			if d.downstreamBusy && !p.cancelled {
+				p.cancelled = true
+				d.downstreamBusy = false
+				d.clientBlocked()
 			}
 		}))
 	}
 }
 
-func (f *flow) deaf() {
-	v, h := f.m.ClientBlocked()
-	if h == session.CloseReset {
-		f.back.reset()
-		f.c.reset()
+func (d *sessionDriver) clientBlocked() {
+	termination, mode := d.session.ClientBlocked()
+	if mode == session.CloseReset {
+		d.backend.reset()
+		d.client.reset()
 	}
-	f.over(v)
+	d.terminate(termination)
 }
 
-func (f *flow) over(v session.Termination) {
-	if f.state != standing {
+func (d *sessionDriver) terminate(termination session.Termination) {
+	if d.state != stateEstablished {
 		return
 	}
-	f.state = ending
+	d.state = stateClosing
 	switch {
-	case v.CloseClient:
-		f.say(v.LastLine)
-	case v.ResetClient:
-		f.c.reset()
-	}
-	f.tell(f.m.Terminated(v))
-	f.back.close()
-	f.wind()
+	case termination.CloseClient:
+		d.writeLastLine(termination.LastLine)
+	case termination.ResetClient:
+		d.client.reset()
+	}
+	d.postEvent(d.session.Terminated(termination))
+	d.backend.close()
+	d.awaitClientClose()
 }
 
 // reload has the running process read a new configuration.
 func (r *relay) reload(cfg controller.Config) {
 	r.post(func(now time.Duration) {
-		if err := r.node.Reload(now, r.sabotaged(cfg), cfg.MaxDescriptors); err != nil {
+		if err := r.controller.Reload(now, r.mutate(cfg), cfg.MaxDescriptors); err != nil {
 			panic(fmt.Sprintf("a sound configuration is not taken: %v", err))
 		}
-		if r.run.broken(MutationStaleIdempotency) {
-			s := r.node.Settings().Settings
+		if r.run.hasMutation(MutationStaleIdempotency) {
+			s := r.controller.Settings().Settings
 			s.Classes = slices.Clone(s.Classes)
 			for i := range s.Classes {
-				if i >= len(r.run.set.Classes) { // it came with a reload
+				if i >= len(r.run.settings.Classes) { // it came with a reload
 					s.Classes[i].Idempotency = balance.Idempotent
 				}
 			}
-			r.node.Balancer().UpdateSettings(s)
+			r.controller.Balancer().UpdateSettings(s)
 		}
-		r.reloads++
-		if !r.run.broken(MutationReloadsUncounted) {
-			r.node.Metrics().Reloaded(true)
+		r.reloadCount++
+		if !r.run.hasMutation(MutationReloadsUncounted) {
+			r.controller.Metrics().Reloaded(true)
 		}
 	})
 }
@@ -986,109 +986,111 @@
 
 // upgrade starts another process of a relay beside this one, as package relay does: it takes over what the old one
 // remembers and who comes, and the old one leaves a while later.
-func (run *run) upgrade(r *relay, after time.Duration) {
-	if !r.up || r.leaving || r.old != nil || run.closing {
+func (run *run) upgradeRelay(r *relay, after time.Duration) {
+	if !r.up || r.shuttingDown || r.predecessor != nil || run.closing {
 		return
 	}
 	run.count("relay upgraded")
-	w := run.w
-	text, err := r.node.ExportState(w.now)
+	engine := run.engine
+	text, err := r.controller.ExportState(engine.now)
 	if err != nil {
 		panic(fmt.Sprintf("a relay has nothing to hand over: %v", err))
 	}
-	n := &relay{box: w.box(r.name, "").of(fault.Relays, r.number), run: run, number: r.number, cfg: r.cfg, few: r.few, last: r.last, old: r}
-	n.accept = n.accepted
-	if len(n.last) > 0 {
-		n.cfg.CachedEndpoints = body(0, true, n.last)
+	successor := &relay{host: engine.newHost(r.name, "").withNode(fault.Relays, r.number), run: run, number: r.number, cfg: r.cfg, lowDescriptors: r.lowDescriptors, knownEndpoints: r.knownEndpoints, predecessor: r}
+	successor.onAccept = successor.acceptConn
+	if len(successor.knownEndpoints) > 0 {
+		successor.cfg.CachedEndpoints = encodeEndpoints(0, true, successor.knownEndpoints)
 	}
-	run.check.RelayUpgraded(r.number)
-	n.boot()
-	if err := n.node.RestoreState(w.now, text); err != nil {
+	run.checker.RelayUpgraded(r.number)
+	successor.boot()
+	if err := successor.controller.RestoreState(engine.now, text); err != nil {
 		panic(fmt.Sprintf("what a relay hands over is not taken: %v", err))
 	}
-	n.node.SetDescriptors(n.cfg.MaxDescriptors)
-	run.relays[r.number], r.heir = n, n
-	r.node.SetReplaced(true)
-	r.tell()
-	w.in(after, r.alive(func() {
-		r.leaving = true
-		if run.broken(MutationUpgradeDropsSessions) {
+	successor.controller.SetDescriptors(successor.cfg.MaxDescriptors)
+	run.relays[r.number], r.successor = successor, successor
+	r.controller.SetReplaced(true)
+	r.syncSuccessor()
+	engine.schedule(after, r.whileRunning(func() {
+		r.shuttingDown = true
+		if run.hasMutation(MutationUpgradeDropsSessions) {
 			r.kill()
-			r.succeeded()
+			r.completeUpgrade()
 			return
 		}
-		r.post(r.node.Shutdown)
-		w.in(3700*time.Millisecond, r.alive(func() {
+		r.post(r.controller.Shutdown)
+		engine.schedule(3700*time.Millisecond, r.whileRunning(func() {
 			r.kill()
-			r.succeeded()
+			r.completeUpgrade()
 		}))
 	}))
 }
 
 // tell has the next process hear what this one holds and sees.
-func (r *relay) tell() {
-	n := r.heir
-	text, err := r.node.ExportLoad()
+func (r *relay) syncSuccessor() {
+	successor := r.successor
+	text, err := r.controller.ExportLoad()
 	if err != nil {
 		panic(err)
 	}
-	held := min(len(r.ends)+controller.ReservedDescriptors, r.cfg.MaxDescriptors-controller.ReservedDescriptors)
-	n.post(func(now time.Duration) {
-		n.node.SetOtherProcessDescriptors(now, held)
-		_ = n.node.ImportLoad(now, text)
+	held := min(len(r.conns)+controller.ReservedDescriptors, r.cfg.MaxDescriptors-controller.ReservedDescriptors)
+	successor.post(func(now time.Duration) {
+		successor.controller.SetOtherProcessDescriptors(now, held)
+		_ = successor.controller.ImportLoad(now, text)
 	})
-	r.w.in(100*time.Millisecond, r.alive(r.tell))
+	r.engine.schedule(100*time.Millisecond, r.whileRunning(r.syncSuccessor))
 }
 
 // succeeded says that this process is gone, and the next one alone.
-func (r *relay) succeeded() {
-	n := r.heir
-	n.old = nil
-	if n.up {
-		n.post(func(now time.Duration) {
-			n.node.SetOtherProcessDescriptors(now, 0)
-			_ = n.node.ImportLoad(now, nil)
+func (r *relay) completeUpgrade() {
+	successor := r.successor
+	successor.predecessor = nil
+	if successor.up {
+		successor.post(func(now time.Duration) {
+			successor.controller.SetOtherProcessDescriptors(now, 0)
+			_ = successor.controller.ImportLoad(now, nil)
 		})
 	}
 }
 
 // peerAddr is where a relay hears datagrams.
-func peerAddr(number int) netip.AddrPort {
+func gossipAddress(number int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 3, byte(number >> 8), byte(number)}), 7946)
 }
 
 // datagram carries one between relays: late, twice, out of order or not at all.
-func (run *run) datagram(from *relay, to string, data []byte) {
-	w := run.w
+func (run *run) deliverDatagram(from *relay, to string, data []byte) {
+	engine := run.engine
 	for _, r := range run.relays {
-		if r.number == from.number || to != peersAll && to != peerAddr(r.number).String() {
+		if r.number == from.number || to != broadcastAddress && to != gossipAddress(r.number).String() {
 			continue
 		}
 		copies := 1
-		if w.chance(0.02) {
+		if engine.randomChance(0.02) {
 			copies = 2
 		}
-		if w.doubledWay(from.box, r.box) {
+		if engine.datagramDuplicated(from.host, r.host) {
 			copies++
 		}
 		for range copies {
-			if w.chance(0.02 + w.net.lossy) {
+			if engine.randomChance(0.02 + engine.conditions.datagramLossRate) {
 				run.count("datagram lost")
 				continue
 			}
-			late, lost := w.datagramWay(from.box, r.box)
+			late, lost := engine.datagramDelay(from.host, r.host)
 			if lost {
 				run.count("datagram lost")
 				continue
 			}
 			run.count("datagram")
-			w.in(late+w.between(time.Millisecond, 40*time.Millisecond), func() {
+			engine.schedule(late+engine.randomDuration(time.Millisecond, 40*time.Millisecond), func() {
 				if r.up {
-					r.post(func(now time.Duration) { r.node.DatagramReceived(now, peerAddr(from.number), slices.Clone(data)) })
+					r.post(func(now time.Duration) {
+						r.controller.DatagramReceived(now, gossipAddress(from.number), slices.Clone(data))
+					})
 				}
 			})
 		}
 	}
 }
 
-const peersAll = "10.3.255.1:7946"
+const broadcastAddress = "10.3.255.1:7946"
--- a/internal/simulation/timing_test.go
+++ b/internal/simulation/retry_policy_test.go
@@ -57,7 +57,7 @@
 				held[r]++
 			}
 		}
-		opt := Options{Seed: rapid.Uint64().Draw(t, "seed"), Duration: 15 * time.Second}
+		options := Options{Seed: rapid.Uint64().Draw(t, "seed"), Duration: 15 * time.Second}
 		for _, name := range []string{"watch", "fetch", "submit"} {
 			q, err := cfg.RoutingRequest(config.RequestDescription{Class: name, Protocol: "line"})
 			if err != nil {
@@ -67,9 +67,9 @@
 			if r := cfg.Relay.Routes.Lookup(q); r != nil {
 				timing = r.RetryPolicy
 			}
-			opt.RetryPolicies = append(opt.RetryPolicies, timing)
+			options.RetryPolicies = append(options.RetryPolicies, timing)
 		}
-		if res := Run(opt); len(res.Violations) > 0 {
+		if res := Run(options); len(res.Violations) > 0 {
 			t.Fatalf("%v\n%s", res.Violations[0], text)
 		}
 	})
--- a/internal/simulation/run.go
+++ b/internal/simulation/run.go
@@ -23,9 +23,9 @@
 var zones = []string{"east", "west"}
 
 const (
-	sockets = 1024
-	memory  = 64               // in megabytes
-	letGo   = 14 * time.Second // after its length a run has so long for everything to end
+	defaultDescriptors = 1024
+	defaultMemoryMB    = 64               // in megabytes
+	cleanupPeriod      = 14 * time.Second // after its length a run has so long for everything to end
 )
 
 // Options say how a seed is played. Only Seed has to be set.
@@ -93,185 +93,185 @@
 
 // class is a class of requests as clients know it.
 type class struct {
-	name   string
-	giveUp time.Duration
-	worth  float64
+	name    string
+	timeout time.Duration
+	weight  float64
 }
 
 // run is what a seed's world holds.
 type run struct {
-	w        *world
-	opt      Options
-	check    *invariant.Checker
-	classes  []class
-	set      settings.Settings
-	relays   []*relay
-	backends []*backend
-	byAddr   map[string]*backend
-	catalog  *catalog
-	front    *front
-	outside  *box
-	clients  []*client
-	counts   map[string]int
-	pairs    map[string]int
-	served   []int
-	ids      int
-	slow     float64 // of everything that all backends share
-	regular  float64 // connections that a backend holds when all is well
-	closing  bool
-	plain    bool // clients keep to the first classes
-	pool     *emulator.Dependency
-	poolAt   time.Duration
-	turns    map[uint64]func()
-	turn     uint64
-	service  []ServiceSecond
-	byClass  []ServiceSecond
-	log      loadstats.Recorder // of what modelled backends hold
+	engine               *engine
+	options              Options
+	checker              *invariant.Checker
+	classes              []class
+	settings             settings.Settings
+	relays               []*relay
+	backends             []*backend
+	backendsByAddress    map[string]*backend
+	catalog              *catalog
+	loadBalancer         *loadBalancer
+	clientHost           *host
+	clients              []*client
+	counts               map[string]int
+	faultPairs           map[string]int
+	servedByClass        []int
+	lastRequestID        int
+	slowdown             float64 // of everything that all backends share
+	nominalConnections   float64 // connections that a backend holds when all is well
+	closing              bool
+	baseClassesOnly      bool // clients keep to the first classes
+	dependency           *emulator.Dependency
+	dependencyTimer      time.Duration
+	dependencyWaiters    map[uint64]func()
+	lastDependencyWaiter uint64
+	serviceBySecond      []ServiceSecond
+	serviceByClass       []ServiceSecond
+	loadRecorder         loadstats.Recorder // of what modelled backends hold
 }
 
 func (run *run) count(what string) { run.counts[what]++ }
 
-func (run *run) fair() float64 { return run.regular }
+func (run *run) fair() float64 { return run.nominalConnections }
 
 // opens is how many requests a second a warm backend can do.
-func (run *run) opens() float64 { return max(4, run.regular/3) }
+func (run *run) warmRequestRate() float64 { return max(4, run.nominalConnections/3) }
 
-func (run *run) backendAt(addr string) *backend { return run.byAddr[addr] }
+func (run *run) backendAt(addr string) *backend { return run.backendsByAddress[addr] }
 
 // Run plays one seed to its end and reports what came of it. It panics if the options
 // make no installation, such as timings that contradict one another.
-func Run(opt Options) Result {
-	if opt.Duration == 0 {
-		opt.Duration = time.Minute
-	}
-	w := newWorld(opt.Seed, opt.Trace)
-	run := &run{w: w, opt: opt, byAddr: map[string]*backend{}, counts: map[string]int{}, pairs: map[string]int{}, slow: 1}
-	run.settle()
-	w.window = 1 << (9 + w.rng.IntN(6))
-	n := run.size()
-	if opt.Installation != nil {
-		run.model(opt.Installation)
-	}
-	run.watch(n)
+func Run(options Options) Result {
+	if options.Duration == 0 {
+		options.Duration = time.Minute
+	}
+	engine := newEngine(options.Seed, options.Trace)
+	run := &run{engine: engine, options: options, backendsByAddress: map[string]*backend{}, counts: map[string]int{}, faultPairs: map[string]int{}, slowdown: 1}
+	run.drawSettings()
+	engine.receiveWindow = 1 << (9 + engine.rng.IntN(6))
+	n := run.drawSize()
+	if options.Installation != nil {
+		run.prepareModel(options.Installation)
+	}
+	run.startChecker(n)
 	run.populate(n)
-	script := opt.Script
-	drawn := run.script() // drawn in any case: the rest of the run's chances come after it
+	script := options.Script
+	drawn := run.drawScript() // drawn in any case: the rest of the run's chances come after it
 	if script == nil {
 		script = drawn
 	}
-	run.play(script)
-	run.releases(n.backends)
-	w.in(time.Second, run.sweep)
-	end := epoch + opt.Duration
-	w.at(end, run.close)
-	for w.step(end + letGo) {
+	run.scheduleFaults(script)
+	run.scheduleReleases(n.backends)
+	engine.schedule(time.Second, run.checkPeriodically)
+	end := epoch + options.Duration
+	engine.scheduleAt(end, run.closeClients)
+	for engine.runNext(end + cleanupPeriod) {
 	}
 	run.audit()
-	if w.trace != nil {
-		w.note("end after %d steps", w.steps)
-		_ = w.trace.Flush()
+	if engine.trace != nil {
+		engine.tracef("end after %d steps", engine.eventCount)
+		_ = engine.trace.Flush()
 	}
-	return run.result(n, script)
+	return run.summarize(n, script)
 }
 
 // size is how many there are of each party.
-type size struct{ relays, backends, clients int }
+type installationSize struct{ relays, backends, clients int }
 
 // size draws the installation's size, which a script overrules.
-func (run *run) size() size {
-	rng := run.w.rng
-	n := size{relays: 2 + rng.IntN(6), backends: 6 + rng.IntN(27), clients: 100 + rng.IntN(41)}
-	if f := run.opt.Installation; f != nil {
-		n = size{f.Relays, f.Backends, f.Clients}
+func (run *run) drawSize() installationSize {
+	rng := run.engine.rng
+	n := installationSize{relays: 2 + rng.IntN(6), backends: 6 + rng.IntN(27), clients: 100 + rng.IntN(41)}
+	if f := run.options.Installation; f != nil {
+		n = installationSize{f.Relays, f.Backends, f.Clients}
 	}
 	return n
 }
 
 // model prepares what only a script's installation has: a shared dependency and the measure of the service.
-func (run *run) model(f *Installation) {
-	run.turns = map[uint64]func(){}
+func (run *run) prepareModel(f *Installation) {
+	run.dependencyWaiters = map[uint64]func(){}
 	if f.DependencySlots > 0 {
-		run.pool = emulator.NewDependency(f.DependencySlots)
+		run.dependency = emulator.NewDependency(f.DependencySlots)
 	}
-	run.byClass = make([]ServiceSecond, len(run.classes))
-	run.w.in(time.Second, run.measure)
+	run.serviceByClass = make([]ServiceSecond, len(run.classes))
+	run.engine.schedule(time.Second, run.measureService)
 }
 
 // watch starts the checker.
-func (run *run) watch(n size) {
-	w := run.w
-	run.regular = float64(n.clients) / float64(n.backends)
-	rules := run.rules()
-	run.check = invariant.New(rules, n.relays, func() time.Duration { return w.now }, func(d time.Duration, do func()) { w.in(d, do) })
+func (run *run) startChecker(n installationSize) {
+	engine := run.engine
+	run.nominalConnections = float64(n.clients) / float64(n.backends)
+	rules := run.limits()
+	run.checker = invariant.New(rules, n.relays, func() time.Duration { return engine.now }, func(d time.Duration, do func()) { engine.schedule(d, do) })
 }
 
 // populate brings all parties up: discovery and backends first, then relays, then the clients' first visits.
-func (run *run) populate(n size) {
-	w := run.w
+func (run *run) populate(n installationSize) {
+	engine := run.engine
 	run.catalog = &catalog{run: run}
-	run.outside = w.box("outside", "").of(fault.Clients, 0)
-	run.outside.start()
+	run.clientHost = engine.newHost("outside", "").withNode(fault.Clients, 0)
+	run.clientHost.start()
 	for i := range n.relays {
 		for _, which := range []string{"a", "b"} {
-			run.catalog.agents = append(run.catalog.agents, &agent{c: run.catalog, relay: i,
+			run.catalog.agents = append(run.catalog.agents, &discoveryAgent{catalog: run.catalog, relay: i,
 				address: fmt.Sprintf("10.2.%s.%d:8500", map[string]string{"a": "0", "b": "1"}[which], i)})
 		}
 	}
 	for range n.backends {
 		run.addBackend()
 	}
-	run.front = &front{run: run, good: make([]bool, n.relays)}
+	run.loadBalancer = &loadBalancer{run: run, healthy: make([]bool, n.relays)}
 	for i := range n.relays {
 		run.addRelay(i, n.relays)
 	}
 	for range n.clients {
 		rush := 2500 * time.Millisecond
-		if f := run.opt.Installation; f != nil {
+		if f := run.options.Installation; f != nil {
 			rush = f.ArrivalWindow
 		}
-		run.addClient().come(500*time.Millisecond + w.between(0, rush))
+		run.addClient().connectAfter(500*time.Millisecond + engine.randomDuration(0, rush))
 	}
 }
 
 // releases has up to three of the first backends released in an ordinary way, whatever else goes on.
-func (run *run) releases(backends int) {
-	w := run.w
-	releases := w.rng.IntN(4)
-	if run.opt.Installation != nil {
+func (run *run) scheduleReleases(backends int) {
+	engine := run.engine
+	releases := engine.rng.IntN(4)
+	if run.options.Installation != nil {
 		releases = 0 // a script says all that happens
 	}
 	for range releases {
-		at, long := w.between(4*time.Second, 36*time.Second), w.between(6*time.Second, 14*time.Second)
-		b := run.backends[w.rng.IntN(backends)]
-		w.in(at, func() { b.release(long, time.Second) })
+		at, long := engine.randomDuration(4*time.Second, 36*time.Second), engine.randomDuration(6*time.Second, 14*time.Second)
+		b := run.backends[engine.rng.IntN(backends)]
+		engine.schedule(at, func() { b.release(long, time.Second) })
 	}
 }
 
 // sweep looks, every second, for what should have happened by now and for figures that do not come out even.
-func (run *run) sweep() {
-	run.check.CheckOverdue()
+func (run *run) checkPeriodically() {
+	run.checker.CheckOverdue()
 	for _, r := range run.relays {
-		if n := len(r.ends); r.up && r.few && n > r.cfg.MaxDescriptors {
-			run.fail("descriptors", "%s holds %d sockets of %d", r.name, n, r.cfg.MaxDescriptors)
+		if n := len(r.conns); r.up && r.lowDescriptors && n > r.cfg.MaxDescriptors {
+			run.reportViolation("descriptors", "%s holds %d sockets of %d", r.name, n, r.cfg.MaxDescriptors)
 		}
 		if r.up {
-			if err := books(r.node); err != nil {
-				run.fail("books", "%s: %v", r.name, err)
+			if err := checkBalancer(r.controller); err != nil {
+				run.reportViolation("books", "%s: %v", r.name, err)
 			}
 		}
-		run.figures(r)
+		run.checkMetrics(r)
 	}
-	run.w.in(time.Second, run.sweep)
+	run.engine.schedule(time.Second, run.checkPeriodically)
 }
 
 // settle draws the settings of an installation.
-func (run *run) settle() {
-	rng := run.w.rng
+func (run *run) drawSettings() {
+	rng := run.engine.rng
 	run.classes = []class{{"watch", 2 * time.Second, 1}, {"fetch", 1800 * time.Millisecond, 2}, {"submit", 3 * time.Second, 5}}
-	if run.opt.Installation == nil {
+	if run.options.Installation == nil {
 		run.classes = append(run.classes, class{"extra", 1500 * time.Millisecond, 3}) // only while the settings have it
 	}
-	run.served = make([]int, len(run.classes))
+	run.servedByClass = make([]int, len(run.classes))
 	s := settings.Settings{ClassNames: []string{"watch", "fetch", "submit"}, ZoneNames: zones, KindNames: []string{"k"},
 		ReportFieldNames: []string{"x0"}, IdleTimeout: 5 * time.Second}
 	s.Settings = balance.Settings{RelayCount: 1, Tick: 4 * time.Millisecond, HealthChecks: rng.IntN(8) != 0, Gossip: rng.IntN(4) != 0,
@@ -285,13 +285,13 @@
 			{LatencyObjective: 400 * time.Millisecond, ClientTimeout: 1800 * time.Millisecond, MessageLatencyObjective: 60 * time.Millisecond,
 				Idempotency: balance.IdempotentWithKey, DedupScope: balance.ScopeCell, DedupWindow: 3 * time.Second, PriorityWeight: 2},
 			{LatencyObjective: 600 * time.Millisecond, ClientTimeout: 3 * time.Second, MessageLatencyObjective: 60 * time.Millisecond, Idempotency: balance.NonIdempotent, PriorityWeight: 5}}}
-	if f := run.opt.Installation; f != nil { // a script's installation is the same whatever the seed
+	if f := run.options.Installation; f != nil { // a script's installation is the same whatever the seed
 		if f.NoLoadReports {
 			s.ReportFields = nil
 		}
 		s.HealthChecks, s.Gossip, s.RetryAfter, s.Groups, s.PollEndpoints = true, f.Gossip, true, false, false
 	}
-	run.set = s
+	run.settings = s
 }
 
 // trueLoad is how much is asked of a backend over what it can do, as nobody on the
@@ -305,34 +305,34 @@
 			return 1e9
 		}
 		if b.model != nil {
-			return b.model.Utilization(run.w.now)
+			return b.model.Utilization(run.engine.now)
 		}
-		return float64(b.conns) * b.slow
+		return float64(b.sessionCount) * b.slowdown
 	}
 	return 1e9
 }
 
 // rules are what the checker holds, from the settings and what sockets are allowed.
-func (run *run) rules() invariant.Limits {
+func (run *run) limits() invariant.Limits {
 	const allowed = 50 * time.Millisecond
-	s := &run.set
-	return invariant.Limits{Classes: run.classRules(), MaxAttempts: 4, AnswerSlack: s.AnswerSlack + allowed, DrainGrace: s.DrainGrace + allowed, DiscoveryDelay: 6 * time.Second,
+	s := &run.settings
+	return invariant.Limits{Classes: run.classLimits(), MaxAttempts: 4, AnswerSlack: s.AnswerSlack + allowed, DrainGrace: s.DrainGrace + allowed, DiscoveryDelay: 6 * time.Second,
 		MaxLineDelay: time.Second + allowed, SilenceTimeout: 7*time.Second + allowed, DepartureGrace: 100 * time.Millisecond,
 		FirstLineTimeout: 2*time.Second + s.AnswerSlack + allowed,
 		ColdCapacity:     s.SlowStartFloor, WarmUp: s.SlowStartWindow, OverloadFactor: s.OverloadMultiple, OverloadWindow: s.OverloadWindow,
-		WarmRate: run.opens()}
+		WarmRate: run.warmRequestRate()}
 }
 
 // classRules are the classes as the checker holds them.
-func (run *run) classRules() []invariant.Class {
-	s := &run.set
+func (run *run) classLimits() []invariant.Class {
+	s := &run.settings
 	classes := []invariant.Class{{Name: "watch", ClientTimeout: 2 * time.Second, Idempotency: invariant.Idempotent},
 		{Name: "fetch", ClientTimeout: 1800 * time.Millisecond, Idempotency: invariant.IdempotentWithKey, ScopedToCell: true, DedupWindow: 3 * time.Second},
 		{Name: "submit", ClientTimeout: 3 * time.Second, Idempotency: invariant.NonIdempotent}}
 	for i := range classes {
 		classes[i].LatencyObjective = s.Classes[i].LatencyObjective
-		if i < len(run.opt.RetryPolicies) {
-			classes[i].MaxAttempts, classes[i].TotalTimeout = run.opt.RetryPolicies[i].MaxAttempts, run.opt.RetryPolicies[i].RequestTimeout
+		if i < len(run.options.RetryPolicies) {
+			classes[i].MaxAttempts, classes[i].TotalTimeout = run.options.RetryPolicies[i].MaxAttempts, run.options.RetryPolicies[i].RequestTimeout
 		}
 	}
 	return classes
@@ -340,8 +340,8 @@
 
 // retune has all relays read settings with a class more, other effects of two of them and fewer attempts, or the first
 // ones again. Clients use the new class a while after it came, and no more a while before it goes.
-func (run *run) retune(on bool, effect balance.Idempotency, attempts int) {
-	classes, set := run.classRules(), run.set
+func (run *run) changeSettings(on bool, effect balance.Idempotency, attempts int) {
+	classes, set := run.classLimits(), run.settings
 	if on {
 		effects := map[balance.Idempotency]invariant.Idempotency{balance.Idempotent: invariant.Idempotent, balance.NonIdempotent: invariant.NonIdempotent}
 		set.ClassNames = append([]string{"extra"}, set.ClassNames...)
@@ -357,18 +357,18 @@
 	for _, r := range run.relays {
 		s := set
 		s.RelayIndex, s.RelayCount, s.Zone = r.cfg.Settings.RelayIndex, r.cfg.Settings.RelayCount, r.cfg.Settings.Zone
-		r.cfg.Settings, r.cfg.Routes = s, run.routes()
+		r.cfg.Settings, r.cfg.Routes = s, run.routingTable()
 		if on && r.cfg.Routes != nil { // the file's classes stand in another order
 			r.cfg.Routes = r.cfg.Routes.RemapClasses([]int{1, 2, 3})
 		}
-		run.check.RelayReconfigured(r.number, classes, set.MaxAttempts)
+		run.checker.RelayReconfigured(r.number, classes, set.MaxAttempts)
 		if r.up {
 			r.reload(r.cfg)
 		}
 	}
-	run.w.in(newClass, func() {
+	run.engine.schedule(classRolloutDelay, func() {
 		for i, c := range run.clients {
-			if on && i%3 == 0 && !run.plain {
+			if on && i%3 == 0 && !run.baseClassesOnly {
 				c.class = len(run.classes) - 1
 			}
 		}
@@ -376,30 +376,30 @@
 }
 
 // newClass is how long after a reload clients use a new class.
-const newClass = 1200 * time.Millisecond
+const classRolloutDelay = 1200 * time.Millisecond
 
 func (run *run) addBackend() {
 	id := len(run.backends)
 	b := &backend{run: run, id: id, name: fmt.Sprintf("s-%02d", id), zone: id % 2,
-		service: run.w.between(2*time.Millisecond, 30*time.Millisecond),
-		box:     run.w.box(fmt.Sprintf("s-%02d", id), fmt.Sprintf("10.1.0.%d:5000", id)).of(fault.Backends, id)}
-	if f := run.opt.Installation; f != nil {
-		b.size = 1
+		serviceTime: run.engine.randomDuration(2*time.Millisecond, 30*time.Millisecond),
+		host:        run.engine.newHost(fmt.Sprintf("s-%02d", id), fmt.Sprintf("10.1.0.%d:5000", id)).withNode(fault.Backends, id)}
+	if f := run.options.Installation; f != nil {
+		b.relativeSize = 1
 		if len(f.BackendSizes) > 0 {
-			b.size = f.BackendSizes[id%len(f.BackendSizes)]
+			b.relativeSize = f.BackendSizes[id%len(f.BackendSizes)]
 		}
-		cfg := f.Server
-		cfg.Cores, cfg.WarmRequestRate = cfg.Cores*b.size, cfg.WarmRequestRate*b.size
+		server := f.Server
+		server.Cores, server.WarmRequestRate = server.Cores*b.relativeSize, server.WarmRequestRate*b.relativeSize
 		if id%100 >= 100-int(f.LateReportShare*100) {
-			cfg.ReportDelay = f.LateReportDelay
+			server.ReportDelay = f.LateReportDelay
 		}
-		b.model, b.jobs = emulator.New(cfg, run.w.rng.Uint64(), run.w.now), map[uint64]func(bool){}
+		b.model, b.pendingJobs = emulator.New(server, run.engine.rng.Uint64(), run.engine.now), map[uint64]func(bool){}
 	}
 	run.backends = append(run.backends, b)
-	run.byAddr[b.addr] = b
-	run.check.AddBackend(b.name, id%2)
+	run.backendsByAddress[b.addr] = b
+	run.checker.AddBackend(b.name, id%2)
 	b.launch()
-	if run.w.now == epoch {
+	if run.engine.now == epoch {
 		for _, a := range run.catalog.agents {
 			a.learn(b.entry())
 		}
@@ -407,26 +407,26 @@
 }
 
 func (run *run) addRelay(i, of int) {
-	cfg := controller.Config{Name: fmt.Sprintf("n%d", i), Discovery: fmt.Sprintf("10.2.0.%d:8500", i), MemoryMB: memory,
-		MaxDescriptors: sockets, BroadcastPeer: peersAll, Settings: run.set, AdminListen: "here"}
-	cfg.Routes = run.routes()
-	cfg.NewDecider = baseline.Lookup(run.opt.Policy, run.trueLoad)
+	cfg := controller.Config{Name: fmt.Sprintf("n%d", i), Discovery: fmt.Sprintf("10.2.0.%d:8500", i), MemoryMB: defaultMemoryMB,
+		MaxDescriptors: defaultDescriptors, BroadcastPeer: broadcastAddress, Settings: run.settings, AdminListen: "here"}
+	cfg.Routes = run.routingTable()
+	cfg.NewDecider = baseline.Lookup(run.options.Policy, run.trueLoad)
 	cfg.Settings.RelayIndex, cfg.Settings.RelayCount, cfg.Settings.Zone = i, of, i%2
 	for j := range of {
-		cfg.Peers = append(cfg.Peers, peerAddr(j).String())
+		cfg.Peers = append(cfg.Peers, gossipAddress(j).String())
 	}
-	r := &relay{box: run.w.box(cfg.Name, "").of(fault.Relays, i), run: run, number: i, cfg: cfg}
-	r.accept = r.accepted
-	r.few = run.w.rng.IntN(12) == 0 && run.opt.Installation == nil
+	r := &relay{host: run.engine.newHost(cfg.Name, "").withNode(fault.Relays, i), run: run, number: i, cfg: cfg}
+	r.onAccept = r.acceptConn
+	r.lowDescriptors = run.engine.rng.IntN(12) == 0 && run.options.Installation == nil
 	run.relays = append(run.relays, r)
-	run.bring(r)
-	run.front.look(r)
+	run.startRelay(r)
+	run.loadBalancer.checkRelay(r)
 }
 
 // routes gives each class its timing.
-func (run *run) routes() *routing.Table {
+func (run *run) routingTable() *routing.Table {
 	var all []routing.Route
-	for i, t := range run.opt.RetryPolicies {
+	for i, t := range run.options.RetryPolicies {
 		m := routing.MatchAll
 		m.Class = i
 		all = append(all, routing.Route{Name: run.classes[i].name, Match: m, RetryPolicy: t})
@@ -442,17 +442,17 @@
 }
 
 func (run *run) addClient() *client {
-	rng := run.w.rng
+	rng := run.engine.rng
 	stay := [2]time.Duration{2 * time.Second, 25 * time.Second}
-	if run.opt.Installation != nil {
-		stay = run.opt.Installation.StayRange
+	if run.options.Installation != nil {
+		stay = run.options.Installation.StayRange
 	}
 	c := &client{run: run, number: len(run.clients), key: rng.Uint64(), class: []int{0, 0, 1, 1, 2}[rng.IntN(5)],
-		stays: run.w.between(stay[0], stay[1]), bulky: rng.IntN(12) == 0}
-	if f := run.opt.Installation; f != nil && f.HotKeyShare > 0 && rng.Float64() < f.HotKeyShare {
+		stayDuration: run.engine.randomDuration(stay[0], stay[1]), sendsBursts: rng.IntN(12) == 0}
+	if f := run.options.Installation; f != nil && f.HotKeyShare > 0 && rng.Float64() < f.HotKeyShare {
 		c.key = 0x407
 	}
-	if run.set.Groups {
+	if run.settings.Groups {
 		c.group = uint64(1 + rng.IntN(40))
 	}
 	run.clients = append(run.clients, c)
@@ -460,76 +460,77 @@
 }
 
 // bring starts a relay's process, unless it runs.
-func (run *run) bring(r *relay) {
+func (run *run) startRelay(r *relay) {
 	if r.up {
 		return
 	}
-	known := map[string]string{}
-	for _, e := range r.last {
-		known[e.id] = e.state
+	states := map[string]string{}
+	for _, e := range r.knownEndpoints {
+		states[e.id] = e.state
 	}
-	run.check.RelayStarted(r.number, r.cfg.Discovery, known)
-	if r.few {
+	run.checker.RelayStarted(r.number, r.cfg.Discovery, states)
+	if r.lowDescriptors {
 		r.cfg.MaxDescriptors = 80
 	}
-	if len(r.last) > 0 {
-		r.cfg.CachedEndpoints = body(0, true, r.last)
+	if len(r.knownEndpoints) > 0 {
+		r.cfg.CachedEndpoints = encodeEndpoints(0, true, r.knownEndpoints)
 	}
 	r.boot()
 	run.count("relay up")
 }
 
 // stop ends a relay's process at once, or takes its machine off the network.
-func (run *run) stop(r *relay, vanish bool) {
+func (run *run) stopRelay(r *relay, vanish bool) {
 	if !r.up {
 		return
 	}
-	run.check.RelayStopped(r.number)
-	if o := r.old; o != nil && o.up { // it is the same machine's
-		r.old = nil
+	run.checker.RelayStopped(r.number)
+	if predecessor := r.predecessor; predecessor != nil && predecessor.up { // it is the same machine's
+		r.predecessor = nil
 		if vanish {
-			o.vanish()
+			predecessor.disconnect()
 		} else {
-			o.kill()
+			predecessor.kill()
 		}
 	}
 	if vanish {
-		r.vanish()
+		r.disconnect()
 	} else {
 		r.kill()
 	}
 }
 
 // restart asks a relay to leave and starts it again once it has.
-func (run *run) restart(r *relay) {
+func (run *run) restartRelay(r *relay) {
 	r = run.relays[r.number] // there may have been an upgrade since: a former process never comes back
-	if !r.up || r.leaving || run.closing {
+	if !r.up || r.shuttingDown || run.closing {
 		return
 	}
-	r.leaving = true
+	r.shuttingDown = true
 	run.count("relay leaves")
-	r.post(r.node.Shutdown)
-	life := r.life
+	r.post(r.controller.Shutdown)
+	life := r.incarnation
 	var look func()
 	look = func() {
-		if r.life != life {
-			run.w.in(300*time.Millisecond, func() { run.bring(r) })
+		if r.incarnation != life {
+			run.engine.schedule(300*time.Millisecond, func() { run.startRelay(r) })
 			return
 		}
-		run.w.in(50*time.Millisecond, look)
+		run.engine.schedule(50*time.Millisecond, look)
 	}
-	run.w.in(50*time.Millisecond, look)
-	run.w.in(3700*time.Millisecond, func() {
-		if r.life == life {
-			run.stop(r, false)
+	run.engine.schedule(50*time.Millisecond, look)
+	run.engine.schedule(3700*time.Millisecond, func() {
+		if r.incarnation == life {
+			run.stopRelay(r, false)
 		}
 	})
 }
 
 // reload has a relay read a new configuration: perhaps its other agent, other limits.
-func (run *run) reload(r *relay, other bool, descriptors, memoryMB int) {
-	r = run.relays[r.number] // there may have been an upgrade since
-	if !r.up || r.few && !other {
+func (run *run) reloadRelay(r *relay, other bool, descriptors, memoryMB int) {
+	// there may have been an upgrade since
+	r = run.relays[r.number]
+	if !r.up || r.lowDescriptors && !other {
 		return
 	}
 	cfg := r.cfg
@@ -537,10 +538,10 @@
 		for _, a := range run.catalog.agents {
 			if a.relay == r.number && a.address != r.cfg.Discovery {
 				cfg.Discovery = a.address
-				a.deaf = false
+				a.frozen = false
 				for _, b := range run.backends { // it has kept up meanwhile
 					e := b.entry()
-					e.rev = run.catalog.rev
+					e.revision = run.catalog.revision
 					a.learn(e)
 				}
 				break
@@ -548,147 +549,148 @@
 		}
 		for _, a := range run.catalog.agents { // the old one goes
 			if a.relay == r.number && a.address == r.cfg.Discovery {
-				a.deaf = true
+				a.frozen = true
 			}
 		}
 	}
 	cfg.MaxDescriptors, cfg.MemoryMB = descriptors, memoryMB
 	r.cfg = cfg
 	run.count("reload")
-	run.check.RelayFollowsAgent(r.number, cfg.Discovery)
+	run.checker.RelayFollowsAgent(r.number, cfg.Discovery)
 	r.reload(cfg)
 }
 
 // drain has a relay send its clients away, or take them again.
-func (run *run) drain(r *relay, on bool) {
-	r = run.relays[r.number]          // there may have been an upgrade since
-	if o := r.old; o != nil && o.up { // what is told to one process is told to both
-		o.node.SetDrained(on)
-		o.soon(func() {
-			o.node.ApplyDrain(run.w.now)
-			o.tick()
+func (run *run) setRelayDrained(r *relay, on bool) {
+	// there may have been an upgrade since
+	r = run.relays[r.number]
+	if predecessor := r.predecessor; predecessor != nil && predecessor.up { // what is told to one process is told to both
+		predecessor.controller.SetDrained(on)
+		predecessor.handOff(func() {
+			predecessor.controller.ApplyDrain(run.engine.now)
+			predecessor.scheduleTimer()
 		})
 	}
 	if !r.up {
 		return
 	}
-	if on && !r.leaving { // a leaving relay has its own time
+	if on && !r.shuttingDown { // a leaving relay has its own time
 		run.count("relay drained")
 	}
-	run.check.SetRelayDraining(r.number, on && !r.leaving)
-	r.node.SetDrained(on)
-	r.soon(func() {
-		r.node.ApplyDrain(run.w.now)
-		r.tick()
+	run.checker.SetRelayDraining(r.number, on && !r.shuttingDown)
+	r.controller.SetDrained(on)
+	r.handOff(func() {
+		r.controller.ApplyDrain(run.engine.now)
+		r.scheduleTimer()
 	})
 }
 
 // told says what an answer of discovery brought to a relay.
-func (run *run) told(relay int, full bool, list []entry) {
+func (run *run) endpointsDelivered(relay int, full bool, list []endpointEntry) {
 	states, starts := make(map[string]string, len(list)), make(map[string]time.Duration, len(list))
 	for _, e := range list {
 		states[e.id], starts[e.id] = e.state, e.started
 	}
-	run.check.EndpointsReceived(relay, full, states, starts)
+	run.checker.EndpointsReceived(relay, full, states, starts)
 	r := run.relays[relay]
-	if run.w.trace != nil {
+	if run.engine.trace != nil {
 		for _, e := range list {
-			run.w.note("%s told %s %s, full list %v", r.name, e.id, e.state, full)
+			run.engine.tracef("%s told %s %s, full list %v", r.name, e.id, e.state, full)
 		}
 	}
 	if full {
-		r.last = r.last[:0]
+		r.knownEndpoints = r.knownEndpoints[:0]
 	}
 	for _, e := range list {
-		i := slices.IndexFunc(r.last, func(o entry) bool { return o.id == e.id })
+		i := slices.IndexFunc(r.knownEndpoints, func(o endpointEntry) bool { return o.id == e.id })
 		switch {
 		case i >= 0 && e.state == "gone":
-			r.last = slices.Delete(r.last, i, i+1)
+			r.knownEndpoints = slices.Delete(r.knownEndpoints, i, i+1)
 		case i >= 0:
-			r.last[i] = e
+			r.knownEndpoints[i] = e
 		case e.state != "gone":
-			r.last = append(r.last, e)
+			r.knownEndpoints = append(r.knownEndpoints, e)
 		}
 	}
 }
 
 // measure weighs the second that has just passed, from the first on: what clients
 // asked for and what they had, whether or not they could say so.
-func (run *run) measure() {
+func (run *run) measureService() {
 	if run.closing {
 		return
 	}
 	var sum ServiceSecond
 	for _, c := range run.clients {
-		if !c.wants {
+		if !c.wantsConnection {
 			continue
 		}
-		worth := run.classes[c.class].worth
+		worth := run.classes[c.class].weight
 		sum.Requested += worth
-		run.byClass[c.class].Requested += worth
-		if c.up && c.e != nil && c.inTime() {
+		run.serviceByClass[c.class].Requested += worth
+		if c.established && c.conn != nil && c.meetsObjective() {
 			sum.Served += worth
-			run.byClass[c.class].Served += worth
+			run.serviceByClass[c.class].Served += worth
 		}
 	}
-	run.service = append(run.service, sum)
-	run.w.in(time.Second, run.measure)
+	run.serviceBySecond = append(run.serviceBySecond, sum)
+	run.engine.schedule(time.Second, run.measureService)
 }
 
 // shares has somebody wait for its turn at the shared dependency.
-func (run *run) shares(then func()) {
-	run.turn++
-	run.turns[run.turn] = then
-	run.pool.Acquire(run.w.now, run.turn, run.opt.Installation.DependencyHoldTime)
-	run.poolTick()
+func (run *run) acquireDependency(then func()) {
+	run.lastDependencyWaiter++
+	run.dependencyWaiters[run.lastDependencyWaiter] = then
+	run.dependency.Acquire(run.engine.now, run.lastDependencyWaiter, run.options.Installation.DependencyHoldTime)
+	run.scheduleDependencyRelease()
 }
 
-func (run *run) poolTick() {
-	at, ok := run.pool.NextRelease()
-	if !ok || run.poolAt > run.w.now && run.poolAt <= at {
+func (run *run) scheduleDependencyRelease() {
+	at, ok := run.dependency.NextRelease()
+	if !ok || run.dependencyTimer > run.engine.now && run.dependencyTimer <= at {
 		return
 	}
-	run.poolAt = max(at, run.w.now)
-	run.w.at(run.poolAt, func() {
-		run.poolAt = 0
-		for _, id := range run.pool.Release(run.w.now) {
-			then := run.turns[id]
-			delete(run.turns, id)
+	run.dependencyTimer = max(at, run.engine.now)
+	run.engine.scheduleAt(run.dependencyTimer, func() {
+		run.dependencyTimer = 0
+		for _, id := range run.dependency.Release(run.engine.now) {
+			then := run.dependencyWaiters[id]
+			delete(run.dependencyWaiters, id)
 			then()
 		}
-		run.poolTick()
+		run.scheduleDependencyRelease()
 	})
 }
 
 // close has everything come to an end.
-func (run *run) close() {
+func (run *run) closeClients() {
 	run.closing = true
 	for _, c := range run.clients {
-		c.comes++
-		if c.e != nil {
-			c.e.close()
-			c.e = nil
+		c.visit++
+		if c.conn != nil {
+			c.conn.close()
+			c.conn = nil
 		}
 	}
 }
 
 // fail is a rule broken that no wire shows.
-func (run *run) fail(rule, format string, args ...any) {
-	run.check.Violations = append(run.check.Violations, invariant.Violation{Rule: rule, At: run.w.now - epoch,
+func (run *run) reportViolation(rule, format string, args ...any) {
+	run.checker.Violations = append(run.checker.Violations, invariant.Violation{Rule: rule, At: run.engine.now - epoch,
 		Detail: fmt.Sprintf(format, args...)})
 }
 
 // figures holds what a relay reports to what an onlooker counted.
-func (run *run) figures(r *relay) {
+func (run *run) checkMetrics(r *relay) {
 	if !r.up {
 		return
 	}
-	f, seen := r.node.Metrics().Snapshot(), run.check.Observed(r.number)
+	f, seen := r.controller.Metrics().Snapshot(), run.checker.Observed(r.number)
 	spare := seen.Ambiguous
 	within := func(what string, told int64, counted int) {
 		over := int(told) - counted
 		if over < 0 || over > spare {
-			run.fail("figures", "%s reports %d %s, an onlooker counted %d, and %d in any way", r.name, told, what, counted, seen.Ambiguous)
+			run.reportViolation("figures", "%s reports %d %s, an onlooker counted %d, and %d in any way", r.name, told, what, counted, seen.Ambiguous)
 			return
 		}
 		spare -= over
@@ -699,23 +701,23 @@
 		within(c.Name+" error", c.Error, seen.Error[c.Name])
 	}
 	if int(f.Dispatches) != seen.Attempts {
-		run.fail("figures", "%s reports %d dispatches, backends got %d", r.name, f.Dispatches, seen.Attempts)
+		run.reportViolation("figures", "%s reports %d dispatches, backends got %d", r.name, f.Dispatches, seen.Attempts)
 	}
 	if n := float64(f.Concurrent); n < 0.9*float64(seen.MinConnections)-3 || n > 1.1*float64(seen.MaxConnections)+3 {
-		run.fail("figures", "%s reports %d connections, an onlooker sees %d to %d", r.name, f.Concurrent, seen.MinConnections, seen.MaxConnections)
+		run.reportViolation("figures", "%s reports %d connections, an onlooker sees %d to %d", r.name, f.Concurrent, seen.MinConnections, seen.MaxConnections)
 	}
 	if seen.ListStable && (int(f.Targets) != seen.Listed || f.TargetsDisabled > f.Targets || int(f.TargetsDisabled) < seen.Draining) {
-		run.fail("figures", "%s reports %d backends, %d avoided; it was told of %d, %d draining", r.name, f.Targets,
+		run.reportViolation("figures", "%s reports %d backends, %d avoided; it was told of %d, %d draining", r.name, f.Targets,
 			f.TargetsDisabled, seen.Listed, seen.Draining)
 	}
-	if int(f.ReloadSuccess) != r.reloads || int(f.ReloadFailure) != r.refusals {
-		run.fail("figures", "%s reports %d files taken and %d turned down, of %d and %d", r.name, f.ReloadSuccess,
-			f.ReloadFailure, r.reloads, r.refusals)
+	if int(f.ReloadSuccess) != r.reloadCount || int(f.ReloadFailure) != r.rejectedReloads {
+		run.reportViolation("figures", "%s reports %d files taken and %d turned down, of %d and %d", r.name, f.ReloadSuccess,
+			f.ReloadFailure, r.reloadCount, r.rejectedReloads)
 	}
 }
 
 // books says what does not come out even in the module's books; a baseline's are not held to that.
-func books(n *controller.Controller) error {
+func checkBalancer(n *controller.Controller) error {
 	if b, ok := n.Balancer().(*balance.Balancer); ok {
 		return b.CheckInvariants()
 	}
@@ -728,62 +730,68 @@
 		if !r.up {
 			continue
 		}
-		for _, c := range r.probes.DropAllIdle() {
-			c.(*end).close()
+		for _, c := range r.healthChecks.DropAllIdle() {
+			c.(*connEnd).close()
 		}
-		fail := func(rule, format string, args ...any) { run.fail(rule, r.name+": "+format, args...) }
-		if n := r.node.SessionCount(); n != 0 || r.flowing != 0 || r.lobby.Len() != 0 || len(r.flows) != 0 {
-			fail("leak", "%d flows in the books, %d counted, %d driven, %d guests", n, r.flowing, len(r.flows), r.lobby.Len())
+		fail := func(rule, format string, args ...any) { run.reportViolation(rule, r.name+": "+format, args...) }
+		if n := r.controller.SessionCount(); n != 0 || r.sessionCount != 0 || r.handshakes.Len() != 0 || len(r.sessions) != 0 {
+			fail("leak", "%d flows in the books, %d counted, %d driven, %d guests", n, r.sessionCount, len(r.sessions), r.handshakes.Len())
 		}
-		if n := run.check.OpenConnections(r.number); n != 0 {
+		if n := run.checker.OpenConnections(r.number); n != 0 {
 			fail("leak", "%d connections are open", n)
 		}
-		if err := books(r.node); err != nil {
+		if err := checkBalancer(r.controller); err != nil {
 			fail("books", "%v", err)
 		}
-		if all, byServer := r.node.Balancer().Connections(); all != 0 || byServer != 0 {
+		if all, byServer := r.controller.Balancer().Connections(); all != 0 || byServer != 0 {
 			fail("books", "T counts %d connections, by server %d", all, byServer)
 		}
-		if n := r.node.TimerCount(); n > 2 { // the module's upkeep and the figures
+		if n := r.controller.TimerCount(); n > 2 { // the module's upkeep and the figures
 			fail("leak", "%d timers", n)
 		}
-		if n := r.node.Metrics().Snapshot().Concurrent; n != 0 {
+		if n := r.controller.Metrics().Snapshot().Concurrent; n != 0 {
 			fail("figures", "%d connections are reported when none is left", n)
 		}
 	}
 }
 
 // result sums the run up.
-func (run *run) result(n size, script []Fault) Result {
-	res := Result{Seed: run.opt.Seed, Relays: n.relays, Backends: n.backends, Clients: n.clients, Faults: script,
-		Violations: run.check.Violations, Counts: run.counts, FaultPairs: run.pairs, Events: run.w.steps}
-	res.ServiceBySecond, res.ServiceByClass = run.service, run.byClass
-	if run.opt.Installation != nil {
-		res.Evenness = run.log.PerSecond(run.opt.Duration)
+func (run *run) summarize(n installationSize, script []Fault) Result {
+	res := Result{Seed: run.options.Seed, Relays: n.relays, Backends: n.backends, Clients: n.clients, Faults: script,
+		Violations: run.checker.Violations, Counts: run.counts, FaultPairs: run.faultPairs, Events: run.engine.eventCount}
+	res.ServiceBySecond, res.ServiceByClass = run.serviceBySecond, run.serviceByClass
+	if run.options.Installation != nil {
+		res.Evenness = run.loadRecorder.PerSecond(run.options.Duration)
 	}
-	for i, n := range run.served {
-		res.ServedWeight += float64(n) * run.classes[i].worth
+	for i, n := range run.servedByClass {
+		res.ServedWeight += float64(n) * run.classes[i].weight
 	}
-	for what, n := range run.check.Counts {
+	for what, n := range run.checker.Counts {
 		res.Counts[what] += n
 		if strings.HasPrefix(what, "answer ") {
 			res.Answered += n
 		}
 	}
 	res.Refused, res.Failed = res.Counts["answer BUSY"], res.Counts["answer ERR"]
-	res.Attempts = run.check.Counts["attempt"]
+	res.Attempts = run.checker.Counts["attempt"]
 	return res
 }
 
 // The taps turn the network's words into the checker's own.
-type clientTap struct{ *invariant.ClientConn }
+type clientObserver struct{ *invariant.ClientConn }
 
-func (t clientTap) ReceivedEnd(how session.EndKind) { t.ClientConn.ReceivedEnd(invariant.EndKind(how)) }
-func (t clientTap) WrittenEnd(how session.EndKind)  { t.ClientConn.WrittenEnd(invariant.EndKind(how)) }
+func (t clientObserver) ReceivedEnd(how session.EndKind) {
+	t.ClientConn.ReceivedEnd(invariant.EndKind(how))
+}
+func (t clientObserver) WrittenEnd(how session.EndKind) {
+	t.ClientConn.WrittenEnd(invariant.EndKind(how))
+}
 
-type backendTap struct{ *invariant.BackendConn }
+type backendObserver struct{ *invariant.BackendConn }
 
-func (t backendTap) ReceivedEnd(how session.EndKind) {
+func (t backendObserver) ReceivedEnd(how session.EndKind) {
 	t.BackendConn.ReceivedEnd(invariant.EndKind(how))
 }
-func (t backendTap) WrittenEnd(how session.EndKind) { t.BackendConn.WrittenEnd(invariant.EndKind(how)) }
+func (t backendObserver) WrittenEnd(how session.EndKind) {
+	t.BackendConn.WrittenEnd(invariant.EndKind(how))
+}
--- a/internal/simulation/world_test.go
+++ b/internal/simulation/run_test.go
@@ -16,7 +16,7 @@
 )
 
 // each plays what next says on all cores.
-func each(count int, play func(i int)) {
+func forEachParallel(count int, play func(i int)) {
 	var next atomic.Int64
 	var wg sync.WaitGroup
 	for range runtime.GOMAXPROCS(0) {
@@ -29,7 +29,7 @@
 	wg.Wait()
 }
 
-func seeds(race int) int {
+func seedCount(race int) int {
 	if raceEnabled {
 		return race
 	}
@@ -38,7 +38,7 @@
 
 func TestNoRuleIsBroken(t *testing.T) {
 	var mu sync.Mutex
-	each(seeds(8), func(i int) {
+	forEachParallel(seedCount(8), func(i int) {
 		res := Run(Options{Seed: uint64(i)})
 		mu.Lock()
 		defer mu.Unlock()
@@ -84,7 +84,7 @@
 func TestTheAcceptQueueCountsAsWaiting(t *testing.T) {
 	var mu sync.Mutex
 	crowded := 0
-	each(30, func(i int) {
+	forEachParallel(30, func(i int) {
 		res := Run(Options{Seed: uint64(i), Script: []Fault{
 			{Kind: "few descriptors", Start: 20 * time.Second, Duration: 22 * time.Second, Target: 0, Severity: 0.1},
 			{Kind: "few descriptors", Start: 20 * time.Second, Duration: 22 * time.Second, Target: 1, Severity: 0.1},
@@ -121,7 +121,7 @@
 			var first atomic.Int64
 			first.Store(1 << 30)
 			var rule atomic.Value
-			each(200, func(i int) {
+			forEachParallel(200, func(i int) {
 				if int64(i) > first.Load() {
 					return
 				}
@@ -153,16 +153,16 @@
 	}
 	alone := make([][32]byte, count)
 	for i := range alone {
-		alone[i] = traced(uint64(i))
+		alone[i] = traceHash(uint64(i))
 	}
-	each(count, func(i int) {
-		if got := traced(uint64(i)); got != alone[i] {
+	forEachParallel(count, func(i int) {
+		if got := traceHash(uint64(i)); got != alone[i] {
 			t.Errorf("seed %d: another trace", i)
 		}
 	})
 }
 
-func traced(seed uint64) (sum [32]byte) {
+func traceHash(seed uint64) (sum [32]byte) {
 	h := sha256.New()
 	Run(Options{Seed: seed, Trace: h, Duration: 30 * time.Second})
 	h.Sum(sum[:0])
@@ -191,32 +191,32 @@
 // Shrinking must keep what fails and drop what does not matter.
 func TestAScriptShrinksToWhatFails(t *testing.T) {
 	// Only a reload can make an old watch matter, so of any script that is what must be left.
-	opt := Options{Mutation: MutationStaleDiscovery, Script: []Fault{{Kind: "datagrams lost", Start: 5 * time.Second, Duration: 5 * time.Second},
+	options := Options{Mutation: MutationStaleDiscovery, Script: []Fault{{Kind: "datagrams lost", Start: 5 * time.Second, Duration: 5 * time.Second},
 		{Kind: "reload to another agent", Start: 6 * time.Second, Duration: 5 * time.Second},
 		{Kind: "network slow", Start: 12 * time.Second, Duration: 5 * time.Second, Severity: 0.1}}}
 	// On some seeds a slower network is what lets the old watch be caught: one is taken on which the reload
 	// alone is, and with either of the others too.
 	fails := func(script ...Fault) bool {
-		o := opt
-		o.Script = script
-		return len(Run(o).Violations) > 0
+		options := options
+		options.Script = script
+		return len(Run(options).Violations) > 0
 	}
-	lost, reload, slow := opt.Script[0], opt.Script[1], opt.Script[2]
-	for opt.Seed = 0; !fails(lost, reload, slow) || !fails(reload, slow) || !fails(reload); opt.Seed++ {
-		if opt.Seed > 200 {
+	lost, reload, slow := options.Script[0], options.Script[1], options.Script[2]
+	for options.Seed = 0; !fails(lost, reload, slow) || !fails(reload, slow) || !fails(reload); options.Seed++ {
+		if options.Seed > 200 {
 			t.Fatal("no seed fails")
 		}
 	}
-	small, rule := Shrink(opt, nil)
+	small, rule := Shrink(options, nil)
 	if rule != "drain" || len(small) != 1 || small[0].Kind != "reload to another agent" {
 		t.Errorf("%s from %+v", rule, small)
 	}
-	opt.Script = small
-	if res := Run(opt); len(res.Violations) == 0 || res.Violations[0].Rule != "drain" {
+	options.Script = small
+	if res := Run(options); len(res.Violations) == 0 || res.Violations[0].Rule != "drain" {
 		t.Errorf("what is left breaks %v", res.Violations)
 	}
-	opt.Mutation = NoMutation
-	if small, rule := Shrink(opt, nil); rule != "" || small != nil {
+	options.Mutation = NoMutation
+	if small, rule := Shrink(options, nil); rule != "" || small != nil {
 		t.Errorf("a sound seed shrinks to %v by %q", small, rule)
 	}
 }
--- a/internal/simulation/shrink.go
+++ b/internal/simulation/shrink.go
@@ -9,21 +9,21 @@
 // which the same rule is still broken. It returns the script and the rule, or no rule
 // if the run breaks none. told, if it is not nil, is called with each smaller script
 // that still fails.
-func Shrink(opt Options, told func(script []Fault)) ([]Fault, string) {
-	opt.Trace = nil
-	first := Run(opt)
+func Shrink(options Options, onSmaller func(script []Fault)) ([]Fault, string) {
+	options.Trace = nil
+	first := Run(options)
 	if len(first.Violations) == 0 {
 		return nil, ""
 	}
 	rule := first.Violations[0].Rule
 	script := slices.Clone(first.Faults)
 	fails := func(s []Fault) bool {
-		o := opt
-		o.Script = s
+		options := options
+		options.Script = s
 		if s == nil {
-			o.Script = []Fault{}
+			options.Script = []Fault{}
 		}
-		for _, b := range Run(o).Violations {
+		for _, b := range Run(options).Violations {
 			if b.Rule == rule {
 				return true
 			}
@@ -32,8 +32,8 @@
 	}
 	keep := func(s []Fault) {
 		script = s
-		if told != nil {
-			told(s)
+		if onSmaller != nil {
+			onSmaller(s)
 		}
 	}
 	for again := true; again; {
