--- a/internal/simulation/backend.go
+++ b/internal/simulation/backend.go
@@ -1,20 +1,14 @@
 package simulation
 
 import (
-	"bytes"
-	"fmt"
 	"slices"
-	"strconv"
-	"strings"
 	"time"
 
 	"aspenbarrow/internal/emulator"
-	"aspenbarrow/internal/loadstats"
-	"aspenbarrow/internal/session"
 )
 
-// backend is a server that speaks the protocol's lines, takes longer the more it holds,
-// starts cold, drains, pauses, fails and vanishes.
+// backend is a server of the line protocol. It is slower the more it holds, starts cold, drains, pauses, fails and
+// disappears.
 type backend struct {
 	*host
 	run          *run
@@ -42,6 +36,7 @@
 	modelTimer   time.Duration
 }
 
+// entry is the backend as discovery lists it.
 func (b *backend) entry() endpointEntry {
 	weight := 1.0
 	if f := b.run.options.Installation; f != nil && f.ListsWeights {
@@ -50,10 +45,10 @@
 	return endpointEntry{id: b.name, address: b.addr, zone: zones[b.zone], cell: b.id % 2, state: b.state, weight: weight, started: b.started}
 }
 
-// launch starts a new process and, unless it was there before the run, says so.
+// launch starts a new process. Unless it runs from the start, discovery learns of it.
 func (b *backend) launch() {
 	b.start()
-	b.state, b.slowdown, b.errorRate, b.busyRate, b.resetRate, b.earlyEndRate = "ready", 1, 0, 0, 0, 0
+	b.state, b.slowdown, b.errorRate, b.busyRate, b.resetRate, b.earlyEndRate = backendReady, 1, 0, 0, 0, 0
 	b.paused, b.notReading, b.backlog, b.sessionCount, b.coldRequests = false, false, nil, 0, nil
 	b.onAccept = b.acceptConn
 	if b.model != nil && b.engine.now > epoch {
@@ -70,51 +65,51 @@
 	}
 }
 
-// drain takes no new work, sends its clients away after a while and ends.
+// drain announces the end of the process and ends it after a while.
 func (b *backend) drain(within time.Duration) {
-	if !b.up || b.state != "ready" {
+	if !b.up || b.state != backendReady {
 		return
 	}
-	b.state = "draining"
+	b.state = backendDraining
 	b.run.loadRecorder.BackendDown(b.engine.now-epoch, b.id) // it is to have none any more
 	b.run.catalog.publish(b.entry())
-	life := b.incarnation
+	incarnation := b.incarnation
 	b.engine.schedule(within, func() {
-		if b.incarnation == life {
+		if b.incarnation == incarnation {
 			b.terminate()
 		}
 	})
 }
 
-// release drains a backend and starts a new process some time after it has ended.
+// release drains a backend and starts a new process some time after the old one has ended.
 func (b *backend) release(long, pause time.Duration) {
 	b.drain(long)
-	life := b.incarnation
+	incarnation := b.incarnation
 	b.engine.schedule(long+pause, func() {
-		if b.incarnation == life+1 && !b.up {
+		if b.incarnation == incarnation+1 && !b.up {
 			b.launch()
 		}
 	})
 }
 
-// die ends the process; the catalog learns of it.
+// terminate ends the process; discovery learns of it.
 func (b *backend) terminate() {
 	if !b.up {
 		return
 	}
 	b.run.loadRecorder.BackendDown(b.engine.now-epoch, b.id)
 	b.kill()
-	b.state = "gone"
+	b.state = backendGone
 	b.run.catalog.publish(b.entry())
 }
 
-// vanish takes its machine off the network.
+// disconnect takes the machine off the network; discovery does not learn of it by itself.
 func (b *backend) disconnect() {
 	b.run.loadRecorder.BackendDown(b.engine.now-epoch, b.id)
 	b.host.disconnect()
 }
 
-// slowDown has everything take so many times as long.
+// setSlowdown multiplies the time that all work takes.
 func (b *backend) setSlowdown(times float64) {
 	b.slowdown = times
 	if b.model != nil {
@@ -123,7 +118,7 @@
 	}
 }
 
-// pause stops the process; resume lets it go on.
+// pause suspends the process; resume lets it continue.
 func (b *backend) pause() {
 	b.paused = true
 	if b.model != nil {
@@ -131,11 +126,11 @@
 	}
 }
 
-// works has a piece of work done by the model and, where the run has one, a turn at
-// the shared dependency; full says that it was turned away.
+// submitWork has the model do a piece of work and, where the run has one, the shared dependency after it. done says
+// whether the work was rejected.
 func (b *backend) submitWork(work float64, done func(full bool)) {
 	b.lastJob++
-	id, life := b.lastJob, b.incarnation
+	id, incarnation := b.lastJob, b.incarnation
 	switch b.model.Arrive(b.engine.now, emulator.Request{ID: id, Work: work}) {
 	case emulator.Rejected:
 		done(true)
@@ -145,12 +140,12 @@
 	case emulator.Accepted, emulator.Queued:
 		b.pendingJobs[id] = func(full bool) {
 			switch {
-			case b.incarnation != life:
+			case b.incarnation != incarnation:
 			case full || b.run.dependency == nil:
 				done(full)
 			default:
 				b.run.acquireDependency(func() {
-					if b.incarnation == life {
+					if b.incarnation == incarnation {
 						done(false)
 					}
 				})
@@ -160,16 +155,16 @@
 	b.scheduleModel()
 }
 
-// tick hears from the model when its next request is done.
+// scheduleModel schedules the model's next completion.
 func (b *backend) scheduleModel() {
 	at, ok := b.model.NextCompletion()
 	if !ok || b.modelTimer > b.engine.now && b.modelTimer <= at {
 		return
 	}
-	life := b.incarnation
+	incarnation := b.incarnation
 	b.modelTimer = max(at, b.engine.now)
 	b.engine.scheduleAt(b.modelTimer, func() {
-		if b.incarnation != life {
+		if b.incarnation != incarnation {
 			return
 		}
 		b.modelTimer = 0
@@ -178,6 +173,7 @@
 	})
 }
 
+// finishJobs calls the callbacks of jobs that were done or rejected.
 func (b *backend) finishJobs(ids []uint64, full bool) {
 	for _, id := range ids {
 		if do := b.pendingJobs[id]; do != nil {
@@ -187,13 +183,13 @@
 	}
 }
 
-// does has something done after a service time, in its turn if the machine pauses.
+// afterServiceTime calls do after a service time, or once the process has resumed if it is paused then.
 func (b *backend) afterServiceTime(d time.Duration, do func()) {
-	life := b.incarnation
+	incarnation := b.incarnation
 	d = time.Duration(float64(d) * b.slowdown * b.run.slowdown)
 	b.engine.schedule(d, func() {
 		switch {
-		case b.incarnation != life:
+		case b.incarnation != incarnation:
 		case b.paused:
 			b.backlog = append(b.backlog, do)
 		default:
@@ -202,7 +198,7 @@
 	})
 }
 
-// resume releases what has piled up, a bit at a time as a machine that catches up does.
+// resume continues the process. What has piled up is worked off bit by bit.
 func (b *backend) resume() {
 	b.paused = false
 	if b.model != nil {
@@ -217,7 +213,7 @@
 	}
 }
 
-// hear takes up what has come meanwhile.
+// resumeReading reads what has arrived meanwhile.
 func (b *backend) resumeReading() {
 	b.notReading = false
 	for _, conn := range slices.Clone(b.conns) {
@@ -225,8 +221,7 @@
 	}
 }
 
-// push is one more request at a machine that may be cold: pushed too hard it falls
-// over and stays down.
+// overloadsCold counts one more request on a backend that may be cold, and says whether it crashes under the load.
 func (b *backend) overloadsCold() (falls bool) {
 	now, set := b.engine.now, &b.run.settings
 	age := now - b.started
@@ -246,186 +241,16 @@
 	return true
 }
 
+// acceptConn starts a session.
 func (b *backend) acceptConn(conn *connEnd) {
 	s := &backendSession{backend: b, conn: conn}
 	conn.onReadable = s.readLines
 }
 
-type backendSession struct {
-	backend     *backend
-	conn        *connEnd
-	established bool
-	opening     bool // an OPEN is being worked on
-	counted     bool // among those that the machine works for
-	receipt     string
-	lineCount   int
-	clientKey   uint64 // the client's
-}
-
-func (s *backendSession) readLines() {
-	for !s.opening && !s.backend.notReading {
-		i := bytes.IndexByte(s.conn.received, '\n')
-		if i < 0 {
-			break
-		}
-		line := string(bytes.TrimRight(s.conn.received[:i], "\r\n"))
-		s.conn.consume(i + 1)
-		s.handleLine(line)
-	}
-	if s.conn.remoteEnd != session.NoEnd && !s.opening {
-		s.releaseLoad()
-		s.conn.close()
-	}
-}
-
-func (s *backendSession) releaseLoad() {
-	if s.counted {
-		s.counted = false
-		s.backend.sessionCount--
-		if s.backend.model != nil {
-			s.backend.run.loadRecorder.ConnectionClosed(s.backend.engine.now-epoch, uint64(s.conn.id))
-			s.backend.model.CloseConnection(s.backend.engine.now, uint64(s.conn.id))
-			s.backend.scheduleModel()
-		}
-	}
-}
-
-func (s *backendSession) writeLine(line string) { s.conn.write([]byte(line+"\r\n"), func(bool) {}) }
-
-func (s *backendSession) handleLine(line string) {
-	b := s.backend
-	switch {
-	case s.established:
-		s.lineCount++
-		n := s.lineCount
-		took := 100 * time.Microsecond
-		if b.model != nil {
-			took = time.Duration(float64(b.model.MessageLatency(b.engine.now, b.run.options.Installation.LineWork)) / b.slowdown / b.run.slowdown)
-		}
-		b.afterServiceTime(took, func() {
-			s.writeLine(fmt.Sprintf("R %s %d %s", s.receipt, n, line))
-			if b.engine.rng.IntN(10) == 0 {
-				s.writeLine(fmt.Sprintf("LOAD %.2f", 0.5+b.engine.rng.Float64()))
-			}
-		})
-	case line == "PING":
-		b.afterServiceTime(100*time.Microsecond, func() { s.writeLine("PONG") })
-	case line == "STATS":
-		b.run.count("probe")
-		load := b.reportedLoad(float64(b.sessionCount) / b.run.fair() * 0.4 * b.slowdown)
-		b.afterServiceTime(100*time.Microsecond, func() { s.writeLine(fmt.Sprintf("PONG x0=%.3f", load)) })
-	case len(line) > 5 && line[:5] == "OPEN ":
-		if words := strings.Fields(line); len(words) > 2 {
-			s.clientKey, _ = strconv.ParseUint(words[2], 16, 64)
-		}
-		s.handleOpen()
-	default:
-		s.writeLine("SYNTAX")
-		s.conn.closeWrite()
-	}
-}
-
-// modelled is the load that the model reports, or what is said without one.
+// reportedLoad is the model's load report, or the given load without a model.
 func (b *backend) reportedLoad(load float64) float64 {
 	if b.model != nil {
 		return b.model.LoadReport(b.engine.now)
 	}
 	return load
 }
-
-// open works on a request: longer the more the machine holds.
-func (s *backendSession) handleOpen() {
-	b := s.backend
-	if b.model != nil {
-		s.opening = true
-		b.submitWork(b.run.options.Installation.SetupWork*(0.5+b.engine.rng.Float64()), func(full bool) {
-			s.opening = false
-			switch {
-			case s.conn.remoteEnd != session.NoEnd || s.conn.closed:
-				s.readLines()
-			case full || b.state != "ready":
-				s.writeLine("BUSY")
-				s.conn.closeWrite()
-			default:
-				s.counted = true
-				b.sessionCount++
-				load := b.run.options.Installation.ConnectionLoad * (0.5 + b.engine.rng.Float64())
-				b.model.SetConnection(b.engine.now, uint64(s.conn.id), load, 0)
-				b.run.loadRecorder.ConnectionOpened(uint64(s.conn.id), loadstats.Connection{Key: s.clientKey, Backend: b.id, Load: load, Opened: b.engine.now - epoch})
-				s.answerOpen()
-			}
-		})
-		return
-	}
-	if b.overloadsCold() {
-		return
-	}
-	s.opening, s.counted = true, true
-	b.sessionCount++
-	crowd := 1 + float64(b.sessionCount)/(2*b.run.fair())
-	b.afterServiceTime(time.Duration(float64(b.serviceTime)*crowd), func() {
-		s.opening = false
-		if s.conn.remoteEnd != session.NoEnd || s.conn.closed {
-			s.readLines()
-			return
-		}
-		s.answerOpen()
-	})
-}
-
-// answers says what becomes of a request that has been worked on.
-func (s *backendSession) answerOpen() {
-	b := s.backend
-	rng := b.engine.rng
-	ends := true
-	switch p := rng.Float64(); {
-	case b.state != "ready":
-		if rng.IntN(3) == 0 {
-			s.writeLine("MOVE")
-		} else {
-			s.writeLine("BUSY")
-		}
-	case p < b.errorRate:
-		s.writeLine("ERR")
-	case p < b.errorRate+b.busyRate:
-		s.writeLine("BUSY")
-	case p < b.errorRate+b.busyRate+b.resetRate:
-		s.releaseLoad()
-		s.conn.reset()
-		return
-	case p < b.errorRate+b.busyRate+b.resetRate+b.earlyEndRate:
-		s.writeLine("BYE")
-	default:
-		ends = false
-		b.receiptCount++
-		s.receipt = fmt.Sprintf("%d-%d-%d", b.id, b.incarnation, b.receiptCount)
-		s.established = true
-		s.writeLine("UP " + s.receipt)
-		s.scheduleClose()
-	}
-	if ends {
-		s.releaseLoad()
-		s.conn.closeWrite()
-	}
-	s.readLines()
-}
-
-// lives ends some connections from the backend's side.
-func (s *backendSession) scheduleClose() {
-	b := s.backend
-	if b.engine.rng.IntN(12) != 0 {
-		return
-	}
-	b.afterServiceTime(b.engine.randomDuration(time.Second, 12*time.Second), func() {
-		if s.conn.closed {
-			return
-		}
-		if b.engine.rng.IntN(4) == 0 {
-			s.releaseLoad()
-			s.conn.reset()
-			return
-		}
-		s.writeLine("BYE")
-		s.conn.closeWrite()
-	})
-}
--- /dev/null
+++ b/internal/simulation/backend_faults.go
@@ -0,0 +1,167 @@
+package simulation
+
+import "time"
+
+// stopBackendReading has a backend not read from its connections.
+func stopBackendReading(b *backend, _ Fault) (end func()) {
+	b.notReading = true
+	return func() { b.resumeReading() }
+}
+
+// slowBackend slows a backend down.
+func slowBackend(b *backend, f Fault) (end func()) {
+	b.setSlowdown(4 + 30*f.Severity)
+	return func() { b.setSlowdown(1) }
+}
+
+// pauseBackend suspends a backend's process.
+func pauseBackend(b *backend, _ Fault) (end func()) {
+	b.pause()
+	return func() {
+		if b.paused {
+			b.resume()
+		}
+	}
+}
+
+// disconnectBackend takes a backend's machine off the network; discovery notices after a while.
+func disconnectBackend(b *backend, f Fault) (end func()) {
+	b.disconnect()
+	incarnation := b.incarnation
+	run := b.run
+	run.engine.schedule(5*time.Second+time.Duration(f.Severity*float64(7*time.Second)), func() {
+		if b.incarnation == incarnation {
+			b.state = backendGone
+			run.catalog.publish(b.entry())
+		}
+	})
+	return func() {
+		if b.incarnation == incarnation {
+			b.launch()
+		}
+	}
+}
+
+// crashBackend ends a backend's process.
+func crashBackend(b *backend, _ Fault) (end func()) {
+	b.terminate()
+	incarnation := b.incarnation
+	return func() {
+		if b.incarnation == incarnation {
+			b.launch()
+		}
+	}
+}
+
+// failBackendRequests has a backend answer requests with ERR.
+func failBackendRequests(b *backend, f Fault) (end func()) {
+	b.errorRate = 0.4 + 0.6*f.Severity
+	return func() { b.errorRate = 0 }
+}
+
+// resetBackendConnections has a backend reset connections.
+func resetBackendConnections(b *backend, f Fault) (end func()) {
+	b.resetRate = 0.3 + 0.6*f.Severity
+	return func() { b.resetRate = 0 }
+}
+
+// fillBackend has a backend refuse requests with BUSY.
+func fillBackend(b *backend, f Fault) (end func()) {
+	b.busyRate, b.earlyEndRate = 0.5+0.4*f.Severity, 0.05
+	return func() { b.busyRate, b.earlyEndRate = 0, 0 }
+}
+
+// fillAllBackends has all backends refuse requests with BUSY.
+func fillAllBackends(run *run, f Fault) (end func()) {
+	for _, b := range run.backends {
+		b.busyRate = 0.6 + 0.4*f.Severity
+	}
+	return func() {
+		for _, b := range run.backends {
+			b.busyRate = 0
+		}
+	}
+}
+
+// releaseBackend drains a backend and starts a new process.
+func releaseBackend(b *backend, f Fault) (end func()) {
+	long := 4*time.Second + time.Duration(f.Severity*float64(12*time.Second))
+	b.release(long, f.Duration)
+	return nil
+}
+
+// startBackends adds backends.
+func startBackends(run *run, f Fault) (end func()) {
+	for range 1 + int(f.Severity*3) {
+		run.addBackend()
+	}
+	return nil
+}
+
+// slowAllBackends slows all work on backends down.
+func slowAllBackends(run *run, f Fault) (end func()) {
+	run.slowdown = 3 + 20*f.Severity
+	return func() { run.slowdown = 1 }
+}
+
+// slowDependency slows the dependency down that all requests share.
+func slowDependency(run *run, f Fault) (end func()) {
+	if run.dependency == nil {
+		return nil
+	}
+	run.dependency.SetSlowdown(1 + 20*f.Severity)
+	return func() { run.dependency.SetSlowdown(1) }
+}
+
+// cutBackendPower ends all backends at once; they start again one after the other, cold.
+func cutBackendPower(run *run, f Fault) (end func()) {
+	for i, b := range run.backends {
+		if b.up {
+			b.terminate()
+			run.engine.schedule(f.Duration+time.Duration(i)*200*time.Millisecond, b.launch)
+		}
+	}
+	return nil
+}
+
+// disconnectZone takes all backends of a zone off the network.
+func disconnectZone(run *run, f Fault) (end func()) {
+	for _, b := range run.backends {
+		if b.up && b.zone == f.Target%len(zones) {
+			b.disconnect()
+			run.engine.schedule(f.Duration, b.launch)
+			run.engine.schedule(time.Duration(f.Severity*float64(6*time.Second)), func() {
+				if !b.up {
+					b.state = backendGone
+					run.catalog.publish(b.entry())
+				}
+			})
+		}
+	}
+	return nil
+}
+
+// onSomeBackends applies a fault of one backend to one or, if it is severe, up to a third of them.
+func onSomeBackends(begin func(b *backend, f Fault) func()) func(run *run, f Fault) func() {
+	return func(run *run, f Fault) func() {
+		n := 1
+		if f.Severity > 0.4 {
+			n = max(1, int(f.Severity*float64(len(run.backends))/3))
+		}
+		var ends []func()
+		for i := range n {
+			b := run.backends[(f.Target+i)%len(run.backends)]
+			if !b.up || b.state != backendReady {
+				continue
+			}
+			if end := begin(b, f); end != nil {
+				ends = append(ends, end)
+			}
+		}
+		return func() {
+			for _, end := range ends {
+				end()
+			}
+		}
+	}
+}
--- a/internal/simulation/client.go
+++ b/internal/simulation/client.go
@@ -10,143 +10,39 @@
 	"aspenbarrow/internal/session"
 )
 
-// front deals connections out among the relays that it takes for good ones. It goes on
-// sending to a relay that has died until it notices.
-type loadBalancer struct {
-	run     *run
-	healthy []bool
-}
-
-// look asks a relay with PING until it answers, and from then on whether it still does.
-func (lb *loadBalancer) checkRelay(r *relay) {
-	engine := lb.run.engine
-	r = lb.run.relays[r.number] // the process that takes who comes
-	again := func(after time.Duration) { engine.schedule(after, func() { lb.checkRelay(r) }) }
-	if lb.healthy[r.number] {
-		if !r.up || r.shuttingDown {
-			notice := engine.randomDuration(200*time.Millisecond, 2600*time.Millisecond)
-			if r.up { // it is leaving, which is known sooner
-				notice = engine.randomDuration(200*time.Millisecond, 400*time.Millisecond)
-			}
-			engine.schedule(notice, func() { lb.healthy[r.number] = false })
-			again(3 * time.Second)
-			return
-		}
-		if r.controller.Drained() {
-			engine.schedule(engine.randomDuration(0, 200*time.Millisecond), func() { lb.healthy[r.number] = false })
-		}
-		again(200 * time.Millisecond)
-		return
-	}
-	if r.shuttingDown { // its restart is planned: nobody asks it meanwhile
-		again(100 * time.Millisecond)
-		return
-	}
-	lb.run.clientHost.dial(r.host, time.Second, func(conn *connEnd) {
-		if conn == nil {
-			again(500 * time.Millisecond)
-			return
-		}
-		over := false
-		conn.onReadable = func() {
-			if over || !bytes.Contains(conn.received, []byte("\n")) && conn.remoteEnd == session.NoEnd {
-				return
-			}
-			over = true
-			lb.healthy[r.number] = bytes.HasPrefix(conn.received, []byte("PONG")) && !r.shuttingDown
-			conn.consume(len(conn.received))
-			conn.close()
-			again(300 * time.Millisecond)
-		}
-		engine.schedule(time.Second, func() {
-			if !over {
-				over = true
-				conn.close()
-				again(300 * time.Millisecond)
-			}
-		})
-		conn.write([]byte("PING\r\n"), func(bool) {})
-	})
-}
-
-// yes holds a relay that takes clients again to saying so within two seconds.
-func (run *run) checkReadyAfterDrain(r *relay) {
-	r = run.relays[r.number]
-	life := r.incarnation
-	run.engine.schedule(undrainDeadline, func() {
-		if r.incarnation != life || !r.up || r.shuttingDown || r.controller.Drained() || run.closing {
-			return
-		}
-		run.clientHost.dial(r.host, time.Second, func(conn *connEnd) {
-			if conn == nil {
-				return
-			}
-			conn.onReadable = func() {
-				if bytes.Contains(conn.received, []byte("\n")) {
-					if !bytes.HasPrefix(conn.received, []byte("PONG")) && r.controller.Ready() {
-						run.reportViolation("drained", "%s says %q though it is drained no more", r.name, conn.received)
-					}
-					conn.close()
-				}
-			}
-			conn.write([]byte("PING\r\n"), func(bool) {})
-			run.engine.schedule(3*time.Second, conn.close)
-		})
-	})
-}
-
-// drainedNoMore is how long after the second call a relay has to say yes.
-const undrainDeadline = 2 * time.Second
-
-// pick is a relay for a new connection.
-func (lb *loadBalancer) pickRelay() *relay {
-	good := make([]*relay, 0, len(lb.healthy))
-	for _, r := range lb.run.relays {
-		if lb.healthy[r.number] {
-			good = append(good, r)
-		}
-	}
-	if len(good) == 0 {
-		return nil
-	}
-	if f := lb.run.options.Installation; f != nil && f.HotRelayShare > 0 && lb.healthy[0] && lb.run.engine.rng.Float64() < f.HotRelayShare {
-		return lb.run.relays[0]
-	}
-	return good[lb.run.engine.rng.IntN(len(good))]
-}
-
+// client is a client that connects, stays a while, and comes back.
 type client struct {
 	run              *run
 	number           int
 	key              uint64
-	group            uint64
+	group            uint64 // 0: none
 	class            int
 	reconnecting     bool // it was moved, or its connection broke
 	retries          int
 	stayDuration     time.Duration
-	notReading       bool // it stops reading for a while, once
-	sendsBursts      bool // it sends much at once
-	visit            int  // counts connections, so that what belongs to an older one is dropped
+	notReading       bool // it has stopped reading for a while
+	sendsBursts      bool
+	visit            int // number of the latest connection; drops what belongs to an older one
 	stopped          bool
 	conn             *connEnd
 	requestID        string
 	established      bool
 	lineCount        int
 	lastReceived     time.Duration
-	oldestUnanswered time.Duration // when the oldest line without an answer went out; 0: none
-	lastReplyLate    bool          // the last answer took longer than is wanted
-	wantsConnection  bool          // a connection, now: from when it meant to have one, not from when it got to ask
+	oldestUnanswered time.Duration // when the oldest unanswered line was sent; 0: none
+	lastReplyLate    bool          // the latest answer missed the latency objective
+	wantsConnection  bool          // from when it meant to connect, whether or not it could
 }
 
-// lineAim is how soon a line is to come back.
+// messageLatencyObjective is how soon a line should be answered.
 const messageLatencyObjective = 60 * time.Millisecond
 
-// inTime says whether its lines come back as they should.
+// meetsObjective says whether the client's lines are answered within the latency objective.
 func (c *client) meetsObjective() bool {
 	return !c.lastReplyLate && (c.oldestUnanswered == 0 || c.run.engine.now-c.oldestUnanswered <= messageLatencyObjective)
 }
 
-// come opens a connection, after a while.
+// connectAfter starts a new visit after a while.
 func (c *client) connectAfter(after time.Duration) {
 	c.visit++
 	comes := c.visit
@@ -158,6 +54,7 @@
 	})
 }
 
+// connect dials a relay of the load balancer's choice.
 func (c *client) connect() {
 	run := c.run
 	r := run.loadBalancer.pickRelay()
@@ -165,45 +62,62 @@
 		c.connectAfter(500 * time.Millisecond)
 		return
 	}
-	comes := c.visit
+	visit := c.visit
 	run.clientHost.dial(r.host, 2*time.Second, func(conn *connEnd) {
 		switch {
 		case conn == nil:
 			c.connectAfter(run.engine.randomDuration(50*time.Millisecond, 400*time.Millisecond))
-			return
-		case c.visit != comes || run.closing:
+		case c.visit != visit || run.closing:
 			conn.close()
-			return
-		}
-		c.conn, c.established, c.lineCount, c.oldestUnanswered, c.lastReplyLate = conn, false, 0, 0, false
-		run.lastRequestID++
-		c.requestID = fmt.Sprintf("%016x", uint64(run.lastRequestID)*0x9e3779b97f4a7c15)
-		patience := run.classes[c.class].timeout
-		line := fmt.Sprintf("OPEN %s %016x c=%s,d=%d", c.requestID, c.key, run.classes[c.class].name, patience.Milliseconds())
-		if c.group != 0 {
-			line += fmt.Sprintf(",g=%016x", c.group)
+		default:
+			c.sendRequest(conn)
 		}
-		if c.retries > 0 {
-			line += ",r=1"
-		}
-		if c.reconnecting {
-			line += ",again=1"
-		}
-		conn.onReadable = c.readLines
-		conn.write([]byte(line+"\r\n"), func(bool) {})
-		if run.engine.rng.IntN(40) == 0 { // impatient
-			run.engine.schedule(run.engine.randomDuration(0, 300*time.Millisecond), func() { c.disconnect(conn) })
+	})
+}
+
+// sendRequest sends the request and waits for the answer up to the class's timeout. Some clients do not wait that long.
+func (c *client) sendRequest(conn *connEnd) {
+	run := c.run
+	c.conn, c.established, c.lineCount, c.oldestUnanswered, c.lastReplyLate = conn, false, 0, 0, false
+	c.requestID = fmt.Sprintf("%016x", uint64(run.nextRequestID())*requestIDMultiplier)
+	conn.onReadable = c.readLines
+	conn.write([]byte(c.requestLine()+"\r\n"), func(bool) {})
+	if run.engine.rng.IntN(40) == 0 {
+		run.engine.schedule(run.engine.randomDuration(0, 300*time.Millisecond), func() { c.disconnect(conn) })
+	}
+	run.engine.schedule(run.classes[c.class].timeout+500*time.Millisecond, func() {
+		if c.conn == conn && !c.established {
+			run.count("client gave up")
+			c.reconnect(conn)
 		}
-		run.engine.schedule(patience+500*time.Millisecond, func() {
-			if c.conn == conn && !c.established {
-				run.count("client gave up")
-				c.reconnect(conn)
-			}
-		})
 	})
 }
 
-// breakOff ends a connection from this side, now and then without any manners.
+// requestIDMultiplier spreads the request ids, which are counted, over 64 bits.
+const requestIDMultiplier = 0x9e3779b97f4a7c15
+
+func (run *run) nextRequestID() int {
+	run.lastRequestID++
+	return run.lastRequestID
+}
+
+// requestLine is the client's OPEN line.
+func (c *client) requestLine() string {
+	class := c.run.classes[c.class]
+	line := fmt.Sprintf("OPEN %s %016x c=%s,d=%d", c.requestID, c.key, class.name, class.timeout.Milliseconds())
+	if c.group != 0 {
+		line += fmt.Sprintf(",g=%016x", c.group)
+	}
+	if c.retries > 0 {
+		line += ",r=1"
+	}
+	if c.reconnecting {
+		line += ",again=1"
+	}
+	return line
+}
+
+// disconnect ends a connection from the client's side, sometimes with a reset.
 func (c *client) disconnect(conn *connEnd) {
 	if c.conn != conn {
 		return
@@ -219,7 +133,7 @@
 	c.connectAfter(c.run.engine.randomDuration(200*time.Millisecond, 4*time.Second))
 }
 
-// lost comes back after a connection that did not hold.
+// reconnect connects again after a connection that broke, with a longer pause after several.
 func (c *client) reconnect(conn *connEnd) {
 	conn.close()
 	c.conn = nil
@@ -232,6 +146,7 @@
 	c.connectAfter(wait)
 }
 
+// readLines handles what has arrived.
 func (c *client) readLines() {
 	conn := c.conn
 	if conn == nil || c.notReading {
@@ -263,45 +178,55 @@
 	}
 }
 
+// handleLine handles one line of the relay's; those of an established connection are handled by readLines, but
+// for MOVE.
 func (c *client) handleLine(conn *connEnd, line string) {
-	run := c.run
 	word, rest, _ := strings.Cut(line, " ")
 	switch {
-	case !c.established && word == "UP":
+	case !c.established:
+		c.handleAnswer(conn, word, rest)
+	case word == "MOVE":
+		c.run.count("moved")
+		c.reconnecting = true
+		conn.close()
+		c.conn = nil
+		c.connectAfter(c.run.engine.randomDuration(20*time.Millisecond, 400*time.Millisecond))
+	}
+}
+
+// handleAnswer handles the answer to the request.
+func (c *client) handleAnswer(conn *connEnd, word, argument string) {
+	run := c.run
+	switch word {
+	case "UP":
 		run.count("served")
 		run.servedByClass[c.class]++
 		c.established, c.retries, c.reconnecting = true, 0, false
 		run.engine.schedule(c.stayDuration, func() { c.disconnect(conn) })
 		c.sendLines(conn)
-	case !c.established && word == "BYE":
+	case "BYE": // served and ended at once
 		run.count("served to its end")
 		run.servedByClass[c.class]++
 		conn.close()
 		c.conn, c.wantsConnection = nil, false
 		c.connectAfter(run.engine.randomDuration(200*time.Millisecond, 2*time.Second))
-	case !c.established && word == "BUSY":
+	case "BUSY":
 		run.count("refused")
-		wait := run.engine.randomDuration(100*time.Millisecond, 600*time.Millisecond)
-		if ms, err := strconv.Atoi(rest); err == nil {
-			wait = time.Duration(ms) * time.Millisecond
+		retryAfter := run.engine.randomDuration(100*time.Millisecond, 600*time.Millisecond)
+		if milliseconds, err := strconv.Atoi(argument); err == nil {
+			retryAfter = time.Duration(milliseconds) * time.Millisecond
 		}
 		conn.close()
 		c.conn = nil
 		c.retries++
-		c.connectAfter(wait)
-	case !c.established:
+		c.connectAfter(retryAfter)
+	default:
 		run.count("failed")
 		c.reconnect(conn)
-	case word == "MOVE":
-		run.count("moved")
-		c.reconnecting = true
-		conn.close()
-		c.conn = nil
-		c.connectAfter(run.engine.randomDuration(20*time.Millisecond, 400*time.Millisecond))
 	}
 }
 
-// talk sends a line every two seconds.
+// sendLines sends a line every two seconds, and notices a relay that has fallen silent.
 func (c *client) sendLines(conn *connEnd) {
 	if c.conn != conn || conn.closed {
 		return
@@ -333,49 +258,3 @@
 	}
 	c.run.engine.schedule(2*time.Second, func() { c.sendLines(conn) })
 }
-
-// bad plays one client that does not keep to the protocol.
-func (run *run) startMisbehavingClient(kind int) {
-	r := run.loadBalancer.pickRelay()
-	if r == nil || run.closing {
-		return
-	}
-	engine := run.engine
-	run.count("bad client")
-	run.clientHost.dial(r.host, 2*time.Second, func(conn *connEnd) {
-		if conn == nil {
-			return
-		}
-		conn.onReadable = func() {
-			conn.consume(len(conn.received))
-			if conn.remoteEnd != session.NoEnd {
-				conn.close()
-			}
-		}
-		say := func(text string) { conn.write([]byte(text), func(bool) {}) }
-		run.lastRequestID++
-		open := fmt.Sprintf("OPEN %016x %016x c=%s,d=900", run.lastRequestID, run.lastRequestID, run.classes[0].name)
-		switch kind % 9 {
-		case 0:
-			say("HELLO\r\n")
-		case 1:
-			say(open[:20]) // and nothing more
-		case 2:
-			say(open[:30])
-			conn.closeWrite()
-		case 3:
-			say(open + ",d=5\r\n")
-		case 4:
-			say(open + "\r\nand more\r\n")
-		case 5:
-			say(strings.Repeat("PING\r\n", 20))
-		case 6:
-			say(strings.Repeat("x", 5000))
-		case 7: // silence
-		case 8: // breaks off at once
-			say(open + "\r\n")
-			engine.schedule(engine.randomDuration(0, 5*time.Millisecond), conn.reset)
-		}
-		engine.schedule(6*time.Second, conn.close) // the run lets go for longer
-	})
-}
--- /dev/null
+++ b/internal/simulation/conn.go
@@ -0,0 +1,269 @@
+package simulation
+
+import (
+	"time"
+
+	"aspenbarrow/internal/session"
+)
+
+// connEnd is one end of a TCP-like connection. Bytes arrive in order, late and split anywhere. An end may
+// finish with a FIN, reset, refuse, fall silent or stop reading. Nothing is delivered out of order, twice,
+// or past an end of stream.
+type connEnd struct {
+	engine        *engine
+	id            int
+	host          *host
+	incarnation   int // of the host's process that holds this end
+	peer          *connEnd
+	received      []byte          // arrived, not consumed yet
+	receiveBuffer []byte          // the array behind received, for reuse
+	remoteEnd     session.EndKind // how the peer ended, once that has arrived
+	onReadable    func()          // called when bytes or an end have arrived
+	observer      connObserver    // may be nil
+	lastArrival   time.Duration   // keeps segments in order
+	unreadByPeer  int             // bytes sent that the peer has not consumed
+	pendingWrites []*pendingWrite
+	writeClosed   bool // a FIN has been sent
+	closed        bool
+	resetSent     bool // a segment was already answered with a reset
+}
+
+// pendingWrite is a write that waits until the peer reads.
+type pendingWrite struct {
+	data      []byte
+	done      func(ok bool)
+	cancelled bool
+}
+
+// connObserver sees what passes on the relay's end of a connection.
+type connObserver interface {
+	Received(b []byte)
+	ReceivedEnd(how session.EndKind)
+	Written(b []byte)
+	WrittenEnd(how session.EndKind)
+	SetBlocked(on bool) // whether the peer has stopped reading
+}
+
+// removeFromHost removes the end from the open ones of its host.
+func (c *connEnd) removeFromHost() {
+	for i, o := range c.host.conns {
+		if o == c {
+			last := len(c.host.conns) - 1
+			c.host.conns[i] = c.host.conns[last]
+			c.host.conns = c.host.conns[:last]
+			return
+		}
+	}
+}
+
+// transmit calls arrives at the peer, after all that was transmitted before.
+func (c *connEnd) transmit(arrives func(peer *connEnd)) {
+	engine, peer := c.engine, c.peer
+	c.lastArrival = max(c.lastArrival, engine.now+engine.segmentDelay()+engine.streamDelay(c.host, peer.host))
+	engine.scheduleAt(c.lastArrival, func() {
+		if peer.host.unreachable || c.host.unreachable {
+			return
+		}
+		arrives(peer)
+	})
+}
+
+// write sends bytes. While the peer does not read, the write is pending and returned, so that it can be cancelled;
+// otherwise done is called at once.
+func (c *connEnd) write(b []byte, done func(ok bool)) *pendingWrite {
+	if c.closed || c.writeClosed || c.remoteEnd == session.EndReset {
+		done(false)
+		return nil
+	}
+	if len(c.pendingWrites) > 0 || c.unreadByPeer > 0 && c.unreadByPeer+len(b) > c.engine.receiveWindow {
+		p := &pendingWrite{data: append([]byte(nil), b...), done: done}
+		c.pendingWrites = append(c.pendingWrites, p)
+		if c.observer != nil {
+			c.observer.SetBlocked(true)
+		}
+		return p
+	}
+	c.transmitBytes(b)
+	done(true)
+	return nil
+}
+
+// transmitBytes sends bytes in segments of random sizes.
+func (c *connEnd) transmitBytes(b []byte) {
+	if c.observer != nil {
+		c.observer.Written(b)
+	}
+	if c.engine.trace != nil {
+		c.engine.tracef("%s %d> %q", c.host.name, c.id, b)
+	}
+	c.unreadByPeer += len(b)
+	b = append([]byte(nil), b...)
+	for len(b) > 0 {
+		n := len(b)
+		if c.engine.rng.IntN(8) == 0 {
+			n = 1 + c.engine.rng.IntN(n)
+		}
+		part := b[:n]
+		b = b[n:]
+		c.transmit(func(peer *connEnd) { peer.receive(part) })
+	}
+}
+
+// receive takes in a segment.
+func (c *connEnd) receive(b []byte) {
+	if c.closed || c.host.incarnation != c.incarnation || c.engine.randomChance(c.engine.conditions.resetRate) {
+		c.rejectSegment()
+		return
+	}
+	if c.remoteEnd == session.EndReset {
+		return // what was under way when the connection broke is lost
+	}
+	if c.observer != nil {
+		c.observer.Received(b)
+	}
+	if len(c.received) == 0 {
+		c.received = c.receiveBuffer[:0]
+	}
+	c.received = append(c.received, b...)
+	if len(c.received) == len(b) {
+		c.receiveBuffer = c.received
+	}
+	c.notifyReadable()
+}
+
+// rejectSegment answers a segment for a closed end: the connection is reset.
+func (c *connEnd) rejectSegment() {
+	if c.resetSent || !c.host.up {
+		return
+	}
+	c.resetSent = true
+	c.transmit(func(peer *connEnd) { peer.receiveEnd(session.EndReset) })
+	if !c.closed {
+		c.receiveEnd(session.EndReset)
+	}
+}
+
+// notifyReadable tells the owner that bytes or an end have arrived.
+func (c *connEnd) notifyReadable() {
+	if c.onReadable != nil && !c.closed {
+		c.onReadable()
+	}
+}
+
+// consume removes the first n bytes of what has arrived, which lets the peer's pending writes go on.
+func (c *connEnd) consume(n int) {
+	if n = min(n, len(c.received)); n == 0 { // a reset takes what had not been read
+		return
+	}
+	c.received = c.received[n:]
+	if len(c.received) == 0 {
+		c.received = nil
+	}
+	c.peer.unreadByPeer -= n
+	c.peer.flushPendingWrites()
+}
+
+// flushPendingWrites sends the pending writes that fit into the peer's receive window.
+func (c *connEnd) flushPendingWrites() {
+	for len(c.pendingWrites) > 0 && !c.closed {
+		next := c.pendingWrites[0]
+		if next.cancelled {
+			c.pendingWrites = c.pendingWrites[1:]
+			continue
+		}
+		if c.unreadByPeer > 0 && c.unreadByPeer+len(next.data) > c.engine.receiveWindow {
+			return
+		}
+		c.pendingWrites = c.pendingWrites[1:]
+		if len(c.pendingWrites) == 0 && c.observer != nil {
+			c.observer.SetBlocked(false)
+		}
+		c.transmitBytes(next.data)
+		next.done(true)
+	}
+}
+
+// receiveEnd takes in the peer's FIN or reset.
+func (c *connEnd) receiveEnd(how session.EndKind) {
+	if c.remoteEnd == session.EndReset || c.remoteEnd != session.NoEnd && how == session.EndFIN {
+		return
+	}
+	c.remoteEnd = how
+	if c.engine.trace != nil {
+		c.engine.tracef("%s %d< end %d", c.host.name, c.id, how)
+	}
+	if c.observer != nil {
+		c.observer.ReceivedEnd(how)
+	}
+	if how == session.EndReset {
+		c.received = nil
+		c.failWrites()
+	}
+	c.notifyReadable()
+}
+
+// failWrites fails the pending writes.
+func (c *connEnd) failWrites() {
+	ws := c.pendingWrites
+	c.pendingWrites = nil
+	for _, p := range ws {
+		if !p.cancelled {
+			p.done(false)
+		}
+	}
+}
+
+// closeWrite sends a FIN after all that was written.
+func (c *connEnd) closeWrite() {
+	if c.closed || c.writeClosed || c.remoteEnd == session.EndReset {
+		return
+	}
+	c.writeClosed = true
+	c.observeEnd(session.EndFIN)
+	c.transmit(func(peer *connEnd) { peer.receiveEnd(session.EndFIN) })
+}
+
+// observeEnd tells the trace and the observer how this end closes.
+func (c *connEnd) observeEnd(how session.EndKind) {
+	if c.engine.trace != nil {
+		c.engine.tracef("%s %d> end %d", c.host.name, c.id, how)
+	}
+	if c.observer != nil {
+		c.observer.WrittenEnd(how)
+	}
+}
+
+// reset breaks the connection: what has not arrived is lost.
+func (c *connEnd) reset() {
+	if c.closed {
+		return
+	}
+	c.closed = true
+	c.removeFromHost()
+	c.observeEnd(session.EndReset)
+	c.received, c.onReadable = nil, nil
+	c.pendingWrites = nil
+	c.transmit(func(peer *connEnd) {
+		if !peer.closed {
+			peer.receiveEnd(session.EndReset)
+		}
+	})
+}
+
+// close closes the end. With unread bytes that is a reset, as in TCP.
+func (c *connEnd) close() {
+	if c.closed {
+		return
+	}
+	if len(c.received) > 0 {
+		c.reset()
+		return
+	}
+	c.closeWrite()
+	c.closed = true
+	c.removeFromHost()
+	if c.observer != nil {
+		c.observer.WrittenEnd(session.EndTimeout) // no reader any more
+	}
+	c.onReadable, c.pendingWrites = nil, nil
+}
--- /dev/null
+++ b/internal/simulation/dependency.go
@@ -0,0 +1,43 @@
+package simulation
+
+import (
+	"time"
+
+	"aspenbarrow/internal/emulator"
+)
+
+// prepareModel sets up what only Options.Installation has: the shared dependency and the measurement of the service.
+func (run *run) prepareModel(f *Installation) {
+	run.dependencyWaiters = map[uint64]func(){}
+	if f.DependencySlots > 0 {
+		run.dependency = emulator.NewDependency(f.DependencySlots)
+	}
+	run.serviceByClass = make([]ServiceSecond, len(run.classes))
+	run.engine.schedule(time.Second, run.measureService)
+}
+
+// acquireDependency calls then once a slot of the shared dependency was free for the hold time.
+func (run *run) acquireDependency(then func()) {
+	run.lastDependencyWaiter++
+	run.dependencyWaiters[run.lastDependencyWaiter] = then
+	run.dependency.Acquire(run.engine.now, run.lastDependencyWaiter, run.options.Installation.DependencyHoldTime)
+	run.scheduleDependencyRelease()
+}
+
+// scheduleDependencyRelease schedules the next release of a slot.
+func (run *run) scheduleDependencyRelease() {
+	at, ok := run.dependency.NextRelease()
+	if !ok || run.dependencyTimer > run.engine.now && run.dependencyTimer <= at {
+		return
+	}
+	run.dependencyTimer = max(at, run.engine.now)
+	run.engine.scheduleAt(run.dependencyTimer, func() {
+		run.dependencyTimer = 0
+		for _, id := range run.dependency.Release(run.engine.now) {
+			then := run.dependencyWaiters[id]
+			delete(run.dependencyWaiters, id)
+			then()
+		}
+		run.scheduleDependencyRelease()
+	})
+}
--- a/internal/simulation/discovery.go
+++ b/internal/simulation/discovery.go
@@ -8,7 +8,14 @@
 	"aspenbarrow/internal/discovery"
 )
 
-// entry is one backend in discovery's list.
+// The states of a backend in discovery's list.
+const (
+	backendReady    = "ready"
+	backendDraining = "draining"
+	backendGone     = "gone"
+)
+
+// endpointEntry is a backend in discovery's list.
 type endpointEntry struct {
 	id       string
 	address  string
@@ -20,7 +27,7 @@
 	revision int           // counts what has been published
 }
 
-// catalog is the truth about the backends.
+// catalog is the true state of the backends, from which discovery's agents learn.
 type catalog struct {
 	run          *run
 	agents       []*discoveryAgent // two for each relay
@@ -28,8 +35,8 @@
 	revision     int
 }
 
-// agent is one of discovery's processes. It learns of the truth late, counts versions of
-// its own, and answers with what it has learnt or not at all.
+// discoveryAgent is one discovery process. It learns of changes late, numbers its own versions, and answers with what
+// it has learned or not at all.
 type discoveryAgent struct {
 	catalog     *catalog
 	relay       int
@@ -41,18 +48,21 @@
 	watches     []*pendingWatch
 }
 
+// agentEntry is an entry as an agent has learned it.
 type agentEntry struct {
 	endpointEntry
 	version   int           // version
 	learnedAt time.Duration // when this agent had it
 }
 
+// pendingWatch is a request that waits for a version newer than fromVersion.
 type pendingWatch struct {
 	fromVersion int
 	answer      func(body []byte, tell func())
 	done        bool
 }
 
+// agent returns the agent at an address.
 func (c *catalog) agent(address string) *discoveryAgent {
 	for _, a := range c.agents {
 		if a.address == address {
@@ -62,7 +72,7 @@
 	panic("no agent at " + address)
 }
 
-// publish has all agents learn an entry, each in its own time.
+// publish has all agents learn an entry, each after its own delay.
 func (c *catalog) publish(e endpointEntry) {
 	engine := c.run.engine
 	c.revision++
@@ -72,6 +82,7 @@
 	}
 }
 
+// learn takes in an entry unless a newer one is known.
 func (a *discoveryAgent) learn(e endpointEntry) {
 	if a.frozen {
 		return
@@ -98,7 +109,7 @@
 	a.answerWatches()
 }
 
-// flush answers the watches that something is newer for.
+// answerWatches answers the watches for which there is a newer version.
 func (a *discoveryAgent) answerWatches() {
 	if a.unavailable {
 		return
@@ -117,7 +128,7 @@
 	}
 }
 
-// ask takes in a call. The answer comes with what is to be done when it arrives.
+// request handles a request. answer also receives a function to call when the answer arrives at the relay.
 func (a *discoveryAgent) request(request discovery.Request, answer func(body []byte, tell func())) {
 	engine := a.catalog.run.engine
 	engine.schedule(engine.segmentDelay()/4+engine.discoveryDelay(a.relay), func() {
@@ -147,10 +158,11 @@
 	})
 }
 
+// reply answers with the entries newer than a version, or with the full list.
 func (a *discoveryAgent) reply(from int, full bool, answer func(body []byte, tell func())) {
 	var entries []endpointEntry
 	for i := range a.entries {
-		if k := &a.entries[i]; k.version > from && (!full || k.state != "gone") {
+		if k := &a.entries[i]; k.version > from && (!full || k.state != backendGone) {
 			entries = append(entries, k.endpointEntry)
 		}
 	}
@@ -158,6 +170,7 @@
 	answer(encodeEndpoints(a.version, full, entries), func() { a.catalog.run.endpointsDelivered(relay, full, entries) })
 }
 
+// setUnavailable has the agent stop or start to answer.
 func (a *discoveryAgent) setUnavailable(out bool) {
 	a.unavailable = out
 	if out {
@@ -168,7 +181,7 @@
 	a.catalog.run.checker.SetAgentSilent(a.relay, a.address, out)
 }
 
-// body is an answer in discovery's form.
+// encodeEndpoints encodes an answer of discovery.
 func encodeEndpoints(version int, full bool, list []endpointEntry) []byte {
 	var b strings.Builder
 	fmt.Fprintf(&b, `{"version":%d,"full":%v,"servers":[`, version, full)
--- /dev/null
+++ b/internal/simulation/host.go
@@ -0,0 +1,125 @@
+package simulation
+
+import (
+	"time"
+
+	"aspenbarrow/internal/fault"
+)
+
+// networkConditions are the impairments in force on the whole network.
+type networkConditions struct {
+	latencyFactor    float64 // multiplies the usual latency
+	datagramLossRate float64 // share of datagrams lost beyond the usual
+	resetRate        float64 // share of segments that find their connection reset
+	synLossRate      float64 // share of connection attempts that nobody answers
+}
+
+// host is one machine with at most one process on it.
+type host struct {
+	engine      *engine
+	name        string
+	addr        string
+	up          bool // the process runs and listens
+	unreachable bool // the machine is off the network: it neither sends nor receives
+	incarnation int  // changes with every start and end of a process
+	onAccept    func(*connEnd)
+	conns       []*connEnd // open ends
+	nodeKind    fault.NodeKind
+	nodeIndex   int
+}
+
+// newHost returns a host whose process does not run yet.
+func (e *engine) newHost(name, addr string) *host { return &host{engine: e, name: name, addr: addr} }
+
+// withNode sets which node link faults see in the host, and returns the host.
+func (h *host) withNode(kind fault.NodeKind, index int) *host {
+	h.nodeKind, h.nodeIndex = kind, index
+	return h
+}
+
+// segmentDelay draws how long a segment is under way.
+func (e *engine) segmentDelay() time.Duration {
+	delay := e.randomDuration(80*time.Microsecond, 700*time.Microsecond)
+	if e.conditions.latencyFactor != 1 {
+		delay = time.Duration(float64(delay) * e.conditions.latencyFactor)
+	}
+	return delay
+}
+
+// start starts a new process.
+func (h *host) start() {
+	h.up, h.unreachable = true, false
+	h.incarnation++
+}
+
+// kill ends the process; its operating system resets all connections.
+func (h *host) kill() {
+	h.up = false
+	h.incarnation++
+	for len(h.conns) > 0 {
+		h.conns[len(h.conns)-1].reset()
+	}
+}
+
+// disconnect takes the machine off the network: peers hear nothing.
+func (h *host) disconnect() {
+	h.up, h.unreachable = false, true
+	h.incarnation++
+	for _, conn := range h.conns {
+		conn.closed = true
+	}
+	h.conns = nil
+}
+
+// dial opens a connection. done receives nil if it was refused or did not come up in time. done is not called
+// any more once the dialling process has ended.
+func (h *host) dial(to *host, timeout time.Duration, done func(conn *connEnd)) {
+	engine, incarnation, finished := h.engine, h.incarnation, false
+	finish := func(conn *connEnd) {
+		if finished || h.incarnation != incarnation {
+			if conn != nil {
+				conn.reset()
+			}
+			return
+		}
+		finished = true
+		done(conn)
+	}
+	engine.schedule(timeout, func() {
+		if !finished {
+			finish(nil)
+		}
+	})
+	late, cut := engine.connectDelay(h, to)
+	if cut || engine.randomChance(engine.conditions.synLossRate) {
+		return
+	}
+	engine.schedule(late+engine.segmentDelay(), func() {
+		switch {
+		case to.unreachable:
+		case !to.up:
+			engine.schedule(engine.segmentDelay(), func() { finish(nil) })
+		default:
+			near := h.connectTo(to, incarnation)
+			engine.schedule(engine.segmentDelay(), func() { finish(near) })
+		}
+	})
+}
+
+// connectTo creates both ends of a connection and has the other host accept it. It returns the near end, which
+// is closed already if the process that dialled has ended meanwhile.
+func (h *host) connectTo(to *host, incarnation int) *connEnd {
+	engine := h.engine
+	engine.connCount += 2
+	near := &connEnd{engine: engine, id: engine.connCount - 1, host: h, incarnation: incarnation}
+	far := &connEnd{engine: engine, id: engine.connCount, host: to, incarnation: to.incarnation, peer: near}
+	near.peer = far
+	if h.incarnation != incarnation {
+		near.closed = true
+	} else {
+		h.conns = append(h.conns, near)
+	}
+	to.conns = append(to.conns, far)
+	to.onAccept(far)
+	return near
+}
--- a/internal/simulation/link_faults.go
+++ b/internal/simulation/link_faults.go
@@ -6,20 +6,20 @@
 	"aspenbarrow/internal/fault"
 )
 
-// retransmission is what a lost segment costs a stream, reopening a lost opening.
+// The delays that a lost segment costs an established connection, and a lost SYN one that opens.
 const (
 	retransmissionDelay    = 200 * time.Millisecond
 	synRetransmissionDelay = time.Second
 )
 
-// troubledLink is a link fault in force. While there is none no chance is drawn for it, so that runs without such
-// faults go as they would without this code. A stream's bytes are delayed, never lost or reordered.
+// linkFault is a link fault in force. While there is none no random numbers are drawn for it, so that runs without
+// link faults are those of a build without them. The bytes of a connection are delayed, never lost or reordered.
 type linkFault struct {
 	link  *fault.Link
 	until time.Duration
 }
 
-// met are the links in trouble between two machines, in one direction.
+// activeLinkFaults are the faults in force on the link between two hosts, in one direction.
 func (e *engine) activeLinkFaults(from, to *host) (out []linkFault) {
 	if len(e.linkFaults) == 0 || from.nodeKind == "" || to.nodeKind == "" {
 		return nil
@@ -39,11 +39,12 @@
 	return out
 }
 
+// linkDelay draws the delay of a link fault, with its jitter.
 func (e *engine) linkDelay(l *fault.Link) time.Duration {
 	return l.Delay + e.randomDuration(0, l.Jitter)
 }
 
-// streamWay is how much longer than usual a piece of a stream takes. A cut holds it to its end.
+// streamDelay draws how much longer than usual a segment of a connection takes. A partition holds it until it ends.
 func (e *engine) streamDelay(from, to *host) (late time.Duration) {
 	for _, l := range e.activeLinkFaults(from, to) {
 		switch {
@@ -58,7 +59,7 @@
 	return late
 }
 
-// opensWay says how much later a connection comes up, or that it doesn't.
+// connectDelay draws how much later a connection comes up, or says that it does not.
 func (e *engine) connectDelay(from, to *host) (late time.Duration, cut bool) {
 	for _, d := range [2][2]*host{{from, to}, {to, from}} {
 		for _, l := range e.activeLinkFaults(d[0], d[1]) {
@@ -73,7 +74,7 @@
 	return late, false
 }
 
-// datagramWay says how much later a datagram arrives, or that it is lost.
+// datagramDelay draws how much later a datagram arrives, or says that it is lost.
 func (e *engine) datagramDelay(from, to *host) (late time.Duration, lost bool) {
 	for _, l := range e.activeLinkFaults(from, to) {
 		switch {
@@ -90,7 +91,7 @@
 	return late, false
 }
 
-// doubledWay says whether a datagram comes once more.
+// datagramDuplicated says whether a datagram arrives once more.
 func (e *engine) datagramDuplicated(from, to *host) (twice bool) {
 	for _, l := range e.activeLinkFaults(from, to) {
 		twice = e.randomChance(l.link.DuplicateRate) || twice
@@ -98,7 +99,7 @@
 	return twice
 }
 
-// agentWay is how much longer a call to discovery takes, there and back.
+// discoveryDelay draws how much longer a request to discovery takes, there and back.
 func (e *engine) discoveryDelay(relay int) (late time.Duration) {
 	if len(e.linkFaults) == 0 {
 		return 0
--- a/internal/simulation/mutations.go
+++ b/internal/simulation/mutations.go
@@ -5,12 +5,11 @@
 	"aspenbarrow/internal/controller"
 )
 
-// Break names one way to break every relay of a run on purpose. A checker that has
-// never caught anything proves nothing, so tests check that each break is caught by
-// the rule that it breaks. Only tests set one.
+// Mutation names a deliberate defect of every relay of a run. A checker that has never caught anything proves
+// nothing, so tests check that each mutation is caught by the rule that it breaks. Only tests set one.
 type Mutation string
 
-// The breaks.
+// The mutations.
 const (
 	NoMutation                        Mutation = ""
 	MutationSecondAnswer              Mutation = "second-answer" // the final answer goes out twice
@@ -43,7 +42,7 @@
 	MutationDrainedSaysReady          Mutation = "drain-yes"     // and goes on saying yes
 )
 
-// Breaks are all of them, with the rules of which at least one must catch each.
+// Mutations are all mutations, each with the rules of which at least one must catch it.
 var Mutations = map[Mutation][]string{
 	MutationSecondAnswer:              {"after-answer"},
 	MutationLateAnswer:                {"late-answer"},
@@ -74,9 +73,10 @@
 	MutationStaleIdempotency:          {"unsafe-repeat"},
 }
 
+// hasMutation says whether the relays have a defect.
 func (run *run) hasMutation(b Mutation) bool { return run.options.Mutation == b }
 
-// sabotaged is the configuration as a broken relay reads it.
+// mutate returns the configuration as a relay with the run's mutation reads it.
 func (r *relay) mutate(cfg controller.Config) controller.Config {
 	s := &cfg.Settings
 	switch r.run.options.Mutation {
--- /dev/null
+++ b/internal/simulation/network_faults.go
@@ -0,0 +1,56 @@
+package simulation
+
+import "time"
+
+// delayDiscovery delays what discovery's agents learn.
+func delayDiscovery(run *run, f Fault) (end func()) {
+	was := run.catalog.publishDelay
+	run.catalog.publishDelay = time.Second + time.Duration(f.Severity*float64(6*time.Second))
+	return func() { run.catalog.publishDelay = was }
+}
+
+// silenceDiscovery has discovery's agents not answer.
+func silenceDiscovery(run *run, f Fault) (end func()) {
+	var out []*discoveryAgent
+	for _, a := range run.catalog.agents {
+		if f.Severity > 0.5 || a.relay == f.Target%len(run.relays) {
+			a.setUnavailable(true)
+			out = append(out, a)
+		}
+	}
+	return func() {
+		for _, a := range out {
+			a.setUnavailable(false)
+		}
+	}
+}
+
+// loseDatagrams loses datagrams between relays.
+func loseDatagrams(run *run, f Fault) (end func()) {
+	run.engine.conditions.datagramLossRate = 0.3 + 0.7*f.Severity
+	return func() { run.engine.conditions.datagramLossRate = 0 }
+}
+
+// slowNetwork raises the latency of the network.
+func slowNetwork(run *run, f Fault) (end func()) {
+	run.engine.conditions.latencyFactor = 3 + 20*f.Severity
+	return func() { run.engine.conditions.latencyFactor = 1 }
+}
+
+// loseSYNs loses connection attempts.
+func loseSYNs(run *run, f Fault) (end func()) {
+	run.engine.conditions.synLossRate = 0.1 + 0.4*f.Severity
+	return func() { run.engine.conditions.synLossRate = 0 }
+}
+
+// resetConnections resets connections on the way.
+func resetConnections(run *run, f Fault) (end func()) {
+	run.engine.conditions.resetRate = 0.002 + 0.02*f.Severity
+	return func() { run.engine.conditions.resetRate = 0 }
+}
+
+// failLink impairs a link. The fault ends by itself.
+func failLink(run *run, f Fault) (end func()) {
+	run.engine.linkFaults = append(run.engine.linkFaults, linkFault{f.Link, min(epoch+f.Start+f.Duration, epoch+run.options.Duration)})
+	return nil // it has its end in it
+}
--- /dev/null
+++ b/internal/simulation/relay_lifecycle.go
@@ -0,0 +1,101 @@
+package simulation
+
+import "time"
+
+// shutdownTimeout is when a process that was asked to shut down is killed, and successorSyncInterval how often the
+// old process of an upgrade tells the new one its descriptors and load.
+const (
+	shutdownTimeout       = 3700 * time.Millisecond
+	successorSyncInterval = 100 * time.Millisecond
+)
+
+// startRelay starts a relay's process unless it runs.
+func (run *run) startRelay(r *relay) {
+	if r.up {
+		return
+	}
+	states := map[string]string{}
+	for _, e := range r.knownEndpoints {
+		states[e.id] = e.state
+	}
+	run.checker.RelayStarted(r.number, r.cfg.Discovery, states)
+	if r.lowDescriptors {
+		r.cfg.MaxDescriptors = 80
+	}
+	if len(r.knownEndpoints) > 0 {
+		r.cfg.CachedEndpoints = encodeEndpoints(0, true, r.knownEndpoints)
+	}
+	r.boot()
+	run.count("relay up")
+}
+
+// stopRelay kills a relay's process, or disconnects its machine.
+func (run *run) stopRelay(r *relay, vanish bool) {
+	if !r.up {
+		return
+	}
+	run.checker.RelayStopped(r.number)
+	if predecessor := r.predecessor; predecessor != nil && predecessor.up { // it is the same machine's
+		r.predecessor = nil
+		if vanish {
+			predecessor.disconnect()
+		} else {
+			predecessor.kill()
+		}
+	}
+	if vanish {
+		r.disconnect()
+	} else {
+		r.kill()
+	}
+}
+
+// restartRelay asks a relay to shut down and starts it again once it has.
+func (run *run) restartRelay(r *relay) {
+	r = run.relays[r.number] // an upgrade may have replaced the process; a replaced one never comes back
+	if !r.up || r.shuttingDown || run.closing {
+		return
+	}
+	r.shuttingDown = true
+	run.count("relay leaves")
+	r.post(r.controller.Shutdown)
+	incarnation := r.incarnation
+	var awaitExit func()
+	awaitExit = func() {
+		if r.incarnation != incarnation {
+			run.engine.schedule(300*time.Millisecond, func() { run.startRelay(r) })
+			return
+		}
+		run.engine.schedule(50*time.Millisecond, awaitExit)
+	}
+	run.engine.schedule(50*time.Millisecond, awaitExit)
+	run.engine.schedule(shutdownTimeout, func() {
+		if r.incarnation == incarnation {
+			run.stopRelay(r, false)
+		}
+	})
+}
+
+// setRelayDrained drains a relay, or ends its drain.
+func (run *run) setRelayDrained(r *relay, on bool) {
+	r = run.relays[r.number] // an upgrade may have replaced the process
+	if predecessor := r.predecessor; predecessor != nil && predecessor.up {
+		predecessor.applyDrain(on) // during an upgrade both processes are told
+	}
+	if !r.up {
+		return
+	}
+	if on && !r.shuttingDown { // a relay that shuts down has its own deadline
+		run.count("relay drained")
+	}
+	run.checker.SetRelayDraining(r.number, on && !r.shuttingDown)
+	r.applyDrain(on)
+}
+
+func (r *relay) applyDrain(on bool) {
+	r.controller.SetDrained(on)
+	r.handOff(func() {
+		r.controller.ApplyDrain(r.engine.now)
+		r.scheduleTimer()
+	})
+}
--- /dev/null
+++ b/internal/simulation/relay_upgrade.go
@@ -0,0 +1,89 @@
+package simulation
+
+import (
+	"fmt"
+	"time"
+
+	"aspenbarrow/internal/controller"
+	"aspenbarrow/internal/fault"
+)
+
+// upgradeRelay starts another process of a relay beside the running one, as a hot restart of package relay does:
+// the new process takes over the state and all new connections, and the old one shuts down a while later.
+func (run *run) upgradeRelay(r *relay, after time.Duration) {
+	if !r.up || r.shuttingDown || r.predecessor != nil || run.closing {
+		return
+	}
+	run.count("relay upgraded")
+	run.startSuccessor(r)
+	run.engine.schedule(after, r.whileRunning(func() {
+		r.shuttingDown = true
+		if run.hasMutation(MutationUpgradeDropsSessions) {
+			r.kill()
+			r.completeUpgrade()
+			return
+		}
+		r.post(r.controller.Shutdown)
+		run.engine.schedule(shutdownTimeout, r.whileRunning(func() {
+			r.kill()
+			r.completeUpgrade()
+		}))
+	}))
+}
+
+// startSuccessor starts the new process of an upgrade with the state of the old one.
+func (run *run) startSuccessor(r *relay) {
+	state, err := r.controller.ExportState(run.engine.now)
+	if err != nil {
+		panic(fmt.Sprintf("a relay has nothing to hand over: %v", err))
+	}
+	successor := &relay{
+		host:           run.engine.newHost(r.name, "").withNode(fault.Relays, r.number),
+		run:            run,
+		number:         r.number,
+		cfg:            r.cfg,
+		lowDescriptors: r.lowDescriptors,
+		knownEndpoints: r.knownEndpoints,
+		predecessor:    r,
+	}
+	successor.onAccept = successor.acceptConn
+	if len(successor.knownEndpoints) > 0 {
+		successor.cfg.CachedEndpoints = encodeEndpoints(0, true, successor.knownEndpoints)
+	}
+	run.checker.RelayUpgraded(r.number)
+	successor.boot()
+	if err := successor.controller.RestoreState(run.engine.now, state); err != nil {
+		panic(fmt.Sprintf("what a relay hands over is not taken: %v", err))
+	}
+	successor.controller.SetDescriptors(successor.cfg.MaxDescriptors)
+	run.relays[r.number], r.successor = successor, successor
+	r.controller.SetReplaced(true)
+	r.syncSuccessor()
+}
+
+// syncSuccessor tells the new process of an upgrade the old one's descriptors and load, again and again.
+func (r *relay) syncSuccessor() {
+	successor := r.successor
+	text, err := r.controller.ExportLoad()
+	if err != nil {
+		panic(err)
+	}
+	held := min(len(r.conns)+controller.ReservedDescriptors, r.cfg.MaxDescriptors-controller.ReservedDescriptors)
+	successor.post(func(now time.Duration) {
+		successor.controller.SetOtherProcessDescriptors(now, held)
+		_ = successor.controller.ImportLoad(now, text)
+	})
+	r.engine.schedule(successorSyncInterval, r.whileRunning(r.syncSuccessor))
+}
+
+// completeUpgrade tells the new process of an upgrade that the old one has ended.
+func (r *relay) completeUpgrade() {
+	successor := r.successor
+	successor.predecessor = nil
+	if successor.up {
+		successor.post(func(now time.Duration) {
+			successor.controller.SetOtherProcessDescriptors(now, 0)
+			_ = successor.controller.ImportLoad(now, nil)
+		})
+	}
+}
--- /dev/null
+++ b/internal/simulation/settings.go
@@ -0,0 +1,205 @@
+package simulation
+
+import (
+	"time"
+
+	"aspenbarrow/balance"
+	"aspenbarrow/internal/invariant"
+	"aspenbarrow/internal/routing"
+	"aspenbarrow/internal/settings"
+)
+
+// drawSettings draws the settings of an installation. With Options.Installation they do not depend on the seed.
+func (run *run) drawSettings() {
+	run.classes = []class{{"watch", 2 * time.Second, 1}, {"fetch", 1800 * time.Millisecond, 2}, {"submit", 3 * time.Second, 5}}
+	if run.options.Installation == nil {
+		run.classes = append(run.classes, class{"extra", 1500 * time.Millisecond, 3}) // used after a settings change only
+	}
+	run.servedByClass = make([]int, len(run.classes))
+	run.settings = settings.Settings{
+		Settings:         run.drawBalanceSettings(),
+		ClassNames:       []string{"watch", "fetch", "submit"},
+		ZoneNames:        zones,
+		KindNames:        []string{"k"},
+		ReportFieldNames: []string{"x0"},
+		IdleTimeout:      5 * time.Second,
+	}
+	if installation := run.options.Installation; installation != nil {
+		s := &run.settings
+		if installation.NoLoadReports {
+			s.ReportFields = nil
+		}
+		s.HealthChecks, s.Gossip, s.RetryAfter = true, installation.Gossip, true
+		s.Groups, s.PollEndpoints = false, false
+	}
+}
+
+// drawBalanceSettings draws the settings of package balance.
+func (run *run) drawBalanceSettings() balance.Settings {
+	rng := run.engine.rng
+	return balance.Settings{
+		RelayCount:            1,
+		Tick:                  4 * time.Millisecond,
+		HealthChecks:          rng.IntN(8) != 0,
+		Gossip:                rng.IntN(4) != 0,
+		Cancellation:          true,
+		RetryAfter:            rng.IntN(4) != 0,
+		MaxRetryAfter:         1500 * time.Millisecond,
+		MaxAttempts:           4,
+		DialTimeout:           250 * time.Millisecond,
+		AnswerSlack:           16 * time.Millisecond,
+		DrainGrace:            250 * time.Millisecond,
+		SlowStartFloor:        0.3,
+		SlowStartWindow:       8 * time.Second,
+		OverloadMultiple:      2.5,
+		OverloadWindow:        3 * time.Second,
+		Groups:                rng.IntN(3) == 0,
+		PollEndpoints:         rng.IntN(4) == 0,
+		PollInterval:          2 * time.Second,
+		ReportFields:          []balance.ReportField{balance.FieldLoadShare},
+		Weights:               balance.WeightsNominal,
+		ReportsConnectionLoad: true,
+		OverQuotaPriority:     1,
+		Classes:               baseClasses(),
+	}
+}
+
+// baseClasses are the classes that every installation has.
+func baseClasses() []balance.Class {
+	return []balance.Class{{
+		LatencyObjective:        400 * time.Millisecond,
+		ClientTimeout:           2 * time.Second,
+		MessageLatencyObjective: messageLatencyObjective,
+		Idempotency:             balance.Idempotent,
+		PriorityWeight:          1,
+	}, {
+		LatencyObjective:        400 * time.Millisecond,
+		ClientTimeout:           1800 * time.Millisecond,
+		MessageLatencyObjective: messageLatencyObjective,
+		Idempotency:             balance.IdempotentWithKey,
+		DedupScope:              balance.ScopeCell,
+		DedupWindow:             3 * time.Second,
+		PriorityWeight:          2,
+	}, {
+		LatencyObjective:        600 * time.Millisecond,
+		ClientTimeout:           3 * time.Second,
+		MessageLatencyObjective: messageLatencyObjective,
+		Idempotency:             balance.NonIdempotent,
+		PriorityWeight:          5,
+	}}
+}
+
+// limits are what the checker enforces: the settings, with an allowance for the delays of sockets.
+func (run *run) limits() invariant.Limits {
+	const allowance = 50 * time.Millisecond
+	s := &run.settings
+	return invariant.Limits{
+		Classes:          run.classLimits(),
+		MaxAttempts:      4,
+		AnswerSlack:      s.AnswerSlack + allowance,
+		DrainGrace:       s.DrainGrace + allowance,
+		DiscoveryDelay:   6 * time.Second,
+		MaxLineDelay:     time.Second + allowance,
+		SilenceTimeout:   7*time.Second + allowance,
+		DepartureGrace:   100 * time.Millisecond,
+		FirstLineTimeout: 2*time.Second + s.AnswerSlack + allowance,
+		ColdCapacity:     s.SlowStartFloor,
+		WarmUp:           s.SlowStartWindow,
+		OverloadFactor:   s.OverloadMultiple,
+		OverloadWindow:   s.OverloadWindow,
+		WarmRate:         run.warmRequestRate(),
+	}
+}
+
+// classLimits are the classes as the checker enforces them.
+func (run *run) classLimits() []invariant.Class {
+	s := &run.settings
+	classes := []invariant.Class{{Name: "watch", ClientTimeout: 2 * time.Second, Idempotency: invariant.Idempotent},
+		{Name: "fetch", ClientTimeout: 1800 * time.Millisecond, Idempotency: invariant.IdempotentWithKey, ScopedToCell: true, DedupWindow: 3 * time.Second},
+		{Name: "submit", ClientTimeout: 3 * time.Second, Idempotency: invariant.NonIdempotent}}
+	for i := range classes {
+		classes[i].LatencyObjective = s.Classes[i].LatencyObjective
+		if i < len(run.options.RetryPolicies) {
+			classes[i].MaxAttempts, classes[i].TotalTimeout = run.options.RetryPolicies[i].MaxAttempts, run.options.RetryPolicies[i].RequestTimeout
+		}
+	}
+	return classes
+}
+
+// changeSettings has all relays load settings with one class more, the idempotency of two classes swapped and another
+// attempt limit, or the original settings again. Clients start to use the additional class a while after the
+// change, and stop a while before it is taken back.
+func (run *run) changeSettings(extend bool, idempotency balance.Idempotency, maxAttempts int) {
+	classes, changed := run.classLimits(), run.settings
+	if extend {
+		classes, changed = run.extendedSettings(idempotency, maxAttempts)
+	}
+	run.count("settings changed")
+	for _, r := range run.relays {
+		own := changed
+		own.RelayIndex, own.RelayCount, own.Zone = r.cfg.Settings.RelayIndex, r.cfg.Settings.RelayCount, r.cfg.Settings.Zone
+		r.cfg.Settings, r.cfg.Routes = own, run.routingTable()
+		if extend && r.cfg.Routes != nil { // the additional class comes first
+			r.cfg.Routes = r.cfg.Routes.RemapClasses([]int{1, 2, 3})
+		}
+		run.checker.RelayReconfigured(r.number, classes, changed.MaxAttempts)
+		if r.up {
+			r.reload(r.cfg)
+		}
+	}
+	run.engine.schedule(classRolloutDelay, func() {
+		for i, c := range run.clients {
+			if extend && i%3 == 0 && !run.baseClassesOnly {
+				c.class = len(run.classes) - 1
+			}
+		}
+	})
+}
+
+// extendedSettings are the settings with the additional class, and the classes as the checker is to hold them.
+func (run *run) extendedSettings(idempotency balance.Idempotency, maxAttempts int) ([]invariant.Class, settings.Settings) {
+	classes, extended := run.classLimits(), run.settings
+	asInvariant := map[balance.Idempotency]invariant.Idempotency{
+		balance.Idempotent:    invariant.Idempotent,
+		balance.NonIdempotent: invariant.NonIdempotent,
+	}
+	extended.ClassNames = append([]string{"extra"}, extended.ClassNames...)
+	extended.Classes = append([]balance.Class{{
+		LatencyObjective:        400 * time.Millisecond,
+		ClientTimeout:           1500 * time.Millisecond,
+		MessageLatencyObjective: messageLatencyObjective,
+		Idempotency:             idempotency,
+		PriorityWeight:          3,
+	}}, extended.Classes...)
+	extended.Classes[1].Idempotency, extended.Classes[3].Idempotency = balance.NonIdempotent, balance.Idempotent
+	extended.MaxAttempts = maxAttempts
+	classes[0].Idempotency, classes[2].Idempotency = invariant.NonIdempotent, invariant.Idempotent
+	classes = append(classes, invariant.Class{
+		Name:             "extra",
+		ClientTimeout:    1500 * time.Millisecond,
+		Idempotency:      asInvariant[idempotency],
+		LatencyObjective: 400 * time.Millisecond,
+	})
+	return classes, extended
+}
+
+// classRolloutDelay is the time between a reload and the clients' use of an additional class.
+const classRolloutDelay = 1200 * time.Millisecond
+
+// routingTable gives each class its retry policy; nil without any.
+func (run *run) routingTable() *routing.Table {
+	var all []routing.Route
+	for i, t := range run.options.RetryPolicies {
+		m := routing.MatchAll
+		m.Class = i
+		all = append(all, routing.Route{Name: run.classes[i].name, Match: m, RetryPolicy: t})
+	}
+	if all == nil {
+		return nil
+	}
+	table, errs := routing.NewTable(all)
+	if len(errs) > 0 {
+		panic(errs[0])
+	}
+	return table
+}
