--- a/internal/simulation/audit.go
+++ b/internal/simulation/audit.go
@@ -11,11 +11,10 @@
 )
 
 // startChecker creates the checker.
-func (run *run) startChecker(n installationSize) {
-	engine := run.engine
-	run.nominalConnections = float64(n.clients) / float64(n.backends)
-	rules := run.limits()
-	run.checker = invariant.New(rules, n.relays, func() time.Duration { return engine.now }, func(d time.Duration, do func()) { engine.schedule(d, do) })
+func (run *run) startChecker(size installationSize) {
+	run.nominalConnections = float64(size.clients) / float64(size.backends)
+	now := func() time.Duration { return run.engine.now }
+	run.checker = invariant.New(run.limits(), size.relays, now, run.engine.schedule)
 }
 
 // checkPeriodically checks every second for missed deadlines and inconsistent state.
--- a/internal/simulation/backend.go
+++ b/internal/simulation/backend.go
@@ -16,22 +16,22 @@
 	name         string
 	zone         int
 	state        string
-	started      time.Duration // 0: long ago
-	serviceTime  time.Duration // of an OPEN on an idle machine
-	slowdown     float64       // everything takes so many times as long
-	errorRate    float64       // share of OPENs answered ERR
-	busyRate     float64       // share answered BUSY
-	resetRate    float64       // share reset
-	earlyEndRate float64       // share served to its end at once
+	started      time.Duration // 0: before the run
+	serviceTime  time.Duration // of a request on an idle backend
+	slowdown     float64       // multiplies the time of all work
+	errorRate    float64       // share of requests answered ERR
+	busyRate     float64       // share of requests answered BUSY
+	resetRate    float64       // share of requests answered with a reset
+	earlyEndRate float64       // share of requests answered BYE, that is, served and ended at once
 	paused       bool
-	notReading   bool            // takes nothing off its connections
-	coldRequests []time.Duration // when OPENs came in the last span of a cold start
-	backlog      []func()
+	notReading   bool            // reads nothing from its connections
+	coldRequests []time.Duration // when requests came within the overload window of a cold start
+	backlog      []func()        // work that was due while paused
 	sessionCount int
-	receiptCount int              // receipts
-	relativeSize float64          // cores in parts of those that a script gives
-	model        *emulator.Server // how long work takes; nil: drawn delays
-	pendingJobs  map[uint64]func(full bool)
+	receiptCount int
+	relativeSize float64          // cores relative to Installation.Server.Cores
+	model        *emulator.Server // nil: drawn delays
+	pendingJobs  map[uint64]func(rejected bool)
 	lastJob      uint64
 	modelTimer   time.Duration
 }
@@ -39,10 +39,18 @@
 // entry is the backend as discovery lists it.
 func (b *backend) entry() endpointEntry {
 	weight := 1.0
-	if f := b.run.options.Installation; f != nil && f.ListsWeights {
+	if installation := b.run.options.Installation; installation != nil && installation.ListsWeights {
 		weight = b.relativeSize
 	}
-	return endpointEntry{id: b.name, address: b.addr, zone: zones[b.zone], cell: b.id % 2, state: b.state, weight: weight, started: b.started}
+	return endpointEntry{
+		id:      b.name,
+		address: b.addr,
+		zone:    zones[b.zone],
+		cell:    b.id % 2,
+		state:   b.state,
+		weight:  weight,
+		started: b.started,
+	}
 }
 
 // launch starts a new process. Unless it runs from the start, discovery learns of it.
@@ -56,7 +64,8 @@
 		b.pendingJobs, b.modelTimer = map[uint64]func(bool){}, 0
 	}
 	if b.model != nil {
-		b.run.loadRecorder.BackendUp(b.engine.now-epoch, b.id, b.relativeSize*b.run.options.Installation.Server.Cores*b.run.options.Installation.Server.Speed)
+		server := b.run.options.Installation.Server
+		b.run.loadRecorder.BackendUp(b.engine.now-epoch, b.id, b.relativeSize*server.Cores*server.Speed)
 	}
 	if b.engine.now > epoch {
 		b.started = b.engine.now.Truncate(time.Millisecond)
@@ -66,15 +75,15 @@
 }
 
 // drain announces the end of the process and ends it after a while.
-func (b *backend) drain(within time.Duration) {
+func (b *backend) drain(grace time.Duration) {
 	if !b.up || b.state != backendReady {
 		return
 	}
 	b.state = backendDraining
-	b.run.loadRecorder.BackendDown(b.engine.now-epoch, b.id) // it is to have none any more
+	b.run.loadRecorder.BackendDown(b.engine.now-epoch, b.id) // from now on it should hold no load
 	b.run.catalog.publish(b.entry())
 	incarnation := b.incarnation
-	b.engine.schedule(within, func() {
+	b.engine.schedule(grace, func() {
 		if b.incarnation == incarnation {
 			b.terminate()
 		}
@@ -82,10 +91,10 @@
 }
 
 // release drains a backend and starts a new process some time after the old one has ended.
-func (b *backend) release(long, pause time.Duration) {
-	b.drain(long)
+func (b *backend) release(grace, pause time.Duration) {
+	b.drain(grace)
 	incarnation := b.incarnation
-	b.engine.schedule(long+pause, func() {
+	b.engine.schedule(grace+pause, func() {
 		if b.incarnation == incarnation+1 && !b.up {
 			b.launch()
 		}
@@ -128,7 +137,7 @@
 
 // submitWork has the model do a piece of work and, where the run has one, the shared dependency after it. done says
 // whether the work was rejected.
-func (b *backend) submitWork(work float64, done func(full bool)) {
+func (b *backend) submitWork(work float64, done func(rejected bool)) {
 	b.lastJob++
 	id, incarnation := b.lastJob, b.incarnation
 	switch b.model.Arrive(b.engine.now, emulator.Request{ID: id, Work: work}) {
@@ -138,11 +147,11 @@
 		b.run.count("cold backend fell over")
 		b.terminate()
 	case emulator.Accepted, emulator.Queued:
-		b.pendingJobs[id] = func(full bool) {
+		b.pendingJobs[id] = func(rejected bool) {
 			switch {
 			case b.incarnation != incarnation:
-			case full || b.run.dependency == nil:
-				done(full)
+			case rejected || b.run.dependency == nil:
+				done(rejected)
 			default:
 				b.run.acquireDependency(func() {
 					if b.incarnation == incarnation {
@@ -174,11 +183,11 @@
 }
 
 // finishJobs calls the callbacks of jobs that were done or rejected.
-func (b *backend) finishJobs(ids []uint64, full bool) {
+func (b *backend) finishJobs(ids []uint64, rejected bool) {
 	for _, id := range ids {
 		if do := b.pendingJobs[id]; do != nil {
 			delete(b.pendingJobs, id)
-			do(full)
+			do(rejected)
 		}
 	}
 }
@@ -202,14 +211,15 @@
 func (b *backend) resume() {
 	b.paused = false
 	if b.model != nil {
-		_, full := b.model.Resume(b.engine.now)
-		b.finishJobs(full, true)
+		_, rejected := b.model.Resume(b.engine.now)
+		b.finishJobs(rejected, true)
 		b.scheduleModel()
 	}
 	backlog := b.backlog
 	b.backlog = nil
+	const interval = 200 * time.Microsecond
 	for i, do := range backlog {
-		b.afterServiceTime(time.Duration(i)*200*time.Microsecond, do)
+		b.afterServiceTime(time.Duration(i)*interval, do)
 	}
 }
 
@@ -222,18 +232,18 @@
 }
 
 // overloadsCold counts one more request on a backend that may be cold, and says whether it crashes under the load.
-func (b *backend) overloadsCold() (falls bool) {
-	now, set := b.engine.now, &b.run.settings
+func (b *backend) overloadsCold() (crashes bool) {
+	now, s := b.engine.now, &b.run.settings
 	age := now - b.started
-	if b.started == 0 || age > set.SlowStartWindow {
+	if b.started == 0 || age > s.SlowStartWindow {
 		return false
 	}
 	b.coldRequests = append(b.coldRequests, now)
-	for now-b.coldRequests[0] > set.OverloadWindow {
+	for now-b.coldRequests[0] > s.OverloadWindow {
 		b.coldRequests = b.coldRequests[1:]
 	}
-	does := set.SlowStartFloor + (1-set.SlowStartFloor)*age.Seconds()/set.SlowStartWindow.Seconds()
-	if float64(len(b.coldRequests)) <= set.OverloadMultiple*does*b.run.warmRequestRate()*set.OverloadWindow.Seconds() {
+	capacity := s.SlowStartFloor + (1-s.SlowStartFloor)*age.Seconds()/s.SlowStartWindow.Seconds()
+	if float64(len(b.coldRequests)) <= s.OverloadMultiple*capacity*b.run.warmRequestRate()*s.OverloadWindow.Seconds() {
 		return false
 	}
 	b.run.count("cold backend fell over")
--- a/internal/simulation/backend_faults.go
+++ b/internal/simulation/backend_faults.go
@@ -85,8 +85,8 @@
 
 // releaseBackend drains a backend and starts a new process.
 func releaseBackend(b *backend, f Fault) (end func()) {
-	long := 4*time.Second + time.Duration(f.Severity*float64(12*time.Second))
-	b.release(long, f.Duration)
+	grace := 4*time.Second + time.Duration(f.Severity*float64(12*time.Second))
+	b.release(grace, f.Duration)
 	return nil
 }
 
--- a/internal/simulation/client.go
+++ b/internal/simulation/client.go
@@ -45,9 +45,9 @@
 // connectAfter starts a new visit after a while.
 func (c *client) connectAfter(after time.Duration) {
 	c.visit++
-	comes := c.visit
+	visit := c.visit
 	c.run.engine.schedule(after, func() {
-		if c.visit == comes && !c.run.closing && !c.stopped {
+		if c.visit == visit && !c.run.closing && !c.stopped {
 			c.wantsConnection = true
 			c.connect()
 		}
--- a/internal/simulation/dependency.go
+++ b/internal/simulation/dependency.go
@@ -7,10 +7,10 @@
 )
 
 // prepareModel sets up what only Options.Installation has: the shared dependency and the measurement of the service.
-func (run *run) prepareModel(f *Installation) {
+func (run *run) prepareModel(installation *Installation) {
 	run.dependencyWaiters = map[uint64]func(){}
-	if f.DependencySlots > 0 {
-		run.dependency = emulator.NewDependency(f.DependencySlots)
+	if installation.DependencySlots > 0 {
+		run.dependency = emulator.NewDependency(installation.DependencySlots)
 	}
 	run.serviceByClass = make([]ServiceSecond, len(run.classes))
 	run.engine.schedule(time.Second, run.measureService)
--- a/internal/simulation/discovery.go
+++ b/internal/simulation/discovery.go
@@ -23,14 +23,14 @@
 	cell     int
 	state    string
 	weight   float64
-	started  time.Duration // 0: long ago
-	revision int           // counts what has been published
+	started  time.Duration // 0: before the run
+	revision int           // orders what has been published
 }
 
 // catalog is the true state of the backends, from which discovery's agents learn.
 type catalog struct {
 	run          *run
-	agents       []*discoveryAgent // two for each relay
+	agents       []*discoveryAgent // agentsPerRelay for each relay
 	publishDelay time.Duration
 	revision     int
 }
@@ -42,17 +42,17 @@
 	relay       int
 	address     string
 	unavailable bool
-	frozen      bool // learns nothing any more: the machines follow another
+	frozen      bool // learns nothing: the relay follows its other agent
 	version     int
-	entries     []agentEntry // in the order in which they were learnt of
+	entries     []agentEntry // in the order in which the backends became known
 	watches     []*pendingWatch
 }
 
 // agentEntry is an entry as an agent has learned it.
 type agentEntry struct {
 	endpointEntry
-	version   int           // version
-	learnedAt time.Duration // when this agent had it
+	version   int // of the agent's list that first had it
+	learnedAt time.Duration
 }
 
 // pendingWatch is a request that waits for a version newer than fromVersion.
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -67,22 +67,29 @@
 
 // drawScript draws one to six faults, half of them close to another.
 func (run *run) drawScript() []Fault {
-	rng := run.engine.rng
-	var s []Fault
+	const earliest, latest = 5 * time.Second, 42 * time.Second
+	engine, rng := run.engine, run.engine.rng
+	var script []Fault
 	for range 1 + rng.IntN(6) {
-		f := Fault{Kind: faultKinds[rng.IntN(len(faultKinds))].name, Start: run.engine.randomDuration(5*time.Second, 42*time.Second),
-			Duration: run.engine.randomDuration(2*time.Second, 14*time.Second), Target: rng.IntN(64), Severity: rng.Float64()}
-		if len(s) > 0 && rng.IntN(2) == 0 {
-			f.Start = min(42*time.Second, max(5*time.Second, s[rng.IntN(len(s))].Start+run.engine.randomDuration(-time.Second, 2*time.Second)))
+		f := Fault{
+			Kind:     faultKinds[rng.IntN(len(faultKinds))].name,
+			Start:    engine.randomDuration(earliest, latest),
+			Duration: engine.randomDuration(2*time.Second, 14*time.Second),
+			Target:   rng.IntN(64),
+			Severity: rng.Float64(),
 		}
-		s = append(s, f)
+		if len(script) > 0 && rng.IntN(2) == 0 {
+			near := script[rng.IntN(len(script))].Start + engine.randomDuration(-time.Second, 2*time.Second)
+			f.Start = min(latest, max(earliest, near))
+		}
+		script = append(script, f)
 	}
-	for i := range s { // drawn for a minute
-		s[i].Start = time.Duration(float64(s[i].Start) * run.options.Duration.Minutes())
-		s[i].Duration = time.Duration(float64(s[i].Duration) * run.options.Duration.Minutes())
+	for i := range script { // the times above are those of a run of a minute
+		script[i].Start = time.Duration(float64(script[i].Start) * run.options.Duration.Minutes())
+		script[i].Duration = time.Duration(float64(script[i].Duration) * run.options.Duration.Minutes())
 	}
-	slices.SortStableFunc(s, func(a, b Fault) int { return int(a.Start - b.Start) })
-	return s
+	slices.SortStableFunc(script, func(a, b Fault) int { return int(a.Start - b.Start) })
+	return script
 }
 
 // FaultKinds returns the names of the kinds that are drawn from seeds.
@@ -103,33 +110,40 @@
 	return names
 }
 
-// scheduleFaults schedules the faults of a script and counts those that overlap.
+// scheduleFaults schedules the faults of a script and counts the pairs of kinds that overlap.
 func (run *run) scheduleFaults(script []Fault) {
+	kinds := slices.Concat(faultKinds, scriptOnlyFaultKinds)
 	for i, f := range script {
 		run.count("fault " + f.Kind)
-		for _, g := range script[:i] {
-			if f.Start < g.Start+g.Duration {
-				a, b := min(f.Kind, g.Kind), max(f.Kind, g.Kind)
-				run.faultPairs[a+" + "+b]++
+		for _, earlier := range script[:i] {
+			if f.Start < earlier.Start+earlier.Duration {
+				first, second := min(f.Kind, earlier.Kind), max(f.Kind, earlier.Kind)
+				run.faultPairs[first+" + "+second]++
 			}
 		}
-		for _, k := range slices.Concat(faultKinds, scriptOnlyFaultKinds) {
-			if k.name != f.Kind {
-				continue
+		for _, kind := range kinds {
+			if kind.name == f.Kind {
+				run.scheduleFault(kind, f)
 			}
-			run.engine.scheduleAt(epoch+f.Start, func() {
-				if run.engine.trace != nil {
-					run.engine.tracef("fault %s begins", f.Kind)
-				}
-				if end := k.begin(run, f); end != nil {
-					run.engine.scheduleAt(min(epoch+f.Start+f.Duration, epoch+run.options.Duration), func() {
-						end()
-						if run.engine.trace != nil {
-							run.engine.tracef("fault %s ends", f.Kind)
-						}
-					})
-				}
-			})
 		}
 	}
 }
+
+// scheduleFault schedules the beginning and, if the kind has one, the end of a fault.
+func (run *run) scheduleFault(kind faultKind, f Fault) {
+	run.engine.scheduleAt(epoch+f.Start, func() {
+		if run.engine.trace != nil {
+			run.engine.tracef("fault %s begins", f.Kind)
+		}
+		end := kind.begin(run, f)
+		if end == nil {
+			return
+		}
+		run.engine.scheduleAt(min(epoch+f.Start+f.Duration, epoch+run.options.Duration), func() {
+			end()
+			if run.engine.trace != nil {
+				run.engine.tracef("fault %s ends", f.Kind)
+			}
+		})
+	})
+}
--- a/internal/simulation/gossip.go
+++ b/internal/simulation/gossip.go
@@ -39,13 +39,13 @@
 		run.count("datagram lost")
 		return
 	}
-	late, lost := engine.datagramDelay(from.host, to.host)
+	delay, lost := engine.datagramDelay(from.host, to.host)
 	if lost {
 		run.count("datagram lost")
 		return
 	}
 	run.count("datagram")
-	engine.schedule(late+engine.randomDuration(time.Millisecond, 40*time.Millisecond), func() {
+	engine.schedule(delay+engine.randomDuration(time.Millisecond, 40*time.Millisecond), func() {
 		if to.up {
 			to.post(func(now time.Duration) {
 				to.controller.DatagramReceived(now, gossipAddress(from.number), slices.Clone(data))
--- a/internal/simulation/host.go
+++ b/internal/simulation/host.go
@@ -90,11 +90,11 @@
 			finish(nil)
 		}
 	})
-	late, cut := engine.connectDelay(h, to)
+	delay, cut := engine.connectDelay(h, to)
 	if cut || engine.randomChance(engine.conditions.synLossRate) {
 		return
 	}
-	engine.schedule(late+engine.segmentDelay(), func() {
+	engine.schedule(delay+engine.segmentDelay(), func() {
 		switch {
 		case to.unreachable:
 		case !to.up:
--- a/internal/simulation/link_faults.go
+++ b/internal/simulation/link_faults.go
@@ -45,50 +45,50 @@
 }
 
 // streamDelay draws how much longer than usual a segment of a connection takes. A partition holds it until it ends.
-func (e *engine) streamDelay(from, to *host) (late time.Duration) {
+func (e *engine) streamDelay(from, to *host) (delay time.Duration) {
 	for _, l := range e.activeLinkFaults(from, to) {
 		switch {
 		case l.link.Partitioned || l.link.Buffered:
-			late = max(late, l.until-e.now)
+			delay = max(delay, l.until-e.now)
 		case e.randomChance(l.link.LossRate):
-			late += retransmissionDelay + e.linkDelay(l.link)
+			delay += retransmissionDelay + e.linkDelay(l.link)
 		default:
-			late += e.linkDelay(l.link)
+			delay += e.linkDelay(l.link)
 		}
 	}
-	return late
+	return delay
 }
 
 // connectDelay draws how much later a connection comes up, or says that it does not.
-func (e *engine) connectDelay(from, to *host) (late time.Duration, cut bool) {
+func (e *engine) connectDelay(from, to *host) (delay time.Duration, cut bool) {
 	for _, d := range [2][2]*host{{from, to}, {to, from}} {
 		for _, l := range e.activeLinkFaults(d[0], d[1]) {
 			if l.link.Partitioned || l.link.Buffered {
 				return 0, true
 			}
-			if late += l.link.Delay; e.randomChance(l.link.LossRate) {
-				late += synRetransmissionDelay
+			if delay += l.link.Delay; e.randomChance(l.link.LossRate) {
+				delay += synRetransmissionDelay
 			}
 		}
 	}
-	return late, false
+	return delay, false
 }
 
 // datagramDelay draws how much later a datagram arrives, or says that it is lost.
-func (e *engine) datagramDelay(from, to *host) (late time.Duration, lost bool) {
+func (e *engine) datagramDelay(from, to *host) (delay time.Duration, lost bool) {
 	for _, l := range e.activeLinkFaults(from, to) {
 		switch {
 		case l.link.Partitioned, e.randomChance(l.link.LossRate):
 			return 0, true
 		case l.link.Buffered:
-			late = max(late, l.until-e.now)
+			delay = max(delay, l.until-e.now)
 		default:
-			if late += e.linkDelay(l.link); e.randomChance(l.link.ReorderRate) {
-				late += e.randomDuration(5*time.Millisecond, 50*time.Millisecond)
+			if delay += e.linkDelay(l.link); e.randomChance(l.link.ReorderRate) {
+				delay += e.randomDuration(5*time.Millisecond, 50*time.Millisecond)
 			}
 		}
 	}
-	return late, false
+	return delay, false
 }
 
 // datagramDuplicated says whether a datagram arrives once more.
@@ -100,7 +100,7 @@
 }
 
 // discoveryDelay draws how much longer a request to discovery takes, there and back.
-func (e *engine) discoveryDelay(relay int) (late time.Duration) {
+func (e *engine) discoveryDelay(relay int) (delay time.Duration) {
 	if len(e.linkFaults) == 0 {
 		return 0
 	}
--- a/internal/simulation/load_balancer.go
+++ b/internal/simulation/load_balancer.go
@@ -124,7 +124,8 @@
 	if len(good) == 0 {
 		return nil
 	}
-	if f := lb.run.options.Installation; f != nil && f.HotRelayShare > 0 && lb.healthy[0] && lb.run.engine.rng.Float64() < f.HotRelayShare {
+	installation := lb.run.options.Installation
+	if installation != nil && installation.HotRelayShare > 0 && lb.healthy[0] && lb.run.engine.rng.Float64() < installation.HotRelayShare {
 		return lb.run.relays[0]
 	}
 	return good[lb.run.engine.rng.IntN(len(good))]
--- a/internal/simulation/mutations.go
+++ b/internal/simulation/mutations.go
@@ -12,34 +12,34 @@
 // The mutations.
 const (
 	NoMutation                        Mutation = ""
-	MutationSecondAnswer              Mutation = "second-answer" // the final answer goes out twice
-	MutationLateAnswer                Mutation = "late-answer"   // 60 ms past what is allowed
-	MutationLostAnswer                Mutation = "lost-answer"   // what has failed is not said
+	MutationSecondAnswer              Mutation = "second-answer" // the final answer is sent twice
+	MutationLateAnswer                Mutation = "late-answer"   // the final answer is sent 60 ms past the checker's limit
+	MutationLostAnswer                Mutation = "lost-answer"   // ERR is not sent
 	MutationExtraAttempt              Mutation = "fifth-attempt" // one attempt more than the settings allow
 	MutationOverlappingAttempts       Mutation = "overlap"       // a second attempt before the first has ended
-	MutationRetryNonIdempotent        Mutation = "unsafe-repeat" // what may act twice is repeated
-	MutationRetryOutsideDedupScope    Mutation = "out-of-scope"  // a keyed request is repeated beyond its scope
-	MutationLateDrain                 Mutation = "late-drain"    // news of a drain is taken in 60 ms after the grace
-	MutationNoSlowStart               Mutation = "cold-flood"    // nobody is held to be cold
-	MutationMoveInsideLine            Mutation = "move-in-line"  // MOVE falls into a line
-	MutationSessionLeak               Mutation = "flow-leak"     // the books on a flow are never closed
-	MutationLoadMiscounted            Mutation = "books"         // a cancelled attempt stays counted in T
-	MutationStaleDiscovery            Mutation = "old-watch"     // a reload keeps the old agent
-	MutationDelayedLines              Mutation = "held-line"     // lines wait for 1.2 s
-	MutationForgedUp                  Mutation = "made-up"       // UP that no backend said
-	MutationMigrateWithoutMove        Mutation = "cut-off"       // moved without MOVE
-	MutationRetryPolicyIgnored        Mutation = "timing"        // the routes' timing is not looked at
-	MutationDescriptorLeak            Mutation = "descriptor"    // a failed attempt's connection stays open
-	MutationRefusalsUncounted         Mutation = "count-lobby"   // who is turned away for want of room is not counted
-	MutationAbandonedStayCounted      Mutation = "count-gone"    // a client that left while it waited stays counted
+	MutationRetryNonIdempotent        Mutation = "unsafe-repeat" // requests that are not idempotent are retried
+	MutationRetryOutsideDedupScope    Mutation = "out-of-scope"  // idempotent requests are retried outside their deduplication scope
+	MutationLateDrain                 Mutation = "late-drain"    // a backend's drain is noticed 60 ms past the checker's limit
+	MutationNoSlowStart               Mutation = "cold-flood"    // no backend has a slow start
+	MutationMoveInsideLine            Mutation = "move-in-line"  // MOVE is sent in the middle of a line
+	MutationSessionLeak               Mutation = "flow-leak"     // the controller does not learn of closed sessions
+	MutationLoadMiscounted            Mutation = "books"         // a cancelled attempt stays in the tracked load
+	MutationStaleDiscovery            Mutation = "old-watch"     // a reload does not change the discovery agent
+	MutationDelayedLines              Mutation = "held-line"     // backends' lines are held for 1.2 s
+	MutationForgedUp                  Mutation = "made-up"       // the client gets an UP that no backend sent
+	MutationMigrateWithoutMove        Mutation = "cut-off"       // sessions migrate without MOVE
+	MutationRetryPolicyIgnored        Mutation = "timing"        // the routes' retry policies are ignored
+	MutationDescriptorLeak            Mutation = "descriptor"    // the connection of a failed attempt stays open
+	MutationRefusalsUncounted         Mutation = "count-lobby"   // requests refused by a full relay are not counted
+	MutationAbandonedStayCounted      Mutation = "count-gone"    // a client that left before its answer stays counted
 	MutationAttemptsUndercounted      Mutation = "count-attempt" // one attempt in fifty is not counted
-	MutationReloadsUncounted          Mutation = "count-reload"  // a file that is taken is not counted
-	MutationShutdownAttemptsUncounted Mutation = "count-leaving" // a leaving relay counts no attempts
-	MutationDrainKeepsSessions        Mutation = "drain-holds"   // a drained relay moves nobody
-	MutationStaleIdempotency          Mutation = "old-rules"     // the effects that a reload brings are not looked at
-	MutationUpgradeDropsSessions      Mutation = "hand-over"     // the old process of an upgrade cuts off whom it has
-	MutationLateClientClose           Mutation = "left-late"     // a client's end is looked at 0.4 s later
-	MutationDrainedSaysReady          Mutation = "drain-yes"     // and goes on saying yes
+	MutationReloadsUncounted          Mutation = "count-reload"  // accepted configurations are not counted
+	MutationShutdownAttemptsUncounted Mutation = "count-leaving" // a relay that shuts down counts no attempts
+	MutationDrainKeepsSessions        Mutation = "drain-holds"   // a drained relay migrates no sessions
+	MutationStaleIdempotency          Mutation = "old-rules"     // the idempotency of classes that a reload adds is ignored
+	MutationUpgradeDropsSessions      Mutation = "hand-over"     // the old process of an upgrade exits with its sessions open
+	MutationLateClientClose           Mutation = "left-late"     // a client's close is noticed 0.4 s late
+	MutationDrainedSaysReady          Mutation = "drain-yes"     // a drained relay answers PONG
 )
 
 // Mutations are all mutations, each with the rules of which at least one must catch it.
@@ -74,7 +74,7 @@
 }
 
 // hasMutation says whether the relays have a defect.
-func (run *run) hasMutation(b Mutation) bool { return run.options.Mutation == b }
+func (run *run) hasMutation(mutation Mutation) bool { return run.options.Mutation == mutation }
 
 // mutate returns the configuration as a relay with the run's mutation reads it.
 func (r *relay) mutate(cfg controller.Config) controller.Config {
--- a/internal/simulation/network_faults.go
+++ b/internal/simulation/network_faults.go
@@ -52,5 +52,5 @@
 // failLink impairs a link. The fault ends by itself.
 func failLink(run *run, f Fault) (end func()) {
 	run.engine.linkFaults = append(run.engine.linkFaults, linkFault{f.Link, min(epoch+f.Start+f.Duration, epoch+run.options.Duration)})
-	return nil // it has its end in it
+	return nil // a linkFault ends by itself
 }
--- a/internal/simulation/relay.go
+++ b/internal/simulation/relay.go
@@ -60,12 +60,12 @@
 	shares := controller.AllocateDescriptors(r.cfg.MaxDescriptors, r.cfg.MemoryMB, r.cfg.AdminListen != "")
 	r.sessionLimit = shares.Sessions
 	r.handshakes = handshake.NewPool(shares.Handshakes)
-	node, err := controller.New(engine.now, r.mutate(r.cfg), r, zap.NewNop())
+	var err error
+	r.controller, err = controller.New(engine.now, r.mutate(r.cfg), r, zap.NewNop())
 	if err != nil {
-		panic(fmt.Sprintf("a relay does not start: %v", err))
+		panic(fmt.Sprintf("simulation: a relay does not start: %v", err))
 	}
-	r.controller = node
-	r.healthChecks = healthcheck.New(node.Settings(), shares.HealthChecks)
+	r.healthChecks = healthcheck.New(r.controller.Settings(), shares.HealthChecks)
 	r.followAgent(r.cfg.Discovery, false)
 	r.scheduleTimer()
 	if engine.trace != nil {
@@ -87,10 +87,10 @@
 func (r *relay) handOff(do func()) { r.engine.schedule(r.engine.goroutineDelay(), r.whileRunning(do)) }
 
 // post runs an event of the controller. Events run in the order in which they were posted.
-func (r *relay) post(e func(now time.Duration)) {
+func (r *relay) post(handle func(now time.Duration)) {
 	r.lastPost = max(r.lastPost, r.engine.now+r.engine.goroutineDelay())
 	r.engine.scheduleAt(r.lastPost, r.whileRunning(func() {
-		e(r.engine.now)
+		handle(r.engine.now)
 		r.scheduleTimer()
 	}))
 }
--- a/internal/simulation/relay_discovery.go
+++ b/internal/simulation/relay_discovery.go
@@ -48,11 +48,12 @@
 		return
 	}
 	r.discoveryBusy = true
-	incarnation, follows, over := r.incarnation, r.discoveryGeneration, false
-	current := func(do func()) func() { // an answer may come after this process has ended
+	incarnation, generation, answered := r.incarnation, r.discoveryGeneration, false
+	// An answer may arrive after the time-out, after a change of the agent or after the process has ended.
+	current := func(do func()) func() {
 		return func() {
-			if r.incarnation == incarnation && r.discoveryGeneration == follows && !over {
-				over = true
+			if r.incarnation == incarnation && r.discoveryGeneration == generation && !answered {
+				answered = true
 				do()
 			}
 		}
@@ -61,12 +62,12 @@
 	r.engine.schedule(request.Timeout, failed)
 	r.run.catalog.agent(r.discoveryClient.Address).request(request, func(body []byte, tell func()) {
 		r.engine.schedule(r.engine.segmentDelay()/4, current(func() {
-			news, err := r.discoveryClient.HandleResponse(body)
+			update, err := r.discoveryClient.HandleResponse(body)
 			if err != nil {
-				panic(fmt.Sprintf("a body cannot be read: %v", err))
+				panic(fmt.Sprintf("simulation: discovery's answer cannot be decoded: %v", err))
 			}
 			tell()
-			r.handleDiscoveryUpdate(news)
+			r.handleDiscoveryUpdate(update)
 		}))
 	})
 }
@@ -81,9 +82,9 @@
 			r.post(deliver)
 		}
 	}
-	follows := r.discoveryGeneration
+	generation := r.discoveryGeneration
 	r.engine.schedule(update.RetryDelay, r.whileRunning(func() {
-		if r.discoveryGeneration == follows {
+		if r.discoveryGeneration == generation {
 			r.discoveryBusy = false
 			r.requestEndpoints()
 		}
--- a/internal/simulation/relay_faults.go
+++ b/internal/simulation/relay_faults.go
@@ -38,14 +38,16 @@
 	return nil
 }
 
-// changeSettingsForAWhile has all relays load other settings, and the first ones again at the end. A second change during one does nothing.
+// changeSettingsForAWhile has all relays load other settings, and the first ones again at the end. A second change during
+// one does nothing.
 func changeSettingsForAWhile(run *run, f Fault) (end func()) {
-	if run.options.Installation != nil || len(run.relays[0].cfg.Settings.Classes) > len(run.settings.Classes) { // one at a time
+	changed := len(run.relays[0].cfg.Settings.Classes) > len(run.settings.Classes)
+	if run.options.Installation != nil || changed {
 		return nil
 	}
-	effect := []balance.Idempotency{balance.Idempotent, balance.NonIdempotent}[f.Target%2]
+	idempotency := []balance.Idempotency{balance.Idempotent, balance.NonIdempotent}[f.Target%2]
 	run.baseClassesOnly = false
-	run.changeSettings(true, effect, 1+int(f.Severity*4))
+	run.changeSettings(true, idempotency, 1+int(f.Severity*4))
 	return func() {
 		run.baseClassesOnly = true
 		for i, c := range run.clients {
@@ -59,9 +61,11 @@
 
 // upgradeRelays upgrades one or several relays, perhaps one twice in a row.
 func upgradeRelays(run *run, f Fault) (end func()) {
-	for i := range 1 + int(f.Severity*3) { // perhaps another right after, or one after the other
-		number := (f.Target + i/2) % len(run.relays)
-		run.engine.schedule(time.Duration(i)*(4*time.Second+f.Duration/8), func() { run.upgradeRelay(run.relays[number], f.Duration/10) })
+	for i := range 1 + int(f.Severity*3) {
+		number := (f.Target + i/2) % len(run.relays) // each relay twice in a row
+		run.engine.schedule(time.Duration(i)*(4*time.Second+f.Duration/8), func() {
+			run.upgradeRelay(run.relays[number], f.Duration/10)
+		})
 	}
 	return nil
 }
@@ -78,7 +82,7 @@
 
 // toggleRelayDrain drains relays and ends the drain again and again, amid reloads and restarts.
 func toggleRelayDrain(run *run, f Fault) (end func()) {
-	for i := range 1 + int(f.Severity*6) { // called again and again, while it is told other things
+	for i := range 1 + int(f.Severity*6) {
 		r := run.relays[(f.Target+i/3)%len(run.relays)]
 		run.engine.schedule(time.Duration(i)*f.Duration/12, func() { run.setRelayDrained(r, i%3 != 2) })
 		if i == 1 {
@@ -129,13 +133,13 @@
 
 // killRelays kills several relays at once.
 func killRelays(run *run, f Fault) (end func()) {
-	struck := f.Targets
-	if struck == nil {
+	targets := f.Targets
+	if targets == nil {
 		for i := range 1 + int(f.Severity*float64(len(run.relays)-1)) {
-			struck = append(struck, (f.Target+i)%len(run.relays))
+			targets = append(targets, (f.Target+i)%len(run.relays))
 		}
 	}
-	for _, i := range struck {
+	for _, i := range targets {
 		r := run.relays[i]
 		run.stopRelay(r, false)
 		run.engine.schedule(f.Duration, func() { run.startRelay(r) })
--- a/internal/simulation/relay_health_check.go
+++ b/internal/simulation/relay_health_check.go
@@ -51,10 +51,10 @@
 
 // sendHealthCheck sends the request of a check and waits for the answer until the check's deadline.
 func (r *relay) sendHealthCheck(check *healthcheck.Check, conn *connEnd) {
-	over := false
+	finished := false
 	finish := func(next func(now time.Duration) healthcheck.Step) {
-		if !over {
-			over = true
+		if !finished {
+			finished = true
 			conn.onReadable = nil
 			r.continueHealthCheck(check, next(r.engine.now))
 		}
--- a/internal/simulation/relay_lifecycle.go
+++ b/internal/simulation/relay_lifecycle.go
@@ -30,20 +30,20 @@
 }
 
 // stopRelay kills a relay's process, or disconnects its machine.
-func (run *run) stopRelay(r *relay, vanish bool) {
+func (run *run) stopRelay(r *relay, disconnect bool) {
 	if !r.up {
 		return
 	}
 	run.checker.RelayStopped(r.number)
-	if predecessor := r.predecessor; predecessor != nil && predecessor.up { // it is the same machine's
+	if predecessor := r.predecessor; predecessor != nil && predecessor.up { // of an upgrade, on the same machine
 		r.predecessor = nil
-		if vanish {
+		if disconnect {
 			predecessor.disconnect()
 		} else {
 			predecessor.kill()
 		}
 	}
-	if vanish {
+	if disconnect {
 		r.disconnect()
 	} else {
 		r.kill()
--- a/internal/simulation/relay_reload.go
+++ b/internal/simulation/relay_reload.go
@@ -13,7 +13,7 @@
 func (r *relay) reload(cfg controller.Config) {
 	r.post(func(now time.Duration) {
 		if err := r.controller.Reload(now, r.mutate(cfg), cfg.MaxDescriptors); err != nil {
-			panic(fmt.Sprintf("a sound configuration is not taken: %v", err))
+			panic(fmt.Sprintf("simulation: a valid configuration is rejected: %v", err))
 		}
 		if r.run.hasMutation(MutationStaleIdempotency) {
 			s := r.controller.Settings().Settings
--- a/internal/simulation/relay_upgrade.go
+++ b/internal/simulation/relay_upgrade.go
@@ -35,7 +35,7 @@
 func (run *run) startSuccessor(r *relay) {
 	state, err := r.controller.ExportState(run.engine.now)
 	if err != nil {
-		panic(fmt.Sprintf("a relay has nothing to hand over: %v", err))
+		panic(fmt.Sprintf("simulation: a relay cannot export its state: %v", err))
 	}
 	successor := &relay{
 		host:           run.engine.newHost(r.name, "").withNode(fault.Relays, r.number),
@@ -53,7 +53,7 @@
 	run.checker.RelayUpgraded(r.number)
 	successor.boot()
 	if err := successor.controller.RestoreState(run.engine.now, state); err != nil {
-		panic(fmt.Sprintf("what a relay hands over is not taken: %v", err))
+		panic(fmt.Sprintf("simulation: a relay's state cannot be restored: %v", err))
 	}
 	successor.controller.SetDescriptors(successor.cfg.MaxDescriptors)
 	run.relays[r.number], r.successor = successor, successor
--- a/internal/simulation/session_driver.go
+++ b/internal/simulation/session_driver.go
@@ -77,19 +77,19 @@
 		return
 	}
 	d.clientDone = true
-	spoke := len(d.client.received) > head
-	soon := d.relay.handOff
+	sentMore := len(d.client.received) > head
+	handOff := d.relay.handOff
 	if d.relay.run.hasMutation(MutationLateClientClose) {
-		soon = func(do func()) { d.relay.engine.schedule(400*time.Millisecond, d.relay.whileRunning(do)) }
+		handOff = func(do func()) { d.relay.engine.schedule(400*time.Millisecond, d.relay.whileRunning(do)) }
 	}
-	soon(func() {
+	handOff(func() {
 		switch {
 		case d.state == stateWaiting:
-			d.perform(d.session.ClientClosed(spoke))
+			d.perform(d.session.ClientClosed(sentMore))
 			if d.relay.run.hasMutation(MutationAbandonedStayCounted) {
 				d.session.Admitted()
 			}
-		case d.state == stateEstablished && spoke:
+		case d.state == stateEstablished && sentMore:
 			d.closeBackend(d.session.ClientEnded(session.EndReset))
 		case d.state == stateEstablished:
 			d.closeBackend(d.session.ClientEnded(d.client.remoteEnd))
--- a/internal/simulation/session_handshake.go
+++ b/internal/simulation/session_handshake.go
@@ -76,7 +76,7 @@
 			d.lingeredBytes += len(d.client.received)
 			d.client.consume(len(d.client.received))
 		}
-		if d.client.remoteEnd != session.NoEnd { // whoever never stops is held up until the time is over
+		if d.client.remoteEnd != session.NoEnd { // otherwise the linger timeout ends it
 			done()
 		}
 	}
--- a/internal/simulation/settings.go
+++ b/internal/simulation/settings.go
@@ -113,14 +113,26 @@
 
 // classLimits are the classes as the checker enforces them.
 func (run *run) classLimits() []invariant.Class {
-	s := &run.settings
-	classes := []invariant.Class{{Name: "watch", ClientTimeout: 2 * time.Second, Idempotency: invariant.Idempotent},
-		{Name: "fetch", ClientTimeout: 1800 * time.Millisecond, Idempotency: invariant.IdempotentWithKey, ScopedToCell: true, DedupWindow: 3 * time.Second},
-		{Name: "submit", ClientTimeout: 3 * time.Second, Idempotency: invariant.NonIdempotent}}
+	classes := []invariant.Class{{
+		Name:          "watch",
+		ClientTimeout: 2 * time.Second,
+		Idempotency:   invariant.Idempotent,
+	}, {
+		Name:          "fetch",
+		ClientTimeout: 1800 * time.Millisecond,
+		Idempotency:   invariant.IdempotentWithKey,
+		ScopedToCell:  true,
+		DedupWindow:   3 * time.Second,
+	}, {
+		Name:          "submit",
+		ClientTimeout: 3 * time.Second,
+		Idempotency:   invariant.NonIdempotent,
+	}}
+	policies := run.options.RetryPolicies
 	for i := range classes {
-		classes[i].LatencyObjective = s.Classes[i].LatencyObjective
-		if i < len(run.options.RetryPolicies) {
-			classes[i].MaxAttempts, classes[i].TotalTimeout = run.options.RetryPolicies[i].MaxAttempts, run.options.RetryPolicies[i].RequestTimeout
+		classes[i].LatencyObjective = run.settings.Classes[i].LatencyObjective
+		if i < len(policies) {
+			classes[i].MaxAttempts, classes[i].TotalTimeout = policies[i].MaxAttempts, policies[i].RequestTimeout
 		}
 	}
 	return classes
--- a/internal/simulation/topology.go
+++ b/internal/simulation/topology.go
@@ -20,11 +20,11 @@
 // drawSize draws the number of nodes, which Options.Installation overrides.
 func (run *run) drawSize() installationSize {
 	rng := run.engine.rng
-	n := installationSize{relays: 2 + rng.IntN(6), backends: 6 + rng.IntN(27), clients: 100 + rng.IntN(41)}
-	if f := run.options.Installation; f != nil {
-		n = installationSize{f.Relays, f.Backends, f.Clients}
+	size := installationSize{relays: 2 + rng.IntN(6), backends: 6 + rng.IntN(27), clients: 100 + rng.IntN(41)}
+	if installation := run.options.Installation; installation != nil { // the draws above are made in any case
+		size = installationSize{installation.Relays, installation.Backends, installation.Clients}
 	}
-	return n
+	return size
 }
 
 // populate creates all nodes: discovery and backends first, then relays, then the clients' first visits.
