--- a/internal/simulation/retry_policy_test.go
+++ b/internal/simulation/retry_policy_test.go
@@ -12,9 +12,9 @@
 	"aspenbarrow/internal/config"
 )
 
-// Whatever timing a file may say, in any world: never over its attempts, never two at once, never past its whole
-// or the client's patience. The checker holds each class to its own figures.
-func TestSoundTimingsKeepTheRulesInAnyWorld(t *testing.T) {
+// With any retry policies that a configuration may contain, on any seed: no more attempts than allowed, never two at
+// once, and none past the policy's total timeout or the client's. The checker has the limits of each class.
+func TestRun_ValidRetryPoliciesKeepInvariants(t *testing.T) {
 	if raceEnabled {
 		t.Skip("one goroutine a run: the race detector has nothing to find")
 	}
@@ -78,8 +78,8 @@
 	}
 }
 
-// The checker must see it where a relay does not keep to its timing.
-func TestATimingThatIsNotKeptIsCaught(t *testing.T) {
+// The checker detects a relay that ignores its retry policies.
+func TestRun_IgnoredRetryPolicyIsDetected(t *testing.T) {
 	once := balance.RetryPolicy{MaxAttempts: 1}
 	for seed := uint64(0); seed < 40; seed++ {
 		for _, b := range Run(Options{Seed: seed, Mutation: MutationRetryPolicyIgnored, RetryPolicies: []balance.RetryPolicy{once, once, once}}).Violations {
--- a/internal/simulation/run_test.go
+++ b/internal/simulation/run_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// each plays what next says on all cores.
+// forEachParallel calls play for each index on all cores.
 func forEachParallel(count int, play func(i int)) {
 	var next atomic.Int64
 	var wg sync.WaitGroup
@@ -29,6 +29,7 @@
 	wg.Wait()
 }
 
+// seedCount is the number of seeds to run: a tenth under the race detector, which is slow.
 func seedCount(race int) int {
 	if raceEnabled {
 		return race
@@ -36,7 +37,8 @@
 	return 10 * race
 }
 
-func TestNoRuleIsBroken(t *testing.T) {
+// No seed violates a rule, and each run has enough load to mean something.
+func TestRun_NoViolations(t *testing.T) {
 	var mu sync.Mutex
 	forEachParallel(seedCount(8), func(i int) {
 		res := Run(Options{Seed: uint64(i)})
@@ -53,9 +55,9 @@
 	})
 }
 
-// A restart that falls into an upgrade meets the process that runs now. The former one, which the fault was planned for, never
-// comes back: it would serve beside its heir, and its figures would be taken for the heir's.
-func TestARestartMeetsTheProcessThatRunsNow(t *testing.T) {
+// A restart during an upgrade targets the new process. The replaced one, which the fault was scheduled for, must not come back:
+// it would serve beside its successor, and its metrics would be compared with the successor's.
+func TestRun_RestartDuringUpgradeTargetsNewProcess(t *testing.T) {
 	for _, tc := range []struct {
 		seed   uint64
 		script []Fault
@@ -77,11 +79,11 @@
 	}
 }
 
-// With few descriptors a crowd of bad clients keeps others in the accept queue for a while, and backends that hang use up all
-// the time there is. Who lay in the queue has waited meanwhile, and gets its answer in time. The ids of bad clients are small
-// numbers; among them are some that name two patiences, of which one is over before anybody could have read them.
-// A queue of over half a second still outruns it: of 100 seeds 30 and 85 have one such client, so the thirty before are held.
-func TestTheAcceptQueueCountsAsWaiting(t *testing.T) {
+// With few descriptors many misbehaving clients keep others in the accept queue for a while, and paused backends use up the
+// clients' timeouts. The time in the queue counts towards the timeout, so that the answer is still in time. The request ids of
+// misbehaving clients are small numbers; some give two timeouts, of which one is over before the request could have been read.
+// A queue of over half a second is still too long: of 100 seeds, 30 and 85 have one such client, so the thirty before are run.
+func TestRun_AcceptQueueTimeCountsTowardsTimeout(t *testing.T) {
 	var mu sync.Mutex
 	crowded := 0
 	forEachParallel(30, func(i int) {
@@ -105,9 +107,9 @@
 	}
 }
 
-// A checker that has never caught anything proves nothing: each way to break a relay is caught within 200
-// seeds, and by the rule that it breaks.
-func TestEachBreakIsCaughtByItsRule(t *testing.T) {
+// A checker that has never caught anything proves nothing: each mutation is caught within 200 seeds, and by the
+// rule that it breaks.
+func TestRun_MutationsAreDetected(t *testing.T) {
 	if raceEnabled {
 		t.Skip("one goroutine a run: the race detector has nothing to find, and it takes ten times as long")
 	}
@@ -145,8 +147,8 @@
 	}
 }
 
-// The same seed is the same run, byte for byte, alone or beside others.
-func TestARunRepeatsExactly(t *testing.T) {
+// The same seed gives the same trace to the byte, alone or in parallel with other runs.
+func TestRun_SameSeedSameTrace(t *testing.T) {
 	count := 50
 	if raceEnabled {
 		count = 4
@@ -169,8 +171,8 @@
 	return sum
 }
 
-// The checker must not fall for the relay's own mistakes.
-func TestTheCheckerSharesNoCodeWithTheRelay(t *testing.T) {
+// Code shared with the relay would repeat the relay's mistakes in the checker.
+func TestInvariant_ImportsNoCodeOfThisModule(t *testing.T) {
 	files, err := filepath.Glob("../invariant/*.go")
 	if err != nil || len(files) == 0 {
 		t.Fatalf("%v, %v", files, err)
@@ -188,14 +190,14 @@
 	}
 }
 
-// Shrinking must keep what fails and drop what does not matter.
-func TestAScriptShrinksToWhatFails(t *testing.T) {
-	// Only a reload can make an old watch matter, so of any script that is what must be left.
+// Shrinking keeps the faults that the violation needs and drops the others.
+func TestShrink_KeepsOnlyFailingFaults(t *testing.T) {
+	// The stale discovery client can only matter after a reload, so that is the fault that must be left of any script.
 	options := Options{Mutation: MutationStaleDiscovery, Script: []Fault{{Kind: "datagrams lost", Start: 5 * time.Second, Duration: 5 * time.Second},
 		{Kind: "reload to another agent", Start: 6 * time.Second, Duration: 5 * time.Second},
 		{Kind: "network slow", Start: 12 * time.Second, Duration: 5 * time.Second, Severity: 0.1}}}
-	// On some seeds a slower network is what lets the old watch be caught: one is taken on which the reload
-	// alone is, and with either of the others too.
+	// On some seeds the mutation is caught on a slow network only. Take one on which the reload is enough, alone and
+	// with either of the other faults.
 	fails := func(script ...Fault) bool {
 		options := options
 		options.Script = script
@@ -221,7 +223,7 @@
 	}
 }
 
-func BenchmarkSeed(b *testing.B) {
+func BenchmarkRun(b *testing.B) {
 	i := uint64(0)
 	for b.Loop() {
 		if res := Run(Options{Seed: i}); len(res.Violations) > 0 {
--- a/internal/simulation/trace_test.go
+++ b/internal/simulation/trace_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// TestTraceOf writes the trace of the seed in SEED to the file in TRACE: a way to look, skipped without them.
-func TestTraceOf(t *testing.T) {
+// TestRun_WriteTrace writes the trace of the seed in the environment variable SEED to the file in TRACE. It is a tool
+// for debugging and skipped without them.
+func TestRun_WriteTrace(t *testing.T) {
 	seed, err := strconv.ParseUint(os.Getenv("SEED"), 10, 64)
 	if err != nil {
 		t.Skip("no SEED")
