--- a/internal/simulation/client.go
+++ b/internal/simulation/client.go
@@ -10,372 +10,251 @@
 	"aspenbarrow/internal/session"
 )
 
-// front deals connections out among the relays that it takes for good ones. It goes on
-// sending to a relay that has died until it notices.
-type front struct {
-	run  *run
-	good []bool
-}
-
-// look asks a relay with PING until it answers, and from then on whether it still does.
-func (fr *front) look(r *relay) {
-	w := fr.run.w
-	r = fr.run.relays[r.number] // the process that takes who comes
-	again := func(after time.Duration) { w.in(after, func() { fr.look(r) }) }
-	if fr.good[r.number] {
-		if !r.up || r.leaving {
-			notice := w.between(200*time.Millisecond, 2600*time.Millisecond)
-			if r.up { // it is leaving, which is known sooner
-				notice = w.between(200*time.Millisecond, 400*time.Millisecond)
-			}
-			w.in(notice, func() { fr.good[r.number] = false })
-			again(3 * time.Second)
-			return
-		}
-		if r.node.Drained() {
-			w.in(w.between(0, 200*time.Millisecond), func() { fr.good[r.number] = false })
-		}
-		again(200 * time.Millisecond)
-		return
-	}
-	if r.leaving { // its restart is planned: nobody asks it meanwhile
-		again(100 * time.Millisecond)
-		return
-	}
-	fr.run.outside.dial(r.box, time.Second, func(e *end) {
-		if e == nil {
-			again(500 * time.Millisecond)
-			return
-		}
-		over := false
-		e.wake = func() {
-			if over || !bytes.Contains(e.in, []byte("\n")) && e.got == session.NoEnd {
-				return
-			}
-			over = true
-			fr.good[r.number] = bytes.HasPrefix(e.in, []byte("PONG")) && !r.leaving
-			e.take(len(e.in))
-			e.close()
-			again(300 * time.Millisecond)
-		}
-		w.in(time.Second, func() {
-			if !over {
-				over = true
-				e.close()
-				again(300 * time.Millisecond)
-			}
-		})
-		e.write([]byte("PING\r\n"), func(bool) {})
-	})
-}
-
-// yes holds a relay that takes clients again to saying so within two seconds.
-func (run *run) yes(r *relay) {
-	r = run.relays[r.number]
-	life := r.life
-	run.w.in(drainedNoMore, func() {
-		if r.life != life || !r.up || r.leaving || r.node.Drained() || run.closing {
-			return
-		}
-		run.outside.dial(r.box, time.Second, func(e *end) {
-			if e == nil {
-				return
-			}
-			e.wake = func() {
-				if bytes.Contains(e.in, []byte("\n")) {
-					if !bytes.HasPrefix(e.in, []byte("PONG")) && r.node.Ready() {
-						run.fail("drained", "%s says %q though it is drained no more", r.name, e.in)
-					}
-					e.close()
-				}
-			}
-			e.write([]byte("PING\r\n"), func(bool) {})
-			run.w.in(3*time.Second, e.close)
-		})
-	})
-}
-
-// drainedNoMore is how long after the second call a relay has to say yes.
-const drainedNoMore = 2 * time.Second
-
-// pick is a relay for a new connection.
-func (fr *front) pick() *relay {
-	good := make([]*relay, 0, len(fr.good))
-	for _, r := range fr.run.relays {
-		if fr.good[r.number] {
-			good = append(good, r)
-		}
-	}
-	if len(good) == 0 {
-		return nil
-	}
-	if f := fr.run.opt.Fleet; f != nil && f.HotRelay > 0 && fr.good[0] && fr.run.w.rng.Float64() < f.HotRelay {
-		return fr.run.relays[0]
-	}
-	return good[fr.run.w.rng.IntN(len(good))]
-}
-
+// client is a client that connects, stays a while, and comes back.
 type client struct {
-	run     *run
-	number  int
-	key     uint64
-	group   uint64
-	class   int
-	back    bool // it was moved, or its connection broke
-	tries   int
-	stays   time.Duration
-	deaf    bool // it stops reading for a while, once
-	bulky   bool // it sends much at once
-	comes   int  // counts connections, so that what belongs to an older one is dropped
-	stopped bool
-	e       *end
-	id      string
-	up      bool
-	lines   int
-	heardAt time.Duration
-	saidAt  time.Duration // when the oldest line without an answer went out; 0: none
-	late    bool          // the last answer took longer than is wanted
-	wants   bool          // a connection, now: from when it meant to have one, not from when it got to ask
+	run              *run
+	number           int
+	key              uint64
+	group            uint64 // 0: none
+	class            int
+	reconnecting     bool // it was moved, or its connection broke
+	retries          int
+	stayDuration     time.Duration
+	notReading       bool // it has stopped reading for a while
+	sendsBursts      bool
+	visit            int // number of the latest connection; drops what belongs to an older one
+	stopped          bool
+	conn             *connEnd
+	requestID        string
+	established      bool
+	lineCount        int
+	lastReceived     time.Duration
+	oldestUnanswered time.Duration // when the oldest unanswered line was sent; 0: none
+	lastReplyLate    bool          // the latest answer missed the latency objective
+	wantsConnection  bool          // from when it meant to connect, whether or not it could
 }
 
-// lineAim is how soon a line is to come back.
-const lineAim = 60 * time.Millisecond
+// messageLatencyObjective is how soon a line should be answered.
+const messageLatencyObjective = 60 * time.Millisecond
 
-// inTime says whether its lines come back as they should.
-func (c *client) inTime() bool {
-	return !c.late && (c.saidAt == 0 || c.run.w.now-c.saidAt <= lineAim)
+// meetsObjective says whether the client's lines are answered within the latency objective.
+func (c *client) meetsObjective() bool {
+	return !c.lastReplyLate && (c.oldestUnanswered == 0 || c.run.engine.now-c.oldestUnanswered <= messageLatencyObjective)
 }
 
-// come opens a connection, after a while.
-func (c *client) come(after time.Duration) {
-	c.comes++
-	comes := c.comes
-	c.run.w.in(after, func() {
-		if c.comes == comes && !c.run.closing && !c.stopped {
-			c.wants = true
+// connectAfter starts a new visit after a while.
+func (c *client) connectAfter(after time.Duration) {
+	c.visit++
+	visit := c.visit
+	c.run.engine.schedule(after, func() {
+		if c.visit == visit && !c.run.closing && !c.stopped {
+			c.wantsConnection = true
 			c.connect()
 		}
 	})
 }
 
+// connect dials a relay of the load balancer's choice.
 func (c *client) connect() {
 	run := c.run
-	r := run.front.pick()
+	r := run.loadBalancer.pickRelay()
 	if r == nil {
-		c.come(500 * time.Millisecond)
+		c.connectAfter(500 * time.Millisecond)
 		return
 	}
-	comes := c.comes
-	run.outside.dial(r.box, 2*time.Second, func(e *end) {
+	visit := c.visit
+	run.clientHost.dial(r.host, 2*time.Second, func(conn *connEnd) {
 		switch {
-		case e == nil:
-			c.come(run.w.between(50*time.Millisecond, 400*time.Millisecond))
-			return
-		case c.comes != comes || run.closing:
-			e.close()
-			return
-		}
-		c.e, c.up, c.lines, c.saidAt, c.late = e, false, 0, 0, false
-		run.ids++
-		c.id = fmt.Sprintf("%016x", uint64(run.ids)*0x9e3779b97f4a7c15)
-		patience := run.classes[c.class].giveUp
-		line := fmt.Sprintf("OPEN %s %016x c=%s,d=%d", c.id, c.key, run.classes[c.class].name, patience.Milliseconds())
-		if c.group != 0 {
-			line += fmt.Sprintf(",g=%016x", c.group)
+		case conn == nil:
+			c.connectAfter(run.engine.randomDuration(50*time.Millisecond, 400*time.Millisecond))
+		case c.visit != visit || run.closing:
+			conn.close()
+		default:
+			c.sendRequest(conn)
 		}
-		if c.tries > 0 {
-			line += ",r=1"
-		}
-		if c.back {
-			line += ",again=1"
-		}
-		e.wake = c.heard
-		e.write([]byte(line+"\r\n"), func(bool) {})
-		if run.w.rng.IntN(40) == 0 { // impatient
-			run.w.in(run.w.between(0, 300*time.Millisecond), func() { c.breakOff(e) })
+	})
+}
+
+// sendRequest sends the request and waits for the answer up to the class's timeout. Some clients do not wait that long.
+func (c *client) sendRequest(conn *connEnd) {
+	run := c.run
+	c.conn, c.established, c.lineCount, c.oldestUnanswered, c.lastReplyLate = conn, false, 0, 0, false
+	c.requestID = fmt.Sprintf("%016x", uint64(run.nextRequestID())*requestIDMultiplier)
+	conn.onReadable = c.readLines
+	conn.write([]byte(c.requestLine()+"\r\n"), func(bool) {})
+	if run.engine.rng.IntN(40) == 0 {
+		run.engine.schedule(run.engine.randomDuration(0, 300*time.Millisecond), func() { c.disconnect(conn) })
+	}
+	run.engine.schedule(run.classes[c.class].timeout+500*time.Millisecond, func() {
+		if c.conn == conn && !c.established {
+			run.count("client gave up")
+			c.reconnect(conn)
 		}
-		run.w.in(patience+500*time.Millisecond, func() {
-			if c.e == e && !c.up {
-				run.count("client gave up")
-				c.lost(e)
-			}
-		})
 	})
 }
 
-// breakOff ends a connection from this side, now and then without any manners.
-func (c *client) breakOff(e *end) {
-	if c.e != e {
+// requestIDMultiplier spreads the request ids, which are counted, over 64 bits.
+const requestIDMultiplier = 0x9e3779b97f4a7c15
+
+func (run *run) nextRequestID() int {
+	run.lastRequestID++
+	return run.lastRequestID
+}
+
+// requestLine is the client's OPEN line.
+func (c *client) requestLine() string {
+	class := c.run.classes[c.class]
+	line := fmt.Sprintf("OPEN %s %016x c=%s,d=%d", c.requestID, c.key, class.name, class.timeout.Milliseconds())
+	if c.group != 0 {
+		line += fmt.Sprintf(",g=%016x", c.group)
+	}
+	if c.retries > 0 {
+		line += ",r=1"
+	}
+	if c.reconnecting {
+		line += ",again=1"
+	}
+	return line
+}
+
+// disconnect ends a connection from the client's side, sometimes with a reset.
+func (c *client) disconnect(conn *connEnd) {
+	if c.conn != conn {
 		return
 	}
-	if c.run.w.rng.IntN(4) == 0 {
-		e.reset()
+	if c.run.engine.rng.IntN(4) == 0 {
+		conn.reset()
 	} else {
-		e.closeWrite()
-		c.run.w.in(500*time.Millisecond, e.close)
+		conn.closeWrite()
+		c.run.engine.schedule(500*time.Millisecond, conn.close)
 	}
-	c.e = nil
-	c.tries, c.back, c.wants = 0, false, false
-	c.come(c.run.w.between(200*time.Millisecond, 4*time.Second))
+	c.conn = nil
+	c.retries, c.reconnecting, c.wantsConnection = 0, false, false
+	c.connectAfter(c.run.engine.randomDuration(200*time.Millisecond, 4*time.Second))
 }
 
-// lost comes back after a connection that did not hold.
-func (c *client) lost(e *end) {
-	e.close()
-	c.e = nil
-	c.tries++
-	wait := c.run.w.between(30*time.Millisecond, 300*time.Millisecond)
-	if c.tries > 4 {
-		c.tries = 0
-		wait = c.run.w.between(time.Second, 4*time.Second)
+// reconnect connects again after a connection that broke, with a longer pause after several.
+func (c *client) reconnect(conn *connEnd) {
+	conn.close()
+	c.conn = nil
+	c.retries++
+	wait := c.run.engine.randomDuration(30*time.Millisecond, 300*time.Millisecond)
+	if c.retries > 4 {
+		c.retries = 0
+		wait = c.run.engine.randomDuration(time.Second, 4*time.Second)
 	}
-	c.come(wait)
+	c.connectAfter(wait)
 }
 
-func (c *client) heard() {
-	e := c.e
-	if e == nil || c.deaf {
+// readLines handles what has arrived.
+func (c *client) readLines() {
+	conn := c.conn
+	if conn == nil || c.notReading {
 		return
 	}
 	for {
-		i := bytes.IndexByte(e.in, '\n')
+		i := bytes.IndexByte(conn.received, '\n')
 		if i < 0 {
 			break
 		}
-		line := string(bytes.TrimRight(e.in[:i], "\r\n"))
-		e.take(i + 1)
-		c.heardAt = c.run.w.now
-		if c.up && strings.HasPrefix(line, "R ") {
-			c.late = c.saidAt != 0 && c.run.w.now-c.saidAt > lineAim
-			c.saidAt = 0
+		line := string(bytes.TrimRight(conn.received[:i], "\r\n"))
+		conn.consume(i + 1)
+		c.lastReceived = c.run.engine.now
+		if c.established && strings.HasPrefix(line, "R ") {
+			c.lastReplyLate = c.oldestUnanswered != 0 && c.run.engine.now-c.oldestUnanswered > messageLatencyObjective
+			c.oldestUnanswered = 0
 		}
-		c.line(e, line)
-		if c.e != e {
+		c.handleLine(conn, line)
+		if c.conn != conn {
 			return
 		}
 	}
-	if e.got != session.NoEnd {
-		if c.up {
+	if conn.remoteEnd != session.NoEnd {
+		if c.established {
 			c.run.count("connection lost")
-			c.back = true
+			c.reconnecting = true
 		}
-		c.lost(e)
+		c.reconnect(conn)
 	}
 }
 
-func (c *client) line(e *end, line string) {
-	run := c.run
+// handleLine handles one line of the relay's; those of an established connection are handled by readLines, but
+// for MOVE.
+func (c *client) handleLine(conn *connEnd, line string) {
 	word, rest, _ := strings.Cut(line, " ")
 	switch {
-	case !c.up && word == "UP":
+	case !c.established:
+		c.handleAnswer(conn, word, rest)
+	case word == "MOVE":
+		c.run.count("moved")
+		c.reconnecting = true
+		conn.close()
+		c.conn = nil
+		c.connectAfter(c.run.engine.randomDuration(20*time.Millisecond, 400*time.Millisecond))
+	}
+}
+
+// handleAnswer handles the answer to the request.
+func (c *client) handleAnswer(conn *connEnd, word, argument string) {
+	run := c.run
+	switch word {
+	case "UP":
 		run.count("served")
-		run.served[c.class]++
-		c.up, c.tries, c.back = true, 0, false
-		run.w.in(c.stays, func() { c.breakOff(e) })
-		c.talk(e)
-	case !c.up && word == "BYE":
+		run.servedByClass[c.class]++
+		c.established, c.retries, c.reconnecting = true, 0, false
+		run.engine.schedule(c.stayDuration, func() { c.disconnect(conn) })
+		c.sendLines(conn)
+	case "BYE": // served and ended at once
 		run.count("served to its end")
-		run.served[c.class]++
-		e.close()
-		c.e, c.wants = nil, false
-		c.come(run.w.between(200*time.Millisecond, 2*time.Second))
-	case !c.up && word == "BUSY":
+		run.servedByClass[c.class]++
+		conn.close()
+		c.conn, c.wantsConnection = nil, false
+		c.connectAfter(run.engine.randomDuration(200*time.Millisecond, 2*time.Second))
+	case "BUSY":
 		run.count("refused")
-		wait := run.w.between(100*time.Millisecond, 600*time.Millisecond)
-		if ms, err := strconv.Atoi(rest); err == nil {
-			wait = time.Duration(ms) * time.Millisecond
+		retryAfter := run.engine.randomDuration(100*time.Millisecond, 600*time.Millisecond)
+		if milliseconds, err := strconv.Atoi(argument); err == nil {
+			retryAfter = time.Duration(milliseconds) * time.Millisecond
 		}
-		e.close()
-		c.e = nil
-		c.tries++
-		c.come(wait)
-	case !c.up:
+		conn.close()
+		c.conn = nil
+		c.retries++
+		c.connectAfter(retryAfter)
+	default:
 		run.count("failed")
-		c.lost(e)
-	case word == "MOVE":
-		run.count("moved")
-		c.back = true
-		e.close()
-		c.e = nil
-		c.come(run.w.between(20*time.Millisecond, 400*time.Millisecond))
+		c.reconnect(conn)
 	}
 }
 
-// talk sends a line every two seconds.
-func (c *client) talk(e *end) {
-	if c.e != e || e.dead {
+// sendLines sends a line every two seconds, and notices a relay that has fallen silent.
+func (c *client) sendLines(conn *connEnd) {
+	if c.conn != conn || conn.closed {
 		return
 	}
-	if !c.deaf && c.run.w.now-c.heardAt > 9*time.Second { // its relay has vanished
+	if !c.notReading && c.run.engine.now-c.lastReceived > 9*time.Second { // its relay has vanished
 		c.run.count("connection silent")
-		c.back = true
-		c.lost(e)
+		c.reconnecting = true
+		c.reconnect(conn)
 		return
 	}
-	if c.saidAt == 0 {
-		c.saidAt = c.run.w.now
+	if c.oldestUnanswered == 0 {
+		c.oldestUnanswered = c.run.engine.now
 	}
-	c.lines++
+	c.lineCount++
 	n := 1
-	if c.bulky && c.lines == 2 {
+	if c.sendsBursts && c.lineCount == 2 {
 		n = 40
 	}
 	for i := range n {
-		e.write(fmt.Appendf(nil, "line %s %d.%d\r\n", c.id, c.lines, i), func(bool) {})
+		conn.write(fmt.Appendf(nil, "line %s %d.%d\r\n", c.requestID, c.lineCount, i), func(bool) {})
 	}
-	if c.run.w.rng.IntN(200) == 0 {
-		c.deaf = true
+	if c.run.engine.rng.IntN(200) == 0 {
+		c.notReading = true
 		c.run.count("client stopped reading")
-		c.run.w.in(c.run.w.between(time.Second, 5*time.Second), func() {
-			c.deaf = false
-			c.heard()
+		c.run.engine.schedule(c.run.engine.randomDuration(time.Second, 5*time.Second), func() {
+			c.notReading = false
+			c.readLines()
 		})
 	}
-	c.run.w.in(2*time.Second, func() { c.talk(e) })
-}
-
-// bad plays one client that does not keep to the protocol.
-func (run *run) bad(kind int) {
-	r := run.front.pick()
-	if r == nil || run.closing {
-		return
-	}
-	w := run.w
-	run.count("bad client")
-	run.outside.dial(r.box, 2*time.Second, func(e *end) {
-		if e == nil {
-			return
-		}
-		e.wake = func() {
-			e.take(len(e.in))
-			if e.got != session.NoEnd {
-				e.close()
-			}
-		}
-		say := func(text string) { e.write([]byte(text), func(bool) {}) }
-		run.ids++
-		open := fmt.Sprintf("OPEN %016x %016x c=%s,d=900", run.ids, run.ids, run.classes[0].name)
-		switch kind % 9 {
-		case 0:
-			say("HELLO\r\n")
-		case 1:
-			say(open[:20]) // and nothing more
-		case 2:
-			say(open[:30])
-			e.closeWrite()
-		case 3:
-			say(open + ",d=5\r\n")
-		case 4:
-			say(open + "\r\nand more\r\n")
-		case 5:
-			say(strings.Repeat("PING\r\n", 20))
-		case 6:
-			say(strings.Repeat("x", 5000))
-		case 7: // silence
-		case 8: // breaks off at once
-			say(open + "\r\n")
-			w.in(w.between(0, 5*time.Millisecond), e.reset)
-		}
-		w.in(6*time.Second, e.close) // the run lets go for longer
-	})
+	c.run.engine.schedule(2*time.Second, func() { c.sendLines(conn) })
 }
--- a/internal/simulation/world_test.go
+++ b/internal/simulation/run_test.go
@@ -15,8 +15,8 @@
 	"time"
 )
 
-// each plays what next says on all cores.
-func each(count int, play func(i int)) {
+// forEachParallel calls play for each index on all cores.
+func forEachParallel(count int, play func(i int)) {
 	var next atomic.Int64
 	var wg sync.WaitGroup
 	for range runtime.GOMAXPROCS(0) {
@@ -29,16 +29,18 @@
 	wg.Wait()
 }
 
-func seeds(race int) int {
+// seedCount is the number of seeds to run: a tenth under the race detector, which is slow.
+func seedCount(race int) int {
 	if raceEnabled {
 		return race
 	}
 	return 10 * race
 }
 
-func TestNoRuleIsBroken(t *testing.T) {
+// No seed violates a rule, and each run has enough load to mean something.
+func TestRun_NoViolations(t *testing.T) {
 	var mu sync.Mutex
-	each(seeds(8), func(i int) {
+	forEachParallel(seedCount(8), func(i int) {
 		res := Run(Options{Seed: uint64(i)})
 		mu.Lock()
 		defer mu.Unlock()
@@ -47,15 +49,15 @@
 				t.Errorf("seed %d: %v", res.Seed, b)
 			}
 		}
-		if res.Counts["answer UP"] < 100 || res.Steps < 20000 {
+		if res.Counts["answer UP"] < 100 || res.Events < 20000 {
 			t.Errorf("seed %d played little: %v", res.Seed, res.Counts)
 		}
 	})
 }
 
-// A restart that falls into an upgrade meets the process that runs now. The former one, which the fault was planned for, never
-// comes back: it would serve beside its heir, and its figures would be taken for the heir's.
-func TestARestartMeetsTheProcessThatRunsNow(t *testing.T) {
+// A restart during an upgrade targets the new process. The replaced one, which the fault was scheduled for, must not come back:
+// it would serve beside its successor, and its metrics would be compared with the successor's.
+func TestRun_RestartDuringUpgradeTargetsNewProcess(t *testing.T) {
 	for _, tc := range []struct {
 		seed   uint64
 		script []Fault
@@ -77,14 +79,14 @@
 	}
 }
 
-// With few descriptors a crowd of bad clients keeps others in the accept queue for a while, and backends that hang use up all
-// the time there is. Who lay in the queue has waited meanwhile, and gets its answer in time. The ids of bad clients are small
-// numbers; among them are some that name two patiences, of which one is over before anybody could have read them.
-// A queue of over half a second still outruns it: of 100 seeds 30 and 85 have one such client, so the thirty before are held.
-func TestTheAcceptQueueCountsAsWaiting(t *testing.T) {
+// With few descriptors many misbehaving clients keep others in the accept queue for a while, and paused backends use up the
+// clients' timeouts. The time in the queue counts towards the timeout, so that the answer is still in time. The request ids of
+// misbehaving clients are small numbers; some give two timeouts, of which one is over before the request could have been read.
+// A queue of over half a second is still too long: of 100 seeds, 30 and 85 have one such client, so the thirty before are run.
+func TestRun_AcceptQueueTimeCountsTowardsTimeout(t *testing.T) {
 	var mu sync.Mutex
 	crowded := 0
-	each(30, func(i int) {
+	forEachParallel(30, func(i int) {
 		res := Run(Options{Seed: uint64(i), Script: []Fault{
 			{Kind: "few descriptors", Start: 20 * time.Second, Duration: 22 * time.Second, Target: 0, Severity: 0.1},
 			{Kind: "few descriptors", Start: 20 * time.Second, Duration: 22 * time.Second, Target: 1, Severity: 0.1},
@@ -105,14 +107,14 @@
 	}
 }
 
-// A checker that has never caught anything proves nothing: each way to break a relay is caught within 200
-// seeds, and by the rule that it breaks.
-func TestEachBreakIsCaughtByItsRule(t *testing.T) {
+// A checker that has never caught anything proves nothing: each mutation is caught within 200 seeds, and by the
+// rule that it breaks.
+func TestRun_MutationsAreDetected(t *testing.T) {
 	if raceEnabled {
 		t.Skip("one goroutine a run: the race detector has nothing to find, and it takes ten times as long")
 	}
-	names := make([]Break, 0, len(Breaks))
-	for b := range Breaks {
+	names := make([]Mutation, 0, len(Mutations))
+	for b := range Mutations {
 		names = append(names, b)
 	}
 	slices.Sort(names)
@@ -121,12 +123,12 @@
 			var first atomic.Int64
 			first.Store(1 << 30)
 			var rule atomic.Value
-			each(200, func(i int) {
+			forEachParallel(200, func(i int) {
 				if int64(i) > first.Load() {
 					return
 				}
-				for _, f := range Run(Options{Seed: uint64(i), Break: b}).Violations {
-					if slices.Contains(Breaks[b], f.Rule) {
+				for _, f := range Run(Options{Seed: uint64(i), Mutation: b}).Violations {
+					if slices.Contains(Mutations[b], f.Rule) {
 						for was := first.Load(); int64(i) < was; was = first.Load() {
 							if first.CompareAndSwap(was, int64(i)) {
 								rule.Store(f)
@@ -137,7 +139,7 @@
 				}
 			})
 			if first.Load() == 1<<30 {
-				t.Errorf("not caught by %v in 200 seeds", Breaks[b])
+				t.Errorf("not caught by %v in 200 seeds", Mutations[b])
 				return
 			}
 			t.Logf("seed %d: %v", first.Load(), rule.Load())
@@ -145,32 +147,32 @@
 	}
 }
 
-// The same seed is the same run, byte for byte, alone or beside others.
-func TestARunRepeatsExactly(t *testing.T) {
+// The same seed gives the same trace to the byte, alone or in parallel with other runs.
+func TestRun_SameSeedSameTrace(t *testing.T) {
 	count := 50
 	if raceEnabled {
 		count = 4
 	}
 	alone := make([][32]byte, count)
 	for i := range alone {
-		alone[i] = traced(uint64(i))
+		alone[i] = traceHash(uint64(i))
 	}
-	each(count, func(i int) {
-		if got := traced(uint64(i)); got != alone[i] {
+	forEachParallel(count, func(i int) {
+		if got := traceHash(uint64(i)); got != alone[i] {
 			t.Errorf("seed %d: another trace", i)
 		}
 	})
 }
 
-func traced(seed uint64) (sum [32]byte) {
+func traceHash(seed uint64) (sum [32]byte) {
 	h := sha256.New()
-	Run(Options{Seed: seed, Trace: h, Length: 30 * time.Second})
+	Run(Options{Seed: seed, Trace: h, Duration: 30 * time.Second})
 	h.Sum(sum[:0])
 	return sum
 }
 
-// The checker must not fall for the relay's own mistakes.
-func TestTheCheckerSharesNoCodeWithTheRelay(t *testing.T) {
+// Code shared with the relay would repeat the relay's mistakes in the checker.
+func TestInvariant_ImportsNoCodeOfThisModule(t *testing.T) {
 	files, err := filepath.Glob("../invariant/*.go")
 	if err != nil || len(files) == 0 {
 		t.Fatalf("%v, %v", files, err)
@@ -188,40 +190,40 @@
 	}
 }
 
-// Shrinking must keep what fails and drop what does not matter.
-func TestAScriptShrinksToWhatFails(t *testing.T) {
-	// Only a reload can make an old watch matter, so of any script that is what must be left.
-	opt := Options{Break: BreakOldWatch, Script: []Fault{{Kind: "datagrams lost", Start: 5 * time.Second, Duration: 5 * time.Second},
+// Shrinking keeps the faults that the violation needs and drops the others.
+func TestShrink_KeepsOnlyFailingFaults(t *testing.T) {
+	// The stale discovery client can only matter after a reload, so that is the fault that must be left of any script.
+	options := Options{Mutation: MutationStaleDiscovery, Script: []Fault{{Kind: "datagrams lost", Start: 5 * time.Second, Duration: 5 * time.Second},
 		{Kind: "reload to another agent", Start: 6 * time.Second, Duration: 5 * time.Second},
 		{Kind: "network slow", Start: 12 * time.Second, Duration: 5 * time.Second, Severity: 0.1}}}
-	// On some seeds a slower network is what lets the old watch be caught: one is taken on which the reload
-	// alone is, and with either of the others too.
+	// On some seeds the mutation is caught on a slow network only. Take one on which the reload is enough, alone and
+	// with either of the other faults.
 	fails := func(script ...Fault) bool {
-		o := opt
-		o.Script = script
-		return len(Run(o).Violations) > 0
+		options := options
+		options.Script = script
+		return len(Run(options).Violations) > 0
 	}
-	lost, reload, slow := opt.Script[0], opt.Script[1], opt.Script[2]
-	for opt.Seed = 0; !fails(lost, reload, slow) || !fails(reload, slow) || !fails(reload); opt.Seed++ {
-		if opt.Seed > 200 {
+	lost, reload, slow := options.Script[0], options.Script[1], options.Script[2]
+	for options.Seed = 0; !fails(lost, reload, slow) || !fails(reload, slow) || !fails(reload); options.Seed++ {
+		if options.Seed > 200 {
 			t.Fatal("no seed fails")
 		}
 	}
-	small, rule := Shrink(opt, nil)
+	small, rule := Shrink(options, nil)
 	if rule != "drain" || len(small) != 1 || small[0].Kind != "reload to another agent" {
 		t.Errorf("%s from %+v", rule, small)
 	}
-	opt.Script = small
-	if res := Run(opt); len(res.Violations) == 0 || res.Violations[0].Rule != "drain" {
+	options.Script = small
+	if res := Run(options); len(res.Violations) == 0 || res.Violations[0].Rule != "drain" {
 		t.Errorf("what is left breaks %v", res.Violations)
 	}
-	opt.Break = NoBreak
-	if small, rule := Shrink(opt, nil); rule != "" || small != nil {
+	options.Mutation = NoMutation
+	if small, rule := Shrink(options, nil); rule != "" || small != nil {
 		t.Errorf("a sound seed shrinks to %v by %q", small, rule)
 	}
 }
 
-func BenchmarkSeed(b *testing.B) {
+func BenchmarkRun(b *testing.B) {
 	i := uint64(0)
 	for b.Loop() {
 		if res := Run(Options{Seed: i}); len(res.Violations) > 0 {
