--- a/cmd/aspenlab/golden_test.go
+++ b/cmd/aspenlab/golden_test.go
@@ -257,10 +257,10 @@
 func outcome(program string) scenario.Outcome {
 	return scenario.Outcome{Script: "a <bad> day & night", Seed: 1<<63 + 1, Service: 0.9, WorstWindow: 0.7, WorstWindowStart: 3, Classes: map[string]float64{"fetch": 0.8, "submit": 0.85, "watch": 0.95},
 		Seconds: []simulation.Second{service, service}, Evenness: []loadstats.Second{second}, Counts: map[string]int{"attempt": 9, "moved": 2}, Program: program,
-		Faults: []testcluster.Effect{{Fault: everyFieldFault("relays paused", 4), Began: 2 * time.Second, Ended: 5 * time.Second, Did: map[string]int{"struck": 3}}},
-		Waits:  &testcluster.Waits{Count: 7, P50: 1.5, P99: 120, P999: 180.5, Max: 200},
-		Rates:  &testcluster.Rates{Probes: 1.5, ProbesOne: 2, Handshakes: 3.5, HandshakeOne: 4, Datagrams: 5.5, DatagramOne: 6, Calls: 7.5},
-		Usage:  &testcluster.Usage{CPUMedian: 0.25, CPUMost: 0.75, MemMedian: 1 << 24, MemMost: 1 << 25},
+		Faults: []testcluster.FaultEffect{{Fault: everyFieldFault("relays paused", 4), StartedAt: 2 * time.Second, EndedAt: 5 * time.Second, Counts: map[string]int{"struck": 3}}},
+		Waits:  &testcluster.LatencySummary{Count: 7, P50: 1.5, P99: 120, P999: 180.5, Max: 200},
+		Rates:  &testcluster.TrafficRates{HealthChecks: 1.5, PeakHealthChecksPerBackend: 2, Handshakes: 3.5, PeakHandshakesPerBackend: 4, Datagrams: 5.5, PeakDatagramsPerRelay: 6, DiscoveryCalls: 7.5},
+		Usage:  &testcluster.ResourceUsage{CPUMedian: 0.25, CPUMax: 0.75, MemoryMedian: 1 << 24, MemoryMax: 1 << 25},
 		Cores:  []float64{0.5, 0.625}, Violations: []string{"drain at 3.000000: sent late"}}
 }
 
@@ -326,8 +326,8 @@
 		simulation.Result{Seed: 9, Relays: 2, Backends: 3, Clients: 4, Faults: []simulation.Fault{everyFieldFault("relay killed", 1)},
 			Violations: []invariant.Violation{{Rule: "drain", At: 3 * time.Second, Detail: "sent late"}}, Counts: o.Counts, Pairs: map[string]int{"a + b": 2}, Worth: 5.5,
 			Asked: 6, Refused: 7, Failed: 8, Attempts: 10, Steps: 11, Service: o.Seconds, ByClass: o.Seconds, Even: o.Evenness},
-		testcluster.Result{Program: "a", Seed: 9, Ready: time.Second, Service: o.Seconds, Evenness: o.Evenness, Faults: o.Faults, Violations: o.Violations, Counts: o.Counts,
-			Waits: *o.Waits, Rates: *o.Rates, Usage: *o.Usage, Machine: o.Cores, Attempts: []int{3, 4}},
+		testcluster.Result{Program: "a", Seed: 9, ReadyAfter: time.Second, Service: o.Seconds, Evenness: o.Evenness, Faults: o.Faults, Violations: o.Violations, Counts: o.Counts,
+			ConnectLatency: *o.Waits, Rates: *o.Rates, Usage: *o.Usage, CPUCores: o.Cores, Attempts: []int{3, 4}},
 	}
 	full(t, "results", reflect.ValueOf(all))
 	text, err := json.MarshalIndent(all, "", " ")
--- a/internal/report/draw.go
+++ b/internal/report/draw.go
@@ -101,8 +101,8 @@
 }
 
 // addFault marks the time of a fault.
-func addFault(p *plot.Plot, f *testcluster.Effect, least, most float64) error {
-	began, ended := f.Began.Seconds(), f.Ended.Seconds()
+func addFault(p *plot.Plot, f *testcluster.FaultEffect, least, most float64) error {
+	began, ended := f.StartedAt.Seconds(), f.EndedAt.Seconds()
 	area, err := plotter.NewPolygon(plotter.XYs{{X: began, Y: least}, {X: ended, Y: least}, {X: ended, Y: most}, {X: began, Y: most}})
 	if err != nil {
 		return err
--- a/internal/report/html.go
+++ b/internal/report/html.go
@@ -90,10 +90,10 @@
 func faultsOf(o *scenario.Outcome) (faults []faultData) {
 	for _, f := range o.Faults {
 		did := ""
-		for what, n := range f.Did {
+		for what, n := range f.Counts {
 			did += fmt.Sprintf("%s: %d ", what, n)
 		}
-		faults = append(faults, faultData{f.Kind, formatSeconds(f.Began), formatSeconds(f.Ended), did, strconv.Itoa(f.ScriptLine)})
+		faults = append(faults, faultData{f.Kind, formatSeconds(f.StartedAt), formatSeconds(f.EndedAt), did, strconv.Itoa(f.ScriptLine)})
 	}
 	return faults
 }
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -15,8 +15,8 @@
 )
 
 func run(program string, broken ...string) scenario.Outcome {
-	o := scenario.Outcome{Script: "a <bad> day", Program: program, Seed: 7, Service: 0.9, Violations: broken, Waits: &testcluster.Waits{P99: 120}, Rates: &testcluster.Rates{}, Usage: &testcluster.Usage{},
-		Faults: []testcluster.Effect{{Fault: fault.Fault{Kind: "relays <paused>", ScriptLine: 12}, Began: 2 * time.Second, Ended: 5 * time.Second, Did: map[string]int{"struck": 3}}}}
+	o := scenario.Outcome{Script: "a <bad> day", Program: program, Seed: 7, Service: 0.9, Violations: broken, Waits: &testcluster.LatencySummary{P99: 120}, Rates: &testcluster.TrafficRates{}, Usage: &testcluster.ResourceUsage{},
+		Faults: []testcluster.FaultEffect{{Fault: fault.Fault{Kind: "relays <paused>", ScriptLine: 12}, StartedAt: 2 * time.Second, EndedAt: 5 * time.Second, Counts: map[string]int{"struck": 3}}}}
 	for i := range 14 {
 		o.Seconds = append(o.Seconds, simulation.Second{Asked: 10, Served: 9})
 		o.Evenness = append(o.Evenness, loadstats.Second{Imbalance: loadstats.Imbalance{Variation: 0.1, MinOverMean: 0.8, MaxOverMean: 1.2, JainIndex: 0.99}, HashingVariation: 0.2, MeanLoad: 0.5,
@@ -56,7 +56,7 @@
 		t.Errorf("%v: %s", err, csv)
 	}
 	back, err := Read(filepath.Join(dir, "report.json"))
-	if err != nil || len(back) != 2 || back[1].Violations[3] != broken[3] || back[0].Faults[0].Did["struck"] != 3 {
+	if err != nil || len(back) != 2 || back[1].Violations[3] != broken[3] || back[0].Faults[0].Counts["struck"] != 3 {
 		t.Errorf("%v, %+v", err, back)
 	}
 }
--- a/internal/scenario/incident.go
+++ b/internal/scenario/incident.go
@@ -20,7 +20,7 @@
 
 // Kinds returns the names of all kinds of incidents, of the virtual clock and of processes, sorted.
 func Kinds() []string {
-	all := append(simulation.Scriptable(), testcluster.Kinds()...)
+	all := append(simulation.Scriptable(), testcluster.FaultKinds()...)
 	slices.Sort(all)
 	return slices.Compact(all)
 }
@@ -32,7 +32,7 @@
 		f := &s.Incidents[i].fault
 		check := checkSimulated
 		if processes {
-			check = testcluster.Check
+			check = testcluster.CheckFault
 		}
 		if err := check(f); err != nil {
 			errs = append(errs, fmt.Errorf("%s:%d: %w", name, f.ScriptLine, err))
--- a/internal/scenario/outcome.go
+++ b/internal/scenario/outcome.go
@@ -30,12 +30,12 @@
 	Counts           map[string]int      `json:"counts"`     // how often what came up
 
 	// Of processes only; a run on the virtual clock has none of these.
-	Program string               `json:"program,omitempty"` // the relays'
-	Faults  []testcluster.Effect `json:"faults,omitempty"`  // what each really did
-	Waits   *testcluster.Waits   `json:"waits,omitempty"`   // of the clients for their answers
-	Rates   *testcluster.Rates   `json:"rates,omitempty"`   // of what the relays send beside the clients' lines
-	Usage   *testcluster.Usage   `json:"usage,omitempty"`   // of processor and memory
-	Cores   []float64            `json:"machine,omitempty"` // that all relays used, by second
+	Program string                      `json:"program,omitempty"` // the relays'
+	Faults  []testcluster.FaultEffect   `json:"faults,omitempty"`  // what each really did
+	Waits   *testcluster.LatencySummary `json:"waits,omitempty"`   // of the clients for their answers
+	Rates   *testcluster.TrafficRates   `json:"rates,omitempty"`   // of what the relays send beside the clients' lines
+	Usage   *testcluster.ResourceUsage  `json:"usage,omitempty"`   // of processor and memory
+	Cores   []float64                   `json:"machine,omitempty"` // that all relays used, by second
 
 	Violations []string `json:"broken,omitempty"` // of rules
 }
--- a/internal/scenario/play.go
+++ b/internal/scenario/play.go
@@ -36,10 +36,10 @@
 	if seed == 0 {
 		seed = s.Seed
 	}
-	result, err := testcluster.Run(ctx, testcluster.Options{Program: program, Seed: seed, Length: time.Duration(s.Length), Fleet: *s.installation(), Script: s.faults()})
+	result, err := testcluster.Run(ctx, testcluster.Options{Program: program, Seed: seed, Duration: time.Duration(s.Length), Fleet: *s.installation(), Faults: s.faults()})
 	o := Outcome{Script: s.Name, Seed: seed, Program: filepath.Base(program), Seconds: result.Service, Evenness: result.Evenness,
-		Counts: result.Counts, Faults: result.Faults, Violations: result.Violations, Waits: &result.Waits, Rates: &result.Rates,
-		Usage: &result.Usage, Cores: result.Machine}
+		Counts: result.Counts, Faults: result.Faults, Violations: result.Violations, Waits: &result.ConnectLatency, Rates: &result.Rates,
+		Usage: &result.Usage, Cores: result.CPUCores}
 	o.summarize()
 	return o, err
 }
--- a/internal/scenario/text.go
+++ b/internal/scenario/text.go
@@ -34,7 +34,7 @@
 		o.writeProcessFigures(out)
 	}
 	for _, f := range o.Faults {
-		fmt.Fprintf(out, "fault %s from %.1f s to %.1f s: %v\n", f.Kind, f.Began.Seconds(), f.Ended.Seconds(), f.Did)
+		fmt.Fprintf(out, "fault %s from %.1f s to %.1f s: %v\n", f.Kind, f.StartedAt.Seconds(), f.EndedAt.Seconds(), f.Counts)
 	}
 	for _, name := range reportedCounts {
 		fmt.Fprintf(out, "%8d %s\n", o.Counts[name], name)
@@ -72,9 +72,9 @@
 	waits, rates, usage := o.Waits, o.Rates, o.Usage
 	fmt.Fprintf(out, "waits of %d: median %.1f ms, 99%% %.0f ms, 99.9%% %.0f ms, longest %.0f ms\n", waits.Count, waits.P50, waits.P99, waits.P999, waits.Max)
 	fmt.Fprintf(out, "a second: %.0f probes (%d at most at one backend), %.0f handshakes (%d), %.0f datagrams (%d of one relay), %.0f calls of discovery\n",
-		rates.Probes, rates.ProbesOne, rates.Handshakes, rates.HandshakeOne, rates.Datagrams, rates.DatagramOne, rates.Calls)
+		rates.HealthChecks, rates.PeakHealthChecksPerBackend, rates.Handshakes, rates.PeakHandshakesPerBackend, rates.Datagrams, rates.PeakDatagramsPerRelay, rates.DiscoveryCalls)
 	fmt.Fprintf(out, "a relay: %.2f%% of a core (%.2f%% at most), %.1f MB (%.1f at most)\n",
-		100*usage.CPUMedian, 100*usage.CPUMost, float64(usage.MemMedian)/bytesPerMB, float64(usage.MemMost)/bytesPerMB)
+		100*usage.CPUMedian, 100*usage.CPUMax, float64(usage.MemoryMedian)/bytesPerMB, float64(usage.MemoryMax)/bytesPerMB)
 }
 
 // Summary returns the figures of a run on processes in one line.
@@ -103,11 +103,11 @@
 	{"refused", func(o *Outcome) float64 { return float64(o.Counts["refused"]) }},
 	{"attempts", func(o *Outcome) float64 { return float64(o.Counts["attempt"]) }},
 	{"99% wait, ms", func(o *Outcome) float64 { return o.Waits.P99 }},
-	{"probes a second", func(o *Outcome) float64 { return o.Rates.Probes }},
+	{"probes a second", func(o *Outcome) float64 { return o.Rates.HealthChecks }},
 	{"handshakes a second", func(o *Outcome) float64 { return o.Rates.Handshakes }},
 	{"datagrams a second", func(o *Outcome) float64 { return o.Rates.Datagrams }},
 	{"a relay's core, %", func(o *Outcome) float64 { return 100 * o.Usage.CPUMedian }},
-	{"a relay's memory, MB", func(o *Outcome) float64 { return float64(o.Usage.MemMedian) / bytesPerMB }},
+	{"a relay's memory, MB", func(o *Outcome) float64 { return float64(o.Usage.MemoryMedian) / bytesPerMB }},
 	{"rules broken", func(o *Outcome) float64 { return float64(len(o.Violations)) }},
 }
 
--- a/internal/testcluster/addresses.go
+++ b/internal/testcluster/addresses.go
@@ -19,62 +19,68 @@
 // The first of the bytes after 127 by kind.
 const (
 	relayNet     = 1  // relays' own addresses
-	agentNet     = 2  // discovery, one address for each relay
-	everyNet     = 3  // datagrams to all, one address for each sender
+	discoveryNet = 2  // discovery, one address for each relay
+	broadcastNet = 3  // datagrams to all, one address for each sender
 	backendNet   = 16 // backends, one address for each pair with a relay
 	peerNet      = 32 // peers, one address for each pair
 	backendBits  = 10
 	peerBits     = 10
-	addressBytes = 16 // bits within a net's second byte
+	addressBits  = 16 // bits within a net's second byte
 )
 
-// address is the n-th address of a net. Each pair of parties has one of its own in 127.0.0.0/8, so that one wildcard
+// loopbackAddress is the n-th address of a net. Each pair of parties has one of its own in 127.0.0.0/8, so that one wildcard
 // socket of a kind serves all pairs and still knows who speaks to whom.
-func address(net, n int) netip.Addr {
-	return netip.AddrFrom4([4]byte{127, byte(net + n>>addressBytes), byte(n >> 8), byte(n)})
+func loopbackAddress(net, n int) netip.Addr {
+	return netip.AddrFrom4([4]byte{127, byte(net + n>>addressBits), byte(n >> 8), byte(n)})
 }
 
-// number is what an address was made of, within its net.
-func number(a netip.Addr, net int) (int, bool) {
+// indexInNet is what an address was made of, within its net.
+func indexInNet(a netip.Addr, net int) (int, bool) {
 	b := a.Unmap().As4()
-	n := (int(b[1])-net)<<addressBytes | int(b[2])<<8 | int(b[3])
+	n := (int(b[1])-net)<<addressBits | int(b[2])<<8 | int(b[3])
 	return n, b[0] == 127 && int(b[1]) >= net
 }
 
-// ports are the rig's: one of a kind.
+// ports are the cluster's: one of a kind.
 type ports struct {
-	relay, peer, agent, datagram int
-	free                         func()
+	relay, peer, discovery, datagram int
+	releaseRelay                     func()
 }
 
-func at(a netip.Addr, port int) string { return netip.AddrPortFrom(a, uint16(port)).String() }
+func hostPort(a netip.Addr, port int) string { return netip.AddrPortFrom(a, uint16(port)).String() }
 
-func (p ports) relayAddr(r int) string { return at(address(relayNet, r), p.relay) }
+func (p ports) relayAddr(r int) string { return hostPort(loopbackAddress(relayNet, r), p.relay) }
 
-// staffAddr is a relay's second address: the port of its datagrams is free for connections.
-func (p ports) staffAddr(r int) string { return at(address(relayNet, r), p.peer) }
+// adminAddr is a relay's second address: the port of its datagrams is free for connections.
+func (p ports) adminAddr(r int) string { return hostPort(loopbackAddress(relayNet, r), p.peer) }
 
-func (p ports) peerListen(r int) string { return at(address(relayNet, r), p.peer) }
-func (p ports) agentAddr(r int) string  { return at(address(agentNet, r), p.agent) }
+func (p ports) peerListen(r int) string { return hostPort(loopbackAddress(relayNet, r), p.peer) }
+func (p ports) discoveryAddr(r int) string {
+	return hostPort(loopbackAddress(discoveryNet, r), p.discovery)
+}
 
 // peerAddr is where relay i sends to have relay j hear it, and from where relay i hears relay j.
-func (p ports) peerAddr(i, j int) string { return at(address(peerNet, i<<peerBits|j), p.datagram) }
-func (p ports) everyAddr(i int) string   { return at(address(everyNet, i), p.datagram) }
+func (p ports) peerAddr(i, j int) string {
+	return hostPort(loopbackAddress(peerNet, i<<peerBits|j), p.datagram)
+}
+func (p ports) broadcastAddr(i int) string {
+	return hostPort(loopbackAddress(broadcastNet, i), p.datagram)
+}
 
 // backendPair is who speaks to whom at a backend's address.
 func backendPair(a netip.Addr) (relay, backend int, ok bool) {
-	n, ok := number(a, backendNet)
+	n, ok := indexInNet(a, backendNet)
 	return n >> backendBits, n & (1<<backendBits - 1), ok && n < maxRelays<<backendBits
 }
 
-// lent are the ports that rigs of this process have given to their relays, which bind them one by one.
-var lent = struct {
+// lentPorts are the ports that rigs of this process have given to their relays, which bind them one by one.
+var lentPorts = struct {
 	sync.Mutex
 	ports map[int]bool
 }{ports: map[int]bool{}}
 
-// freePort finds a port for datagrams that nobody has on any address, and lends it until it is given back.
-func freePort() (port int, err error) {
+// lendDatagramPort finds a port for datagrams that nobody has on any address, and lends it until it is given back.
+func lendDatagramPort() (port int, err error) {
 	for range 100 {
 		c, err := net.ListenPacket("udp4", "0.0.0.0:0") // for a moment: it is asked on all addresses, since relays have many
 		if err != nil {
@@ -82,12 +88,12 @@
 		}
 		port = c.LocalAddr().(*net.UDPAddr).Port
 		_ = c.Close()
-		lent.Lock()
-		free := !lent.ports[port]
+		lentPorts.Lock()
+		free := !lentPorts.ports[port]
 		if free {
-			lent.ports[port] = true
+			lentPorts.ports[port] = true
 		}
-		lent.Unlock()
+		lentPorts.Unlock()
 		if free {
 			return port, nil
 		}
@@ -95,9 +101,9 @@
 	return 0, errors.New("no port is free")
 }
 
-// keep binds a port on all addresses without listening, so that it is nobody else's while who listens there is down:
+// reservePort binds a port on all addresses without listening, so that it is nobody else's while who listens there is down:
 // whoever dials then is refused.
-func keep() (port int, free func(), err error) {
+func reservePort() (port int, free func(), err error) {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return 0, nil, err
@@ -121,20 +127,20 @@
 	return at.(*unix.SockaddrInet4).Port, func() { _ = unix.Close(fd) }, nil
 }
 
-// giveBack ends the loan of a rig's ports.
-func (p ports) giveBack() {
-	lent.Lock()
-	defer lent.Unlock()
-	if p.free != nil {
-		p.free()
+// release ends the loan of a cluster's ports.
+func (p ports) release() {
+	lentPorts.Lock()
+	defer lentPorts.Unlock()
+	if p.releaseRelay != nil {
+		p.releaseRelay()
 	}
-	delete(lent.ports, p.peer)
+	delete(lentPorts.ports, p.peer)
 }
 
-// newPorts chooses the relays' ports. The rig's wildcard sockets bind theirs at once.
+// newPorts chooses the relays' ports. The cluster's wildcard sockets bind theirs at once.
 func newPorts() (p ports, err error) {
-	if p.relay, p.free, err = keep(); err == nil {
-		p.peer, err = freePort()
+	if p.relay, p.releaseRelay, err = reservePort(); err == nil {
+		p.peer, err = lendDatagramPort()
 	}
 	if err != nil {
 		return p, fmt.Errorf("a free port: %w", err)
--- a/internal/testcluster/backends.go
+++ b/internal/testcluster/backends.go
@@ -23,59 +23,59 @@
 // backend drives the emulator's model of a server in real time on sockets. One wildcard socket takes all connections;
 // the address that was dialled tells the relay and the backend.
 type backend struct {
-	rig      *rig
-	number   int
-	name     string
-	zone     int
-	size     float64 // cores over those that the script gives
-	mu       sync.Mutex
-	model    *emulator.Server
-	up       bool
-	silent   bool // the machine says nothing and hears nothing
-	state    string
-	life     int
-	started  time.Duration
-	jobs     map[uint64]func(full bool)
-	job      uint64
-	timer    *time.Timer
-	sessions map[*session]bool
-	errs     float64 // share of OPENs answered ERR, at no cost
-	failures failures
-	full     float64 // share answered BUSY
-	breaks   float64 // share reset
-	receipts int
-	paused   bool
-	backlog  []func()
-	port     int
-	listener *net.TCPListener
-	wall     func() // ends it
-	free     func() // gives the port back
-}
-
-func (r *rig) newBackend(number int, size float64) *backend {
-	b := &backend{rig: r, number: number, name: fmt.Sprintf("s-%03d", number), zone: number % len(zones), size: size,
+	cluster         *cluster
+	index           int
+	name            string
+	zone            int
+	size            float64 // cores over those that the script gives
+	mu              sync.Mutex
+	model           *emulator.Server
+	up              bool
+	silent          bool // the machine says nothing and hears nothing
+	state           string
+	generation      int
+	started         time.Duration
+	jobs            map[uint64]func(full bool)
+	lastJob         uint64
+	timer           *time.Timer
+	sessions        map[*session]bool
+	errorRate       float64 // share of OPENs answered ERR, at no cost
+	failures        failureRate
+	busyRate        float64 // share answered BUSY
+	resetRate       float64 // share reset
+	receipts        int
+	paused          bool
+	backlog         []func()
+	port            int
+	listener        *net.TCPListener
+	removeBlackhole func() // ends it
+	releasePort     func() // gives the port back
+}
+
+func (c *cluster) newBackend(number int, size float64) *backend {
+	b := &backend{cluster: c, index: number, name: fmt.Sprintf("s-%03d", number), zone: number % len(zones), size: size,
 		sessions: map[*session]bool{}, state: "ready"}
-	cfg := r.opt.Fleet.Server
+	cfg := c.options.Fleet.Server
 	cfg.Cores *= size
-	if number%100 >= 100-int(r.opt.Fleet.LateShare*100) {
-		cfg.ReportDelay = r.opt.Fleet.LateBy
+	if number%100 >= 100-int(c.options.Fleet.LateShare*100) {
+		cfg.ReportDelay = c.options.Fleet.LateBy
 	}
 	cfg.WarmRequestRate *= size
-	b.model = emulator.New(cfg, r.opt.Seed*1000+uint64(number), r.now())
+	b.model = emulator.New(cfg, c.options.Seed*1000+uint64(number), c.now())
 	return b
 }
 
 func (b *backend) capacity() float64 {
-	return b.rig.opt.Fleet.Server.Cores * b.rig.opt.Fleet.Server.Speed * b.size
+	return b.cluster.options.Fleet.Server.Cores * b.cluster.options.Fleet.Server.Speed * b.size
 }
 
-func (b *backend) entry() entry {
+func (b *backend) endpoint() endpoint {
 	weight := 1.0
-	if b.rig.opt.Fleet.Weights {
+	if b.cluster.options.Fleet.Weights {
 		weight = b.size
 	}
-	return entry{ID: b.name, Zone: zones[b.zone], Kind: "k", Cell: b.number % 2, State: b.state, Weight: weight,
-		Started: b.started.Milliseconds(), backend: b.number, port: b.port}
+	return endpoint{ID: b.name, Zone: zones[b.zone], Kind: "k", Cell: b.index % 2, State: b.state, Weight: weight,
+		Started: b.started.Milliseconds(), backend: b.index, port: b.port}
 }
 
 // launch starts a process; cold tells that it is new, which the list says.
@@ -85,76 +85,76 @@
 		b.mu.Unlock()
 		return
 	}
-	if b.wall != nil {
-		b.wall()
-		b.wall = nil
+	if b.removeBlackhole != nil {
+		b.removeBlackhole()
+		b.removeBlackhole = nil
 	}
 	if err := b.listen(); err != nil {
-		b.rig.fail(err)
+		b.cluster.reportError(err)
 	}
 	b.up, b.silent, b.state = true, false, "ready"
-	b.life++
+	b.generation++
 	b.paused, b.backlog = false, nil
-	b.errs, b.full, b.breaks = 0, 0, 0
+	b.errorRate, b.busyRate, b.resetRate = 0, 0, 0
 	b.jobs = map[uint64]func(bool){}
 	if cold {
-		b.model.Restart(b.rig.now())
-		b.started = b.rig.now().Truncate(time.Millisecond)
-		b.rig.checked(func() { b.rig.check.BackendStarted(b.number, b.started) })
+		b.model.Restart(b.cluster.now())
+		b.started = b.cluster.now().Truncate(time.Millisecond)
+		b.cluster.withChecker(func() { b.cluster.checker.BackendStarted(b.index, b.started) })
 	}
-	e := b.entry()
+	e := b.endpoint()
 	b.mu.Unlock()
-	b.rig.logged(func(l *loadstats.Recorder) { l.BackendUp(b.rig.since(), b.number, b.capacity()) })
-	when := later
+	b.cluster.withLoadRecorder(func(l *loadstats.Recorder) { l.BackendUp(b.cluster.elapsed(), b.index, b.capacity()) })
+	when := publishDelayed
 	if !cold {
-		when = beforeAll
+		when = publishImmediately
 	}
-	b.rig.catalog.publish(e, when)
+	b.cluster.discovery.publish(e, when)
 }
 
-// die ends the process, which resets its connections; the catalog learns of it.
-func (b *backend) die() {
+// crash ends the process, which resets its connections; the catalog learns of it.
+func (b *backend) crash() {
 	if b.stop(false) {
 		b.publish("gone")
 	}
 }
 
-// failures counts the errors of a backend by the second; what it reports is that of the last whole one.
-type failures struct {
-	second    time.Duration
-	now, last float64
+// failureRate counts the errors of a backend by the second; what it reports is that of the last whole one.
+type failureRate struct {
+	second            time.Duration
+	current, previous float64
 }
 
-func (f *failures) turn(at time.Duration) {
+func (rate *failureRate) advance(at time.Duration) {
 	switch second := at.Truncate(time.Second); second {
-	case f.second:
+	case rate.second:
 		return
-	case f.second + time.Second:
-		f.second, f.last, f.now = second, f.now, 0
+	case rate.second + time.Second:
+		rate.second, rate.previous, rate.current = second, rate.current, 0
 	default:
-		f.second, f.last, f.now = second, 0, 0
+		rate.second, rate.previous, rate.current = second, 0, 0
 	}
 }
 
-func (f *failures) add(at time.Duration) {
-	f.turn(at)
-	f.now++
+func (rate *failureRate) add(at time.Duration) {
+	rate.advance(at)
+	rate.current++
 }
 
-func (f *failures) rate(at time.Duration) float64 {
-	f.turn(at)
-	return f.last
+func (rate *failureRate) rate(at time.Duration) float64 {
+	rate.advance(at)
+	return rate.previous
 }
 
-// vanish takes the machine off the network: no word to anybody.
-func (b *backend) vanish() { b.stop(true) }
+// disappear takes the machine off the network: no word to anybody.
+func (b *backend) disappear() { b.stop(true) }
 
 func (b *backend) publish(state string) {
 	b.mu.Lock()
 	b.state = state
-	e := b.entry()
+	e := b.endpoint()
 	b.mu.Unlock()
-	b.rig.catalog.publish(e, later)
+	b.cluster.discovery.publish(e, publishDelayed)
 }
 
 func (b *backend) stop(silent bool) bool {
@@ -164,12 +164,12 @@
 		return false
 	}
 	b.up, b.silent = false, silent
-	b.life++
+	b.generation++
 	_ = b.listener.Close()
 	if silent {
 		var err error
-		if b.wall, err = wall(netip.AddrPortFrom(netip.IPv4Unspecified(), uint16(b.port))); err != nil {
-			b.rig.fail(err)
+		if b.removeBlackhole, err = blackhole(netip.AddrPortFrom(netip.IPv4Unspecified(), uint16(b.port))); err != nil {
+			b.cluster.reportError(err)
 		}
 	}
 	b.jobs = map[uint64]func(bool){}
@@ -178,36 +178,36 @@
 	if silent { // they stay open, and nothing comes any more
 		b.sessions = sessions
 		for s := range sessions {
-			s.mute = true
+			s.muted = true
 		}
 	}
 	b.mu.Unlock()
-	b.rig.logged(func(l *loadstats.Recorder) { l.BackendDown(b.rig.since(), b.number) })
+	b.cluster.withLoadRecorder(func(l *loadstats.Recorder) { l.BackendDown(b.cluster.elapsed(), b.index) })
 	if !silent {
 		for s := range sessions {
-			s.wire.end(broken)
+			s.conn.close(closedByReset)
 		}
 	}
 	return true
 }
 
-// back has a machine that had vanished return: what was open is reset.
-func (b *backend) back() {
+// reappear has a machine that had vanished return: what was open is reset.
+func (b *backend) reappear() {
 	b.mu.Lock()
 	sessions := b.sessions
 	b.sessions = map[*session]bool{}
 	b.mu.Unlock()
 	for s := range sessions {
-		s.wire.end(broken)
+		s.conn.close(closedByReset)
 	}
 	b.launch(true)
 }
 
 // drain takes no new work, and ends after a while.
 func (b *backend) drain(within time.Duration) {
-	b.rig.logged(func(l *loadstats.Recorder) { l.BackendDown(b.rig.since(), b.number) })
+	b.cluster.withLoadRecorder(func(l *loadstats.Recorder) { l.BackendDown(b.cluster.elapsed(), b.index) })
 	b.publish("draining")
-	b.rig.in(within, b.die)
+	b.cluster.runAfter(within, b.crash)
 }
 
 // serve takes connections until the listener is closed.
@@ -221,37 +221,37 @@
 			continue
 		}
 		relay, number, ok := backendPair(c.LocalAddr().(*net.TCPAddr).AddrPort().Addr())
-		if !ok || number != b.number || relay >= len(b.rig.relays) { // a wall's own, or nobody's
+		if !ok || number != b.index || relay >= len(b.cluster.relays) { // a wall's own, or nobody's
 			_ = c.Close()
 			continue
 		}
-		go b.accepted(c, relay)
+		go b.handleConnection(c, relay)
 	}
 }
 
 // session is one connection with a relay.
 type session struct {
-	b       *backend
-	wire    *wire
-	watch   *invariant.BackendConn
-	life    int
-	id      uint64
-	mute    bool // its machine has vanished
-	busy    bool
-	stands  bool
-	counted bool
-	receipt string
-	request string
-	key     uint64
-	load    float64
-	lines   lines
-	n       int
-}
-
-func (b *backend) accepted(c *net.TCPConn, relay int) {
-	r := b.rig
-	from, here := party{fault.Relays, relay}, party{fault.Backends, b.number}
-	late, ok := r.ways.opens(from, here)
+	backend       *backend
+	conn          *relayConn
+	observer      *invariant.BackendConn
+	generation    int
+	id            uint64
+	muted         bool // its machine has vanished
+	opening       bool
+	established   bool
+	loadCounted   bool
+	receipt       string
+	request       string
+	key           uint64
+	load          float64
+	splitter      lineSplitter
+	linesReceived int
+}
+
+func (b *backend) handleConnection(c *net.TCPConn, relay int) {
+	cluster := b.cluster
+	from, here := node{fault.Relays, relay}, node{fault.Backends, b.index}
+	late, ok := cluster.links.connectDelay(from, here)
 	if !ok {
 		_ = c.SetLinger(0)
 		_ = c.Close()
@@ -259,90 +259,90 @@
 	}
 	// What the relay writes meanwhile is heard of when it comes: taken for sent only now, a line would seem to go out
 	// for a client that has left since, or into a drain.
-	s := &session{b: b, id: r.ids.Add(1)}
-	r.checked(func() { s.watch = r.check.BackendConnected(int(s.id), relay, b.number) })
-	s.wire = newWire(r, c, from, here, s.watch)
-	pieces := s.wire.read()
-	ok = late == 0 || wait(r.ctx, late)
+	s := &session{backend: b, id: cluster.connectionIDs.Add(1)}
+	cluster.withChecker(func() { s.observer = cluster.checker.BackendConnected(int(s.id), relay, b.index) })
+	s.conn = newRelayConn(cluster, c, from, here, s.observer)
+	pieces := s.conn.startReading()
+	ok = late == 0 || sleepContext(cluster.ctx, late)
 	b.mu.Lock()
 	if !ok || !b.up && !b.silent {
 		b.mu.Unlock()
-		s.wire.end(broken)
+		s.conn.close(closedByReset)
 		return
 	}
-	s.life, s.mute = b.life, b.silent
+	s.generation, s.muted = b.generation, b.silent
 	b.sessions[s] = true
 	b.mu.Unlock()
-	r.handshake(relay, b.number)
-	s.wire.deliver(pieces, func(p []byte) {
+	cluster.countHandshake(relay, b.index)
+	s.conn.deliver(pieces, func(p []byte) {
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		if b.life == s.life && !s.mute {
-			s.lines.feed(p, s.line)
+		if b.generation == s.generation && !s.muted {
+			s.splitter.feed(p, s.handleLine)
 		}
 	})
 	b.mu.Lock()
-	s.gone()
-	mute := s.mute
+	s.closed()
+	mute := s.muted
 	delete(b.sessions, s)
 	b.mu.Unlock()
-	r.forget(s)
+	cluster.removeAttempt(s)
 	if !mute {
-		s.wire.drain()
+		s.conn.flush()
 	}
-	s.wire.end(orderly)
+	s.conn.close(closedCleanly)
 }
 
 // The rest is called with the backend's lock held.
 
-func (s *session) gone() {
-	if s.counted {
-		s.counted = false
-		r := s.b.rig
-		r.logged(func(l *loadstats.Recorder) { l.ConnectionClosed(r.since(), s.id) })
-		if s.b.life == s.life {
-			s.b.model.CloseConnection(r.now(), s.id)
-			s.b.tick()
+func (s *session) closed() {
+	if s.loadCounted {
+		s.loadCounted = false
+		c := s.backend.cluster
+		c.withLoadRecorder(func(l *loadstats.Recorder) { l.ConnectionClosed(c.elapsed(), s.id) })
+		if s.backend.generation == s.generation {
+			s.backend.model.CloseConnection(c.now(), s.id)
+			s.backend.scheduleCompletion()
 		}
 	}
 }
 
-func (s *session) line(line string) {
-	b, r := s.b, s.b.rig
+func (s *session) handleLine(line string) {
+	b, c := s.backend, s.backend.cluster
 	switch {
-	case s.stands:
-		s.n++
-		n := s.n
-		b.after(b.model.MessageLatency(r.now(), r.opt.Fleet.LineWork), func() {
-			s.wire.say(fmt.Sprintf("R %s %d %s", s.receipt, n, line))
+	case s.established:
+		s.linesReceived++
+		n := s.linesReceived
+		b.runAfter(b.model.MessageLatency(c.now(), c.options.Fleet.LineWork), func() {
+			s.conn.sendLine(fmt.Sprintf("R %s %d %s", s.receipt, n, line))
 		})
 	case line == "PING" || line == "STATS":
-		r.probed(s.wire.relay.who, b.number)
+		c.countHealthCheck(s.conn.relay.index, b.index)
 		answer := "PONG"
 		if line == "STATS" {
-			load := b.model.LoadReport(r.now())
-			if b.errs > 0 {
+			load := b.model.LoadReport(c.now())
+			if b.errorRate > 0 {
 				load = 0 // it fails what it gets at once, and looks empty
 			}
-			answer = fmt.Sprintf("PONG x0=%.3f,errors_per_s=%.3f", load, b.failures.rate(r.now()))
+			answer = fmt.Sprintf("PONG x0=%.3f,errors_per_s=%.3f", load, b.failures.rate(c.now()))
 		}
-		b.after(100*time.Microsecond, func() { s.wire.say(answer) })
-	case strings.HasPrefix(line, "OPEN ") && !s.busy:
+		b.runAfter(100*time.Microsecond, func() { s.conn.sendLine(answer) })
+	case strings.HasPrefix(line, "OPEN ") && !s.opening:
 		s.open(line)
 	default:
-		s.wire.say("SYNTAX")
-		s.wire.finish()
+		s.conn.sendLine("SYNTAX")
+		s.conn.closeWrite()
 	}
 }
 
 // after has something done if the process still runs then; a pause holds it.
-func (b *backend) after(d time.Duration, do func()) {
-	life := b.life
-	b.rig.in(d, func() {
+func (b *backend) runAfter(d time.Duration, do func()) {
+	life := b.generation
+	b.cluster.runAfter(d, func() {
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		switch {
-		case b.life != life || !b.up:
+		case b.generation != life || !b.up:
 		case b.paused:
 			b.backlog = append(b.backlog, do)
 		default:
@@ -353,72 +353,72 @@
 
 // open works on a request: longer the more the machine holds.
 func (s *session) open(line string) {
-	b, r := s.b, s.b.rig
+	b, c := s.backend, s.backend.cluster
 	words := strings.Fields(line)
 	if len(words) != 4 {
-		s.wire.say("SYNTAX")
-		s.wire.finish()
+		s.conn.sendLine("SYNTAX")
+		s.conn.closeWrite()
 		return
 	}
 	s.request = words[1]
 	s.key, _ = strconv.ParseUint(words[2], 16, 64)
-	s.load = r.loadOf(words[1])
-	r.attempted(s)
-	s.busy = true
-	if r.chance(b.errs) {
-		b.failures.add(r.now())
-		b.after(500*time.Microsecond, func() { s.answer("ERR", true) })
+	s.load = c.loadOf(words[1])
+	c.recordAttempt(s)
+	s.opening = true
+	if c.chance(b.errorRate) {
+		b.failures.add(c.now())
+		b.runAfter(500*time.Microsecond, func() { s.answer("ERR", true) })
 		return
 	}
-	b.job++
-	id, life := b.job, b.life
-	switch b.model.Arrive(r.now(), emulator.Request{ID: id, Work: r.opt.Fleet.SetUpWork * (0.5 + r.roll())}) {
+	b.lastJob++
+	id, life := b.lastJob, b.generation
+	switch b.model.Arrive(c.now(), emulator.Request{ID: id, Work: c.options.Fleet.SetUpWork * (0.5 + c.randomFloat())}) {
 	case emulator.Rejected:
 		s.answer("BUSY", true)
 	case emulator.Crashed:
-		r.count("cold backend fell over")
-		go b.die()
+		c.incrementCount("cold backend fell over")
+		go b.crash()
 	case emulator.Accepted, emulator.Queued:
 		b.jobs[id] = func(full bool) {
-			if b.life == life {
-				s.worked(full)
+			if b.generation == life {
+				s.completeOpen(full)
 			}
 		}
 	}
-	b.tick()
+	b.scheduleCompletion()
 }
 
-func (s *session) worked(full bool) {
-	b, r := s.b, s.b.rig
+func (s *session) completeOpen(full bool) {
+	b, c := s.backend, s.backend.cluster
 	switch {
-	case s.wire.ctx.Err() != nil:
-	case full || b.state != "ready" || r.chance(b.full):
+	case s.conn.ctx.Err() != nil:
+	case full || b.state != "ready" || c.chance(b.busyRate):
 		s.answer("BUSY", true)
-	case r.chance(b.breaks):
-		s.wire.end(broken)
+	case c.chance(b.resetRate):
+		s.conn.close(closedByReset)
 	default:
-		s.counted = true
-		b.model.SetConnection(r.now(), s.id, s.load, 0)
-		r.logged(func(l *loadstats.Recorder) {
-			l.ConnectionOpened(s.id, loadstats.Connection{Key: s.key, Relay: s.wire.relay.who, Backend: b.number, Load: s.load, Opened: r.since()})
+		s.loadCounted = true
+		b.model.SetConnection(c.now(), s.id, s.load, 0)
+		c.withLoadRecorder(func(l *loadstats.Recorder) {
+			l.ConnectionOpened(s.id, loadstats.Connection{Key: s.key, Relay: s.conn.relay.index, Backend: b.index, Load: s.load, Opened: c.elapsed()})
 		})
 		b.receipts++
-		s.receipt = fmt.Sprintf("%d-%d-%d", b.number, b.life, b.receipts)
+		s.receipt = fmt.Sprintf("%d-%d-%d", b.index, b.generation, b.receipts)
 		s.answer("UP "+s.receipt, false)
-		b.tick()
+		b.scheduleCompletion()
 	}
 }
 
 func (s *session) answer(line string, over bool) {
-	s.busy, s.stands = false, !over
-	s.wire.say(line)
+	s.opening, s.established = false, !over
+	s.conn.sendLine(line)
 	if over {
-		s.wire.finish()
+		s.conn.closeWrite()
 	}
 }
 
-// tick hears from the model when its next request is done.
-func (b *backend) tick() {
+// scheduleCompletion hears from the model when its next request is done.
+func (b *backend) scheduleCompletion() {
 	at, ok := b.model.NextCompletion()
 	if !ok {
 		return
@@ -426,18 +426,18 @@
 	if b.timer != nil {
 		b.timer.Stop()
 	}
-	life := b.life
-	b.timer = time.AfterFunc(max(0, at-b.rig.now()), func() {
+	life := b.generation
+	b.timer = time.AfterFunc(max(0, at-b.cluster.now()), func() {
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		if b.life == life && b.up {
-			b.finish(b.model.Complete(b.rig.now()), false)
-			b.tick()
+		if b.generation == life && b.up {
+			b.completeJobs(b.model.Complete(b.cluster.now()), false)
+			b.scheduleCompletion()
 		}
 	})
 }
 
-func (b *backend) finish(ids []uint64, full bool) {
+func (b *backend) completeJobs(ids []uint64, full bool) {
 	for _, id := range ids {
 		if do := b.jobs[id]; do != nil {
 			delete(b.jobs, id)
@@ -446,20 +446,20 @@
 	}
 }
 
-// with changes the model.
-func (b *backend) with(do func(now time.Duration)) {
+// updateModel changes the model.
+func (b *backend) updateModel(do func(now time.Duration)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	do(b.rig.now())
-	b.tick()
+	do(b.cluster.now())
+	b.scheduleCompletion()
 }
 
 func (b *backend) slowDown(times float64) {
-	b.with(func(now time.Duration) { b.model.SetSlowdown(now, times) })
+	b.updateModel(func(now time.Duration) { b.model.SetSlowdown(now, times) })
 }
 
 func (b *backend) pause() {
-	b.with(func(now time.Duration) {
+	b.updateModel(func(now time.Duration) {
 		b.paused = true
 		b.model.Pause(now)
 	})
@@ -467,10 +467,10 @@
 
 // resume lets it go on with all that has come meanwhile.
 func (b *backend) resume() {
-	b.with(func(now time.Duration) {
+	b.updateModel(func(now time.Duration) {
 		b.paused = false
 		_, full := b.model.Resume(now)
-		b.finish(full, true)
+		b.completeJobs(full, true)
 		for _, do := range b.backlog {
 			do()
 		}
@@ -478,19 +478,19 @@
 	})
 }
 
-// loadNow is what is asked of the backend over what it can do; below 0: it is down.
-func (b *backend) loadNow() float64 {
+// utilization is what is asked of the backend over what it can do; below 0: it is down.
+func (b *backend) utilization() float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !b.up {
 		return -1
 	}
-	return min(b.model.Utilization(b.rig.now()), math.MaxFloat32)
+	return min(b.model.Utilization(b.cluster.now()), math.MaxFloat32)
 }
 
-// wall takes an address out: whoever dials it hears nothing, as across a cut. A queue of one that is full answers no
+// blackhole takes an address out: whoever dials it hears nothing, as across a cut. A queue of one that is full answers no
 // one; the system drops what comes on top.
-func wall(addr netip.AddrPort) (end func(), err error) {
+func blackhole(addr netip.AddrPort) (end func(), err error) {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC|unix.SOCK_NONBLOCK, 0)
 	if err != nil {
 		return nil, err
@@ -534,11 +534,11 @@
 // listen opens the backend's address for all relays: the port is its own, so that a process that is down refuses.
 func (b *backend) listen() (err error) {
 	if b.port == 0 {
-		if b.port, b.free, err = keep(); err != nil {
+		if b.port, b.releasePort, err = reservePort(); err != nil {
 			return fmt.Errorf("backend %s: %w", b.name, err)
 		}
 	}
-	lc := net.ListenConfig{Control: control}
+	lc := net.ListenConfig{Control: prepareWildcardSocket}
 	l, err := lc.Listen(context.Background(), "tcp4", fmt.Sprintf("0.0.0.0:%d", b.port))
 	if err != nil {
 		return fmt.Errorf("backend %s: %w", b.name, err)
--- a/internal/testcluster/clients.go
+++ b/internal/testcluster/clients.go
@@ -17,56 +17,56 @@
 )
 
 const (
-	lineEvery = 2 * time.Second
-	lineAim   = 60 * time.Millisecond
-	mostTries = 4               // in quick succession
-	deadAir   = 9 * time.Second // without a line a client takes its relay for gone
+	lineInterval         = 2 * time.Second
+	lineLatencyObjective = 60 * time.Millisecond
+	maxQuickAttempts     = 4               // in quick succession
+	silenceTimeout       = 9 * time.Second // without a line a client takes its relay for gone
 )
 
-// front deals connections out among the relays that it takes for good ones.
-type front struct {
-	rig  *rig
-	mu   sync.Mutex
-	good []bool
-	life []int // counts changes, so that what was noticed late does not undo what is newer
+// frontBalancer deals connections out among the relays that it takes for good ones.
+type frontBalancer struct {
+	cluster   *cluster
+	mu        sync.Mutex
+	available []bool
+	changes   []int // counts changes, so that what was noticed late does not undo what is newer
 }
 
-func newFront(r *rig) *front {
-	n := len(r.relays)
-	return &front{rig: r, good: make([]bool, n), life: make([]int, n)}
+func newFrontBalancer(c *cluster) *frontBalancer {
+	n := len(c.relays)
+	return &frontBalancer{cluster: c, available: make([]bool, n), changes: make([]int, n)}
 }
 
-func (f *front) set(relay int, good bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.life[relay]++
-	f.good[relay] = good
+func (front *frontBalancer) setAvailable(relay int, good bool) {
+	front.mu.Lock()
+	defer front.mu.Unlock()
+	front.changes[relay]++
+	front.available[relay] = good
 }
 
-// lost is noticed after a while.
-func (f *front) lost(relay int) {
-	f.mu.Lock()
-	life := f.life[relay]
-	f.mu.Unlock()
-	f.rig.in(f.rig.ways.between(200*time.Millisecond, 2600*time.Millisecond), func() {
-		f.mu.Lock()
-		defer f.mu.Unlock()
-		if f.life[relay] == life {
-			f.life[relay]++
-			f.good[relay] = false
+// noticeLoss is noticed after a while.
+func (front *frontBalancer) noticeLoss(relay int) {
+	front.mu.Lock()
+	life := front.changes[relay]
+	front.mu.Unlock()
+	front.cluster.runAfter(front.cluster.links.randomDuration(200*time.Millisecond, 2600*time.Millisecond), func() {
+		front.mu.Lock()
+		defer front.mu.Unlock()
+		if front.changes[relay] == life {
+			front.changes[relay]++
+			front.available[relay] = false
 		}
 	})
 }
 
 // pick is a relay for a new connection; below 0: there is none.
-func (f *front) pick(rng *rand.Rand) int {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if hot := f.rig.opt.Fleet.HotRelay; hot > 0 && f.good[0] && rng.Float64() < hot {
+func (front *frontBalancer) pick(rng *rand.Rand) int {
+	front.mu.Lock()
+	defer front.mu.Unlock()
+	if hot := front.cluster.options.Fleet.HotRelay; hot > 0 && front.available[0] && rng.Float64() < hot {
 		return 0
 	}
 	n := 0
-	for _, g := range f.good {
+	for _, g := range front.available {
 		if g {
 			n++
 		}
@@ -75,7 +75,7 @@
 		return -1
 	}
 	k := rng.IntN(n)
-	for i, g := range f.good {
+	for i, g := range front.available {
 		if g {
 			if k == 0 {
 				return i
@@ -90,25 +90,25 @@
 type visit struct {
 	key   uint64
 	class int
-	from  time.Duration
-	until time.Duration
+	start time.Duration
+	end   time.Duration
 	seed  uint64
 }
 
 // clients come by an open loop: who comes, when, with which key and for how long is drawn before, whatever the relays
 // do, and no client waits for its turn.
 type clients struct {
-	rig    *rig
-	ctx    context.Context
-	cancel context.CancelFunc
-	wg     sync.WaitGroup
-	mu     sync.Mutex
-	here   map[*client]bool
-	closed bool
+	cluster *cluster
+	ctx     context.Context
+	cancel  context.CancelFunc
+	wg      sync.WaitGroup
+	mu      sync.Mutex
+	active  map[*client]bool
+	closed  bool
 }
 
-// plan draws all visits of a run: those that come in the first rush, and who comes later so that as many are there.
-func plan(f *simulation.Fleet, seed uint64, length time.Duration) []visit {
+// planVisits draws all visits of a run: those that come in the first rush, and who comes later so that as many are there.
+func planVisits(f *simulation.Fleet, seed uint64, length time.Duration) []visit {
 	rng := rand.New(rand.NewPCG(seed, 0xc11e))
 	stay := func() time.Duration {
 		least, most := f.Stay[0], f.Stay[1]
@@ -116,7 +116,7 @@
 	}
 	hot := rng.Uint64()
 	draw := func(from time.Duration, stays time.Duration) visit {
-		v := visit{key: rng.Uint64(), class: []int{0, 0, 1, 1, 2}[rng.IntN(5)], from: from, until: from + stays, seed: rng.Uint64()}
+		v := visit{key: rng.Uint64(), class: []int{0, 0, 1, 1, 2}[rng.IntN(5)], start: from, end: from + stays, seed: rng.Uint64()}
 		if rng.Float64() < f.HotKey {
 			v.key = hot
 		}
@@ -140,30 +140,30 @@
 	}
 }
 
-func (cs *clients) begin(r *rig) {
-	cs.rig, cs.here = r, map[*client]bool{}
-	cs.ctx, cs.cancel = context.WithCancel(r.ctx)
-	for _, v := range plan(&r.opt.Fleet, r.opt.Seed, r.opt.Length) {
-		cs.come(v)
+func (cs *clients) start(c *cluster) {
+	cs.cluster, cs.active = c, map[*client]bool{}
+	cs.ctx, cs.cancel = context.WithCancel(c.ctx)
+	for _, v := range planVisits(&c.options.Fleet, c.options.Seed, c.options.Duration) {
+		cs.schedule(v)
 	}
 }
 
-// come has a visit take place at its time, unless the run is over then.
-func (cs *clients) come(v visit) {
-	time.AfterFunc(v.from-cs.rig.since(), func() {
-		c := &client{rig: cs.rig, visit: v, rng: rand.New(rand.NewPCG(v.seed, 1))}
+// schedule has a visit take place at its time, unless the run is over then.
+func (cs *clients) schedule(v visit) {
+	time.AfterFunc(v.start-cs.cluster.elapsed(), func() {
+		c := &client{cluster: cs.cluster, visit: v, random: rand.New(rand.NewPCG(v.seed, 1))}
 		cs.mu.Lock()
 		if cs.closed {
 			cs.mu.Unlock()
 			return
 		}
-		cs.here[c] = true
+		cs.active[c] = true
 		cs.wg.Add(1)
 		cs.mu.Unlock()
 		defer cs.wg.Done()
 		c.run(cs.ctx)
 		cs.mu.Lock()
-		delete(cs.here, c)
+		delete(cs.active, c)
 		cs.mu.Unlock()
 	})
 }
@@ -177,14 +177,14 @@
 	cs.wg.Wait()
 }
 
-// measure weighs the present moment, as world does: what clients want and what they have, by worth.
-func (cs *clients) measure() (s simulation.Second) {
+// measureService weighs the present moment, as world does: what clients want and what they have, by worth.
+func (cs *clients) measureService() (s simulation.Second) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	for c := range cs.here {
-		worth := classes[c.class].worth
+	for c := range cs.active {
+		worth := requestClasses[c.class].priorityWeight
 		s.Asked += worth
-		if c.served(cs.rig.now()) {
+		if c.served(cs.cluster.now()) {
 			s.Served += worth
 		}
 	}
@@ -194,37 +194,37 @@
 // client is a visit that takes place.
 type client struct {
 	visit
-	rig    *rig
-	rng    *rand.Rand
-	back   bool
-	tries  int
-	up     atomic.Bool
-	late   atomic.Bool
-	saidAt atomic.Int64 // when the oldest line without an answer went out; 0: none
+	cluster      *cluster
+	random       *rand.Rand
+	returning    bool
+	attempts     int
+	connected    atomic.Bool
+	slowResponse atomic.Bool
+	pendingSince atomic.Int64 // when the oldest line without an answer went out; 0: none
 }
 
 func (c *client) served(now time.Duration) bool {
-	said := time.Duration(c.saidAt.Load())
-	return c.up.Load() && !c.late.Load() && (said == 0 || now-said <= lineAim)
+	said := time.Duration(c.pendingSince.Load())
+	return c.connected.Load() && !c.slowResponse.Load() && (said == 0 || now-said <= lineLatencyObjective)
 }
 
-func (c *client) between(least, most time.Duration) time.Duration {
+func (c *client) randomDuration(least, most time.Duration) time.Duration {
 	if most <= least {
 		return least
 	}
-	return least + time.Duration(c.rng.Int64N(int64(most-least)))
+	return least + time.Duration(c.random.Int64N(int64(most-least)))
 }
 
 // run keeps to the wish for a connection until its time is over.
 func (c *client) run(ctx context.Context) {
-	r := c.rig
-	ctx, cancel := context.WithTimeout(ctx, c.until-r.since())
+	cluster := c.cluster
+	ctx, cancel := context.WithTimeout(ctx, c.end-cluster.elapsed())
 	defer cancel()
 	wished := time.Now()
 	for ctx.Err() == nil {
 		pause := c.connect(ctx, &wished)
-		c.up.Store(false)
-		if !wait(ctx, pause) {
+		c.connected.Store(false)
+		if !sleepContext(ctx, pause) {
 			return
 		}
 	}
@@ -232,8 +232,8 @@
 
 // connect tries once, stays as long as it holds, and says how long to wait before the next.
 func (c *client) connect(ctx context.Context, wished *time.Time) (pause time.Duration) {
-	r := c.rig
-	n := r.front.pick(c.rng)
+	cluster := c.cluster
+	n := cluster.frontend.pick(c.random)
 	if n < 0 {
 		return 500 * time.Millisecond
 	}
@@ -241,83 +241,83 @@
 	if conn == nil {
 		return pause
 	}
-	id := r.ids.Add(1)
+	id := cluster.connectionIDs.Add(1)
 	var watch *invariant.ClientConn
-	r.checked(func() { watch = r.check.ClientAccepted(int(id), n, r.check.RelayProcess(n)) })
-	w := newWire(r, conn, party{fault.Relays, n}, party{fault.Clients, n}, watch)
-	said, read := hear(w)
-	defer c.part(w, said, read)
-	w.say(c.request(id))
+	cluster.withChecker(func() { watch = cluster.checker.ClientAccepted(int(id), n, cluster.checker.RelayProcess(n)) })
+	relayConn := newRelayConn(cluster, conn, node{fault.Relays, n}, node{fault.Clients, n}, watch)
+	said, read := receiveLines(relayConn)
+	defer c.closeInBackground(relayConn, said, read)
+	relayConn.sendLine(c.request(id))
 	select {
 	case answer, ok := <-said:
 		if !ok {
-			r.count("connection ended without an answer")
-			return c.soon()
+			cluster.incrementCount("connection ended without an answer")
+			return c.retryDelay()
 		}
-		return c.answered(ctx, answer, w, said, wished)
-	case <-time.After(classes[c.class].giveUp + Allowance):
-		r.count("client gave up")
-		return c.soon()
+		return c.handleAnswer(ctx, answer, relayConn, said, wished)
+	case <-time.After(requestClasses[c.class].clientTimeout + TimingAllowance):
+		cluster.incrementCount("client gave up")
+		return c.retryDelay()
 	case <-ctx.Done():
 		return 0
 	}
 }
 
-// soon counts a try that came to nothing and says how long to wait: a while longer after a few in quick succession.
-func (c *client) soon() time.Duration {
-	if c.tries++; c.tries > mostTries {
-		c.tries = 0
-		return c.between(time.Second, 4*time.Second)
+// retryDelay counts a try that came to nothing and says how long to wait: a while longer after a few in quick succession.
+func (c *client) retryDelay() time.Duration {
+	if c.attempts++; c.attempts > maxQuickAttempts {
+		c.attempts = 0
+		return c.randomDuration(time.Second, 4*time.Second)
 	}
-	return c.between(30*time.Millisecond, 300*time.Millisecond)
+	return c.randomDuration(30*time.Millisecond, 300*time.Millisecond)
 }
 
 // dial opens a connection to a relay, across whatever faults there are on the way. Without one it says how long to
 // wait before the next try.
 func (c *client) dial(ctx context.Context, n int) (conn *net.TCPConn, pause time.Duration) {
-	r := c.rig
-	late, ok := r.ways.opens(party{fault.Clients, n}, party{fault.Relays, n})
+	cluster := c.cluster
+	late, ok := cluster.links.connectDelay(node{fault.Clients, n}, node{fault.Relays, n})
 	if !ok {
-		wait(ctx, time.Second)
-		return nil, c.soon()
+		sleepContext(ctx, time.Second)
+		return nil, c.retryDelay()
 	}
-	if late > 0 && !wait(ctx, late) {
+	if late > 0 && !sleepContext(ctx, late) {
 		return nil, 0
 	}
-	up, err := net.DialTimeout("tcp", r.ports.relayAddr(n), 2*time.Second)
+	up, err := net.DialTimeout("tcp", cluster.ports.relayAddr(n), 2*time.Second)
 	if err != nil {
-		r.count("client not let in")
-		return nil, c.soon()
+		cluster.incrementCount("client not let in")
+		return nil, c.retryDelay()
 	}
 	return up.(*net.TCPConn), 0
 }
 
 // request is the line that asks for a connection.
 func (c *client) request(id uint64) string {
-	name := fmt.Sprintf("%016x", id*0x9e3779b97f4a7c15+c.rig.opt.Seed)
-	class := classes[c.class]
-	line := fmt.Sprintf("OPEN %s %016x c=%s,d=%d", name, c.key, class.name, class.giveUp.Milliseconds())
-	if c.tries > 0 {
+	name := fmt.Sprintf("%016x", id*0x9e3779b97f4a7c15+c.cluster.options.Seed)
+	class := requestClasses[c.class]
+	line := fmt.Sprintf("OPEN %s %016x c=%s,d=%d", name, c.key, class.name, class.clientTimeout.Milliseconds())
+	if c.attempts > 0 {
 		line += ",r=1"
 	}
-	if c.back {
+	if c.returning {
 		line += ",again=1"
 	}
 	return line
 }
 
-// hear listens to a connection. said has the lines that come and is closed at its end, then read is too.
-func hear(w *wire) (said chan string, read chan struct{}) {
+// receiveLines listens to a connection. said has the lines that come and is closed at its end, then read is too.
+func receiveLines(conn *relayConn) (said chan string, read chan struct{}) {
 	said, read = make(chan string, 64), make(chan struct{})
 	go func() {
 		defer close(read)
 		defer close(said)
-		var l lines
-		w.listen(func(b []byte) {
+		var l lineSplitter
+		conn.receive(func(b []byte) {
 			l.feed(b, func(line string) {
 				select {
 				case said <- line:
-				case <-w.ctx.Done():
+				case <-conn.ctx.Done():
 				}
 			})
 		})
@@ -325,58 +325,58 @@
 	return said, read
 }
 
-// part ends a connection in the background.
-func (c *client) part(w *wire, said <-chan string, read <-chan struct{}) {
-	c.rig.clients.wg.Add(1) // this visit still counts there
+// closeInBackground ends a connection in the background.
+func (c *client) closeInBackground(conn *relayConn, said <-chan string, read <-chan struct{}) {
+	c.cluster.clients.wg.Add(1) // this visit still counts there
 	go func() {
-		defer c.rig.clients.wg.Done()
+		defer c.cluster.clients.wg.Done()
 		go func() {
 			for range said { // nobody listens to what comes now
 			}
 		}()
-		w.part(read)
+		conn.closeGracefully(read)
 	}()
 }
 
-// answered takes in the answer to a request, stays if it is UP, and says how long to wait before the next try.
-func (c *client) answered(ctx context.Context, answer string, w *wire, said <-chan string, wished *time.Time) (pause time.Duration) {
-	r := c.rig
+// handleAnswer takes in the answer to a request, stays if it is UP, and says how long to wait before the next try.
+func (c *client) handleAnswer(ctx context.Context, answer string, conn *relayConn, said <-chan string, wished *time.Time) (pause time.Duration) {
+	cluster := c.cluster
 	switch word, rest, _ := strings.Cut(answer, " "); word {
 	case "UP":
-		r.count("served")
-		r.waited(time.Since(*wished))
-		c.tries, c.back = 0, false
-		c.up.Store(true)
-		c.late.Store(false)
-		c.saidAt.Store(0)
-		pause = c.stay(ctx, w, said)
+		cluster.incrementCount("served")
+		cluster.recordConnectLatency(time.Since(*wished))
+		c.attempts, c.returning = 0, false
+		c.connected.Store(true)
+		c.slowResponse.Store(false)
+		c.pendingSince.Store(0)
+		pause = c.holdConnection(ctx, conn, said)
 		*wished = time.Now()
 		return pause
 	case "BUSY":
-		r.count("refused")
-		c.tries++
+		cluster.incrementCount("refused")
+		c.attempts++
 		if v, err := strconv.Atoi(rest); err == nil {
 			return time.Duration(v) * time.Millisecond
 		}
-		return c.between(100*time.Millisecond, 600*time.Millisecond)
+		return c.randomDuration(100*time.Millisecond, 600*time.Millisecond)
 	}
-	r.count("failed")
-	r.count("failed " + classes[c.class].name)
-	return c.soon()
+	cluster.incrementCount("failed")
+	cluster.incrementCount("failed " + requestClasses[c.class].name)
+	return c.retryDelay()
 }
 
-// stay says a line every two seconds until the visit or the connection ends.
-func (c *client) stay(ctx context.Context, w *wire, said <-chan string) (pause time.Duration) {
-	r := c.rig
-	talk := time.NewTicker(lineEvery)
+// holdConnection says a line every two seconds until the visit or the connection ends.
+func (c *client) holdConnection(ctx context.Context, conn *relayConn, said <-chan string) (pause time.Duration) {
+	cluster := c.cluster
+	talk := time.NewTicker(lineInterval)
 	defer talk.Stop()
 	n, heard := 0, time.Now()
 	say := func() {
-		if c.saidAt.Load() == 0 {
-			c.saidAt.Store(int64(r.now()))
+		if c.pendingSince.Load() == 0 {
+			c.pendingSince.Store(int64(cluster.now()))
 		}
 		n++
-		w.say(fmt.Sprintf("line %d", n))
+		conn.sendLine(fmt.Sprintf("line %d", n))
 	}
 	say()
 	for {
@@ -384,41 +384,41 @@
 		case <-ctx.Done():
 			return 0
 		case <-talk.C:
-			if time.Since(heard) > deadAir {
-				r.count("connection silent")
-				c.back = true
-				return c.returns()
+			if time.Since(heard) > silenceTimeout {
+				cluster.incrementCount("connection silent")
+				c.returning = true
+				return c.reconnectDelay()
 			}
 			say()
 		case line, ok := <-said:
 			heard = time.Now()
 			switch {
 			case !ok:
-				r.count("connection lost")
-				c.back = true
-				return c.returns()
+				cluster.incrementCount("connection lost")
+				c.returning = true
+				return c.reconnectDelay()
 			case line == "MOVE":
-				r.count("moved by its relay")
-				c.back = true
-				return c.between(20*time.Millisecond, 400*time.Millisecond)
+				cluster.incrementCount("moved by its relay")
+				c.returning = true
+				return c.randomDuration(20*time.Millisecond, 400*time.Millisecond)
 			case strings.HasPrefix(line, "R "):
-				c.late.Store(r.now()-time.Duration(c.saidAt.Load()) > lineAim)
-				c.saidAt.Store(0)
+				c.slowResponse.Store(cluster.now()-time.Duration(c.pendingSince.Load()) > lineLatencyObjective)
+				c.pendingSince.Store(0)
 			}
 		}
 	}
 }
 
-// returns is when who has lost a connection comes again.
-func (c *client) returns() time.Duration {
-	if d := c.rig.opt.Fleet.Return; d > 0 {
-		return c.between(0, d)
+// reconnectDelay is when who has lost a connection comes again.
+func (c *client) reconnectDelay() time.Duration {
+	if d := c.cluster.options.Fleet.Return; d > 0 {
+		return c.randomDuration(0, d)
 	}
-	return c.between(30*time.Millisecond, 300*time.Millisecond)
+	return c.randomDuration(30*time.Millisecond, 300*time.Millisecond)
 }
 
-func (r *rig) waited(d time.Duration) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	_ = r.hist.RecordValue(min(d.Microseconds(), r.hist.HighestTrackableValue()))
+func (c *cluster) recordConnectLatency(d time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	_ = c.connectLatency.RecordValue(min(d.Microseconds(), c.connectLatency.HighestTrackableValue()))
 }
--- a/internal/testcluster/discovery.go
+++ b/internal/testcluster/discovery.go
@@ -12,141 +12,141 @@
 	"aspenbarrow/internal/fault"
 )
 
-// entry is one backend in an agent's list.
-type entry struct {
-	ID      string  `json:"id"`
-	Addr    string  `json:"addr"`
-	Zone    string  `json:"zone"`
-	Kind    string  `json:"kind"`
-	Cell    int     `json:"cell"`
-	State   string  `json:"state"`
-	Weight  float64 `json:"weight"`
-	Started int64   `json:"started_ms"`
-	backend int
-	port    int
-	rev     int // counts what was published of the fleet
-	since   int // the agent's version that brought it
+// endpoint is one backend in an agent's list.
+type endpoint struct {
+	ID           string  `json:"id"`
+	Addr         string  `json:"addr"`
+	Zone         string  `json:"zone"`
+	Kind         string  `json:"kind"`
+	Cell         int     `json:"cell"`
+	State        string  `json:"state"`
+	Weight       float64 `json:"weight"`
+	Started      int64   `json:"started_ms"`
+	backend      int
+	port         int
+	revision     int // counts what was published of the fleet
+	sinceVersion int // the agent's version that brought it
 }
 
-// agent is one relay's discovery service. It tells what it has learnt, late or not at all.
-type agent struct {
-	mu      sync.Mutex
-	relay   int
-	version int
-	list    []entry
-	changed chan struct{} // closed when there is something new, or the silence is over
-	out     bool
-	strange bool // learns nothing any more
+// discoveryAgent is one relay's discovery service. It tells what it has learnt, late or not at all.
+type discoveryAgent struct {
+	mu        sync.Mutex
+	relay     int
+	version   int
+	endpoints []endpoint
+	changed   chan struct{} // closed when there is something new, or the silence is over
+	silent    bool
+	frozen    bool // learns nothing any more
 }
 
-// catalog is the truth about the backends, and the server behind which all agents stand.
-type catalog struct {
-	rig    *rig
-	agents []*agent
-	mu     sync.Mutex
-	rev    int
-	late   time.Duration
-	server *http.Server
+// discoveryService is the truth about the backends, and the server behind which all agents stand.
+type discoveryService struct {
+	cluster    *cluster
+	agents     []*discoveryAgent
+	mu         sync.Mutex
+	revision   int
+	extraDelay time.Duration
+	server     *http.Server
 }
 
-type agentOf struct{}
+type agentContextKey struct{}
 
-func newCatalog(r *rig, relays int) *catalog {
-	c := &catalog{rig: r}
+func newDiscoveryService(owner *cluster, relays int) *discoveryService {
+	service := &discoveryService{cluster: owner}
 	for i := range relays {
-		c.agents = append(c.agents, &agent{relay: i, changed: make(chan struct{})})
+		service.agents = append(service.agents, &discoveryAgent{relay: i, changed: make(chan struct{})})
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /catalog/members", c.members)
-	c.server = &http.Server{Handler: mux, ConnContext: func(ctx context.Context, conn net.Conn) context.Context {
+	mux.HandleFunc("GET /catalog/members", service.handleMembers)
+	service.server = &http.Server{Handler: mux, ConnContext: func(ctx context.Context, conn net.Conn) context.Context {
 		if a, ok := conn.LocalAddr().(*net.TCPAddr); ok {
-			if n, ok := number(a.AddrPort().Addr(), agentNet); ok && n < len(c.agents) {
-				return context.WithValue(ctx, agentOf{}, c.agents[n])
+			if n, ok := indexInNet(a.AddrPort().Addr(), discoveryNet); ok && n < len(service.agents) {
+				return context.WithValue(ctx, agentContextKey{}, service.agents[n])
 			}
 		}
 		return ctx
 	}}
-	return c
+	return service
 }
 
 // publish has all agents learn of a backend, each in its own time; at once before the run.
-func (c *catalog) publish(e entry, when once) {
-	c.mu.Lock()
-	c.rev++
-	e.rev = c.rev
-	late := c.late
-	c.mu.Unlock()
-	for _, a := range c.agents {
-		if when == beforeAll {
-			a.learn(c.rig, e)
+func (service *discoveryService) publish(e endpoint, when publishTiming) {
+	service.mu.Lock()
+	service.revision++
+	e.revision = service.revision
+	late := service.extraDelay
+	service.mu.Unlock()
+	for _, agent := range service.agents {
+		if when == publishImmediately {
+			agent.applyUpdate(service.cluster, e)
 			continue
 		}
-		c.rig.in(c.rig.ways.between(200*time.Millisecond, 900*time.Millisecond)+late, func() { a.learn(c.rig, e) })
+		service.cluster.runAfter(service.cluster.links.randomDuration(200*time.Millisecond, 900*time.Millisecond)+late, func() { agent.applyUpdate(service.cluster, e) })
 	}
 }
 
-type once bool
+type publishTiming bool
 
 const (
-	beforeAll once = true
-	later     once = false
+	publishImmediately publishTiming = true
+	publishDelayed     publishTiming = false
 )
 
-func (a *agent) learn(r *rig, e entry) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.strange {
+func (agent *discoveryAgent) applyUpdate(c *cluster, e endpoint) {
+	agent.mu.Lock()
+	defer agent.mu.Unlock()
+	if agent.frozen {
 		return
 	}
 	i := 0
-	for i < len(a.list) && a.list[i].ID != e.ID {
+	for i < len(agent.endpoints) && agent.endpoints[i].ID != e.ID {
 		i++
 	}
-	if i < len(a.list) && a.list[i].rev > e.rev { // what is late must not undo what is newer
+	if i < len(agent.endpoints) && agent.endpoints[i].revision > e.revision { // what is late must not undo what is newer
 		return
 	}
-	a.version++
-	e.Addr, e.since = at(address(backendNet, a.relay<<backendBits|e.backend), e.port), a.version
-	if i < len(a.list) {
-		a.list[i] = e
+	agent.version++
+	e.Addr, e.sinceVersion = hostPort(loopbackAddress(backendNet, agent.relay<<backendBits|e.backend), e.port), agent.version
+	if i < len(agent.endpoints) {
+		agent.endpoints[i] = e
 	} else {
-		a.list = append(a.list, e)
+		agent.endpoints = append(agent.endpoints, e)
 	}
-	r.checked(func() { r.check.AgentLearned(a.relay, r.ports.agentAddr(a.relay), e.ID, e.State) })
-	if !a.out {
-		a.wake()
+	c.withChecker(func() { c.checker.AgentLearned(agent.relay, c.ports.discoveryAddr(agent.relay), e.ID, e.State) })
+	if !agent.silent {
+		agent.notifyWatchers()
 	}
 }
 
-// wake is called with the lock held.
-func (a *agent) wake() {
-	close(a.changed)
-	a.changed = make(chan struct{})
+// notifyWatchers is called with the lock held.
+func (agent *discoveryAgent) notifyWatchers() {
+	close(agent.changed)
+	agent.changed = make(chan struct{})
 }
 
-func (a *agent) setOut(r *rig, out bool) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.out == out {
+func (agent *discoveryAgent) setSilent(c *cluster, out bool) {
+	agent.mu.Lock()
+	defer agent.mu.Unlock()
+	if agent.silent == out {
 		return
 	}
-	a.out = out
+	agent.silent = out
 	if !out {
-		a.wake()
+		agent.notifyWatchers()
 	}
-	r.checked(func() { r.check.SetAgentSilent(a.relay, r.ports.agentAddr(a.relay), out) })
+	c.withChecker(func() { c.checker.SetAgentSilent(agent.relay, c.ports.discoveryAddr(agent.relay), out) })
 }
 
-func (c *catalog) members(w http.ResponseWriter, q *http.Request) {
-	a, ok := q.Context().Value(agentOf{}).(*agent)
+func (service *discoveryService) handleMembers(w http.ResponseWriter, q *http.Request) {
+	agent, ok := q.Context().Value(agentContextKey{}).(*discoveryAgent)
 	if !ok {
 		http.Error(w, "nobody's agent", http.StatusNotFound)
 		return
 	}
-	r, ctx := c.rig, q.Context()
-	r.counted(a.relay, &r.tally.calls)
-	relay, discovery := party{fault.Relays, a.relay}, party{fault.Discovery, a.relay}
-	if !r.ways.stream(ctx, relay, discovery) {
+	cluster, ctx := service.cluster, q.Context()
+	cluster.countTraffic(agent.relay, &cluster.traffic.discoveryCalls)
+	relay, discovery := node{fault.Relays, agent.relay}, node{fault.Discovery, agent.relay}
+	if !cluster.links.passStream(ctx, relay, discovery) {
 		return
 	}
 	from, full := 0, true
@@ -158,22 +158,22 @@
 	defer deadline.Stop()
 	over := full
 	for {
-		a.mu.Lock()
-		out, version, changed := a.out, a.version, a.changed
+		agent.mu.Lock()
+		out, version, changed := agent.silent, agent.version, agent.changed
 		if !out && (version > from || over) {
-			told := make([]entry, 0, 8)
-			for _, e := range a.list {
-				if e.since > from && (!full || e.State != "gone") || full && e.State != "gone" {
+			told := make([]endpoint, 0, 8)
+			for _, e := range agent.endpoints {
+				if e.sinceVersion > from && (!full || e.State != "gone") || full && e.State != "gone" {
 					told = append(told, e)
 				}
 			}
-			a.mu.Unlock()
-			if r.ways.stream(ctx, discovery, relay) {
-				c.reply(w, a, version, full, told)
+			agent.mu.Unlock()
+			if cluster.links.passStream(ctx, discovery, relay) {
+				service.reply(w, agent, version, full, told)
 			}
 			return
 		}
-		a.mu.Unlock()
+		agent.mu.Unlock()
 		select {
 		case <-changed:
 		case <-deadline.C:
@@ -184,7 +184,7 @@
 	}
 }
 
-func (c *catalog) reply(w http.ResponseWriter, a *agent, version int, full bool, list []entry) {
+func (service *discoveryService) reply(w http.ResponseWriter, agent *discoveryAgent, version int, full bool, list []endpoint) {
 	text, err := json.Marshal(map[string]any{"version": version, "full": full, "servers": list})
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
@@ -197,6 +197,6 @@
 			starts[e.ID] = time.Duration(e.Started) * time.Millisecond
 		}
 	}
-	c.rig.checked(func() { c.rig.check.EndpointsReceived(a.relay, full, states, starts) })
+	service.cluster.withChecker(func() { service.cluster.checker.EndpointsReceived(agent.relay, full, states, starts) })
 	_, _ = w.Write(text)
 }
--- a/internal/testcluster/faults.go
+++ b/internal/testcluster/faults.go
@@ -10,57 +10,57 @@
 	"aspenbarrow/internal/fault"
 )
 
-// kind begins a fault, writes down what it did and may return what ends it.
-type kind func(r *rig, f *fault.Fault, did *deeds) (end func())
+// faultInjector begins a fault, writes down what it did and may return what ends it.
+type faultInjector func(c *cluster, f *fault.Fault, effects *effectCounters) (end func())
 
-// kinds are all that processes can play.
-var kinds map[string]kind
+// faultInjectors are all that processes can play.
+var faultInjectors map[string]faultInjector
 
 func init() {
-	kinds = map[string]kind{
-		"link":                link,
-		"relays die together": relays(func(r *rig, x *relay, f *fault.Fault) bool { return r.kill(x) }, (*rig).revive),
-		"relay killed":        relays(func(r *rig, x *relay, f *fault.Fault) bool { return r.kill(x) }, (*rig).revive),
-		"relays paused":       relays(func(r *rig, x *relay, f *fault.Fault) bool { return r.pause(x, true) }, func(r *rig, x *relay) { r.pause(x, false) }),
-		"relays start late":   relays(func(*rig, *relay, *fault.Fault) bool { return true }, (*rig).revive),
-		"relays leave":        relays(func(r *rig, x *relay, f *fault.Fault) bool { return r.leave(x, func() {}) }, (*rig).revive),
-		"rolling restart":     rolling,
-		"backends slow":       backends(func(r *rig, b *backend, f *fault.Fault) { b.slowDown(4 + 30*f.Severity) }, func(b *backend) { b.slowDown(1) }),
-		"backends paused":     backends(func(r *rig, b *backend, f *fault.Fault) { b.pause() }, func(b *backend) { b.resume() }),
-		"backends die":        backends(func(r *rig, b *backend, f *fault.Fault) { b.die() }, func(b *backend) { b.launch(true) }),
-		"backends vanished":   backends(func(r *rig, b *backend, f *fault.Fault) { b.vanish() }, func(b *backend) { b.back() }),
-		"backends failing fast": backends(func(r *rig, b *backend, f *fault.Fault) {
-			b.with(func(time.Duration) { b.errs = 0.4 + 0.6*f.Severity })
-		}, func(b *backend) { b.with(func(time.Duration) { b.errs = 0 }) }),
-		"backends resetting": backends(func(r *rig, b *backend, f *fault.Fault) {
-			b.with(func(time.Duration) { b.breaks = 0.3 + 0.6*f.Severity })
-		}, func(b *backend) { b.with(func(time.Duration) { b.breaks = 0 }) }),
-		"backends full": backends(func(r *rig, b *backend, f *fault.Fault) {
-			b.with(func(time.Duration) { b.full = 0.5 + 0.4*f.Severity })
-		}, func(b *backend) { b.with(func(time.Duration) { b.full = 0 }) }),
-		"backends drain": backends(func(r *rig, b *backend, f *fault.Fault) { b.drain(f.Duration) }, func(b *backend) { b.launch(true) }),
-		"backends start": starts,
-		"zone cut off":   zoneCut,
-		"power cut":      powerCut,
-		"list late":      listLate,
-		"list out":       listOut,
-		"list differs":   listDiffers,
-		"burst":          burst,
+	faultInjectors = map[string]faultInjector{
+		"link":                linkFault,
+		"relays die together": relayFault(func(c *cluster, target *relay, f *fault.Fault) bool { return c.killRelay(target) }, (*cluster).restartRelay),
+		"relay killed":        relayFault(func(c *cluster, target *relay, f *fault.Fault) bool { return c.killRelay(target) }, (*cluster).restartRelay),
+		"relays paused":       relayFault(func(c *cluster, target *relay, f *fault.Fault) bool { return c.setRelayPaused(target, true) }, func(c *cluster, target *relay) { c.setRelayPaused(target, false) }),
+		"relays start late":   relayFault(func(*cluster, *relay, *fault.Fault) bool { return true }, (*cluster).restartRelay),
+		"relays leave":        relayFault(func(c *cluster, target *relay, f *fault.Fault) bool { return c.drainRelay(target, func() {}) }, (*cluster).restartRelay),
+		"rolling restart":     rollingRestart,
+		"backends slow":       backendFault(func(c *cluster, b *backend, f *fault.Fault) { b.slowDown(4 + 30*f.Severity) }, func(b *backend) { b.slowDown(1) }),
+		"backends paused":     backendFault(func(c *cluster, b *backend, f *fault.Fault) { b.pause() }, func(b *backend) { b.resume() }),
+		"backends die":        backendFault(func(c *cluster, b *backend, f *fault.Fault) { b.crash() }, func(b *backend) { b.launch(true) }),
+		"backends vanished":   backendFault(func(c *cluster, b *backend, f *fault.Fault) { b.disappear() }, func(b *backend) { b.reappear() }),
+		"backends failing fast": backendFault(func(c *cluster, b *backend, f *fault.Fault) {
+			b.updateModel(func(time.Duration) { b.errorRate = 0.4 + 0.6*f.Severity })
+		}, func(b *backend) { b.updateModel(func(time.Duration) { b.errorRate = 0 }) }),
+		"backends resetting": backendFault(func(c *cluster, b *backend, f *fault.Fault) {
+			b.updateModel(func(time.Duration) { b.resetRate = 0.3 + 0.6*f.Severity })
+		}, func(b *backend) { b.updateModel(func(time.Duration) { b.resetRate = 0 }) }),
+		"backends full": backendFault(func(c *cluster, b *backend, f *fault.Fault) {
+			b.updateModel(func(time.Duration) { b.busyRate = 0.5 + 0.4*f.Severity })
+		}, func(b *backend) { b.updateModel(func(time.Duration) { b.busyRate = 0 }) }),
+		"backends drain": backendFault(func(c *cluster, b *backend, f *fault.Fault) { b.drain(f.Duration) }, func(b *backend) { b.launch(true) }),
+		"backends start": startBackends,
+		"zone cut off":   cutOffZone,
+		"power cut":      cutPower,
+		"list late":      delayDiscovery,
+		"list out":       silenceDiscovery,
+		"list differs":   freezeDiscovery,
+		"burst":          clientBurst,
 	}
 }
 
-// Kinds names all that processes can play.
-func Kinds() []string {
+// FaultKinds names all that processes can play.
+func FaultKinds() []string {
 	var names []string
-	for name := range kinds {
+	for name := range faultInjectors {
 		names = append(names, name)
 	}
 	slices.Sort(names)
 	return names
 }
 
-// hit are the numbers that a fault strikes, of so many.
-func hit(f *fault.Fault, of int) []int {
+// targetIndexes are the numbers that a fault strikes, of so many.
+func targetIndexes(f *fault.Fault, of int) []int {
 	if f.Targets != nil {
 		return f.Targets
 	}
@@ -81,10 +81,10 @@
 	return out
 }
 
-// happen has one fault of the script take place; what it returns ends it now if it has not ended.
-func (r *rig) happen(i int) (end func()) {
-	f := r.opt.Script[i]
-	did := &deeds{}
+// scheduleFault has one fault of the script take place; what it returns ends it now if it has not ended.
+func (c *cluster) scheduleFault(i int) (end func()) {
+	f := c.options.Faults[i]
+	effects := &effectCounters{}
 	var once sync.Once
 	var mu sync.Mutex
 	var over func()
@@ -98,231 +98,231 @@
 			if o != nil {
 				o()
 			}
-			r.mu.Lock()
-			defer r.mu.Unlock()
-			r.effects[i] = Effect{Fault: f, Began: began, Ended: r.since(), Did: did.counts()}
+			c.mu.Lock()
+			defer c.mu.Unlock()
+			c.effects[i] = FaultEffect{Fault: f, StartedAt: began, EndedAt: c.elapsed(), Counts: effects.counts()}
 		})
 	}
-	time.AfterFunc(f.Start-r.since(), func() {
+	time.AfterFunc(f.Start-c.elapsed(), func() {
 		mu.Lock()
 		defer mu.Unlock()
-		if ended || r.ctx.Err() != nil {
+		if ended || c.ctx.Err() != nil {
 			return
 		}
-		began = r.since()
-		over = kinds[f.Kind](r, &f, did)
-		r.in(f.Duration, finish)
+		began = c.elapsed()
+		over = faultInjectors[f.Kind](c, &f, effects)
+		c.runAfter(f.Duration, finish)
 	})
 	return finish
 }
 
-// relays strikes relays, and has those that were struck come back.
-func relays(begin func(r *rig, x *relay, f *fault.Fault) bool, end func(r *rig, x *relay)) kind {
-	return func(r *rig, f *fault.Fault, did *deeds) func() {
-		var struck []*relay
+// relayFault strikes relays, and has those that were struck come back.
+func relayFault(begin func(c *cluster, target *relay, f *fault.Fault) bool, end func(c *cluster, target *relay)) faultInjector {
+	return func(c *cluster, f *fault.Fault, effects *effectCounters) func() {
+		var affected []*relay
 		var mu sync.Mutex
 		var wg sync.WaitGroup
-		for _, i := range hit(f, len(r.relays)) {
+		for _, i := range targetIndexes(f, len(c.relays)) {
 			wg.Go(func() { // together, not one after another
-				if x := r.relays[i]; begin(r, x, f) {
-					did.struck.Add(1)
+				if target := c.relays[i]; begin(c, target, f) {
+					effects.struck.Add(1)
 					mu.Lock()
-					struck = append(struck, x)
+					affected = append(affected, target)
 					mu.Unlock()
 				}
 			})
 		}
 		wg.Wait()
 		return func() {
-			for _, x := range struck {
-				go end(r, x)
+			for _, target := range affected {
+				go end(c, target)
 			}
 		}
 	}
 }
 
-func rolling(r *rig, f *fault.Fault, did *deeds) func() {
-	which := hit(f, len(r.relays))
+func rollingRestart(c *cluster, f *fault.Fault, effects *effectCounters) func() {
+	which := targetIndexes(f, len(c.relays))
 	if f.Targets == nil {
-		which = make([]int, len(r.relays))
+		which = make([]int, len(c.relays))
 		for i := range which {
-			which[i] = (f.Target + i) % len(r.relays)
+			which[i] = (f.Target + i) % len(c.relays)
 		}
 	}
 	for k, i := range which {
-		r.in(time.Duration(k)*f.Duration/time.Duration(len(which)), func() {
-			x := r.relays[i]
-			if r.leave(x, func() { r.revive(x) }) {
-				did.struck.Add(1)
+		c.runAfter(time.Duration(k)*f.Duration/time.Duration(len(which)), func() {
+			target := c.relays[i]
+			if c.drainRelay(target, func() { c.restartRelay(target) }) {
+				effects.struck.Add(1)
 			}
 		})
 	}
 	return nil
 }
 
-func (r *rig) backendsNow() []*backend {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return slices.Clone(r.backends)
+func (c *cluster) currentBackends() []*backend {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return slices.Clone(c.backends)
 }
 
-func backends(begin func(r *rig, b *backend, f *fault.Fault), end func(b *backend)) kind {
-	return func(r *rig, f *fault.Fault, did *deeds) func() {
-		all := r.backendsNow()
-		var struck []*backend
-		for _, i := range hit(f, len(all)) {
-			if b := all[i]; b.loadNow() >= 0 {
-				begin(r, b, f)
-				did.struck.Add(1)
-				struck = append(struck, b)
+func backendFault(begin func(c *cluster, b *backend, f *fault.Fault), end func(b *backend)) faultInjector {
+	return func(c *cluster, f *fault.Fault, effects *effectCounters) func() {
+		all := c.currentBackends()
+		var affected []*backend
+		for _, i := range targetIndexes(f, len(all)) {
+			if b := all[i]; b.utilization() >= 0 {
+				begin(c, b, f)
+				effects.struck.Add(1)
+				affected = append(affected, b)
 			}
 		}
 		return func() {
-			for _, b := range struck {
+			for _, b := range affected {
 				end(b)
 			}
 		}
 	}
 }
 
-func starts(r *rig, f *fault.Fault, did *deeds) func() {
+func startBackends(c *cluster, f *fault.Fault, effects *effectCounters) func() {
 	for range 1 + int(f.Severity*3) {
-		r.addBackend(true)
-		did.struck.Add(1)
+		c.addBackend(true)
+		effects.struck.Add(1)
 	}
 	return nil
 }
 
-func zoneCut(r *rig, f *fault.Fault, did *deeds) func() {
-	var struck []*backend
-	for _, b := range r.backendsNow() {
-		if b.zone == f.Target%len(zones) && b.loadNow() >= 0 {
-			b.vanish()
-			did.struck.Add(1)
-			struck = append(struck, b)
+func cutOffZone(c *cluster, f *fault.Fault, effects *effectCounters) func() {
+	var affected []*backend
+	for _, b := range c.currentBackends() {
+		if b.zone == f.Target%len(zones) && b.utilization() >= 0 {
+			b.disappear()
+			effects.struck.Add(1)
+			affected = append(affected, b)
 		}
 	}
 	noticed := make(chan struct{})
-	r.in(time.Duration(f.Severity*float64(6*time.Second)), func() {
+	c.runAfter(time.Duration(f.Severity*float64(6*time.Second)), func() {
 		select {
 		case <-noticed:
 			return
 		default:
 		}
-		for _, b := range struck {
+		for _, b := range affected {
 			b.publish("gone")
 		}
 	})
 	return func() {
 		close(noticed)
-		for _, b := range struck {
-			b.back()
+		for _, b := range affected {
+			b.reappear()
 		}
 	}
 }
 
-func powerCut(r *rig, f *fault.Fault, did *deeds) func() {
-	for i, b := range r.backendsNow() { // all at once, and cold ones a little after one another
-		if b.loadNow() >= 0 {
-			b.die()
-			did.struck.Add(1)
-			r.in(f.Duration+time.Duration(i)*200*time.Millisecond, func() { b.launch(true) })
+func cutPower(c *cluster, f *fault.Fault, effects *effectCounters) func() {
+	for i, b := range c.currentBackends() { // all at once, and cold ones a little after one another
+		if b.utilization() >= 0 {
+			b.crash()
+			effects.struck.Add(1)
+			c.runAfter(f.Duration+time.Duration(i)*200*time.Millisecond, func() { b.launch(true) })
 		}
 	}
 	return nil
 }
 
-func listLate(r *rig, f *fault.Fault, did *deeds) func() {
-	c := r.catalog
+func delayDiscovery(owner *cluster, f *fault.Fault, effects *effectCounters) func() {
+	service := owner.discovery
 	set := func(d time.Duration) {
-		c.mu.Lock()
-		defer c.mu.Unlock()
-		c.late = d
+		service.mu.Lock()
+		defer service.mu.Unlock()
+		service.extraDelay = d
 	}
 	set(time.Second + time.Duration(f.Severity*float64(6*time.Second)))
-	did.struck.Add(int64(len(c.agents)))
+	effects.struck.Add(int64(len(service.agents)))
 	return func() { set(0) }
 }
 
-func (r *rig) agentsOf(f *fault.Fault) (out []*agent) {
+func (c *cluster) affectedAgents(f *fault.Fault) (out []*discoveryAgent) {
 	if f.Targets == nil && f.Severity > 0.5 {
-		return r.catalog.agents
+		return c.discovery.agents
 	}
-	for _, i := range hit(f, len(r.relays)) {
-		out = append(out, r.catalog.agents[i])
+	for _, i := range targetIndexes(f, len(c.relays)) {
+		out = append(out, c.discovery.agents[i])
 	}
 	return out
 }
 
-func listOut(r *rig, f *fault.Fault, did *deeds) func() {
-	agents := r.agentsOf(f)
-	for _, a := range agents {
-		a.setOut(r, true)
-		did.struck.Add(1)
+func silenceDiscovery(c *cluster, f *fault.Fault, effects *effectCounters) func() {
+	agents := c.affectedAgents(f)
+	for _, agent := range agents {
+		agent.setSilent(c, true)
+		effects.struck.Add(1)
 	}
 	return func() {
-		for _, a := range agents {
-			a.setOut(r, false)
+		for _, agent := range agents {
+			agent.setSilent(c, false)
 		}
 	}
 }
 
-// listDiffers has some relays' agents learn nothing for a while, and then all that they missed.
-func listDiffers(r *rig, f *fault.Fault, did *deeds) func() {
-	agents := r.agentsOf(f)
-	for _, a := range agents {
-		a.mu.Lock()
-		a.strange = true
-		a.mu.Unlock()
-		did.struck.Add(1)
+// freezeDiscovery has some relays' agents learn nothing for a while, and then all that they missed.
+func freezeDiscovery(c *cluster, f *fault.Fault, effects *effectCounters) func() {
+	agents := c.affectedAgents(f)
+	for _, agent := range agents {
+		agent.mu.Lock()
+		agent.frozen = true
+		agent.mu.Unlock()
+		effects.struck.Add(1)
 	}
 	return func() {
-		for _, a := range agents {
-			a.mu.Lock()
-			a.strange = false
-			a.mu.Unlock()
-			for _, b := range r.backendsNow() {
+		for _, agent := range agents {
+			agent.mu.Lock()
+			agent.frozen = false
+			agent.mu.Unlock()
+			for _, b := range c.currentBackends() {
 				b.mu.Lock()
-				e := b.entry()
+				e := b.endpoint()
 				b.mu.Unlock()
-				r.catalog.mu.Lock()
-				r.catalog.rev++
-				e.rev = r.catalog.rev
-				r.catalog.mu.Unlock()
-				a.learn(r, e)
+				c.discovery.mu.Lock()
+				c.discovery.revision++
+				e.revision = c.discovery.revision
+				c.discovery.mu.Unlock()
+				agent.applyUpdate(c, e)
 			}
 		}
 	}
 }
 
-func burst(r *rig, f *fault.Fault, did *deeds) func() {
-	n := int((0.2 + f.Severity) * float64(r.opt.Fleet.Clients))
-	now := r.since()
-	for _, v := range plan(&r.opt.Fleet, r.opt.Seed+1, 0)[:min(n, r.opt.Fleet.Clients)] {
-		v.from, v.until = now+time.Duration(r.roll()*float64(time.Second)), now+f.Duration
-		r.clients.come(v)
-		did.struck.Add(1)
+func clientBurst(c *cluster, f *fault.Fault, effects *effectCounters) func() {
+	n := int((0.2 + f.Severity) * float64(c.options.Fleet.Clients))
+	now := c.elapsed()
+	for _, v := range planVisits(&c.options.Fleet, c.options.Seed+1, 0)[:min(n, c.options.Fleet.Clients)] {
+		v.start, v.end = now+time.Duration(c.randomFloat()*float64(time.Second)), now+f.Duration
+		c.clients.schedule(v)
+		effects.struck.Add(1)
 	}
 	return nil
 }
 
-// link troubles ways. A cut between relays and backends lets no connection come up: each pair's address is taken out.
-func link(r *rig, f *fault.Fault, did *deeds) func() {
+// linkFault troubles ways. A cut between relays and backends lets no connection come up: each pair's address is taken out.
+func linkFault(c *cluster, f *fault.Fault, effects *effectCounters) func() {
 	l := f.Link
-	end := r.ways.begin(l, did)
+	end := c.links.inject(l, effects)
 	if !l.Partitioned && !l.Buffered {
 		return end
 	}
 	var walls []func()
-	for _, b := range r.backendsNow() {
-		for i := range r.relays {
-			if l.Affects(fault.Relays, i, fault.Backends, b.number) || l.Affects(fault.Backends, b.number, fault.Relays, i) {
-				w, err := wall(netip.AddrPortFrom(address(backendNet, i<<backendBits|b.number), uint16(b.port)))
+	for _, b := range c.currentBackends() {
+		for i := range c.relays {
+			if l.Affects(fault.Relays, i, fault.Backends, b.index) || l.Affects(fault.Backends, b.index, fault.Relays, i) {
+				w, err := blackhole(netip.AddrPortFrom(loopbackAddress(backendNet, i<<backendBits|b.index), uint16(b.port)))
 				if err != nil {
-					r.fail(fmt.Errorf("%s: %w", where(f), err))
+					c.reportError(fmt.Errorf("%s: %w", scriptPosition(f), err))
 					break
 				}
-				did.struck.Add(1)
+				effects.struck.Add(1)
 				walls = append(walls, w)
 			}
 		}
--- a/internal/testcluster/fleet_test.go
+++ b/internal/testcluster/fleet_test.go
@@ -25,8 +25,8 @@
 func TestMain(m *testing.M) { os.Exit(testMain(m)) }
 
 func testMain(m *testing.M) int {
-	if p := os.Getenv("FLEET_TEST_RIG"); p != "" { // a rig that is to be killed
-		_, err := Run(context.Background(), Options{Program: p, Seed: 1, Length: time.Minute, Fleet: small(6, 3, 12)})
+	if p := os.Getenv("TESTCLUSTER_TEST_PROGRAM"); p != "" { // a cluster that is to be killed
+		_, err := Run(context.Background(), Options{Program: p, Seed: 1, Duration: time.Minute, Fleet: smallCluster(6, 3, 12)})
 		fmt.Fprintln(os.Stderr, err)
 		return 1
 	}
@@ -43,19 +43,19 @@
 	return m.Run()
 }
 
-// small is a fleet that a test can afford; its clients fill its backends to six tenths.
-func small(relays, backends, clients int) simulation.Fleet {
+// smallCluster is a fleet that a test can afford; its clients fill its backends to six tenths.
+func smallCluster(relays, backends, clients int) simulation.Fleet {
 	f := simulation.Fleet{Relays: relays, Backends: backends, Clients: clients, SetUpWork: 0.004, LineWork: 0.0005, Peers: true,
 		Rush: time.Second, Stay: [2]time.Duration{8 * time.Second, 30 * time.Second}, Return: 200 * time.Millisecond,
-		Server: emulator.Config{Cores: 4, Speed: 1, MaxRequests: 200, Backlog: 128, ColdCapacity: coldFrom, WarmUpTime: warmUp, ColdCrashFactor: fallMultiple,
-			ColdCrashWindow: fallSpan, ReportInterval: 500 * time.Millisecond, ReportNoise: 0.03}}
+		Server: emulator.Config{Cores: 4, Speed: 1, MaxRequests: 200, Backlog: 128, ColdCapacity: coldCapacity, WarmUpTime: warmUpTime, ColdCrashFactor: overloadFactor,
+			ColdCrashWindow: overloadWindow, ReportInterval: 500 * time.Millisecond, ReportNoise: 0.03}}
 	usual := float64(clients) / float64(backends)
 	f.Server.WarmRequestRate = max(4, usual/3)
 	f.ConnLoad = 0.6 * f.Server.Cores / usual
 	return f
 }
 
-func play(t *testing.T, o Options) Result {
+func runCluster(t *testing.T, o Options) Result {
 	t.Helper()
 	o.Program = program
 	if o.Seed == 0 {
@@ -71,7 +71,7 @@
 	return res
 }
 
-func service(res Result, from, to int) float64 {
+func servedShare(res Result, from, to int) float64 {
 	asked, served := 0.0, 0.0
 	for _, s := range res.Service[from:min(to, len(res.Service))] {
 		asked, served = asked+s.Asked, served+s.Served
@@ -81,7 +81,7 @@
 
 // Each hard case is played by two fleets on the same seed: as it is, and with backends that report nothing, so that T is
 // each relay's own again. The first has to be much more even; the second shows that the case is hard.
-func TestLoadIsEvenThoughEachRelaySeesLittle(t *testing.T) {
+func TestCluster_BalancesLoadAcrossRelays(t *testing.T) {
 	const relays, backends, clients = 40, 12, 360
 	half := make([]int, relays/2)
 	for i := range half {
@@ -109,12 +109,12 @@
 			var e [2]loadstats.Summary
 			var res [2]Result
 			for i := range e {
-				f := small(relays, backends, clients)
+				f := smallCluster(relays, backends, clients)
 				if tc.change != nil {
 					tc.change(&f)
 				}
 				f.Silent = i == 1
-				res[i] = play(t, Options{Length: 20 * time.Second, Fleet: f, Script: tc.script, Seed: 2})
+				res[i] = runCluster(t, Options{Duration: 20 * time.Second, Fleet: f, Faults: tc.script, Seed: 2})
 				e[i] = loadstats.Summarize(res[i].Evenness, tc.from)
 			}
 			t.Logf("deviation %.3f, %.3f without reports, hashing %.3f; least %.2f and %.2f, most %.2f and %.2f", e[0].Variation, e[1].Variation,
@@ -128,7 +128,7 @@
 			if herd := loadstats.Summarize(res[0].Evenness, 0); herd.HerdRatio > 1.6*max(herd.HashingHerdRatio, 1) {
 				t.Errorf("a herd of %.2f times its part, hashing makes %.2f", herd.HerdRatio, herd.HashingHerdRatio)
 			}
-			if s := service(res[0], 3, 20); s < 0.9 {
+			if s := servedShare(res[0], 3, 20); s < 0.9 {
 				t.Errorf("service %.3f", s)
 			}
 		})
@@ -137,13 +137,13 @@
 
 // Relays whose backends are far away bring each connection up later than half of what its class wants, and quicker than
 // the settings let a way be. Nothing is wrong with any backend, so nobody is refused for it.
-func TestAWayThatIsLongIsNoTrouble(t *testing.T) {
+func TestCluster_LongLinkDelayCausesNoRefusals(t *testing.T) {
 	t.Parallel()
 	// Up after four times the delay: the opening's way there and back, the line's and its answer's.
 	far := &fault.Link{From: fault.NodeSet{Kind: fault.Relays}, To: fault.NodeSet{Kind: fault.Backends}, Bidirectional: true, Delay: 52 * time.Millisecond}
-	fleet := small(10, 8, 120)
+	fleet := smallCluster(10, 8, 120)
 	fleet.Stay = [2]time.Duration{time.Second, 3 * time.Second}
-	res := play(t, Options{Length: 15 * time.Second, Fleet: fleet, Script: []fault.Fault{{Kind: "link", Start: time.Second, Duration: 13 * time.Second, Link: far}}})
+	res := runCluster(t, Options{Duration: 15 * time.Second, Fleet: fleet, Faults: []fault.Fault{{Kind: "link", Start: time.Second, Duration: 13 * time.Second, Link: far}}})
 	t.Logf("%d served, %d refused, %d failed", res.Counts["served"], res.Counts["refused"], res.Counts["failed"])
 	if served, refused := res.Counts["served"], res.Counts["refused"]; served < 500 || 2*refused > served {
 		t.Errorf("%d refused beside %d served, though all backends are well", refused, served)
@@ -151,9 +151,9 @@
 }
 
 // A backend that fails at once holds nothing and says that it is empty. It must not draw what others would get.
-func TestABrokenBackendThatLooksEmptyDrawsNoHerd(t *testing.T) {
+func TestCluster_FastFailingBackendAttractsNoHerd(t *testing.T) {
 	t.Parallel()
-	res := play(t, Options{Length: 15 * time.Second, Fleet: small(40, 12, 360), Script: []fault.Fault{
+	res := runCluster(t, Options{Duration: 15 * time.Second, Fleet: smallCluster(40, 12, 360), Faults: []fault.Fault{
 		{Kind: "backends failing fast", Start: 4 * time.Second, Duration: 10 * time.Second, Targets: []int{5}, Severity: 1}}})
 	others := 0
 	for i, n := range res.Attempts {
@@ -161,19 +161,19 @@
 			others += n
 		}
 	}
-	t.Logf("attempts %v, waits %+v", res.Attempts, res.Waits)
+	t.Logf("attempts %v, waits %+v", res.Attempts, res.ConnectLatency)
 	if n, part := float64(res.Attempts[5]), float64(others)/11; n > 2*part {
 		t.Errorf("the broken one got %v attempts, the others %.0f each", n, part)
 	}
-	if s := service(res, 3, 15); s < 0.9 {
+	if s := servedShare(res, 3, 15); s < 0.9 {
 		t.Errorf("service %.3f", s)
 	}
 }
 
 // Empty backends that join fill up without being pushed over.
-func TestEmptyBackendsFillWithoutFalling(t *testing.T) {
+func TestCluster_NewBackendsFillWithoutOverload(t *testing.T) {
 	t.Parallel()
-	res := play(t, Options{Length: 28 * time.Second, Fleet: small(30, 10, 300), Script: []fault.Fault{
+	res := runCluster(t, Options{Duration: 28 * time.Second, Fleet: smallCluster(30, 10, 300), Faults: []fault.Fault{
 		{Kind: "backends start", Start: 5 * time.Second, Duration: 20 * time.Second, Severity: 0.4}}})
 	last := res.Evenness[len(res.Evenness)-1]
 	t.Logf("%+v %v", last.Loads, res.Counts["cold backend fell over"])
@@ -188,7 +188,7 @@
 }
 
 // What each kind of fault really does, between processes that serve.
-func TestFaultsDoWhatTheySay(t *testing.T) {
+func TestCluster_FaultsTakeEffect(t *testing.T) {
 	all := func(kind fault.NodeKind) fault.NodeSet { return fault.NodeSet{Kind: kind} }
 	some := func(kind fault.NodeKind, who ...int) fault.NodeSet { return fault.NodeSet{Kind: kind, Indexes: who} }
 	for _, tc := range []struct {
@@ -199,8 +199,8 @@
 		check func(t *testing.T, res Result)
 	}{
 		{"relays paused", fault.Fault{Kind: "relays paused", Targets: []int{0, 1}}, "struck", 2, func(t *testing.T, res Result) {
-			if service(res, 9, 11) < 0.95 {
-				t.Errorf("service %.3f after the pause", service(res, 9, 11))
+			if servedShare(res, 9, 11) < 0.95 {
+				t.Errorf("service %.3f after the pause", servedShare(res, 9, 11))
 			}
 		}},
 		{"relays killed", fault.Fault{Kind: "relays die together", Targets: []int{0, 1, 2}}, "struck", 3, func(t *testing.T, res Result) {
@@ -217,7 +217,7 @@
 		{"backends to relays one way", fault.Fault{Kind: "link", Link: &fault.Link{From: all(fault.Backends), To: some(fault.Relays, 0), Partitioned: true}}, "held", 3, nil},
 		{"slow way to clients", fault.Fault{Kind: "link", Link: &fault.Link{From: all(fault.Relays), To: all(fault.Clients), Delay: 200 * time.Millisecond}}, "delayed", 50,
 			func(t *testing.T, res Result) {
-				if s := service(res, 5, 7); s > 0.5 {
+				if s := servedShare(res, 5, 7); s > 0.5 {
 					t.Errorf("service %.3f though every line is late", s)
 				}
 			}},
@@ -235,7 +235,7 @@
 		{"backends die", fault.Fault{Kind: "backends die", Targets: []int{1}}, "struck", 1, nil},
 		{"backends pause", fault.Fault{Kind: "backends paused", Targets: []int{1}}, "struck", 1, nil},
 		{"relays start late", fault.Fault{Kind: "relays start late", Targets: []int{0, 1, 2, 3}}, "struck", 4, func(t *testing.T, res Result) {
-			if s := service(res, 2, 12); s < 0.9 {
+			if s := servedShare(res, 2, 12); s < 0.9 {
 				t.Errorf("service %.3f", s)
 			}
 		}},
@@ -263,9 +263,9 @@
 			t.Parallel()
 			f := tc.fault
 			f.Start, f.Duration = 4*time.Second, 3*time.Second
-			res := play(t, Options{Length: 12 * time.Second, Fleet: small(8, 6, 80), Script: []fault.Fault{f}})
-			if got := res.Faults[0]; got.Did[tc.did] < tc.least || got.Began < 3900*time.Millisecond || got.Ended < got.Began+2*time.Second {
-				t.Errorf("it did %v from %v to %v", got.Did, got.Began, got.Ended)
+			res := runCluster(t, Options{Duration: 12 * time.Second, Fleet: smallCluster(8, 6, 80), Faults: []fault.Fault{f}})
+			if got := res.Faults[0]; got.Counts[tc.did] < tc.least || got.StartedAt < 3900*time.Millisecond || got.EndedAt < got.StartedAt+2*time.Second {
+				t.Errorf("it did %v from %v to %v", got.Counts, got.StartedAt, got.EndedAt)
 			}
 			if tc.check != nil {
 				tc.check(t, res)
@@ -274,16 +274,16 @@
 	}
 }
 
-func TestAFaultWithoutEffectIsAnError(t *testing.T) {
+func TestRun_RejectsFaultWithoutEffect(t *testing.T) {
 	t.Parallel()
-	_, err := Run(context.Background(), Options{Program: program, Seed: 1, Length: 3 * time.Second, Fleet: small(2, 3, 6), Script: []fault.Fault{
+	_, err := Run(context.Background(), Options{Program: program, Seed: 1, Duration: 3 * time.Second, Fleet: smallCluster(2, 3, 6), Faults: []fault.Fault{
 		{Kind: "link", Start: time.Second, Duration: time.Second, ScriptLine: 17, Link: &fault.Link{From: fault.NodeSet{Kind: fault.Relays}, To: fault.NodeSet{Kind: fault.Relays}, LossRate: 1}}}})
 	if err == nil || !strings.Contains(err.Error(), "line 17") || !strings.Contains(err.Error(), "did nothing") {
 		t.Errorf("a cut where nothing passes: %v", err)
 	}
 }
 
-func TestWhatCannotBePlayedIsToldBeforeAnythingStarts(t *testing.T) {
+func TestRun_ValidatesOptionsBeforeStart(t *testing.T) {
 	script := filepath.Join(t.TempDir(), "text")
 	if err := os.WriteFile(script, []byte("#!/bin/sh\necho no such limit >&2; exit 3\n"), 0o755); err != nil {
 		t.Fatal(err)
@@ -293,19 +293,19 @@
 		opt  Options
 		want string
 	}{
-		{"descriptors", Options{Program: program, Fleet: small(300, 90, 1<<20)}, "relays fit"},
-		{"memory", Options{Program: program, Fleet: small(maxRelays, 10, 100)}, "fit"},
-		{"too many", Options{Program: program, Fleet: small(maxRelays+1, 10, 100)}, "can be played"},
-		{"no program", Options{Program: filepath.Join(t.TempDir(), "none"), Fleet: small(2, 2, 4)}, "no such file"},
-		{"not executable", Options{Program: t.TempDir(), Fleet: small(2, 2, 4)}, "cannot be executed"},
-		{"it does not start", Options{Program: script, Fleet: small(2, 2, 4)}, "no such limit"},
-		{"unknown fault", Options{Program: program, Fleet: small(2, 2, 4), Script: []fault.Fault{{Kind: "shared dependency slow"}}}, "can't play"},
+		{"descriptors", Options{Program: program, Fleet: smallCluster(300, 90, 1<<20)}, "relays fit"},
+		{"memory", Options{Program: program, Fleet: smallCluster(maxRelays, 10, 100)}, "fit"},
+		{"too many", Options{Program: program, Fleet: smallCluster(maxRelays+1, 10, 100)}, "can be played"},
+		{"no program", Options{Program: filepath.Join(t.TempDir(), "none"), Fleet: smallCluster(2, 2, 4)}, "no such file"},
+		{"not executable", Options{Program: t.TempDir(), Fleet: smallCluster(2, 2, 4)}, "cannot be executed"},
+		{"it does not start", Options{Program: script, Fleet: smallCluster(2, 2, 4)}, "no such limit"},
+		{"unknown fault", Options{Program: program, Fleet: smallCluster(2, 2, 4), Faults: []fault.Fault{{Kind: "shared dependency slow"}}}, "can't play"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if tc.name == "memory" && availableKB() > int64(maxRelays)*24<<10 {
 				t.Skip("this machine bears as many")
 			}
-			tc.opt.Length = time.Second
+			tc.opt.Duration = time.Second
 			_, err := Run(context.Background(), tc.opt)
 			if err == nil || !strings.Contains(err.Error(), tc.want) {
 				t.Errorf("told %v, wanted is %q", err, tc.want)
@@ -314,8 +314,8 @@
 	}
 }
 
-// left finds processes that run a program.
-func left(t *testing.T, program string) (pids []string) {
+// processesRunning finds processes that run a program.
+func processesRunning(t *testing.T, program string) (pids []string) {
 	t.Helper()
 	links, err := filepath.Glob("/proc/[0-9]*/exe")
 	if err != nil {
@@ -329,19 +329,19 @@
 	return pids
 }
 
-// await polls until something holds, for ten seconds at most.
-func await(t *testing.T, what string, ok func() bool) {
+// waitFor polls until something holds, for ten seconds at most.
+func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); !ok(); {
 		if time.Now().After(end) {
 			t.Fatal(what)
 		}
-		wait(context.Background(), 20*time.Millisecond)
+		sleepContext(context.Background(), 20*time.Millisecond)
 	}
 }
 
-// own is a copy of the program, so that no other test's processes are seen.
-func own(t *testing.T) string {
+// copyProgram is a copy of the program, so that no other test's processes are seen.
+func copyProgram(t *testing.T) string {
 	t.Helper()
 	text, err := os.ReadFile(program)
 	if err != nil {
@@ -354,54 +354,54 @@
 	return path
 }
 
-func TestNoProcessOutlivesItsRig(t *testing.T) {
+func TestRun_LeavesNoProcesses(t *testing.T) {
 	t.Run("cancelled, with some of them paused", func(t *testing.T) {
 		t.Parallel()
-		p := own(t)
+		p := copyProgram(t)
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		ended := make(chan error, 1)
 		go func() {
-			_, err := Run(ctx, Options{Program: p, Seed: 1, Length: time.Minute, Fleet: small(6, 3, 12),
-				Script: []fault.Fault{{Kind: "relays paused", Start: 100 * time.Millisecond, Duration: 30 * time.Second, Targets: []int{1, 2}}}})
+			_, err := Run(ctx, Options{Program: p, Seed: 1, Duration: time.Minute, Fleet: smallCluster(6, 3, 12),
+				Faults: []fault.Fault{{Kind: "relays paused", Start: 100 * time.Millisecond, Duration: 30 * time.Second, Targets: []int{1, 2}}}})
 			ended <- err
 		}()
-		await(t, "six relays do not run", func() bool { return len(left(t, p)) == 6 })
+		waitFor(t, "six relays do not run", func() bool { return len(processesRunning(t, p)) == 6 })
 		cancel()
 		if err := <-ended; !errors.Is(err, context.Canceled) {
 			t.Errorf("a cancelled run: %v", err)
 		}
-		if n := left(t, p); len(n) != 0 {
+		if n := processesRunning(t, p); len(n) != 0 {
 			t.Errorf("left: %v", n)
 		}
 	})
-	t.Run("the rig is killed", func(t *testing.T) {
+	t.Run("the cluster is killed", func(t *testing.T) {
 		t.Parallel()
-		p := own(t)
+		p := copyProgram(t)
 		c := exec.Command(os.Args[0])
-		c.Env = append(os.Environ(), "FLEET_TEST_RIG="+p)
+		c.Env = append(os.Environ(), "TESTCLUSTER_TEST_PROGRAM="+p)
 		if err := c.Start(); err != nil {
 			t.Fatal(err)
 		}
-		await(t, "six relays do not run", func() bool { return len(left(t, p)) == 6 })
+		waitFor(t, "six relays do not run", func() bool { return len(processesRunning(t, p)) == 6 })
 		if err := c.Process.Signal(syscall.SIGKILL); err != nil {
 			t.Fatal(err)
 		}
 		_ = c.Wait()
-		await(t, "relays run though their rig was killed", func() bool { return len(left(t, p)) == 0 })
+		waitFor(t, "relays run though their cluster was killed", func() bool { return len(processesRunning(t, p)) == 0 })
 	})
 }
 
-func TestAWallAnswersNobody(t *testing.T) {
-	lc := net.ListenConfig{Control: control}
+func TestBlackhole_AcceptsNoConnections(t *testing.T) {
+	lc := net.ListenConfig{Control: prepareWildcardSocket}
 	l, err := lc.Listen(context.Background(), "tcp4", "0.0.0.0:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
 	port := l.Addr().(*net.TCPAddr).Port
-	behind := netip.AddrPortFrom(address(backendNet, 7<<backendBits|3), uint16(port))
-	end, err := wall(behind)
+	behind := netip.AddrPortFrom(loopbackAddress(backendNet, 7<<backendBits|3), uint16(port))
+	end, err := blackhole(behind)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -409,7 +409,7 @@
 		c.Close()
 		t.Error("a connection came up across a cut")
 	}
-	other := at(address(backendNet, 7<<backendBits|4), port)
+	other := hostPort(loopbackAddress(backendNet, 7<<backendBits|4), port)
 	c, err := net.DialTimeout("tcp", other, time.Second)
 	if err != nil {
 		t.Errorf("the next pair is cut as well: %v", err)
@@ -424,11 +424,11 @@
 	}
 }
 
-func TestAddressesOfPairs(t *testing.T) {
+func TestLoopbackAddress_IsUniquePerPair(t *testing.T) {
 	seen := map[netip.Addr]string{}
 	for _, r := range []int{0, 1, 255, 256, maxRelays - 1} {
 		for _, b := range []int{0, 1, 255, 256, maxBackends - 1} {
-			a := address(backendNet, r<<backendBits|b)
+			a := loopbackAddress(backendNet, r<<backendBits|b)
 			if gr, gb, ok := backendPair(a); !ok || gr != r || gb != b || !a.IsLoopback() {
 				t.Errorf("%v is %d, %d", a, gr, gb)
 			}
@@ -437,42 +437,42 @@
 			}
 			seen[a] = fmt.Sprint(r, b)
 			if b < maxRelays {
-				p := address(peerNet, r<<peerBits|b)
-				if n, ok := number(p, peerNet); !ok || n>>peerBits != r || n&(1<<peerBits-1) != b || seen[p] != "" {
+				p := loopbackAddress(peerNet, r<<peerBits|b)
+				if n, ok := indexInNet(p, peerNet); !ok || n>>peerBits != r || n&(1<<peerBits-1) != b || seen[p] != "" {
 					t.Errorf("peers %d, %d: %v", r, b, p)
 				}
 				seen[p] = fmt.Sprint("peer ", r, b)
 			}
 		}
-		for _, net := range []int{relayNet, agentNet, everyNet} {
-			if seen[address(net, r)] != "" {
-				t.Errorf("%v is a pair's too", address(net, r))
+		for _, net := range []int{relayNet, discoveryNet, broadcastNet} {
+			if seen[loopbackAddress(net, r)] != "" {
+				t.Errorf("%v is a pair's too", loopbackAddress(net, r))
 			}
 		}
 	}
 }
 
-func TestDatagramsOnTheirWay(t *testing.T) {
-	w := newWays(1)
-	a, b := party{fault.Relays, 1}, party{fault.Relays, 2}
+func TestLinkFaults_AffectDatagrams(t *testing.T) {
+	links := newLinkFaults(1)
+	a, b := node{fault.Relays, 1}, node{fault.Relays, 2}
 	count := func(l fault.Link) (arrived, late int, did map[string]int) {
 		l.From, l.To = fault.NodeSet{Kind: fault.Relays, Indexes: []int{1}}, fault.NodeSet{Kind: fault.Relays}
-		d := &deeds{}
-		end := w.begin(&l, d)
+		counters := &effectCounters{}
+		end := links.inject(&l, counters)
 		defer end()
 		for range 1000 {
-			times, _ := w.datagram(a, b)
+			times, _ := links.datagramDelays(a, b)
 			arrived += len(times)
 			for _, x := range times {
 				if x > 0 {
 					late++
 				}
 			}
-			if back, _ := w.datagram(b, a); len(back) != 1 || back[0] != 0 {
+			if back, _ := links.datagramDelays(b, a); len(back) != 1 || back[0] != 0 {
 				t.Fatal("the other way is in trouble as well")
 			}
 		}
-		return arrived, late, d.counts()
+		return arrived, late, counters.counts()
 	}
 	if n, _, did := count(fault.Link{Partitioned: true}); n != 0 || did["datagrams lost"] != 1000 {
 		t.Errorf("a cut let %d pass: %v", n, did)
@@ -486,7 +486,7 @@
 	if n, late, _ := count(fault.Link{ReorderRate: 0.3}); n != 1000 || late < 250 || late > 350 {
 		t.Errorf("%d, %d late", n, late)
 	}
-	if times, held := w.datagram(a, b); len(times) != 1 || held != nil {
+	if times, held := links.datagramDelays(a, b); len(times) != 1 || held != nil {
 		t.Error("trouble that is over")
 	}
 }
@@ -494,16 +494,16 @@
 // A quarter of the backends fails more than half of what they get. What may not be repeated is lost by each of those, and
 // each of forty relays would find them out by a few of its own: it goes by what they report instead. So does a class that
 // waits no longer than a connection may take to come up: it has the time to ask all the same.
-func TestWhatMayNotBeRepeatedPassesFailingBackendsBy(t *testing.T) {
+func TestCluster_NonIdempotentRequestsAvoidFailingBackends(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		connect time.Duration
 	}{{"as usual", 0}, {"a connection may take as long as the class waits", 3 * time.Second}} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			f := small(40, 12, 360)
+			f := smallCluster(40, 12, 360)
 			f.Stay, f.ConnectTimeout = [2]time.Duration{2 * time.Second, 6 * time.Second}, tc.connect
-			res := play(t, Options{Length: 20 * time.Second, Fleet: f, Script: []fault.Fault{
+			res := runCluster(t, Options{Duration: 20 * time.Second, Fleet: f, Faults: []fault.Fault{
 				{Kind: "backends failing fast", Start: 4 * time.Second, Duration: 14 * time.Second, Targets: []int{2, 5, 9}, Severity: 0.3}}})
 			lost, asked, errs := res.Counts["failed submit"], res.Counts["request submit"], res.Counts["backend said ERR"]
 			t.Logf("%d of %d that may not be repeated failed, %d errors in all, attempts %v", lost, asked, errs, res.Attempts)
@@ -519,16 +519,16 @@
 
 // Half of the backends go and two start: those that are left are full, and few of the clients' keys are at home at the new ones,
 // which are cold. Left to those keys, cold backends would stay empty while the others drop what they hold. None falls over.
-func TestColdBackendsTakeWhoFindsTheirHomeFull(t *testing.T) {
+func TestCluster_ColdBackendsTakeOverflow(t *testing.T) {
 	t.Parallel()
-	f := small(60, 10, 300)
+	f := smallCluster(60, 10, 300)
 	f.Stay = [2]time.Duration{4 * time.Second, 12 * time.Second}
-	res := play(t, Options{Length: 14 * time.Second, Fleet: f, Script: []fault.Fault{
+	res := runCluster(t, Options{Duration: 14 * time.Second, Fleet: f, Faults: []fault.Fault{
 		{Kind: "backends start", Start: 4 * time.Second, Duration: 9 * time.Second, Severity: 0.5},
 		{Kind: "backends drain", Start: 4500 * time.Millisecond, Duration: 9 * time.Second, Targets: []int{0, 1, 2, 3, 4}}}})
 	sent := res.Counts["sent to a cold backend"]
 	loads := res.Evenness[11].Loads
-	t.Logf("%d calls to cold backends, %d fell over; loads after seven seconds %.2f; service %.3f", sent, res.Counts["cold backend fell over"], loads, service(res, 6, 13))
+	t.Logf("%d calls to cold backends, %d fell over; loads after seven seconds %.2f; service %.3f", sent, res.Counts["cold backend fell over"], loads, servedShare(res, 6, 13))
 	if res.Counts["cold backend fell over"] != 0 {
 		t.Error("a cold backend was pushed over")
 	}
@@ -540,7 +540,7 @@
 // Three in ten backends start cold while all clients are at hand, and half of the relays are killed and come again at once
 // meanwhile, knowing nothing. What all processes send together stays within what a cold backend bears, at a budget of about
 // 5, 20 and 100 calls in a span, without any allowance for chance. Little of the room is used where a backend bears few calls.
-func TestTheRampOfColdBackendsHoldsForTheFleetOfProcesses(t *testing.T) {
+func TestCluster_SlowStartHoldsAcrossRelays(t *testing.T) {
 	for _, tc := range []struct {
 		relays int
 		calls  float64 // that a backend bears in a span when it has just started
@@ -549,8 +549,8 @@
 		t.Run(fmt.Sprintf("%d relays, %.0f calls", tc.relays, tc.calls), func(t *testing.T) {
 			t.Parallel()
 			const backends, started = 8, 3
-			opens := tc.calls / (fallMultiple * coldFrom * fallSpan.Seconds())
-			f := small(tc.relays, backends, int(3*opens*backends))
+			opens := tc.calls / (overloadFactor * coldCapacity * overloadWindow.Seconds())
+			f := smallCluster(tc.relays, backends, int(3*opens*backends))
 			f.Server.WarmRequestRate = opens
 			f.Stay = [2]time.Duration{400 * time.Millisecond, 1600 * time.Millisecond} // many come again while they are cold
 			var half []int
@@ -559,7 +559,7 @@
 					half = append(half, i)
 				}
 			}
-			res := play(t, Options{Length: 16 * time.Second, Fleet: f, Script: []fault.Fault{
+			res := runCluster(t, Options{Duration: 16 * time.Second, Fleet: f, Faults: []fault.Fault{
 				{Kind: "backends start", Start: 4 * time.Second, Duration: 12 * time.Second, Severity: float64(started) / backends},
 				{Kind: "relays die together", Start: 6 * time.Second, Duration: time.Second, Targets: half}}})
 			sent := res.Counts["sent to a cold backend"]
--- a/internal/testcluster/members_test.go
+++ b/internal/testcluster/members_test.go
@@ -13,24 +13,24 @@
 	"aspenbarrow/internal/simulation"
 )
 
-// views is what some relays hold of all, as they tell staff, asked again and again.
-type views struct {
-	mu   sync.Mutex
-	ask  []int // whom
-	held map[int][]string
-	at   map[int]time.Duration
-	each func(v *views, now time.Duration)
+// memberViews is what some relays hold of all, as they tell staff, asked again and again.
+type memberViews struct {
+	mu        sync.Mutex
+	relays    []int // whom
+	states    map[int][]string
+	queriedAt map[int]time.Duration
+	each      func(v *memberViews, now time.Duration)
 }
 
-// look asks all of them and then has each called with the lock held.
-func (s *views) look(v *View) {
+// observe asks all of them and then has each called with the lock held.
+func (views *memberViews) observe(view *View) {
 	var wg sync.WaitGroup
-	for _, i := range s.ask {
+	for _, i := range views.relays {
 		wg.Go(func() {
-			if !v.Running(i) {
+			if !view.RelayRunning(i) {
 				return
 			}
-			lines, err := v.Ask(i, "MEMBERS")
+			lines, err := view.QueryAdmin(i, "MEMBERS")
 			if err != nil || len(lines) < 3 || lines[0] != "SUCCESS" {
 				return
 			}
@@ -42,21 +42,21 @@
 					}
 				}
 			}
-			s.mu.Lock()
-			defer s.mu.Unlock()
-			s.held[i], s.at[i] = states, v.Since()
+			views.mu.Lock()
+			defer views.mu.Unlock()
+			views.states[i], views.queriedAt[i] = states, view.Elapsed()
 		})
 	}
 	wg.Wait()
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.each(s, v.Since())
+	views.mu.Lock()
+	defer views.mu.Unlock()
+	views.each(views, view.Elapsed())
 }
 
-// hold counts those who hold one in a state, among the asked but the one itself.
-func (s *views) hold(of int, state string) (n, asked int) {
-	for _, i := range s.ask {
-		if st := s.held[i]; i != of && len(st) > of {
+// countState counts those who hold one in a state, among the asked but the one itself.
+func (views *memberViews) countState(of int, state string) (n, asked int) {
+	for _, i := range views.relays {
+		if st := views.states[i]; i != of && len(st) > of {
 			asked++
 			if st[of] == state {
 				n++
@@ -66,7 +66,7 @@
 	return n, asked
 }
 
-func spread(n, of int) (out []int) {
+func spreadIndexes(n, of int) (out []int) {
 	for i := range n {
 		out = append(out, i*of/n)
 	}
@@ -75,7 +75,7 @@
 
 // Relays are killed, stopped, cut off one way and leave while others are asked whom they hold for what. Nobody who lives
 // and can be reached is held dead by anyone, at any time.
-func TestMembersAmongProcesses(t *testing.T) {
+func TestCluster_MembershipUnderFaults(t *testing.T) {
 	const relays = 24
 	all := func(kind fault.NodeKind) fault.NodeSet { return fault.NodeSet{Kind: kind} }
 	one := func(who ...int) fault.NodeSet { return fault.NodeSet{Kind: fault.Relays, Indexes: who} }
@@ -109,19 +109,19 @@
 			t.Parallel()
 			f := tc.fault
 			f.Start, f.Duration = 6*time.Second, 9*time.Second
-			fl := small(relays, 4, 24)
+			fl := smallCluster(relays, 4, 24)
 			fl.Membership = true
 			var known, back time.Duration
-			s := &views{ask: spread(8, relays), held: map[int][]string{}, at: map[int]time.Duration{}}
+			views := &memberViews{relays: spreadIndexes(8, relays), states: map[int][]string{}, queriedAt: map[int]time.Duration{}}
 			wrong := map[string]bool{}
-			s.each = func(s *views, now time.Duration) {
-				if n, asked := s.hold(tc.of, tc.during); known == 0 && tc.during != "" && asked >= 7 && n == asked && now > f.Start {
+			views.each = func(views *memberViews, now time.Duration) {
+				if n, asked := views.countState(tc.of, tc.during); known == 0 && tc.during != "" && asked >= 7 && n == asked && now > f.Start {
 					known = now - f.Start
 				}
-				if n, asked := s.hold(tc.of, "alive"); back == 0 && asked >= 7 && n == asked && now > f.Start+f.Duration {
+				if n, asked := views.countState(tc.of, "alive"); back == 0 && asked >= 7 && n == asked && now > f.Start+f.Duration {
 					back = now - f.Start - f.Duration
 				}
-				for i, states := range s.held {
+				for i, states := range views.states {
 					for j, st := range states {
 						if st == "dead" && j != tc.of && i != tc.of && (tc.apart == nil || !tc.apart(i, j)) {
 							wrong[fmt.Sprintf("%d holds %d dead", i, j)] = true
@@ -129,7 +129,7 @@
 					}
 				}
 			}
-			res := play(t, Options{Length: 22 * time.Second, Fleet: fl, Script: append([]fault.Fault{f}, tc.more...), Look: s.look})
+			res := runCluster(t, Options{Duration: 22 * time.Second, Fleet: fl, Faults: append([]fault.Fault{f}, tc.more...), Observe: views.observe})
 			t.Logf("known after %v, back after %v; %.0f datagrams a second, a relay %.2f%% of a core", known, back, res.Rates.Datagrams, 100*res.Usage.CPUMedian)
 			for w := range wrong {
 				t.Error(w)
@@ -144,8 +144,8 @@
 	}
 }
 
-// TestManyMembers is a measurement with hundreds, asked for by MEMBERS=200.
-func TestManyMembers(t *testing.T) {
+// TestCluster_ManyMembers is a measurement with hundreds, asked for by MEMBERS=200.
+func TestCluster_ManyMembers(t *testing.T) {
 	relays, err := strconv.Atoi(os.Getenv("MEMBERS"))
 	if err != nil {
 		t.Skip("a measurement, asked for by MEMBERS=200")
@@ -153,12 +153,12 @@
 	var most, every, first []time.Duration
 	var fl simulation.Fleet
 	for seed := range uint64(3) {
-		fl = small(relays, 10, 100)
+		fl = smallCluster(relays, 10, 100)
 		fl.Membership = true
-		s := &views{ask: spread(50, relays), held: map[int][]string{}, at: map[int]time.Duration{}}
+		views := &memberViews{relays: spreadIndexes(50, relays), states: map[int][]string{}, queriedAt: map[int]time.Duration{}}
 		var a, b, c time.Duration
-		s.each = func(s *views, now time.Duration) {
-			n, asked := s.hold(1, "dead")
+		views.each = func(views *memberViews, now time.Duration) {
+			n, asked := views.countState(1, "dead")
 			if now > 12*time.Second && asked >= 49 {
 				if a == 0 && float64(n) >= 0.99*float64(asked) {
 					a = now - 12*time.Second
@@ -167,9 +167,9 @@
 					b = now - 12*time.Second
 				}
 			}
-			if c == 0 && len(s.held) == 50 {
+			if c == 0 && len(views.states) == 50 {
 				one := true
-				for _, states := range s.held {
+				for _, states := range views.states {
 					for _, st := range states {
 						one = one && st == "alive"
 					}
@@ -179,9 +179,9 @@
 				}
 			}
 		}
-		res := play(t, Options{Length: 24 * time.Second, Fleet: fl, Seed: seed + 1, Look: s.look, Script: []fault.Fault{{Kind: "relay killed", Targets: []int{1}, Start: 12 * time.Second, Duration: 10 * time.Second}}})
+		res := runCluster(t, Options{Duration: 24 * time.Second, Fleet: fl, Seed: seed + 1, Observe: views.observe, Faults: []fault.Fault{{Kind: "relay killed", Targets: []int{1}, Start: 12 * time.Second, Duration: 10 * time.Second}}})
 		t.Logf("one view %v after the run's beginning, dead to 99%% after %v, to all asked after %v; %.0f datagrams a second, a relay %.2f%% of a core (%.2f%%), ready %v",
-			c, a, b, res.Rates.Datagrams, 100*res.Usage.CPUMedian, 100*res.Usage.CPUMost, res.Ready)
+			c, a, b, res.Rates.Datagrams, 100*res.Usage.CPUMedian, 100*res.Usage.CPUMax, res.ReadyAfter)
 		most, every, first = append(most, a), append(every, b), append(first, c)
 	}
 	t.Log(first, most, every)
--- a/internal/testcluster/processes.go
+++ b/internal/testcluster/processes.go
@@ -20,43 +20,43 @@
 	"golang.org/x/sys/unix"
 )
 
-// readyWithin is how long all relays together have to be ready.
-const readyWithin = 20 * time.Second
+// readyTimeout is how long all relays together have to be ready.
+const readyTimeout = 20 * time.Second
 
-// process is one life of a relay's process. Only processes that the nursery started are ever signalled.
+// process is one life of a relay's process. Only processes that the launcher started are ever signalled.
 type process struct {
 	cmd    *exec.Cmd
-	number int
+	relay  int
 	log    string
 	ended  chan struct{} // closed once it has been waited for
 	err    error         // then
-	killed bool          // by the rig
+	killed bool          // by the cluster
 }
 
-// nursery starts processes from one thread that lives as long as the rig: the system ends them with that thread, so
-// that they are gone even when the rig itself is killed.
-type nursery struct {
-	work chan func()
-	done chan struct{}
-	mu   sync.Mutex
-	all  []*process
+// processLauncher starts processes from one thread that lives as long as the cluster: the system ends them with that thread, so
+// that they are gone even when the cluster itself is killed.
+type processLauncher struct {
+	requests  chan func()
+	done      chan struct{}
+	mu        sync.Mutex
+	processes []*process
 }
 
-func newNursery() *nursery {
-	n := &nursery{work: make(chan func()), done: make(chan struct{})}
+func newProcessLauncher() *processLauncher {
+	launcher := &processLauncher{requests: make(chan func()), done: make(chan struct{})}
 	go func() {
 		runtime.LockOSThread() // never unlocked: the thread ends with this goroutine
-		defer close(n.done)
-		for f := range n.work {
+		defer close(launcher.done)
+		for f := range launcher.requests {
 			f()
 		}
 	}()
-	return n
+	return launcher
 }
 
 // start runs a program until it ends. Its standard error goes to a file.
-func (n *nursery) start(program, dir string, number int, env []string) (*process, error) {
-	p := &process{number: number, log: filepath.Join(dir, "log"), ended: make(chan struct{})}
+func (launcher *processLauncher) start(program, dir string, number int, env []string) (*process, error) {
+	p := &process{relay: number, log: filepath.Join(dir, "log"), ended: make(chan struct{})}
 	f, err := os.OpenFile(p.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, err
@@ -66,13 +66,13 @@
 	p.cmd.Dir, p.cmd.Env, p.cmd.Stdout, p.cmd.Stderr = dir, env, f, f
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	started := make(chan error, 1)
-	n.work <- func() { started <- p.cmd.Start() }
+	launcher.requests <- func() { started <- p.cmd.Start() }
 	if err := <-started; err != nil {
 		return nil, fmt.Errorf("relay %d: %w", number, err)
 	}
-	n.mu.Lock()
-	n.all = append(n.all, p)
-	n.mu.Unlock()
+	launcher.mu.Lock()
+	launcher.processes = append(launcher.processes, p)
+	launcher.mu.Unlock()
 	go func() {
 		p.err = p.cmd.Wait()
 		close(p.ended)
@@ -81,18 +81,18 @@
 }
 
 // close kills what still runs and waits for its end.
-func (n *nursery) close() {
-	n.mu.Lock()
-	all := n.all
-	n.mu.Unlock()
+func (launcher *processLauncher) close() {
+	launcher.mu.Lock()
+	all := launcher.processes
+	launcher.mu.Unlock()
 	for _, p := range all {
 		p.signal(syscall.SIGKILL)
 	}
 	for _, p := range all {
 		<-p.ended
 	}
-	close(n.work)
-	<-n.done
+	close(launcher.requests)
+	<-launcher.done
 }
 
 // Build builds the relay's program from this source into a folder and returns its path.
@@ -121,13 +121,13 @@
 	}
 }
 
-// usage is what a process has used so far: processor time, and the most memory.
-type usage struct {
+// processUsage is what a process has used so far: processor time, and the most memory.
+type processUsage struct {
 	cpu    time.Duration
 	memory int64 // bytes, the high-water mark
 }
 
-func (p *process) usage() (u usage, err error) {
+func (p *process) usage() (u processUsage, err error) {
 	dir := "/proc/" + strconv.Itoa(p.cmd.Process.Pid)
 	stat, err := os.ReadFile(dir + "/stat")
 	if err != nil {
@@ -153,14 +153,14 @@
 	for line := range strings.Lines(string(status)) {
 		if f := strings.Fields(line); len(f) > 1 && f[0] == "VmHWM:" {
 			kb, err := strconv.ParseInt(f[1], 10, 64)
-			return usage{u.cpu, kb << 10}, err
+			return processUsage{u.cpu, kb << 10}, err
 		}
 	}
 	return u, nil
 }
 
-// fits says, before anything is started, whether the machine bears so many.
-func fits(relays, conns int) error {
+// checkMachineLimits says, before anything is started, whether the machine bears so many.
+func checkMachineLimits(relays, conns int) error {
 	var lim unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &lim); err != nil {
 		return err
@@ -218,8 +218,8 @@
 	return path, os.WriteFile(path, text, 0o600)
 }
 
-// ping asks a relay whether it takes clients.
-func ping(addr string, within time.Duration) bool {
+// respondsToPing asks a relay whether it takes clients.
+func respondsToPing(addr string, within time.Duration) bool {
 	c, err := net.DialTimeout("tcp", addr, within)
 	if err != nil {
 		return false
--- a/internal/testcluster/settings.go
+++ b/internal/testcluster/settings.go
@@ -8,44 +8,44 @@
 	"aspenbarrow/internal/simulation"
 )
 
-// class is a class of requests: settingsOf tells relays of it, rulesOf the checker.
-type class struct {
-	name    string
-	giveUp  time.Duration
-	onTime  time.Duration
-	effect  string
-	checked invariant.Idempotency
-	worth   float64
+// requestClass is a class of requests: settingsOf tells relays of it, rulesOf the checker.
+type requestClass struct {
+	name               string
+	clientTimeout      time.Duration
+	latencyObjective   time.Duration
+	idempotency        string
+	checkerIdempotency invariant.Idempotency
+	priorityWeight     float64
 }
 
-var classes = []class{
+var requestClasses = []requestClass{
 	{"watch", 2 * time.Second, 400 * time.Millisecond, "read_like", invariant.Idempotent, 1},
 	{"fetch", 1800 * time.Millisecond, 400 * time.Millisecond, "idempotency_key", invariant.IdempotentWithKey, 2},
 	{"submit", 3 * time.Second, 600 * time.Millisecond, "non_idempotent", invariant.NonIdempotent, 5},
 }
 
 const (
-	messageAim   = 60 * time.Millisecond
-	dedupWindow  = 3 * time.Second
-	tryLimit     = 4
-	drainGrace   = 250 * time.Millisecond
-	answerSlack  = 16 * time.Millisecond
-	coldFrom     = 0.3
-	warmUp       = 8 * time.Second
-	fallMultiple = 2.5
-	fallSpan     = 3 * time.Second
+	messageLatencyObjective = 60 * time.Millisecond
+	dedupWindow             = 3 * time.Second
+	maxAttempts             = 4
+	drainGrace              = 250 * time.Millisecond
+	answerSlack             = 16 * time.Millisecond
+	coldCapacity            = 0.3
+	warmUpTime              = 8 * time.Second
+	overloadFactor          = 2.5
+	overloadWindow          = 3 * time.Second
 )
 
-func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// settingsOf is the settings object of one relay, with the names and units of the platform's page.
-func settingsOf(f *simulation.Fleet, me int) map[string]any {
+// relaySettings is the settings object of one relay, with the names and units of the platform's page.
+func relaySettings(f *simulation.Fleet, me int) map[string]any {
 	var list []map[string]any
 	var aims []float64
-	for _, c := range classes {
-		list = append(list, map[string]any{"name": c.name, "on-time-ms": ms(c.onTime), "give-up-ms": ms(c.giveUp), "effect": c.effect,
-			"dedup-scope": "cell", "dedup-window-ms": ms(dedupWindow), "worth": c.worth})
-		aims = append(aims, ms(messageAim))
+	for _, c := range requestClasses {
+		list = append(list, map[string]any{"name": c.name, "on-time-ms": milliseconds(c.latencyObjective), "give-up-ms": milliseconds(c.clientTimeout), "effect": c.idempotency,
+			"dedup-scope": "cell", "dedup-window-ms": milliseconds(dedupWindow), "worth": c.priorityWeight})
+		aims = append(aims, milliseconds(messageLatencyObjective))
 	}
 	stats := map[string]any{"how": "on_probe", "fields": []string{"x0", "errors_per_s"}}
 	if f.Silent {
@@ -59,22 +59,22 @@
 		"tick-ms": 4, "registry-mode": "pushed", "weights": weights, "over-share-worth": 1, "stats": stats,
 		"family-info": map[string]any{"mode": "proxy", "message-aim-ms": aims},
 		"limits": map[string]any{"probes": true, "cancelling": true, "retry-after": true, "peers": f.Peers,
-			"dial-timeout-ms": ms(cmp.Or(f.ConnectTimeout, 250*time.Millisecond)),
-			"idle-close-ms":   5000, "max-retry-after-ms": 1500, "try-limit": tryLimit},
-		"rules": map[string]any{"answer-slack-ms": ms(answerSlack), "stop-sending-within-ms": ms(drainGrace), "cold-from": coldFrom,
-			"warm-up-ms": ms(warmUp), "fall-multiple": fallMultiple, "fall-ms": ms(fallSpan), "ask-every-ms": 10000}}
+			"dial-timeout-ms": milliseconds(cmp.Or(f.ConnectTimeout, 250*time.Millisecond)),
+			"idle-close-ms":   5000, "max-retry-after-ms": 1500, "try-limit": maxAttempts},
+		"rules": map[string]any{"answer-slack-ms": milliseconds(answerSlack), "stop-sending-within-ms": milliseconds(drainGrace), "cold-from": coldCapacity,
+			"warm-up-ms": milliseconds(warmUpTime), "fall-multiple": overloadFactor, "fall-ms": milliseconds(overloadWindow), "ask-every-ms": 10000}}
 }
 
-// rulesOf are the same for the checker, with what an onlooker on a busy machine has to allow.
-func rulesOf(f *simulation.Fleet) invariant.Limits {
+// invariantLimits are the same for the checker, with what an onlooker on a busy machine has to allow.
+func invariantLimits(f *simulation.Fleet) invariant.Limits {
 	const sockets = 50 * time.Millisecond
-	allowed := sockets + Allowance
-	rules := invariant.Limits{MaxAttempts: tryLimit, AnswerSlack: answerSlack + allowed, DrainGrace: drainGrace + allowed, DiscoveryDelay: 6 * time.Second,
-		MaxLineDelay: time.Second + allowed, SilenceTimeout: 7*time.Second + allowed, DepartureGrace: 100*time.Millisecond + Allowance, FirstLineTimeout: 2*time.Second + answerSlack + allowed,
-		ColdCapacity: coldFrom, WarmUp: warmUp, OverloadFactor: fallMultiple, OverloadWindow: fallSpan, WarmRate: f.Server.WarmRequestRate, ObservationDelay: Allowance}
-	for _, c := range classes {
-		rules.Classes = append(rules.Classes, invariant.Class{Name: c.name, ClientTimeout: c.giveUp, LatencyObjective: c.onTime, Idempotency: c.checked,
-			ScopedToCell: c.checked == invariant.IdempotentWithKey, DedupWindow: dedupWindow})
+	allowed := sockets + TimingAllowance
+	rules := invariant.Limits{MaxAttempts: maxAttempts, AnswerSlack: answerSlack + allowed, DrainGrace: drainGrace + allowed, DiscoveryDelay: 6 * time.Second,
+		MaxLineDelay: time.Second + allowed, SilenceTimeout: 7*time.Second + allowed, DepartureGrace: 100*time.Millisecond + TimingAllowance, FirstLineTimeout: 2*time.Second + answerSlack + allowed,
+		ColdCapacity: coldCapacity, WarmUp: warmUpTime, OverloadFactor: overloadFactor, OverloadWindow: overloadWindow, WarmRate: f.Server.WarmRequestRate, ObservationDelay: TimingAllowance}
+	for _, c := range requestClasses {
+		rules.Classes = append(rules.Classes, invariant.Class{Name: c.name, ClientTimeout: c.clientTimeout, LatencyObjective: c.latencyObjective, Idempotency: c.checkerIdempotency,
+			ScopedToCell: c.checkerIdempotency == invariant.IdempotentWithKey, DedupWindow: dedupWindow})
 	}
 	return rules
 }
--- a/internal/testcluster/tally.go
+++ b/internal/testcluster/tally.go
@@ -5,65 +5,65 @@
 	"time"
 )
 
-// perSecond counts by party in the second that runs, and keeps the most that one had in any.
-type perSecond struct {
-	counts []atomic.Int64 // of the present second
-	second []atomic.Int64 // which that is, by party
-	most   atomic.Int64
-	total  atomic.Int64
+// peakCounter counts by party in the second that runs, and keeps the most that one had in any.
+type peakCounter struct {
+	counts  []atomic.Int64 // of the present second
+	seconds []atomic.Int64 // which that is, by party
+	peak    atomic.Int64
+	total   atomic.Int64
 }
 
-func newPerSecond(n int) *perSecond {
-	return &perSecond{counts: make([]atomic.Int64, n), second: make([]atomic.Int64, n)}
+func newPeakCounter(n int) *peakCounter {
+	return &peakCounter{counts: make([]atomic.Int64, n), seconds: make([]atomic.Int64, n)}
 }
 
-func (p *perSecond) add(who int, at time.Duration) {
-	if who >= len(p.counts) {
+func (counter *peakCounter) add(who int, at time.Duration) {
+	if who >= len(counter.counts) {
 		return
 	}
-	p.total.Add(1)
+	counter.total.Add(1)
 	s := int64(at / time.Second)
-	if p.second[who].Swap(s) != s {
-		p.counts[who].Store(0)
+	if counter.seconds[who].Swap(s) != s {
+		counter.counts[who].Store(0)
 	}
-	n := p.counts[who].Add(1)
+	n := counter.counts[who].Add(1)
 	for {
-		most := p.most.Load()
-		if n <= most || p.most.CompareAndSwap(most, n) {
+		most := counter.peak.Load()
+		if n <= most || counter.peak.CompareAndSwap(most, n) {
 			return
 		}
 	}
 }
 
-// tally counts by second and party. Nobody waits for a counter.
-type tally struct {
-	rig         *rig
-	probes      *perSecond // by backend
-	handshakes  *perSecond // by backend
-	datagrams   *perSecond // by sender
-	calls       *perSecond // by relay
-	undelivered atomic.Int64
+// trafficCounters counts by second and party. Nobody waits for a counter.
+type trafficCounters struct {
+	cluster        *cluster
+	healthChecks   *peakCounter // by backend
+	handshakes     *peakCounter // by backend
+	datagrams      *peakCounter // by sender
+	discoveryCalls *peakCounter // by relay
+	undelivered    atomic.Int64
 }
 
-func newTally(relays, backends int, r *rig) tally {
-	return tally{rig: r, probes: newPerSecond(backends), handshakes: newPerSecond(backends), datagrams: newPerSecond(relays), calls: newPerSecond(relays)}
+func newTrafficCounters(relays, backends int, c *cluster) trafficCounters {
+	return trafficCounters{cluster: c, healthChecks: newPeakCounter(backends), handshakes: newPeakCounter(backends), datagrams: newPeakCounter(relays), discoveryCalls: newPeakCounter(relays)}
 }
 
-// counted counts something of a relay's, once the run has begun.
-func (r *rig) counted(who int, what **perSecond) {
-	if r.since() > 0 {
-		(*what).add(who, r.since())
+// countTraffic counts something of a relay's, once the run has begun.
+func (c *cluster) countTraffic(who int, what **peakCounter) {
+	if c.elapsed() > 0 {
+		(*what).add(who, c.elapsed())
 	}
 }
 
-func (r *rig) probed(_, backend int) { r.counted(backend, &r.tally.probes) }
+func (c *cluster) countHealthCheck(_, backend int) { c.countTraffic(backend, &c.traffic.healthChecks) }
 
-func (r *rig) handshake(_, backend int) { r.counted(backend, &r.tally.handshakes) }
+func (c *cluster) countHandshake(_, backend int) { c.countTraffic(backend, &c.traffic.handshakes) }
 
-func (t *tally) rates(length time.Duration) Rates {
+func (traffic *trafficCounters) rates(length time.Duration) TrafficRates {
 	s := length.Seconds()
-	per := func(p *perSecond) float64 { return float64(p.total.Load()) / s }
-	return Rates{Probes: per(t.probes), ProbesOne: int(t.probes.most.Load()), Handshakes: per(t.handshakes),
-		HandshakeOne: int(t.handshakes.most.Load()), Datagrams: per(t.datagrams), DatagramOne: int(t.datagrams.most.Load()),
-		Calls: per(t.calls)}
+	per := func(counter *peakCounter) float64 { return float64(counter.total.Load()) / s }
+	return TrafficRates{HealthChecks: per(traffic.healthChecks), PeakHealthChecksPerBackend: int(traffic.healthChecks.peak.Load()), Handshakes: per(traffic.handshakes),
+		PeakHandshakesPerBackend: int(traffic.handshakes.peak.Load()), Datagrams: per(traffic.datagrams), PeakDatagramsPerRelay: int(traffic.datagrams.peak.Load()),
+		DiscoveryCalls: per(traffic.discoveryCalls)}
 }
--- a/internal/testcluster/versions_test.go
+++ b/internal/testcluster/versions_test.go
@@ -34,14 +34,14 @@
 
 // memberPoll asks all relays for their views of the members, again and again.
 type memberPoll struct {
-	relays int
-	cut    []int // who is cut off from all others for a while
-	mu     sync.Mutex
-	rounds int           // in which all answered
-	one    time.Duration // since when all have had one view, of all alive; 0: they have not
-	views  []string      // of the last round, by relay
-	dead   time.Duration // when all others first held dead who is cut off; 0: they have not
-	wrong  map[int]int   // those whom anybody held dead who was not cut off, as they were not, and how often
+	relays         int
+	isolated       []int // who is cut off from all others for a while
+	mu             sync.Mutex
+	rounds         int           // in which all answered
+	convergedAt    time.Duration // since when all have had one view, of all alive; 0: they have not
+	views          []string      // of the last round, by relay
+	isolatedDeadAt time.Duration // when all others first held dead who is cut off; 0: they have not
+	falseDeaths    map[int]int   // those whom anybody held dead who was not cut off, as they were not, and how often
 }
 
 // parseMembers reads what a relay answers to MEMBERS: the states by member, and as a text all that has to be the same at
@@ -66,13 +66,13 @@
 	return b.String(), states
 }
 
-func (c *memberPoll) look(v *View) {
+func (c *memberPoll) observe(view *View) {
 	views, states := make([]string, c.relays), make([][]string, c.relays)
 	var wg sync.WaitGroup
 	for i := range c.relays {
 		wg.Go(func() {
-			if v.Running(i) {
-				if lines, err := v.Ask(i, "MEMBERS"); err == nil {
+			if view.RelayRunning(i) {
+				if lines, err := view.QueryAdmin(i, "MEMBERS"); err == nil {
 					views[i], states[i] = parseMembers(lines)
 				}
 			}
@@ -88,33 +88,33 @@
 		one = one && views[i] == views[0] && len(states[i]) == c.relays
 		for j, state := range states[i] {
 			one = one && state == "alive"
-			switch off := slices.Contains(c.cut, j); {
-			case slices.Contains(c.cut, i): // it hears nobody
+			switch off := slices.Contains(c.isolated, j); {
+			case slices.Contains(c.isolated, i): // it hears nobody
 			case off:
 				told = told && state == "dead"
 			case state == "dead":
-				c.wrong[j]++
+				c.falseDeaths[j]++
 			}
 		}
 	}
 	if all {
 		c.rounds++
 	}
-	if all && told && c.dead == 0 {
-		c.dead = v.Since()
+	if all && told && c.isolatedDeadAt == 0 {
+		c.isolatedDeadAt = view.Elapsed()
 	}
 	switch {
 	case !one:
-		c.one = 0
-	case c.one == 0:
-		c.one = v.Since()
+		c.convergedAt = 0
+	case c.convergedAt == 0:
+		c.convergedAt = view.Elapsed()
 	}
 }
 
 // Half of a cluster's relays run another version of the program. Under load half of either version restart as the other,
 // then one of either is cut off from all relays. No rule is broken, no client loses its connection to a restart, who is cut
 // off, and nobody else, is held dead, and in the end all come to one view of the members.
-func TestFleet_MixedVersions(t *testing.T) {
+func TestCluster_MixedVersions(t *testing.T) {
 	t.Parallel()
 	const relays, restarted = 12, 6
 	other := otherProgram(t)
@@ -128,37 +128,37 @@
 		return []string{program, other}[version]
 	}
 	const cutFrom, cutFor = 13 * time.Second, 8 * time.Second
-	c := &memberPoll{relays: relays, cut: []int{1, 2}, wrong: map[int]int{}}
+	c := &memberPoll{relays: relays, isolated: []int{1, 2}, falseDeaths: map[int]int{}}
 	script := []fault.Fault{
 		{Kind: "rolling restart", Start: 3 * time.Second, Duration: 6 * time.Second, Targets: []int{0, 1, 2, 3, 4, 5}},
-		{Kind: "link", Start: cutFrom, Duration: cutFor, Link: &fault.Link{From: fault.NodeSet{Kind: fault.Relays, Indexes: c.cut},
+		{Kind: "link", Start: cutFrom, Duration: cutFor, Link: &fault.Link{From: fault.NodeSet{Kind: fault.Relays, Indexes: c.isolated},
 			To: fault.NodeSet{Kind: fault.Relays}, Bidirectional: true, Partitioned: true}}}
-	f := small(relays, 6, 96)
+	f := smallCluster(relays, 6, 96)
 	f.Membership = true
-	res := play(t, Options{Length: 28 * time.Second, Fleet: f, Script: script, Look: c.look, ProgramOf: programOf})
+	res := runCluster(t, Options{Duration: 28 * time.Second, Fleet: f, Faults: script, Observe: c.observe, ProgramFor: programOf})
 	t.Logf("%d and %d relays of the two programs, %d and %d restarts into them; %d connections up, %d moved, %d lost, %d failed, service %.3f; %.0f datagrams a second, faults did %v and %v",
 		starts[0][0], starts[1][0], starts[0][1], starts[1][1], res.Counts["served"], res.Counts["moved"], res.Counts["connection lost"],
-		res.Counts["failed"], service(res, 3, 28), res.Rates.Datagrams, res.Faults[0].Did, res.Faults[1].Did)
-	t.Logf("dead to all others %v after the cut began, one view %v after its end; %d rounds in which all answered", c.dead-cutFrom, c.one-cutFrom-cutFor, c.rounds)
+		res.Counts["failed"], servedShare(res, 3, 28), res.Rates.Datagrams, res.Faults[0].Counts, res.Faults[1].Counts)
+	t.Logf("dead to all others %v after the cut began, one view %v after its end; %d rounds in which all answered", c.isolatedDeadAt-cutFrom, c.convergedAt-cutFrom-cutFor, c.rounds)
 	if want := [2][2]int{{relays / 2, restarted / 2}, {relays / 2, restarted / 2}}; starts != want {
 		t.Errorf("starts by program, first and later ones: %v, wanted are %v", starts, want)
 	}
-	if n := res.Faults[0].Did["struck"]; n != restarted {
+	if n := res.Faults[0].Counts["struck"]; n != restarted {
 		t.Errorf("%d relays were restarted, wanted are %d", n, restarted)
 	}
 	if n := res.Counts["connection lost"]; n > 0 {
 		t.Errorf("%d connections lost", n)
 	}
-	if s := service(res, 3, 28); s < 0.9 {
+	if s := servedShare(res, 3, 28); s < 0.9 {
 		t.Errorf("service %.3f", s)
 	}
-	for i, n := range c.wrong {
+	for i, n := range c.falseDeaths {
 		t.Errorf("relay %d was held dead in %d answers", i, n)
 	}
-	if c.dead < cutFrom || c.dead > cutFrom+7*time.Second {
-		t.Errorf("who was cut off from %v on was held dead by all others at %v", cutFrom, c.dead)
+	if c.isolatedDeadAt < cutFrom || c.isolatedDeadAt > cutFrom+7*time.Second {
+		t.Errorf("who was cut off from %v on was held dead by all others at %v", cutFrom, c.isolatedDeadAt)
 	}
-	if c.one < cutFrom+cutFor || c.one > cutFrom+cutFor+6*time.Second {
-		t.Errorf("the cut ended at %v, one view since %v; the last views:\n%s", cutFrom+cutFor, c.one, strings.Join(c.views, "\n"))
+	if c.convergedAt < cutFrom+cutFor || c.convergedAt > cutFrom+cutFor+6*time.Second {
+		t.Errorf("the cut ended at %v, one view since %v; the last views:\n%s", cutFrom+cutFor, c.convergedAt, strings.Join(c.views, "\n"))
 	}
 }
--- a/internal/testcluster/wire.go
+++ b/internal/testcluster/wire.go
@@ -17,155 +17,155 @@
 
 // How a side ends, as package invariant counts it.
 const (
-	orderly = invariant.Closed
-	broken  = invariant.Reset
+	closedCleanly = invariant.Closed
+	closedByReset = invariant.Reset
 )
 
-// watcher hears what passes on a relay's side of a connection; called with the rig's check locked.
-type watcher interface {
+// connObserver hears what passes on a relay's side of a connection; called with the cluster's check locked.
+type connObserver interface {
 	Received(b []byte)
 	ReceivedEnd(how invariant.EndKind)
 	Written(b []byte)
 	WrittenEnd(how invariant.EndKind)
 }
 
-// piece is what waits to go out; without bytes it is the end.
-type piece struct {
-	b    []byte
-	how  invariant.EndKind
-	then chan struct{} // only this is closed: all before it is out
+// outgoing is what waits to go out; without bytes it is the end.
+type outgoing struct {
+	data    []byte
+	end     invariant.EndKind
+	flushed chan struct{} // only this is closed: all before it is out
 }
 
-// wire is one connection with a relay. Its bytes pass the ways unchanged in both directions. The checker hears of them
+// relayConn is one connection with a relay. Its bytes pass the ways unchanged in both directions. The checker hears of them
 // where the relay would: of what the relay wrote when it comes, of what the relay gets when it goes.
-type wire struct {
-	rig    *rig
-	conn   *net.TCPConn
-	relay  party
-	here   party
-	watch  watcher
-	ctx    context.Context
-	cancel context.CancelFunc
-	out    chan piece
-	mu     sync.Mutex // of watch's ends
-	heard  bool       // the relay's end
-	said   bool       // ours
-}
-
-// newWire begins to write what is said. Whoever reads calls listen.
-func newWire(r *rig, conn *net.TCPConn, relay, here party, watch watcher) *wire {
-	w := &wire{rig: r, conn: conn, relay: relay, here: here, watch: watch, out: make(chan piece, 64)}
-	w.ctx, w.cancel = context.WithCancel(r.ctx)
-	go w.write()
+type relayConn struct {
+	cluster          *cluster
+	conn             *net.TCPConn
+	relay            node
+	local            node
+	observer         connObserver
+	ctx              context.Context
+	cancel           context.CancelFunc
+	queue            chan outgoing
+	mu               sync.Mutex // of watch's ends
+	relayEndRecorded bool       // the relay's end
+	localEndRecorded bool       // ours
+}
+
+// newRelayConn begins to write what is said. Whoever reads calls listen.
+func newRelayConn(c *cluster, conn *net.TCPConn, relay, here node, watch connObserver) *relayConn {
+	w := &relayConn{cluster: c, conn: conn, relay: relay, local: here, observer: watch, queue: make(chan outgoing, 64)}
+	w.ctx, w.cancel = context.WithCancel(c.ctx)
+	go w.writeLoop()
 	return w
 }
 
-// say has a line go to the relay. What a relay doesn't take in for long is dropped with the connection.
-func (w *wire) say(line string) { w.put(piece{b: []byte(line + "\r\n")}) }
+// sendLine has a line go to the relay. What a relay doesn't take in for long is dropped with the connection.
+func (conn *relayConn) sendLine(line string) { conn.enqueue(outgoing{data: []byte(line + "\r\n")}) }
 
-func (w *wire) put(p piece) {
+func (conn *relayConn) enqueue(p outgoing) {
 	select {
-	case w.out <- p:
-	case <-w.ctx.Done():
+	case conn.queue <- p:
+	case <-conn.ctx.Done():
 	default: // sixty-four lines are waiting: nobody reads
-		w.rig.count("unread lines dropped with their connection")
-		w.end(broken)
+		conn.cluster.incrementCount("unread lines dropped with their connection")
+		conn.close(closedByReset)
 	}
 }
 
-// finish ends this side after what was said; end at once.
-func (w *wire) finish() { w.put(piece{how: orderly}) }
+// closeWrite ends this side after what was said; end at once.
+func (conn *relayConn) closeWrite() { conn.enqueue(outgoing{end: closedCleanly}) }
 
-func (w *wire) end(how invariant.EndKind) {
-	w.ours(how)
-	w.theirs(how) // nobody looks any more
-	if how == broken {
+func (w *relayConn) close(how invariant.EndKind) {
+	w.recordLocalEnd(how)
+	w.recordRelayEnd(how) // nobody looks any more
+	if how == closedByReset {
 		_ = w.conn.SetLinger(0)
 	}
 	w.cancel()
 	_ = w.conn.Close()
 }
 
-// ours and theirs tell the checker of the ends, once each.
-func (w *wire) ours(how invariant.EndKind) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if !w.said {
-		w.said = true
-		w.rig.checked(func() { w.watch.ReceivedEnd(how) })
+// recordLocalEnd and theirs tell the checker of the ends, once each.
+func (conn *relayConn) recordLocalEnd(how invariant.EndKind) {
+	conn.mu.Lock()
+	defer conn.mu.Unlock()
+	if !conn.localEndRecorded {
+		conn.localEndRecorded = true
+		conn.cluster.withChecker(func() { conn.observer.ReceivedEnd(how) })
 	}
 }
 
-func (w *wire) theirs(how invariant.EndKind) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if !w.heard {
-		w.heard = true
-		w.rig.checked(func() { w.watch.WrittenEnd(how) })
+func (conn *relayConn) recordRelayEnd(how invariant.EndKind) {
+	conn.mu.Lock()
+	defer conn.mu.Unlock()
+	if !conn.relayEndRecorded {
+		conn.relayEndRecorded = true
+		conn.cluster.withChecker(func() { conn.observer.WrittenEnd(how) })
 	}
 }
 
-// part ends this side in good order and waits a while for the relay's end; listen goes on meanwhile.
-func (w *wire) part(read <-chan struct{}) {
-	w.finish()
+// closeGracefully ends this side in good order and waits a while for the relay's end; listen goes on meanwhile.
+func (conn *relayConn) closeGracefully(read <-chan struct{}) {
+	conn.closeWrite()
 	select {
 	case <-read:
-	case <-time.After(partWithin):
-	case <-w.ctx.Done():
+	case <-time.After(closeTimeout):
+	case <-conn.ctx.Done():
 	}
-	w.end(orderly)
+	conn.close(closedCleanly)
 }
 
-// drain has what was said go out, for a moment.
-func (w *wire) drain() {
+// flush has what was said go out, for a moment.
+func (conn *relayConn) flush() {
 	gone := make(chan struct{})
 	select {
-	case w.out <- piece{then: gone}:
+	case conn.queue <- outgoing{flushed: gone}:
 	default:
 		return
 	}
 	select {
 	case <-gone:
 	case <-time.After(100 * time.Millisecond):
-	case <-w.ctx.Done():
+	case <-conn.ctx.Done():
 	}
 }
 
-// partWithin is how long a relay's end is waited for: longer than the rules give it.
-const partWithin = 3 * time.Second
+// closeTimeout is how long a relay's end is waited for: longer than the rules give it.
+const closeTimeout = 3 * time.Second
 
-func (w *wire) write() {
+func (w *relayConn) writeLoop() {
 	for {
-		var p piece
+		var p outgoing
 		select {
-		case p = <-w.out:
+		case p = <-w.queue:
 		case <-w.ctx.Done():
 			return
 		}
-		if p.then != nil {
-			close(p.then)
+		if p.flushed != nil {
+			close(p.flushed)
 			continue
 		}
-		if !w.rig.ways.stream(w.ctx, w.here, w.relay) {
+		if !w.cluster.links.passStream(w.ctx, w.local, w.relay) {
 			return
 		}
-		if p.b == nil {
-			w.ours(p.how)
+		if p.data == nil {
+			w.recordLocalEnd(p.end)
 			_ = w.conn.CloseWrite()
 			continue
 		}
-		w.rig.checked(func() { w.watch.Received(p.b) })
-		if _, err := w.conn.Write(p.b); err != nil {
+		w.cluster.withChecker(func() { w.observer.Received(p.data) })
+		if _, err := w.conn.Write(p.data); err != nil {
 			return
 		}
 	}
 }
 
-// listen reads until the relay's end or ours, and hands on each piece once it has arrived.
-func (w *wire) listen(each func(b []byte)) { w.deliver(w.read(), each) }
+// receive reads until the relay's end or ours, and hands on each piece once it has arrived.
+func (conn *relayConn) receive(each func(b []byte)) { conn.deliver(conn.startReading(), each) }
 
-// read begins to read, until the relay's end or ours. What comes is heard of when it comes, though its way may hold it.
-func (w *wire) read() <-chan []byte {
+// startReading begins to read, until the relay's end or ours. What comes is heard of when it comes, though its way may hold it.
+func (w *relayConn) startReading() <-chan []byte {
 	way := make(chan []byte, 1024)
 	go func() {
 		defer close(way)
@@ -173,9 +173,9 @@
 		for {
 			n, err := w.conn.Read(buf)
 			if n > 0 {
-				w.rig.checked(func() { // what was written line by line may come together
+				w.cluster.withChecker(func() { // what was written line by line may come together
 					for part := range bytes.Lines(buf[:n]) {
-						w.watch.Written(part)
+						w.observer.Written(part)
 					}
 				})
 				select {
@@ -185,12 +185,12 @@
 				}
 			}
 			if err != nil {
-				how := orderly
+				how := closedCleanly
 				if !errors.Is(err, io.EOF) {
-					how = broken
+					how = closedByReset
 				}
 				if w.ctx.Err() == nil {
-					w.theirs(how)
+					w.recordRelayEnd(how)
 				}
 				return
 			}
@@ -200,18 +200,18 @@
 }
 
 // deliver hands on each piece once it has arrived.
-func (w *wire) deliver(way <-chan []byte, each func(b []byte)) {
+func (conn *relayConn) deliver(way <-chan []byte, each func(b []byte)) {
 	for b := range way {
-		if !w.rig.ways.stream(w.ctx, w.relay, w.here) {
+		if !conn.cluster.links.passStream(conn.ctx, conn.relay, conn.local) {
 			return
 		}
 		each(b)
 	}
-	w.rig.ways.stream(w.ctx, w.relay, w.here) // an end takes its way as well
+	conn.cluster.links.passStream(conn.ctx, conn.relay, conn.local) // an end takes its way as well
 }
 
-// hungUp says whether the relay has ended its side, though that has not been read yet.
-func (w *wire) hungUp() bool {
+// peerHungUp says whether the relay has ended its side, though that has not been read yet.
+func (w *relayConn) peerHungUp() bool {
 	raw, err := w.conn.SyscallConn()
 	if err != nil {
 		return true
@@ -225,8 +225,8 @@
 	return err != nil || up
 }
 
-// control prepares a wildcard socket: for this machine alone, and so that one address of it can be taken out.
-func control(_, _ string, c syscall.RawConn) error {
+// prepareWildcardSocket prepares a wildcard socket: for this machine alone, and so that one address of it can be taken out.
+func prepareWildcardSocket(_, _ string, c syscall.RawConn) error {
 	var failed error
 	err := c.Control(func(fd uintptr) {
 		loopbackOnly(fd)
@@ -235,20 +235,20 @@
 	return errors.Join(err, failed)
 }
 
-// lines cuts pieces into lines.
-type lines struct{ part []byte }
+// lineSplitter cuts pieces into lines.
+type lineSplitter struct{ partial []byte }
 
-func (l *lines) feed(b []byte, each func(line string)) {
+func (splitter *lineSplitter) feed(b []byte, each func(line string)) {
 	for _, c := range b {
 		if c != '\n' {
-			l.part = append(l.part, c)
+			splitter.partial = append(splitter.partial, c)
 			continue
 		}
-		line := l.part
+		line := splitter.partial
 		if n := len(line); n > 0 && line[n-1] == '\r' {
 			line = line[:n-1]
 		}
 		each(string(line))
-		l.part = l.part[:0]
+		splitter.partial = splitter.partial[:0]
 	}
 }
