--- /dev/null
+++ b/internal/testcluster/backend_session.go
@@ -0,0 +1,204 @@
+package testcluster
+
+import (
+	"errors"
+	"fmt"
+	"net"
+	"strconv"
+	"strings"
+	"time"
+
+	"aspenbarrow/internal/emulator"
+	"aspenbarrow/internal/fault"
+	"aspenbarrow/internal/invariant"
+	"aspenbarrow/internal/loadstats"
+)
+
+// serve takes connections until the listener is closed.
+func (b *backend) serve(l *net.TCPListener) {
+	for {
+		c, err := l.AcceptTCP()
+		if errors.Is(err, net.ErrClosed) {
+			return
+		}
+		if err != nil {
+			continue
+		}
+		relay, number, ok := backendPair(c.LocalAddr().(*net.TCPAddr).AddrPort().Addr())
+		if !ok || number != b.index || relay >= len(b.cluster.relays) { // a wall's own, or nobody's
+			_ = c.Close()
+			continue
+		}
+		go b.handleConnection(c, relay)
+	}
+}
+
+// session is one connection with a relay.
+type session struct {
+	backend       *backend
+	conn          *relayConn
+	observer      *invariant.BackendConn
+	generation    int
+	id            uint64
+	muted         bool // its machine has vanished
+	opening       bool
+	established   bool
+	loadCounted   bool
+	receipt       string
+	request       string
+	key           uint64
+	load          float64
+	splitter      lineSplitter
+	linesReceived int
+}
+
+func (b *backend) handleConnection(c *net.TCPConn, relay int) {
+	cluster := b.cluster
+	from, here := node{fault.Relays, relay}, node{fault.Backends, b.index}
+	late, ok := cluster.links.connectDelay(from, here)
+	if !ok {
+		_ = c.SetLinger(0)
+		_ = c.Close()
+		return
+	}
+	// What the relay writes meanwhile is heard of when it comes: taken for sent only now, a line would seem to go out
+	// for a client that has left since, or into a drain.
+	s := &session{backend: b, id: cluster.connectionIDs.Add(1)}
+	cluster.withChecker(func() { s.observer = cluster.checker.BackendConnected(int(s.id), relay, b.index) })
+	s.conn = newRelayConn(cluster, c, from, here, s.observer)
+	pieces := s.conn.startReading()
+	ok = late == 0 || sleepContext(cluster.ctx, late)
+	b.mu.Lock()
+	if !ok || !b.up && !b.silent {
+		b.mu.Unlock()
+		s.conn.close(closedByReset)
+		return
+	}
+	s.generation, s.muted = b.generation, b.silent
+	b.sessions[s] = true
+	b.mu.Unlock()
+	cluster.countHandshake(relay, b.index)
+	s.conn.deliver(pieces, func(p []byte) {
+		b.mu.Lock()
+		defer b.mu.Unlock()
+		if b.generation == s.generation && !s.muted {
+			s.splitter.feed(p, s.handleLine)
+		}
+	})
+	b.mu.Lock()
+	s.closed()
+	mute := s.muted
+	delete(b.sessions, s)
+	b.mu.Unlock()
+	cluster.removeAttempt(s)
+	if !mute {
+		s.conn.flush()
+	}
+	s.conn.close(closedCleanly)
+}
+
+func (s *session) closed() {
+	if s.loadCounted {
+		s.loadCounted = false
+		c := s.backend.cluster
+		c.withLoadRecorder(func(l *loadstats.Recorder) { l.ConnectionClosed(c.elapsed(), s.id) })
+		if s.backend.generation == s.generation {
+			s.backend.model.CloseConnection(c.now(), s.id)
+			s.backend.scheduleCompletion()
+		}
+	}
+}
+
+func (s *session) handleLine(line string) {
+	b, c := s.backend, s.backend.cluster
+	switch {
+	case s.established:
+		s.linesReceived++
+		n := s.linesReceived
+		b.runAfter(b.model.MessageLatency(c.now(), c.options.Fleet.LineWork), func() {
+			s.conn.sendLine(fmt.Sprintf("R %s %d %s", s.receipt, n, line))
+		})
+	case line == "PING" || line == "STATS":
+		c.countHealthCheck(s.conn.relay.index, b.index)
+		answer := "PONG"
+		if line == "STATS" {
+			load := b.model.LoadReport(c.now())
+			if b.errorRate > 0 {
+				load = 0 // it fails what it gets at once, and looks empty
+			}
+			answer = fmt.Sprintf("PONG x0=%.3f,errors_per_s=%.3f", load, b.failures.rate(c.now()))
+		}
+		b.runAfter(100*time.Microsecond, func() { s.conn.sendLine(answer) })
+	case strings.HasPrefix(line, "OPEN ") && !s.opening:
+		s.open(line)
+	default:
+		s.conn.sendLine("SYNTAX")
+		s.conn.closeWrite()
+	}
+}
+
+// open works on a request: longer the more the machine holds.
+func (s *session) open(line string) {
+	b, c := s.backend, s.backend.cluster
+	words := strings.Fields(line)
+	if len(words) != 4 {
+		s.conn.sendLine("SYNTAX")
+		s.conn.closeWrite()
+		return
+	}
+	s.request = words[1]
+	s.key, _ = strconv.ParseUint(words[2], 16, 64)
+	s.load = c.loadOf(words[1])
+	c.recordAttempt(s)
+	s.opening = true
+	if c.chance(b.errorRate) {
+		b.failures.add(c.now())
+		b.runAfter(500*time.Microsecond, func() { s.answer("ERR", true) })
+		return
+	}
+	b.lastJob++
+	id, life := b.lastJob, b.generation
+	switch b.model.Arrive(c.now(), emulator.Request{ID: id, Work: c.options.Fleet.SetUpWork * (0.5 + c.randomFloat())}) {
+	case emulator.Rejected:
+		s.answer("BUSY", true)
+	case emulator.Crashed:
+		c.incrementCount("cold backend fell over")
+		go b.crash()
+	case emulator.Accepted, emulator.Queued:
+		b.jobs[id] = func(full bool) {
+			if b.generation == life {
+				s.completeOpen(full)
+			}
+		}
+	}
+	b.scheduleCompletion()
+}
+
+func (s *session) completeOpen(full bool) {
+	b, c := s.backend, s.backend.cluster
+	switch {
+	case s.conn.ctx.Err() != nil:
+	case full || b.state != "ready" || c.chance(b.busyRate):
+		s.answer("BUSY", true)
+	case c.chance(b.resetRate):
+		s.conn.close(closedByReset)
+	default:
+		s.loadCounted = true
+		b.model.SetConnection(c.now(), s.id, s.load, 0)
+		c.withLoadRecorder(func(l *loadstats.Recorder) {
+			l.ConnectionOpened(s.id, loadstats.Connection{Key: s.key, Relay: s.conn.relay.index, Backend: b.index, Load: s.load, Opened: c.elapsed()})
+		})
+		b.receipts++
+		s.receipt = fmt.Sprintf("%d-%d-%d", b.index, b.generation, b.receipts)
+		s.answer("UP "+s.receipt, false)
+		b.scheduleCompletion()
+	}
+}
+
+func (s *session) answer(line string, over bool) {
+	s.opening, s.established = false, !over
+	s.conn.sendLine(line)
+	if over {
+		s.conn.closeWrite()
+	}
+}
--- /dev/null
+++ b/internal/testcluster/cluster_test.go
@@ -0,0 +1,71 @@
+package testcluster
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"testing"
+	"time"
+
+	"aspenbarrow/internal/emulator"
+	"aspenbarrow/internal/simulation"
+)
+
+var program string
+
+func TestMain(m *testing.M) { os.Exit(testMain(m)) }
+
+func testMain(m *testing.M) int {
+	if p := os.Getenv("TESTCLUSTER_TEST_PROGRAM"); p != "" { // a cluster that is to be killed
+		_, err := Run(context.Background(), Options{Program: p, Seed: 1, Duration: time.Minute, Fleet: smallCluster(6, 3, 12)})
+		fmt.Fprintln(os.Stderr, err)
+		return 1
+	}
+	dir, err := os.MkdirTemp("", "fleet-test")
+	if err != nil {
+		fmt.Fprintln(os.Stderr, err)
+		return 1
+	}
+	defer func() { _ = os.RemoveAll(dir) }() // in the system's folder for temporary files
+	if program, err = Build(context.Background(), dir); err != nil {
+		fmt.Fprintln(os.Stderr, err)
+		return 1
+	}
+	return m.Run()
+}
+
+// smallCluster is a fleet that a test can afford; its clients fill its backends to six tenths.
+func smallCluster(relays, backends, clients int) simulation.Fleet {
+	f := simulation.Fleet{Relays: relays, Backends: backends, Clients: clients, SetUpWork: 0.004, LineWork: 0.0005, Peers: true,
+		Rush: time.Second, Stay: [2]time.Duration{8 * time.Second, 30 * time.Second}, Return: 200 * time.Millisecond,
+		Server: emulator.Config{Cores: 4, Speed: 1, MaxRequests: 200, Backlog: 128, ColdCapacity: coldCapacity, WarmUpTime: warmUpTime, ColdCrashFactor: overloadFactor,
+			ColdCrashWindow: overloadWindow, ReportInterval: 500 * time.Millisecond, ReportNoise: 0.03}}
+	usual := float64(clients) / float64(backends)
+	f.Server.WarmRequestRate = max(4, usual/3)
+	f.ConnLoad = 0.6 * f.Server.Cores / usual
+	return f
+}
+
+func runCluster(t *testing.T, o Options) Result {
+	t.Helper()
+	o.Program = program
+	if o.Seed == 0 {
+		o.Seed = 1
+	}
+	res, err := Run(context.Background(), o)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, b := range res.Violations {
+		t.Error("broken:", b)
+	}
+	return res
+}
+
+func servedShare(res Result, from, to int) float64 {
+	asked, served := 0.0, 0.0
+	for _, s := range res.Service[from:min(to, len(res.Service))] {
+		asked, served = asked+s.Asked, served+s.Served
+	}
+	return served / asked
+}
--- a/internal/testcluster/peers.go
+++ b/internal/testcluster/datagrams.go
@@ -7,16 +7,10 @@
 	"net/netip"
 
 	"golang.org/x/net/ipv4"
-	"golang.org/x/sys/unix"
 
 	"aspenbarrow/internal/fault"
 )
 
-// loopbackOnly binds a socket to the loopback device where the system lets it; whoever comes elsewhere is dropped.
-func loopbackOnly(fd uintptr) {
-	_ = unix.BindToDevice(int(fd), "lo")
-}
-
 // datagramForwarder passes the datagrams between relays on: one wildcard socket takes all of them and sends each from the address
 // by which its receiver knows the sender.
 type datagramForwarder struct {
--- a/internal/testcluster/discovery.go
+++ b/internal/testcluster/discovery.go
@@ -153,35 +153,47 @@
 	if v, err := strconv.Atoi(q.URL.Query().Get("index")); err == nil {
 		from, full = v, false
 	}
-	ms, _ := strconv.Atoi(q.URL.Query().Get("wait"))
-	deadline := time.NewTimer(time.Duration(ms) * time.Millisecond)
+	waitMilliseconds, _ := strconv.Atoi(q.URL.Query().Get("wait"))
+	version, told, ok := agent.waitForUpdate(ctx, from, full, time.Duration(waitMilliseconds)*time.Millisecond)
+	if ok && cluster.links.passStream(ctx, discovery, relay) {
+		service.reply(w, agent, version, full, told)
+	}
+}
+
+// waitForUpdate waits until there is something newer than a version, or the client's wait is over; a full list is returned
+// at once. A silent agent answers nothing until its silence is over. It returns false when ctx is done before.
+func (agent *discoveryAgent) waitForUpdate(ctx context.Context, from int, full bool, within time.Duration) (version int, told []endpoint, ok bool) {
+	deadline := time.NewTimer(within)
 	defer deadline.Stop()
-	over := full
+	waited := full
 	for {
 		agent.mu.Lock()
-		out, version, changed := agent.silent, agent.version, agent.changed
-		if !out && (version > from || over) {
-			told := make([]endpoint, 0, 8)
-			for _, e := range agent.endpoints {
-				if e.sinceVersion > from && (!full || e.State != "gone") || full && e.State != "gone" {
-					told = append(told, e)
-				}
-			}
-			agent.mu.Unlock()
-			if cluster.links.passStream(ctx, discovery, relay) {
-				service.reply(w, agent, version, full, told)
-			}
-			return
+		changed := agent.changed
+		if !agent.silent && (agent.version > from || waited) {
+			defer agent.mu.Unlock()
+			return agent.version, agent.endpointsSince(from, full), true
 		}
 		agent.mu.Unlock()
 		select {
 		case <-changed:
 		case <-deadline.C:
-			over = true
+			waited = true
 		case <-ctx.Done():
-			return
+			return 0, nil, false
+		}
+	}
+}
+
+// endpointsSince is what changed after a version, or the full list, which leaves out those that are gone. It is called with
+// the lock held.
+func (agent *discoveryAgent) endpointsSince(from int, full bool) []endpoint {
+	told := make([]endpoint, 0, 8)
+	for _, e := range agent.endpoints {
+		if full && e.State != "gone" || !full && e.sinceVersion > from {
+			told = append(told, e)
 		}
 	}
+	return told
 }
 
 func (service *discoveryService) reply(w http.ResponseWriter, agent *discoveryAgent, version int, full bool, list []endpoint) {
--- /dev/null
+++ b/internal/testcluster/discovery_faults.go
@@ -0,0 +1,70 @@
+package testcluster
+
+import (
+	"time"
+
+	"aspenbarrow/internal/fault"
+)
+
+func delayDiscovery(owner *cluster, f *fault.Fault, effects *effectCounters) func() {
+	service := owner.discovery
+	set := func(d time.Duration) {
+		service.mu.Lock()
+		defer service.mu.Unlock()
+		service.extraDelay = d
+	}
+	set(time.Second + time.Duration(f.Severity*float64(6*time.Second)))
+	effects.struck.Add(int64(len(service.agents)))
+	return func() { set(0) }
+}
+
+func (c *cluster) affectedAgents(f *fault.Fault) (out []*discoveryAgent) {
+	if f.Targets == nil && f.Severity > 0.5 {
+		return c.discovery.agents
+	}
+	for _, i := range targetIndexes(f, len(c.relays)) {
+		out = append(out, c.discovery.agents[i])
+	}
+	return out
+}
+
+func silenceDiscovery(c *cluster, f *fault.Fault, effects *effectCounters) func() {
+	agents := c.affectedAgents(f)
+	for _, agent := range agents {
+		agent.setSilent(c, true)
+		effects.struck.Add(1)
+	}
+	return func() {
+		for _, agent := range agents {
+			agent.setSilent(c, false)
+		}
+	}
+}
+
+// freezeDiscovery has some relays' agents learn nothing for a while, and then all that they missed.
+func freezeDiscovery(c *cluster, f *fault.Fault, effects *effectCounters) func() {
+	agents := c.affectedAgents(f)
+	for _, agent := range agents {
+		agent.mu.Lock()
+		agent.frozen = true
+		agent.mu.Unlock()
+		effects.struck.Add(1)
+	}
+	return func() {
+		for _, agent := range agents {
+			agent.mu.Lock()
+			agent.frozen = false
+			agent.mu.Unlock()
+			for _, b := range c.currentBackends() {
+				b.mu.Lock()
+				e := b.endpoint()
+				b.mu.Unlock()
+				c.discovery.mu.Lock()
+				c.discovery.revision++
+				e.revision = c.discovery.revision
+				c.discovery.mu.Unlock()
+				agent.applyUpdate(c, e)
+			}
+		}
+	}
+}
--- a/internal/testcluster/faults.go
+++ b/internal/testcluster/faults.go
@@ -116,185 +116,6 @@
 	return finish
 }
 
-// relayFault strikes relays, and has those that were struck come back.
-func relayFault(begin func(c *cluster, target *relay, f *fault.Fault) bool, end func(c *cluster, target *relay)) faultInjector {
-	return func(c *cluster, f *fault.Fault, effects *effectCounters) func() {
-		var affected []*relay
-		var mu sync.Mutex
-		var wg sync.WaitGroup
-		for _, i := range targetIndexes(f, len(c.relays)) {
-			wg.Go(func() { // together, not one after another
-				if target := c.relays[i]; begin(c, target, f) {
-					effects.struck.Add(1)
-					mu.Lock()
-					affected = append(affected, target)
-					mu.Unlock()
-				}
-			})
-		}
-		wg.Wait()
-		return func() {
-			for _, target := range affected {
-				go end(c, target)
-			}
-		}
-	}
-}
-
-func rollingRestart(c *cluster, f *fault.Fault, effects *effectCounters) func() {
-	which := targetIndexes(f, len(c.relays))
-	if f.Targets == nil {
-		which = make([]int, len(c.relays))
-		for i := range which {
-			which[i] = (f.Target + i) % len(c.relays)
-		}
-	}
-	for k, i := range which {
-		c.runAfter(time.Duration(k)*f.Duration/time.Duration(len(which)), func() {
-			target := c.relays[i]
-			if c.drainRelay(target, func() { c.restartRelay(target) }) {
-				effects.struck.Add(1)
-			}
-		})
-	}
-	return nil
-}
-
-func (c *cluster) currentBackends() []*backend {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return slices.Clone(c.backends)
-}
-
-func backendFault(begin func(c *cluster, b *backend, f *fault.Fault), end func(b *backend)) faultInjector {
-	return func(c *cluster, f *fault.Fault, effects *effectCounters) func() {
-		all := c.currentBackends()
-		var affected []*backend
-		for _, i := range targetIndexes(f, len(all)) {
-			if b := all[i]; b.utilization() >= 0 {
-				begin(c, b, f)
-				effects.struck.Add(1)
-				affected = append(affected, b)
-			}
-		}
-		return func() {
-			for _, b := range affected {
-				end(b)
-			}
-		}
-	}
-}
-
-func startBackends(c *cluster, f *fault.Fault, effects *effectCounters) func() {
-	for range 1 + int(f.Severity*3) {
-		c.addBackend(true)
-		effects.struck.Add(1)
-	}
-	return nil
-}
-
-func cutOffZone(c *cluster, f *fault.Fault, effects *effectCounters) func() {
-	var affected []*backend
-	for _, b := range c.currentBackends() {
-		if b.zone == f.Target%len(zones) && b.utilization() >= 0 {
-			b.disappear()
-			effects.struck.Add(1)
-			affected = append(affected, b)
-		}
-	}
-	noticed := make(chan struct{})
-	c.runAfter(time.Duration(f.Severity*float64(6*time.Second)), func() {
-		select {
-		case <-noticed:
-			return
-		default:
-		}
-		for _, b := range affected {
-			b.publish("gone")
-		}
-	})
-	return func() {
-		close(noticed)
-		for _, b := range affected {
-			b.reappear()
-		}
-	}
-}
-
-func cutPower(c *cluster, f *fault.Fault, effects *effectCounters) func() {
-	for i, b := range c.currentBackends() { // all at once, and cold ones a little after one another
-		if b.utilization() >= 0 {
-			b.crash()
-			effects.struck.Add(1)
-			c.runAfter(f.Duration+time.Duration(i)*200*time.Millisecond, func() { b.launch(true) })
-		}
-	}
-	return nil
-}
-
-func delayDiscovery(owner *cluster, f *fault.Fault, effects *effectCounters) func() {
-	service := owner.discovery
-	set := func(d time.Duration) {
-		service.mu.Lock()
-		defer service.mu.Unlock()
-		service.extraDelay = d
-	}
-	set(time.Second + time.Duration(f.Severity*float64(6*time.Second)))
-	effects.struck.Add(int64(len(service.agents)))
-	return func() { set(0) }
-}
-
-func (c *cluster) affectedAgents(f *fault.Fault) (out []*discoveryAgent) {
-	if f.Targets == nil && f.Severity > 0.5 {
-		return c.discovery.agents
-	}
-	for _, i := range targetIndexes(f, len(c.relays)) {
-		out = append(out, c.discovery.agents[i])
-	}
-	return out
-}
-
-func silenceDiscovery(c *cluster, f *fault.Fault, effects *effectCounters) func() {
-	agents := c.affectedAgents(f)
-	for _, agent := range agents {
-		agent.setSilent(c, true)
-		effects.struck.Add(1)
-	}
-	return func() {
-		for _, agent := range agents {
-			agent.setSilent(c, false)
-		}
-	}
-}
-
-// freezeDiscovery has some relays' agents learn nothing for a while, and then all that they missed.
-func freezeDiscovery(c *cluster, f *fault.Fault, effects *effectCounters) func() {
-	agents := c.affectedAgents(f)
-	for _, agent := range agents {
-		agent.mu.Lock()
-		agent.frozen = true
-		agent.mu.Unlock()
-		effects.struck.Add(1)
-	}
-	return func() {
-		for _, agent := range agents {
-			agent.mu.Lock()
-			agent.frozen = false
-			agent.mu.Unlock()
-			for _, b := range c.currentBackends() {
-				b.mu.Lock()
-				e := b.endpoint()
-				b.mu.Unlock()
-				c.discovery.mu.Lock()
-				c.discovery.revision++
-				e.revision = c.discovery.revision
-				c.discovery.mu.Unlock()
-				agent.applyUpdate(c, e)
-			}
-		}
-	}
-}
-
 func clientBurst(c *cluster, f *fault.Fault, effects *effectCounters) func() {
 	n := int((0.2 + f.Severity) * float64(c.options.Fleet.Clients))
 	now := c.elapsed()
@@ -313,24 +134,41 @@
 	if !l.Partitioned && !l.Buffered {
 		return end
 	}
-	var walls []func()
+	removeBlackholes := blackholeBackends(c, f, effects)
+	return func() {
+		removeBlackholes()
+		end()
+	}
+}
+
+// blackholeBackends makes the address of each pair of relay and backend that a partition separates unreachable.
+func blackholeBackends(c *cluster, f *fault.Fault, effects *effectCounters) (removeAll func()) {
+	var removers []func()
 	for _, b := range c.currentBackends() {
 		for i := range c.relays {
-			if l.Affects(fault.Relays, i, fault.Backends, b.index) || l.Affects(fault.Backends, b.index, fault.Relays, i) {
-				w, err := blackhole(netip.AddrPortFrom(loopbackAddress(backendNet, i<<backendBits|b.index), uint16(b.port)))
-				if err != nil {
-					c.reportError(fmt.Errorf("%s: %w", scriptPosition(f), err))
-					break
-				}
-				effects.struck.Add(1)
-				walls = append(walls, w)
+			if !f.Link.Affects(fault.Relays, i, fault.Backends, b.index) && !f.Link.Affects(fault.Backends, b.index, fault.Relays, i) {
+				continue
 			}
+			remove, err := blackhole(netip.AddrPortFrom(loopbackAddress(backendNet, i<<backendBits|b.index), uint16(b.port)))
+			if err != nil {
+				c.reportError(fmt.Errorf("%s: %w", scriptPosition(f), err))
+				break
+			}
+			effects.struck.Add(1)
+			removers = append(removers, remove)
 		}
 	}
 	return func() {
-		for _, w := range walls {
-			w()
+		for _, remove := range removers {
+			remove()
 		}
-		end()
 	}
 }
+
+// CheckFault returns an error if processes cannot play a fault of this kind.
+func CheckFault(f *fault.Fault) error {
+	if _, ok := faultInjectors[f.Kind]; !ok {
+		return fmt.Errorf("processes can't play %q", f.Kind)
+	}
+	return nil
+}
--- a/internal/testcluster/links.go
+++ b/internal/testcluster/link_faults.go
@@ -29,22 +29,6 @@
 	effects *effectCounters
 }
 
-// effectCounters is what a fault really did.
-type effectCounters struct {
-	lost, duplicated, delayed, held, refused, struck atomic.Int64
-}
-
-func (counters *effectCounters) counts() map[string]int {
-	out := map[string]int{}
-	for name, v := range map[string]int64{"datagrams lost": counters.lost.Load(), "datagrams doubled": counters.duplicated.Load(),
-		"delayed": counters.delayed.Load(), "held": counters.held.Load(), "openings not let through": counters.refused.Load(), "struck": counters.struck.Load()} {
-		if v > 0 {
-			out[name] = int(v)
-		}
-	}
-	return out
-}
-
 // linkFaults are all links between parties with the faults in force on them. Bytes of a stream are delayed, never lost or
 // reordered, and nothing is held longer than its fault lasts. It is safe for concurrent use.
 type linkFaults struct {
@@ -115,42 +99,45 @@
 	return least + time.Duration(links.random.Int64N(int64(most-least)))
 }
 
-// passStream has a piece of a stream pass: it returns when the piece has arrived, or with false when ctx is done before.
-// Whoever calls it for one direction of one connection calls it piece by piece, so that order is kept.
+// passStream returns once a chunk of a stream has arrived, or with false when ctx is done before. The caller passes the
+// chunks of one direction of a connection one after another, which keeps their order.
 func (links *linkFaults) passStream(ctx context.Context, from, to node) bool {
 	for {
-		late := time.Duration(0)
-		var cut *activeFault
-		for _, a := range links.affecting(from, to) {
-			if a.link.Partitioned || a.link.Buffered {
-				cut = a
-				break
-			}
-			if d := a.link.Delay + links.randomDuration(0, a.link.Jitter); d > 0 {
-				a.effects.delayed.Add(1)
-				late += d
-			}
-			if links.chance(a.link.LossRate) {
-				a.effects.lost.Add(1)
-				late += retransmission
-			}
-		}
+		delay, cut := links.streamDelay(from, to)
 		switch {
 		case cut != nil:
 			cut.effects.held.Add(1)
 			select {
-			case <-cut.ended: // and again: another may hold it still
+			case <-cut.ended: // look again: another fault may still hold it
 			case <-ctx.Done():
 				return false
 			}
-		case late > 0:
-			return sleepContext(ctx, late)
+		case delay > 0:
+			return sleepContext(ctx, delay)
 		default:
 			return ctx.Err() == nil
 		}
 	}
 }
 
+// streamDelay is how much later a chunk of a stream arrives, or the fault that holds it.
+func (links *linkFaults) streamDelay(from, to node) (delay time.Duration, cut *activeFault) {
+	for _, a := range links.affecting(from, to) {
+		if a.link.Partitioned || a.link.Buffered {
+			return 0, a
+		}
+		if d := a.link.Delay + links.randomDuration(0, a.link.Jitter); d > 0 {
+			a.effects.delayed.Add(1)
+			delay += d
+		}
+		if links.chance(a.link.LossRate) {
+			a.effects.lost.Add(1)
+			delay += retransmission
+		}
+	}
+	return delay, nil
+}
+
 // connectDelay says whether a connection comes up now, and how much later than usual.
 func (links *linkFaults) connectDelay(from, to node) (late time.Duration, ok bool) {
 	for _, d := range [2][2]node{{from, to}, {to, from}} {
@@ -199,15 +186,3 @@
 	}
 	return late, held
 }
-
-// sleepContext returns after a time, or with false when ctx is done before.
-func sleepContext(ctx context.Context, d time.Duration) bool {
-	t := time.NewTimer(d)
-	defer t.Stop()
-	select {
-	case <-t.C:
-		return true
-	case <-ctx.Done():
-		return false
-	}
-}
--- /dev/null
+++ b/internal/testcluster/machine_limits.go
@@ -0,0 +1,59 @@
+package testcluster
+
+import (
+	"fmt"
+	"os"
+	"strconv"
+	"strings"
+
+	"golang.org/x/sys/unix"
+)
+
+// checkMachineLimits says, before anything is started, whether the machine bears so many.
+func checkMachineLimits(relays, conns int) error {
+	var lim unix.Rlimit
+	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &lim); err != nil {
+		return err
+	}
+	if lim.Cur < lim.Max { // the runtime has raised it already where it may
+		lim.Cur = lim.Max
+		_ = unix.Setrlimit(unix.RLIMIT_NOFILE, &lim)
+	}
+	// A connection takes one descriptor at its client and one at its backend; a relay one of a watch and some of probes.
+	const ofRelay, own = 24, 200
+	if need := uint64(2*conns + ofRelay*relays + own); need > lim.Cur {
+		most := (int64(lim.Cur) - own - int64(2*conns)) / ofRelay
+		return fmt.Errorf("%d relays with %d connections want %d descriptors and there are %d: with so many connections %d relays fit",
+			relays, conns, need, lim.Cur, max(0, most))
+	}
+	var mem unix.Sysinfo_t
+	if err := unix.Sysinfo(&mem); err != nil {
+		return err
+	}
+	const each = 24 << 20
+	free := int64(mem.Freeram+mem.Bufferram) * int64(mem.Unit)
+	if kb := availableKB(); kb > 0 {
+		free = kb << 10
+	}
+	if need := int64(relays) * each; need > free {
+		return fmt.Errorf("%d relays want some %d MB of memory and %d are free: %d relays fit", relays, need>>20, free>>20, free/each)
+	}
+	return nil
+}
+
+// availableKB is what the system says can be had without swapping; 0: it doesn't say.
+func availableKB() int64 {
+	text, err := os.ReadFile("/proc/meminfo")
+	if err != nil {
+		return 0
+	}
+	for line := range strings.Lines(string(text)) {
+		if f := strings.Fields(line); len(f) > 1 && f[0] == "MemAvailable:" {
+			kb, err := strconv.ParseInt(f[1], 10, 64)
+			if err == nil {
+				return kb
+			}
+		}
+	}
+	return 0
+}
--- /dev/null
+++ b/internal/testcluster/relays.go
@@ -0,0 +1,306 @@
+package testcluster
+
+import (
+	"bytes"
+	"encoding/binary"
+	"encoding/json"
+	"fmt"
+	"net"
+	"os"
+	"path/filepath"
+	"syscall"
+	"time"
+)
+
+const (
+	// readyTimeout is how long all relays together may take to become ready.
+	readyTimeout = 20 * time.Second
+	// shutdownTimeout is how long a relay may take to shut down before it is killed.
+	shutdownTimeout = 3700 * time.Millisecond
+)
+
+// relay is one relay and its present process.
+type relay struct {
+	index   int
+	dir     string
+	process *process
+	paused  bool
+	down    bool // killed, or to be started late
+	starts  int  // of processes so far
+}
+
+// startRelays starts every relay except those that a fault starts late, and waits until they accept clients.
+func (c *cluster) startRelays() error {
+	c.markLateRelays()
+	began := time.Now()
+	var started []*relay
+	for _, target := range c.relays {
+		if target.down {
+			continue
+		}
+		if err := c.startRelay(target); err != nil {
+			return err
+		}
+		started = append(started, target)
+	}
+	for _, target := range started {
+		if err := c.waitUntilReady(target, began); err != nil {
+			return err
+		}
+		c.frontend.setAvailable(target.index, true)
+	}
+	return nil
+}
+
+// markLateRelays marks the relays that a fault starts during the run as down.
+func (c *cluster) markLateRelays() {
+	for _, f := range c.options.Faults {
+		if f.Kind != "relays start late" {
+			continue
+		}
+		for _, i := range targetIndexes(&f, len(c.relays)) {
+			c.relays[i].down = true
+		}
+	}
+}
+
+// waitUntilReady waits until a relay accepts clients. All relays share one timeout, which runs from began.
+func (c *cluster) waitUntilReady(target *relay, began time.Time) error {
+	for !c.relayReady(target) {
+		if !target.process.running() {
+			return fmt.Errorf("relay %d ended before it was ready: %w; its log ends with %s", target.index, target.process.err, logTail(target.process.log))
+		}
+		if time.Since(began) > readyTimeout {
+			return fmt.Errorf("relay %d is not ready after %v; its log ends with %s", target.index, readyTimeout, logTail(target.process.log))
+		}
+		if !sleepContext(c.ctx, 20*time.Millisecond) {
+			return c.ctx.Err()
+		}
+	}
+	return nil
+}
+
+func (c *cluster) relayReady(target *relay) bool {
+	return respondsToPing(c.ports.relayAddr(target.index), time.Second)
+}
+
+// logTail is the end of a log, for a message.
+func logTail(path string) string {
+	text, err := os.ReadFile(path)
+	if err != nil || len(text) == 0 {
+		return "nothing"
+	}
+	return string(text[max(0, len(text)-400):])
+}
+
+// startRelay starts a relay's process.
+func (c *cluster) startRelay(target *relay) error {
+	if err := os.MkdirAll(filepath.Join(target.dir, "tmp"), 0o700); err != nil {
+		return err
+	}
+	path, err := writeConfig(target.dir, c.relayConfig(target))
+	if err != nil {
+		return err
+	}
+	c.withChecker(func() { c.checker.RelayStarted(target.index, c.ports.discoveryAddr(target.index), nil) })
+	environment := []string{"PROXY_CONFIG=" + path, "TMPDIR=" + filepath.Join(target.dir, "tmp"), "PATH=/usr/bin:/bin"}
+	p, err := c.launcher.start(c.programFor(target), target.dir, target.index, environment)
+	if err != nil {
+		return err
+	}
+	c.mu.Lock()
+	target.process, target.down, target.paused = p, false, false
+	c.mu.Unlock()
+	go c.reportUnexpectedExit(target, p)
+	return nil
+}
+
+// relayConfig is the content of a relay's configuration file.
+func (c *cluster) relayConfig(target *relay) map[string]any {
+	f := &c.options.Fleet
+	var peers []string
+	if f.Peers {
+		for j := range c.relays {
+			peers = append(peers, c.ports.peerAddr(target.index, j))
+		}
+	}
+	var seed [8]byte
+	binary.BigEndian.PutUint64(seed[:], c.options.Seed<<20|uint64(target.index)+1)
+	config := map[string]any{
+		"name":        fmt.Sprintf("n%03d", target.index),
+		"listen":      c.ports.relayAddr(target.index),
+		"discovery":   c.ports.discoveryAddr(target.index),
+		"seed":        fmt.Sprintf("%x", seed),
+		"settings":    relaySettings(f, target.index),
+		"limits":      map[string]any{"cores": 1.0, "memory_mb": 64, "sockets": 1024},
+		"peer_listen": c.ports.peerListen(target.index),
+		"peers":       peers,
+		"peers_all":   c.ports.broadcastAddr(target.index),
+	}
+	if f.Membership {
+		config["membership"] = map[string]any{"fleet": "rig"}
+		config["management"] = c.ports.adminAddr(target.index)
+	}
+	return config
+}
+
+// reportUnexpectedExit waits for the end of a relay's process, which is an error unless a fault ended it.
+func (c *cluster) reportUnexpectedExit(target *relay, p *process) {
+	<-p.ended
+	c.mu.Lock()
+	killed := p.killed
+	c.mu.Unlock()
+	if killed || c.ctx.Err() != nil {
+		return
+	}
+	c.withChecker(func() { c.checker.RelayStopped(target.index) })
+	c.reportError(fmt.Errorf("relay %d ended by itself: %w; its log ends with %s", target.index, p.err, logTail(p.log)))
+}
+
+// programFor is the program that the relay's next process runs.
+func (c *cluster) programFor(target *relay) string {
+	c.mu.Lock()
+	start := target.starts
+	target.starts++
+	c.mu.Unlock()
+	if c.options.ProgramFor == nil {
+		return c.options.Program
+	}
+	return c.options.ProgramFor(target.index, start)
+}
+
+// markStopping marks a running relay as down, so that its exit is expected, and returns its process; nil: it is not running.
+func (c *cluster) markStopping(target *relay) *process {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	p := target.process
+	if p == nil || target.down || !p.running() {
+		return nil
+	}
+	target.down, p.killed = true, true
+	return p
+}
+
+// killRelay kills a relay's process and waits for its end. It returns false if the relay was not running.
+func (c *cluster) killRelay(target *relay) bool {
+	p := c.markStopping(target)
+	if p == nil {
+		return false
+	}
+	c.withChecker(func() { c.checker.RelayStopped(target.index) })
+	p.signal(syscall.SIGKILL)
+	<-p.ended
+	c.frontend.noticeLoss(target.index)
+	return true
+}
+
+// drainRelay asks a relay to shut down gracefully and calls then once it has. It returns false if the relay was not running.
+func (c *cluster) drainRelay(target *relay, then func()) bool {
+	p := c.markStopping(target)
+	if p == nil {
+		return false
+	}
+	c.runAfter(c.links.randomDuration(200*time.Millisecond, 400*time.Millisecond), func() { c.frontend.setAvailable(target.index, false) })
+	p.signal(syscall.SIGTERM)
+	c.runAfter(shutdownTimeout, func() { p.signal(syscall.SIGKILL) })
+	go func() {
+		<-p.ended
+		c.withChecker(func() { c.checker.RelayStopped(target.index) })
+		if c.ctx.Err() == nil {
+			then()
+		}
+	}()
+	return true
+}
+
+// restartRelay starts a relay again and has the front take it once it is ready.
+func (c *cluster) restartRelay(target *relay) {
+	if err := c.startRelay(target); err != nil {
+		c.reportError(err)
+		return
+	}
+	began := time.Now()
+	for !c.relayReady(target) {
+		if time.Since(began) > readyTimeout {
+			c.reportError(fmt.Errorf("relay %d is not ready %v after it was started again; its log ends with %s", target.index, readyTimeout, logTail(target.process.log)))
+			return
+		}
+		if !sleepContext(c.ctx, 50*time.Millisecond) {
+			return
+		}
+	}
+	c.frontend.setAvailable(target.index, true)
+}
+
+// setRelayPaused stops a relay's process, or lets it go on.
+func (c *cluster) setRelayPaused(target *relay, on bool) bool {
+	c.mu.Lock()
+	p := target.process
+	ok := p != nil && !target.down && target.paused != on
+	if ok {
+		target.paused = on
+	}
+	c.mu.Unlock()
+	if !ok {
+		return false
+	}
+	if on {
+		c.withChecker(func() { c.checker.SetRelayPaused(target.index, true) })
+		p.signal(syscall.SIGSTOP)
+		c.frontend.noticeLoss(target.index)
+		return true
+	}
+	p.signal(syscall.SIGCONT)
+	c.withChecker(func() { c.checker.SetRelayPaused(target.index, false) })
+	c.runAfter(300*time.Millisecond, func() { c.frontend.setAvailable(target.index, true) })
+	return true
+}
+
+// relayUsages are what relays' processes have used; nil for one that doesn't run.
+func (c *cluster) relayUsages() map[*process]processUsage {
+	out := map[*process]processUsage{}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, target := range c.relays {
+		if target.process != nil && !target.down {
+			if u, err := target.process.usage(); err == nil {
+				out[target.process] = u
+			}
+		}
+	}
+	return out
+}
+
+// totalCPUTime is the processor time of all processes that run.
+func (c *cluster) totalCPUTime() (sum time.Duration) {
+	for _, u := range c.relayUsages() {
+		sum += u.cpu
+	}
+	return sum
+}
+
+// writeConfig writes a relay's file in the platform's form.
+func writeConfig(dir string, c map[string]any) (string, error) {
+	text, err := json.Marshal(c)
+	if err != nil {
+		return "", err
+	}
+	path := filepath.Join(dir, "config.json")
+	return path, os.WriteFile(path, text, 0o600)
+}
+
+// respondsToPing asks a relay whether it takes clients.
+func respondsToPing(addr string, within time.Duration) bool {
+	c, err := net.DialTimeout("tcp", addr, within)
+	if err != nil {
+		return false
+	}
+	defer c.Close()
+	_ = c.SetDeadline(time.Now().Add(within))
+	if _, err := c.Write([]byte("PING\r\n")); err != nil {
+		return false
+	}
+	var b [64]byte
+	n, err := c.Read(b[:])
+	return err == nil && bytes.HasPrefix(b[:n], []byte("PONG"))
+}
--- /dev/null
+++ b/internal/testcluster/result.go
@@ -0,0 +1,126 @@
+package testcluster
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"time"
+
+	"aspenbarrow/internal/fault"
+	"aspenbarrow/internal/loadstats"
+	"aspenbarrow/internal/simulation"
+)
+
+// Result is what a run came to.
+type Result struct {
+	Program        string              `json:"program"`
+	Seed           uint64              `json:"seed"`
+	ReadyAfter     time.Duration       `json:"ready_ns"` // until all relays took clients
+	Service        []simulation.Second `json:"service"`  // by second
+	Evenness       []loadstats.Second  `json:"evenness"` // of the load, by second
+	Faults         []FaultEffect       `json:"faults"`
+	Violations     []string            `json:"broken,omitempty"` // rules
+	Counts         map[string]int      `json:"counts"`           // how often what came up
+	ConnectLatency LatencySummary      `json:"waits"`
+	Rates          TrafficRates        `json:"rates"`
+	Usage          ResourceUsage       `json:"usage"`
+	CPUCores       []float64           `json:"machine"`  // processor seconds a second, of all relays
+	Attempts       []int               `json:"attempts"` // by backend
+}
+
+// FaultEffect is what a fault really did.
+type FaultEffect struct {
+	fault.Fault
+	StartedAt time.Duration  `json:"began_ns"` // since the run began
+	EndedAt   time.Duration  `json:"ended_ns"` // likewise
+	Counts    map[string]int `json:"did"`      // how often what; empty: nothing
+}
+
+// LatencySummary are the times from a client's wish for a connection to its UP, in milliseconds.
+type LatencySummary struct {
+	Count int64   `json:"count"`
+	P50   float64 `json:"p50_ms"`
+	P99   float64 `json:"p99_ms"`
+	P999  float64 `json:"p999_ms"`
+	Max   float64 `json:"max_ms"`
+}
+
+// TrafficRates are means over the run, and peaks, of what relays send beside clients' lines.
+type TrafficRates struct {
+	HealthChecks               float64 `json:"probes_per_s"` // of all relays
+	PeakHealthChecksPerBackend int     `json:"probes_at_one_backend_in_a_second"`
+	Handshakes                 float64 `json:"handshakes_per_s"`
+	PeakHandshakesPerBackend   int     `json:"handshakes_at_one_backend_in_a_second"`
+	Datagrams                  float64 `json:"datagrams_per_s"`
+	PeakDatagramsPerRelay      int     `json:"datagrams_of_one_relay_in_a_second"`
+	DiscoveryCalls             float64 `json:"discovery_calls_per_s"`
+}
+
+// ResourceUsage is the medians and maxima over those relays' processes that ran from beginning to end.
+type ResourceUsage struct {
+	CPUMedian    float64 `json:"cpu_share_median"` // of a core
+	CPUMax       float64 `json:"cpu_share_most"`
+	MemoryMedian int64   `json:"memory_bytes_median"` // resident, the high-water mark
+	MemoryMax    int64   `json:"memory_bytes_most"`
+}
+
+// checkFaultsTookEffect is an error that names the faults that did nothing; nil: each did something.
+func checkFaultsTookEffect(faults []FaultEffect) (err error) {
+	for i := range faults {
+		if f := &faults[i]; len(f.Counts) == 0 {
+			err = errors.Join(err, fmt.Errorf("%s: the fault %q at %v did nothing", scriptPosition(&f.Fault), f.Kind, f.Start))
+		}
+	}
+	return err
+}
+
+// scriptPosition names the line of a script for a message.
+func scriptPosition(f *fault.Fault) string {
+	if f.ScriptLine == 0 {
+		return "script"
+	}
+	return fmt.Sprintf("script line %d", f.ScriptLine)
+}
+
+// fillResult writes the books of a run of a length into its result.
+func (c *cluster) fillResult(res *Result, length time.Duration) {
+	c.mu.Lock()
+	res.Faults = slices.Clone(c.effects)
+	res.Counts, res.Attempts = c.counts, c.attempts
+	res.ConnectLatency = LatencySummary{c.connectLatency.TotalCount(), float64(c.connectLatency.ValueAtQuantile(50)) / 1000, float64(c.connectLatency.ValueAtQuantile(99)) / 1000,
+		float64(c.connectLatency.ValueAtQuantile(99.9)) / 1000, float64(c.connectLatency.Max()) / 1000}
+	c.mu.Unlock()
+	c.withLoadRecorder(func(l *loadstats.Recorder) { res.Evenness = l.PerSecond(length.Truncate(time.Second)) })
+	c.withChecker(func() {
+		for _, b := range c.checker.Violations {
+			res.Violations = append(res.Violations, b.String())
+		}
+		for what, n := range c.checker.Counts {
+			res.Counts[what] += n
+		}
+	})
+	res.Rates = c.traffic.rates(length)
+}
+
+// summarizeUsage sums up what the processes used that ran from beginning to end.
+func summarizeUsage(before, after map[*process]processUsage, length time.Duration) (u ResourceUsage) {
+	var cpu []float64
+	var mem []int64
+	for p, a := range after {
+		if b, ok := before[p]; ok {
+			cpu, mem = append(cpu, (a.cpu-b.cpu).Seconds()/length.Seconds()), append(mem, a.memory)
+		}
+	}
+	if len(cpu) == 0 {
+		return u
+	}
+	slices.Sort(cpu)
+	slices.Sort(mem)
+	return ResourceUsage{cpu[len(cpu)/2], cpu[len(cpu)-1], mem[len(mem)/2], mem[len(mem)-1]}
+}
+
+func (c *cluster) recordConnectLatency(d time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	_ = c.connectLatency.RecordValue(min(d.Microseconds(), c.connectLatency.HighestTrackableValue()))
+}
--- /dev/null
+++ b/internal/testcluster/setup.go
@@ -0,0 +1,108 @@
+package testcluster
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"path/filepath"
+	"time"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+
+	"aspenbarrow/internal/invariant"
+)
+
+// newCluster is a cluster that has started nothing yet.
+func newCluster(ctx context.Context, opt Options) *cluster {
+	c := &cluster{options: opt, start: time.Now(), links: newLinkFaults(opt.Seed), counts: map[string]int{}, pendingAttempts: map[string]*session{},
+		random: rand.New(rand.NewPCG(opt.Seed, 0xf1ee7)), errors: make(chan error, 16),
+		connectLatency: hdrhistogram.New(1, 60_000_000, 3), workDir: opt.WorkDir}
+	c.epoch = time.Duration(c.start.UnixNano())
+	c.ctx, c.cancel = context.WithCancel(ctx)
+	return c
+}
+
+// shutdown ends all that was started. What relays do from here on is not held against them.
+func (c *cluster) shutdown() {
+	c.withChecker(func() {
+		for i := range c.relays {
+			c.checker.RelayStopped(i)
+		}
+	})
+	c.cancel()
+	c.launcher.close()
+	c.ports.release()
+	for _, b := range c.backends {
+		b.stop(false)
+		for _, end := range []func(){b.removeBlackhole, b.releasePort} {
+			if end != nil {
+				end()
+			}
+		}
+	}
+}
+
+// setUp opens the cluster's sockets and sets up what stands around the relays.
+func (c *cluster) setUp() (err error) {
+	f := &c.options.Fleet
+	if c.ports, err = newPorts(); err != nil {
+		return err
+	}
+	forwarder, port, err := newDatagramForwarder(c)
+	if err != nil {
+		return err
+	}
+	c.ports.datagram = port
+	lc := net.ListenConfig{Control: prepareWildcardSocket}
+	agents, err := lc.Listen(c.ctx, "tcp4", "0.0.0.0:0")
+	if err != nil {
+		forwarder.close()
+		return err
+	}
+	c.ports.discovery = agents.Addr().(*net.TCPAddr).Port
+	c.traffic = newTrafficCounters(f.Relays, f.Backends+16, c)
+	c.checker = invariant.New(invariantLimits(f), f.Relays, c.now, func(d time.Duration, do func()) { c.runAfter(d, func() { c.withChecker(do) }) })
+	for i := range f.Relays {
+		c.relays = append(c.relays, &relay{index: i, dir: filepath.Join(c.workDir, fmt.Sprintf("n%03d", i))})
+	}
+	c.discovery = newDiscoveryService(c, f.Relays)
+	c.frontend = newFrontBalancer(c)
+	c.serveUntilDone(forwarder, agents)
+	for range f.Backends {
+		c.addBackend(false)
+	}
+	return nil
+}
+
+// serveUntilDone serves datagrams and discovery until the cluster's context is done.
+func (c *cluster) serveUntilDone(forwarder *datagramForwarder, agents net.Listener) {
+	go forwarder.serve(c.ctx)
+	go func() {
+		if err := c.discovery.server.Serve(agents); !errors.Is(err, http.ErrServerClosed) && c.ctx.Err() == nil {
+			c.reportError(fmt.Errorf("discovery: %w", err))
+		}
+	}()
+	context.AfterFunc(c.ctx, func() {
+		forwarder.close()
+		_ = c.discovery.server.Close()
+	})
+}
+
+// addBackend brings one more up: cold in the run, warm before it.
+func (c *cluster) addBackend(cold bool) *backend {
+	sizes := c.options.Fleet.Sizes
+	c.mu.Lock()
+	n, size := len(c.backends), 1.0
+	if len(sizes) > 0 {
+		size = sizes[n%len(sizes)]
+	}
+	b := c.newBackend(n, size)
+	c.backends = append(c.backends, b)
+	c.mu.Unlock()
+	c.withChecker(func() { c.checker.AddBackend(b.name, b.index%2) })
+	b.launch(cold)
+	return b
+}
--- /dev/null
+++ b/internal/testcluster/slow_start_test.go
@@ -0,0 +1,83 @@
+package testcluster
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"aspenbarrow/internal/fault"
+)
+
+// Empty backends that join fill up without being pushed over.
+func TestCluster_NewBackendsFillWithoutOverload(t *testing.T) {
+	t.Parallel()
+	res := runCluster(t, Options{Duration: 28 * time.Second, Fleet: smallCluster(30, 10, 300), Faults: []fault.Fault{
+		{Kind: "backends start", Start: 5 * time.Second, Duration: 20 * time.Second, Severity: 0.4}}})
+	last := res.Evenness[len(res.Evenness)-1]
+	t.Logf("%+v %v", last.Loads, res.Counts["cold backend fell over"])
+	if res.Counts["cold backend fell over"] != 0 {
+		t.Error("a cold backend was pushed over")
+	}
+	for _, v := range last.Loads[10:] {
+		if v < last.MeanLoad*0.5 || v > last.MeanLoad*1.5 {
+			t.Errorf("23 s after its start one has %.2f where the mean is %.2f", v, last.MeanLoad)
+		}
+	}
+}
+
+// Half of the backends go and two start: those that are left are full, and few of the clients' keys are at home at the new ones,
+// which are cold. Left to those keys, cold backends would stay empty while the others drop what they hold. None falls over.
+func TestCluster_ColdBackendsTakeOverflow(t *testing.T) {
+	t.Parallel()
+	f := smallCluster(60, 10, 300)
+	f.Stay = [2]time.Duration{4 * time.Second, 12 * time.Second}
+	res := runCluster(t, Options{Duration: 14 * time.Second, Fleet: f, Faults: []fault.Fault{
+		{Kind: "backends start", Start: 4 * time.Second, Duration: 9 * time.Second, Severity: 0.5},
+		{Kind: "backends drain", Start: 4500 * time.Millisecond, Duration: 9 * time.Second, Targets: []int{0, 1, 2, 3, 4}}}})
+	sent := res.Counts["sent to a cold backend"]
+	loads := res.Evenness[11].Loads
+	t.Logf("%d calls to cold backends, %d fell over; loads after seven seconds %.2f; service %.3f", sent, res.Counts["cold backend fell over"], loads, servedShare(res, 6, 13))
+	if res.Counts["cold backend fell over"] != 0 {
+		t.Error("a cold backend was pushed over")
+	}
+	if sent < 56 {
+		t.Errorf("%d calls came to the cold backends while the others were full", sent)
+	}
+}
+
+// Three in ten backends start cold while all clients are at hand, and half of the relays are killed and come again at once
+// meanwhile, knowing nothing. What all processes send together stays within what a cold backend bears, at a budget of about
+// 5, 20 and 100 calls in a span, without any allowance for chance. Little of the room is used where a backend bears few calls.
+func TestCluster_SlowStartHoldsAcrossRelays(t *testing.T) {
+	for _, tc := range []struct {
+		relays int
+		calls  float64 // that a backend bears in a span when it has just started
+		least  int     // calls to cold ones
+	}{{20, 5, 0}, {30, 20, 2}, {20, 100, 60}} {
+		t.Run(fmt.Sprintf("%d relays, %.0f calls", tc.relays, tc.calls), func(t *testing.T) {
+			t.Parallel()
+			const backends, started = 8, 3
+			opens := tc.calls / (overloadFactor * coldCapacity * overloadWindow.Seconds())
+			f := smallCluster(tc.relays, backends, int(3*opens*backends))
+			f.Server.WarmRequestRate = opens
+			f.Stay = [2]time.Duration{400 * time.Millisecond, 1600 * time.Millisecond} // many come again while they are cold
+			var half []int
+			for i := range tc.relays {
+				if i%2 == 1 {
+					half = append(half, i)
+				}
+			}
+			res := runCluster(t, Options{Duration: 16 * time.Second, Fleet: f, Faults: []fault.Fault{
+				{Kind: "backends start", Start: 4 * time.Second, Duration: 12 * time.Second, Severity: float64(started) / backends},
+				{Kind: "relays die together", Start: 6 * time.Second, Duration: time.Second, Targets: half}}})
+			sent := res.Counts["sent to a cold backend"]
+			t.Logf("%d calls to cold backends, fell over %d, attempts %v", sent, res.Counts["cold backend fell over"], res.Attempts)
+			if res.Counts["cold backend fell over"] != 0 {
+				t.Error("a cold backend was pushed over")
+			}
+			if sent < tc.least {
+				t.Errorf("%d calls came to cold backends", sent)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/testcluster/visits.go
@@ -0,0 +1,50 @@
+package testcluster
+
+import (
+	"math/rand/v2"
+	"time"
+
+	"aspenbarrow/internal/simulation"
+)
+
+// visit is one client's wish for a connection, from when it comes until it goes.
+type visit struct {
+	key   uint64
+	class int
+	start time.Duration
+	end   time.Duration
+	seed  uint64
+}
+
+// planVisits draws all visits of a run: those that come in the first rush, and who comes later so that as many are there.
+func planVisits(f *simulation.Fleet, seed uint64, length time.Duration) []visit {
+	rng := rand.New(rand.NewPCG(seed, 0xc11e))
+	stay := func() time.Duration {
+		least, most := f.Stay[0], f.Stay[1]
+		return least + time.Duration(rng.Float64()*float64(most-least))
+	}
+	hot := rng.Uint64()
+	draw := func(from time.Duration, stays time.Duration) visit {
+		v := visit{key: rng.Uint64(), class: []int{0, 0, 1, 1, 2}[rng.IntN(5)], start: from, end: from + stays, seed: rng.Uint64()}
+		if rng.Float64() < f.HotKey {
+			v.key = hot
+		}
+		return v
+	}
+	var out []visit
+	for range f.Clients { // what is left of the stay of those who would be there: long ones are the likelier
+		s := stay()
+		for rng.Float64() > float64(s)/float64(f.Stay[1]) {
+			s = stay()
+		}
+		out = append(out, draw(time.Duration(rng.Float64()*float64(f.Rush)), time.Duration(rng.Float64()*float64(s))))
+	}
+	mean := (f.Stay[0] + f.Stay[1]).Seconds() / 2
+	for t := f.Rush.Seconds(); ; {
+		t += rng.ExpFloat64() * mean / float64(f.Clients)
+		if t >= length.Seconds() {
+			return out
+		}
+		out = append(out, draw(time.Duration(t*float64(time.Second)), stay()))
+	}
+}
