--- a/internal/testcluster/addresses.go
+++ b/internal/testcluster/addresses.go
@@ -4,38 +4,38 @@
 	"net/netip"
 )
 
-// How many there may be: a pair's address has 24 bits.
+// Limits on the number of parties: the address of a pair has 24 bits.
 const (
 	maxRelays   = 1024
 	maxBackends = 1024
 )
 
-// The first of the bytes after 127 by kind.
+// The second byte of the loopback addresses of each kind of party, and the layout of the bytes after it.
 const (
-	relayNet     = 1  // relays' own addresses
+	relayNet     = 1  // relays
 	discoveryNet = 2  // discovery, one address for each relay
-	broadcastNet = 3  // datagrams to all, one address for each sender
+	broadcastNet = 3  // datagrams to all relays, one address for each sender
 	backendNet   = 16 // backends, one address for each pair with a relay
 	peerNet      = 32 // peers, one address for each pair
 	backendBits  = 10
 	peerBits     = 10
-	addressBits  = 16 // bits within a net's second byte
+	addressBits  = 16 // bits of the index below the second byte
 )
 
-// loopbackAddress is the n-th address of a net. Each pair of parties has one of its own in 127.0.0.0/8, so that one wildcard
-// socket of a kind serves all pairs and still knows who speaks to whom.
+// loopbackAddress is the n-th address of a subnet of 127.0.0.0/8. Each pair of parties has an address of its own, so
+// that a single wildcard socket serves all pairs of a kind and still tells them apart.
 func loopbackAddress(net, n int) netip.Addr {
 	return netip.AddrFrom4([4]byte{127, byte(net + n>>addressBits), byte(n >> 8), byte(n)})
 }
 
-// indexInNet is what an address was made of, within its net.
+// indexInNet is the inverse of loopbackAddress; false if the address is below the subnet.
 func indexInNet(a netip.Addr, net int) (int, bool) {
 	b := a.Unmap().As4()
 	n := (int(b[1])-net)<<addressBits | int(b[2])<<8 | int(b[3])
 	return n, b[0] == 127 && int(b[1]) >= net
 }
 
-// ports are the cluster's: one of a kind.
+// ports are the port numbers of a cluster, one for each kind of party.
 type ports struct {
 	relay, peer, discovery, datagram int
 	releaseRelay                     func()
@@ -43,25 +43,32 @@
 
 func hostPort(a netip.Addr, port int) string { return netip.AddrPortFrom(a, uint16(port)).String() }
 
+// relayAddr is where a relay listens for clients.
 func (p ports) relayAddr(r int) string { return hostPort(loopbackAddress(relayNet, r), p.relay) }
 
-// adminAddr is a relay's second address: the port of its datagrams is free for connections.
+// adminAddr is a relay's admin endpoint. It has the port number of the relay's datagrams, which is free for TCP.
 func (p ports) adminAddr(r int) string { return hostPort(loopbackAddress(relayNet, r), p.peer) }
 
+// peerListen is where a relay receives datagrams.
 func (p ports) peerListen(r int) string { return hostPort(loopbackAddress(relayNet, r), p.peer) }
+
+// discoveryAddr is the discovery service of a relay.
 func (p ports) discoveryAddr(r int) string {
 	return hostPort(loopbackAddress(discoveryNet, r), p.discovery)
 }
 
-// peerAddr is where relay i sends to have relay j hear it, and from where relay i hears relay j.
+// peerAddr is the address that relay i sends to in order to reach relay j, and that it receives relay j's datagrams
+// from.
 func (p ports) peerAddr(i, j int) string {
 	return hostPort(loopbackAddress(peerNet, i<<peerBits|j), p.datagram)
 }
+
+// broadcastAddr is the address that relay i sends to in order to reach all relays.
 func (p ports) broadcastAddr(i int) string {
 	return hostPort(loopbackAddress(broadcastNet, i), p.datagram)
 }
 
-// backendPair is who speaks to whom at a backend's address.
+// backendPair is the relay and the backend that an address of a backend belongs to.
 func backendPair(a netip.Addr) (relay, backend int, ok bool) {
 	n, ok := indexInNet(a, backendNet)
 	return n >> backendBits, n & (1<<backendBits - 1), ok && n < maxRelays<<backendBits
--- a/internal/testcluster/attempts.go
+++ b/internal/testcluster/attempts.go
@@ -2,15 +2,15 @@
 
 import "hash/fnv"
 
-// loadOf is what a request's connection will take of a backend's cores: half to one and a half of the usual.
+// loadOf is how much of a backend's cores the connection of a request occupies: between 0.5 and 1.5 times the mean.
 func (c *cluster) loadOf(request string) float64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(request))
 	return c.options.Fleet.ConnLoad * (0.5 + float64(h.Sum64()>>11)/(1<<53))
 }
 
-// recordAttempt takes in an attempt that has come. One that its relay has given up may not have been read to its end
-// here, though the relay ended it before: then it is heard of first.
+// recordAttempt records that an attempt has reached a backend. If the relay already closed its previous attempt for
+// the same request, but the close has not been read here yet, the checker is told of that close first.
 func (c *cluster) recordAttempt(s *session) {
 	c.mu.Lock()
 	for s.backend.index >= len(c.attempts) {
@@ -25,6 +25,7 @@
 	}
 }
 
+// removeAttempt forgets an attempt whose connection has ended.
 func (c *cluster) removeAttempt(s *session) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/testcluster/backend_faults.go
+++ b/internal/testcluster/backend_faults.go
@@ -7,12 +7,15 @@
 	"aspenbarrow/internal/fault"
 )
 
+// currentBackends are all backends added so far.
 func (c *cluster) currentBackends() []*backend {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.backends)
 }
 
+// backendFault returns an injector that applies begin to each backend affected that is up, and end to the same ones
+// afterwards.
 func backendFault(begin func(c *cluster, b *backend, f *fault.Fault), end func(b *backend)) faultInjector {
 	return func(c *cluster, f *fault.Fault, effects *effectCounters) func() {
 		all := c.currentBackends()
@@ -32,6 +35,7 @@
 	}
 }
 
+// startBackends adds cold backends.
 func startBackends(c *cluster, f *fault.Fault, effects *effectCounters) func() {
 	for range 1 + int(f.Severity*3) {
 		c.addBackend(true)
@@ -40,6 +44,8 @@
 	return nil
 }
 
+// cutOffZone cuts all backends of a zone off the network. Discovery reports them gone after a delay, unless they are
+// back by then.
 func cutOffZone(c *cluster, f *fault.Fault, effects *effectCounters) func() {
 	var affected []*backend
 	for _, b := range c.currentBackends() {
@@ -68,8 +74,9 @@
 	}
 }
 
+// cutPower ends all backends at once and starts them cold, one shortly after another.
 func cutPower(c *cluster, f *fault.Fault, effects *effectCounters) func() {
-	for i, b := range c.currentBackends() { // all at once, and cold ones a little after one another
+	for i, b := range c.currentBackends() {
 		if b.utilization() >= 0 {
 			b.crash()
 			effects.struck.Add(1)
--- a/internal/testcluster/backend_model.go
+++ b/internal/testcluster/backend_model.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// after has something done if the process still runs then; a pause holds it.
+// runAfter calls do after a delay if the same process is still running then. While the process is paused, the call
+// waits for its end. It is called with the lock held.
 func (b *backend) runAfter(d time.Duration, do func()) {
 	life := b.generation
 	b.cluster.runAfter(d, func() {
@@ -21,7 +22,8 @@
 	})
 }
 
-// scheduleCompletion hears from the model when its next request is done.
+// scheduleCompletion sets the timer for the next request that the model will complete. It is called with the lock
+// held.
 func (b *backend) scheduleCompletion() {
 	at, ok := b.model.NextCompletion()
 	if !ok {
@@ -41,6 +43,7 @@
 	})
 }
 
+// completeJobs finishes requests that the model has completed, or rejected because its queue was full.
 func (b *backend) completeJobs(ids []uint64, full bool) {
 	for _, id := range ids {
 		if do := b.jobs[id]; do != nil {
@@ -50,7 +53,7 @@
 	}
 }
 
-// updateModel changes the model.
+// updateModel changes the model and sets the timer for its next completion.
 func (b *backend) updateModel(do func(now time.Duration)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -69,7 +72,7 @@
 	})
 }
 
-// resume lets it go on with all that has come meanwhile.
+// resume continues a paused process with everything that arrived meanwhile.
 func (b *backend) resume() {
 	b.updateModel(func(now time.Duration) {
 		b.paused = false
@@ -82,7 +85,7 @@
 	})
 }
 
-// utilization is what is asked of the backend over what it can do; below 0: it is down.
+// utilization is the backend's demand divided by its capacity; below 0: it is down.
 func (b *backend) utilization() float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/testcluster/backend_session.go
+++ b/internal/testcluster/backend_session.go
@@ -14,7 +14,7 @@
 	"aspenbarrow/internal/loadstats"
 )
 
-// serve takes connections until the listener is closed.
+// serve accepts connections until the listener is closed.
 func (b *backend) serve(l *net.TCPListener) {
 	for {
 		c, err := l.AcceptTCP()
@@ -25,7 +25,7 @@
 			continue
 		}
 		relay, number, ok := backendPair(c.LocalAddr().(*net.TCPAddr).AddrPort().Addr())
-		if !ok || number != b.index || relay >= len(b.cluster.relays) { // a wall's own, or nobody's
+		if !ok || number != b.index || relay >= len(b.cluster.relays) { // of a blackhole, or of no relay
 			_ = c.Close()
 			continue
 		}
@@ -33,14 +33,14 @@
 	}
 }
 
-// session is one connection with a relay.
+// session is one connection between a relay and a backend. Its fields are guarded by the backend's lock.
 type session struct {
 	backend       *backend
 	conn          *relayConn
 	observer      *invariant.BackendConn
 	generation    int
 	id            uint64
-	muted         bool // its machine has vanished
+	muted         bool // the backend's machine is off the network
 	opening       bool
 	established   bool
 	loadCounted   bool
@@ -52,6 +52,7 @@
 	linesReceived int
 }
 
+// handleConnection serves a connection of a relay until it ends.
 func (b *backend) handleConnection(c *net.TCPConn, relay int) {
 	cluster := b.cluster
 	from, here := node{fault.Relays, relay}, node{fault.Backends, b.index}
@@ -61,8 +62,8 @@
 		_ = c.Close()
 		return
 	}
-	// What the relay writes meanwhile is heard of when it comes: taken for sent only now, a line would seem to go out
-	// for a client that has left since, or into a drain.
+	// Reading starts before the delay: if the checker were told of a line only afterwards, the relay would seem to have
+	// sent it for a client that has left since, or to a backend that is draining.
 	s := &session{backend: b, id: cluster.connectionIDs.Add(1)}
 	cluster.withChecker(func() { s.observer = cluster.checker.BackendConnected(int(s.id), relay, b.index) })
 	s.conn = newRelayConn(cluster, c, from, here, s.observer)
@@ -97,6 +98,8 @@
 	s.conn.close(closedCleanly)
 }
 
+// closed releases the load of a connection that has ended. It is called with the backend's lock held, as are the
+// methods below.
 func (s *session) closed() {
 	if s.loadCounted {
 		s.loadCounted = false
@@ -109,6 +112,7 @@
 	}
 }
 
+// handleLine handles one line of the protocol.
 func (s *session) handleLine(line string) {
 	b, c := s.backend, s.backend.cluster
 	switch {
@@ -124,7 +128,7 @@
 		if line == "STATS" {
 			load := b.model.LoadReport(c.now())
 			if b.errorRate > 0 {
-				load = 0 // it fails what it gets at once, and looks empty
+				load = 0 // it fails requests immediately and has no load
 			}
 			answer = fmt.Sprintf("PONG x0=%.3f,errors_per_s=%.3f", load, b.failures.rate(c.now()))
 		}
@@ -137,7 +141,7 @@
 	}
 }
 
-// open works on a request: longer the more the machine holds.
+// open handles an OPEN request. How long it takes depends on the load of the model.
 func (s *session) open(line string) {
 	b, c := s.backend, s.backend.cluster
 	words := strings.Fields(line)
@@ -174,6 +178,7 @@
 	b.scheduleCompletion()
 }
 
+// completeOpen answers a request that the model has completed.
 func (s *session) completeOpen(full bool) {
 	b, c := s.backend, s.backend.cluster
 	switch {
@@ -195,6 +200,7 @@
 	}
 }
 
+// answer sends the answer to a request; over says that the connection ends with it.
 func (s *session) answer(line string, over bool) {
 	s.opening, s.established = false, !over
 	s.conn.sendLine(line)
--- a/internal/testcluster/backends.go
+++ b/internal/testcluster/backends.go
@@ -12,18 +12,18 @@
 	"aspenbarrow/internal/loadstats"
 )
 
-// backend drives the emulator's model of a server in real time on sockets. One wildcard socket takes all connections;
-// the address that was dialled tells the relay and the backend.
+// backend runs the emulator's model of a server in real time, on sockets. One wildcard socket accepts all
+// connections; the address that was dialled identifies the relay and the backend.
 type backend struct {
 	cluster         *cluster
 	index           int
 	name            string
 	zone            int
-	size            float64 // cores over those that the script gives
+	size            float64 // factor on the number of cores
 	mu              sync.Mutex
 	model           *emulator.Server
 	up              bool
-	silent          bool // the machine says nothing and hears nothing
+	silent          bool // the machine is off the network
 	state           string
 	generation      int
 	started         time.Duration
@@ -31,19 +31,20 @@
 	lastJob         uint64
 	timer           *time.Timer
 	sessions        map[*session]bool
-	errorRate       float64 // share of OPENs answered ERR, at no cost
+	errorRate       float64 // share of requests answered ERR, at no cost
 	failures        failureRate
-	busyRate        float64 // share answered BUSY
-	resetRate       float64 // share reset
+	busyRate        float64 // share of requests answered BUSY
+	resetRate       float64 // share of requests whose connection is reset
 	receipts        int
 	paused          bool
 	backlog         []func()
 	port            int
 	listener        *net.TCPListener
-	removeBlackhole func() // ends it
-	releasePort     func() // gives the port back
+	removeBlackhole func() // nil: the address is reachable
+	releasePort     func() // nil: no port is reserved yet
 }
 
+// newBackend returns a backend that has not been launched yet.
 func (c *cluster) newBackend(number int, size float64) *backend {
 	b := &backend{cluster: c, index: number, name: fmt.Sprintf("s-%03d", number), zone: number % len(zones), size: size,
 		sessions: map[*session]bool{}, state: "ready"}
@@ -57,10 +58,12 @@
 	return b
 }
 
+// capacity is the work that the backend can do in a second.
 func (b *backend) capacity() float64 {
 	return b.cluster.options.Fleet.Server.Cores * b.cluster.options.Fleet.Server.Speed * b.size
 }
 
+// endpoint is the backend's entry in the endpoint list. It is called with the lock held.
 func (b *backend) endpoint() endpoint {
 	weight := 1.0
 	if b.cluster.options.Fleet.Weights {
@@ -70,7 +73,7 @@
 		Started: b.started.Milliseconds(), backend: b.index, port: b.port}
 }
 
-// launch starts a process; cold tells that it is new, which the list says.
+// launch starts the backend's process, if it is down. A cold one is a new process, which the endpoint list says.
 func (b *backend) launch(cold bool) {
 	b.mu.Lock()
 	if b.up {
@@ -104,16 +107,17 @@
 	b.cluster.discovery.publish(e, when)
 }
 
-// crash ends the process, which resets its connections; the catalog learns of it.
+// crash ends the process: its connections are reset, and discovery is told.
 func (b *backend) crash() {
 	if b.stop(false) {
 		b.publish("gone")
 	}
 }
 
-// disappear takes the machine off the network: no word to anybody.
+// disappear takes the backend's machine off the network without telling anybody.
 func (b *backend) disappear() { b.stop(true) }
 
+// publish has discovery announce a new state of the backend.
 func (b *backend) publish(state string) {
 	b.mu.Lock()
 	b.state = state
@@ -122,6 +126,7 @@
 	b.cluster.discovery.publish(e, publishDelayed)
 }
 
+// stop ends the process, or if silent cuts its machine off the network. It returns false if the backend was down.
 func (b *backend) stop(silent bool) bool {
 	b.mu.Lock()
 	if !b.up {
@@ -140,7 +145,7 @@
 	b.jobs = map[uint64]func(bool){}
 	sessions := b.sessions
 	b.sessions = map[*session]bool{}
-	if silent { // they stay open, and nothing comes any more
+	if silent { // its connections stay open, but nothing passes any more
 		b.sessions = sessions
 		for s := range sessions {
 			s.muted = true
@@ -156,7 +161,7 @@
 	return true
 }
 
-// reappear has a machine that had vanished return: what was open is reset.
+// reappear connects a machine that had disappeared to the network again. Its open connections are reset.
 func (b *backend) reappear() {
 	b.mu.Lock()
 	sessions := b.sessions
@@ -168,16 +173,15 @@
 	b.launch(true)
 }
 
-// drain takes no new work, and ends after a while.
+// drain has discovery announce that the backend is draining, and ends its process after a while.
 func (b *backend) drain(within time.Duration) {
 	b.cluster.withLoadRecorder(func(l *loadstats.Recorder) { l.BackendDown(b.cluster.elapsed(), b.index) })
 	b.publish("draining")
 	b.cluster.runAfter(within, b.crash)
 }
 
-// The rest is called with the backend's lock held.
-
-// listen opens the backend's address for all relays: the port is its own, so that a process that is down refuses.
+// listen opens the backend's port on the addresses for all relays. Each backend has a port of its own, so that
+// connections to one that is down are refused.
 func (b *backend) listen() (err error) {
 	if b.port == 0 {
 		if b.port, b.releasePort, err = reservePort(); err != nil {
--- a/internal/testcluster/balance_test.go
+++ b/internal/testcluster/balance_test.go
@@ -9,8 +9,9 @@
 	"aspenbarrow/internal/simulation"
 )
 
-// Each hard case is played by two fleets on the same seed: as it is, and with backends that report nothing, so that T is
-// each relay's own again. The first has to be much more even; the second shows that the case is hard.
+// Each case runs twice on the same seed: once as configured, and once with backends that report no load, so that a
+// relay knows only the load it placed itself. The first run has to be much more even; the second shows that the case
+// is hard.
 func TestCluster_BalancesLoadAcrossRelays(t *testing.T) {
 	const relays, backends, clients = 40, 12, 360
 	half := make([]int, relays/2)
@@ -21,9 +22,9 @@
 		name   string
 		change func(f *simulation.Fleet)
 		script []fault.Fault
-		from   int     // second from which it is measured
-		most   float64 // of the deviation over the other fleet's
-		hard   float64 // the other fleet's deviation at least
+		from   int     // first second measured
+		most   float64 // ratio of the deviation to that without reports, at most
+		hard   float64 // deviation without reports, at least
 	}{
 		{name: "all relays start in one second", from: 8, most: 0.75, hard: 0.12},
 		{name: "all reports are of the same moment", from: 8, most: 0.85, hard: 0.12, change: func(f *simulation.Fleet) { f.Server.ReportInterval = 3 * time.Second }},
@@ -65,11 +66,11 @@
 	}
 }
 
-// Relays whose backends are far away bring each connection up later than half of what its class wants, and quicker than
-// the settings let a way be. Nothing is wrong with any backend, so nobody is refused for it.
+// The backends are so far away that a connection takes more than half of its class's latency objective, though less
+// than the connect timeout. Nothing is wrong with any backend, so few requests may be refused.
 func TestCluster_LongLinkDelayCausesNoRefusals(t *testing.T) {
 	t.Parallel()
-	// Up after four times the delay: the opening's way there and back, the line's and its answer's.
+	// A connection takes four times the delay: a round trip to connect, and one for the request and its answer.
 	far := &fault.Link{From: fault.NodeSet{Kind: fault.Relays}, To: fault.NodeSet{Kind: fault.Backends}, Bidirectional: true, Delay: 52 * time.Millisecond}
 	fleet := smallCluster(10, 8, 120)
 	fleet.Stay = [2]time.Duration{time.Second, 3 * time.Second}
@@ -80,7 +81,8 @@
 	}
 }
 
-// A backend that fails at once holds nothing and says that it is empty. It must not draw what others would get.
+// A backend that fails requests immediately has no load and reports so. It must not attract a larger share of
+// requests.
 func TestCluster_FastFailingBackendAttractsNoHerd(t *testing.T) {
 	t.Parallel()
 	res := runCluster(t, Options{Duration: 15 * time.Second, Fleet: smallCluster(40, 12, 360), Faults: []fault.Fault{
@@ -100,9 +102,9 @@
 	}
 }
 
-// A quarter of the backends fails more than half of what they get. What may not be repeated is lost by each of those, and
-// each of forty relays would find them out by a few of its own: it goes by what they report instead. So does a class that
-// waits no longer than a connection may take to come up: it has the time to ask all the same.
+// A quarter of the backends fails more than half of its requests. A non-idempotent request cannot be retried, and
+// each of forty relays sees only a few failures of its own, so relays have to rely on the error rates that backends
+// report. That includes a class whose timeout is no longer than the connect timeout.
 func TestCluster_NonIdempotentRequestsAvoidFailingBackends(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
--- a/internal/testcluster/client.go
+++ b/internal/testcluster/client.go
@@ -14,7 +14,7 @@
 	"aspenbarrow/internal/invariant"
 )
 
-// client is a visit that takes place.
+// client is a visit in progress.
 type client struct {
 	visit
 	cluster      *cluster
@@ -23,9 +23,10 @@
 	attempts     int
 	connected    atomic.Bool
 	slowResponse atomic.Bool
-	pendingSince atomic.Int64 // when the oldest line without an answer went out; 0: none
+	pendingSince atomic.Int64 // when the oldest unanswered line was sent; 0: none
 }
 
+// served reports whether the client has a connection on which its lines are answered in time.
 func (c *client) served(now time.Duration) bool {
 	said := time.Duration(c.pendingSince.Load())
 	return c.connected.Load() && !c.slowResponse.Load() && (said == 0 || now-said <= lineLatencyObjective)
@@ -38,7 +39,7 @@
 	return least + time.Duration(c.random.Int64N(int64(most-least)))
 }
 
-// run keeps to the wish for a connection until its time is over.
+// run connects, and reconnects when a connection ends, until the visit is over.
 func (c *client) run(ctx context.Context) {
 	cluster := c.cluster
 	ctx, cancel := context.WithTimeout(ctx, c.end-cluster.elapsed())
@@ -53,7 +54,8 @@
 	}
 }
 
-// connect tries once, stays as long as it holds, and says how long to wait before the next.
+// connect makes one attempt, stays as long as the connection lasts, and returns how long to wait before the next
+// attempt.
 func (c *client) connect(ctx context.Context, wished *time.Time) (pause time.Duration) {
 	cluster := c.cluster
 	n := cluster.frontend.pick(c.random)
@@ -86,7 +88,8 @@
 	}
 }
 
-// retryDelay counts a try that came to nothing and says how long to wait: a while longer after a few in quick succession.
+// retryDelay counts a failed attempt and returns how long to wait before the next: longer after several in quick
+// succession.
 func (c *client) retryDelay() time.Duration {
 	if c.attempts++; c.attempts > maxQuickAttempts {
 		c.attempts = 0
@@ -95,8 +98,8 @@
 	return c.randomDuration(30*time.Millisecond, 300*time.Millisecond)
 }
 
-// dial opens a connection to a relay, across whatever faults there are on the way. Without one it says how long to
-// wait before the next try.
+// dial connects to a relay, subject to the faults on the link. Without a connection it returns how long to wait
+// before the next attempt.
 func (c *client) dial(ctx context.Context, n int) (conn *net.TCPConn, pause time.Duration) {
 	cluster := c.cluster
 	late, ok := cluster.links.connectDelay(node{fault.Clients, n}, node{fault.Relays, n})
@@ -115,7 +118,7 @@
 	return up.(*net.TCPConn), 0
 }
 
-// request is the line that asks for a connection.
+// request is the line that requests a connection.
 func (c *client) request(id uint64) string {
 	name := fmt.Sprintf("%016x", id*0x9e3779b97f4a7c15+c.cluster.options.Seed)
 	class := requestClasses[c.class]
@@ -129,7 +132,8 @@
 	return line
 }
 
-// receiveLines listens to a connection. said has the lines that come and is closed at its end, then read is too.
+// receiveLines receives lines from a connection in the background. It closes said after the last line, and then
+// read.
 func receiveLines(conn *relayConn) (said chan string, read chan struct{}) {
 	said, read = make(chan string, 64), make(chan struct{})
 	go func() {
@@ -148,20 +152,21 @@
 	return said, read
 }
 
-// closeInBackground ends a connection in the background.
+// closeInBackground closes a connection gracefully without blocking the client.
 func (c *client) closeInBackground(conn *relayConn, said <-chan string, read <-chan struct{}) {
-	c.cluster.clients.wg.Add(1) // this visit still counts there
+	c.cluster.clients.wg.Add(1) // clients.stop waits for this too
 	go func() {
 		defer c.cluster.clients.wg.Done()
 		go func() {
-			for range said { // nobody listens to what comes now
+			for range said { // discard what still arrives
 			}
 		}()
 		conn.closeGracefully(read)
 	}()
 }
 
-// handleAnswer takes in the answer to a request, stays if it is UP, and says how long to wait before the next try.
+// handleAnswer handles the answer to a request, holds the connection if it is UP, and returns how long to wait
+// before the next attempt.
 func (c *client) handleAnswer(ctx context.Context, answer string, conn *relayConn, said <-chan string, wished *time.Time) (pause time.Duration) {
 	cluster := c.cluster
 	switch word, rest, _ := strings.Cut(answer, " "); word {
@@ -188,7 +193,8 @@
 	return c.retryDelay()
 }
 
-// holdConnection says a line every two seconds until the visit or the connection ends.
+// holdConnection sends lines at intervals until the visit or the connection ends, and returns how long to wait
+// before the next attempt.
 func (c *client) holdConnection(ctx context.Context, conn *relayConn, said <-chan string) (pause time.Duration) {
 	cluster := c.cluster
 	ticker := time.NewTicker(lineInterval)
@@ -235,7 +241,7 @@
 	return c.reconnectDelay()
 }
 
-// reconnectDelay is when who has lost a connection comes again.
+// reconnectDelay is how long a client waits after it has lost a connection.
 func (c *client) reconnectDelay() time.Duration {
 	if d := c.cluster.options.Fleet.Return; d > 0 {
 		return c.randomDuration(0, d)
--- a/internal/testcluster/clients.go
+++ b/internal/testcluster/clients.go
@@ -12,12 +12,12 @@
 const (
 	lineInterval         = 2 * time.Second
 	lineLatencyObjective = 60 * time.Millisecond
-	maxQuickAttempts     = 4               // in quick succession
-	silenceTimeout       = 9 * time.Second // without a line a client takes its relay for gone
+	maxQuickAttempts     = 4               // in quick succession, before a longer pause
+	silenceTimeout       = 9 * time.Second // without an answer, after which a client gives a connection up
 )
 
-// clients come by an open loop: who comes, when, with which key and for how long is drawn before, whatever the relays
-// do, and no client waits for its turn.
+// clients generate open-loop load: arrival times, keys and durations are drawn in advance, so that they do not
+// depend on how the relays respond.
 type clients struct {
 	cluster *cluster
 	ctx     context.Context
@@ -28,6 +28,7 @@
 	closed  bool
 }
 
+// start schedules all visits of the run.
 func (cs *clients) start(c *cluster) {
 	cs.cluster, cs.active = c, map[*client]bool{}
 	cs.ctx, cs.cancel = context.WithCancel(c.ctx)
@@ -36,7 +37,7 @@
 	}
 }
 
-// schedule has a visit take place at its time, unless the run is over then.
+// schedule has a visit begin at its time, unless the clients are stopped by then.
 func (cs *clients) schedule(v visit) {
 	time.AfterFunc(v.start-cs.cluster.elapsed(), func() {
 		c := &client{cluster: cs.cluster, visit: v, random: rand.New(rand.NewPCG(v.seed, 1))}
@@ -56,7 +57,7 @@
 	})
 }
 
-// stop ends all visits and waits for that.
+// stop ends all visits and waits for their connections to close.
 func (cs *clients) stop() {
 	cs.mu.Lock()
 	cs.closed = true
@@ -65,7 +66,8 @@
 	cs.wg.Wait()
 }
 
-// measureService weighs the present moment, as world does: what clients want and what they have, by worth.
+// measureService measures the present moment as package simulation does: the demand of the clients present and how
+// much of it is served, both weighted by priority.
 func (cs *clients) measureService() (s simulation.Second) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -1,10 +1,10 @@
-// Package testcluster runs hundreds of processes of the relay's program on loopback addresses, in real time, with a discovery
-// service, modelled backends (package emulator) and clients around them, and injects faults on every way between two
-// parties and in every process.
+// Package testcluster runs a cluster of hundreds of relay processes on loopback addresses, in real time, together with a
+// discovery service, emulated backends (package emulator) and clients. It injects faults into every process and on every
+// link between two of them.
 //
-// Package invariant watches the relays' side of every connection; Result.Broken has the rules that were broken. No
-// process outlives the cluster, even if it is killed: the system ends them with the thread that started them. A run in
-// which a fault did nothing is an error, since it shows nothing. Linux only.
+// Package invariant observes the relays' side of every connection; Result.Violations lists the rules that were violated. A
+// run in which a fault had no effect is an error, since it demonstrates nothing. No relay process outlives the test cluster,
+// even if that is killed. The package requires Linux.
 package testcluster
 
 import (
@@ -21,16 +21,17 @@
 	"aspenbarrow/internal/loadstats"
 )
 
+// zones are the availability zones. Relays and backends are assigned to them in turn.
 var zones = []string{"east", "west"}
 
-// cluster is a run: what is started, its clock and its books.
+// cluster is one run: the processes and services it started, its clock and what it has recorded.
 type cluster struct {
 	options         Options
 	ctx             context.Context
 	cancel          context.CancelFunc
 	start           time.Time
 	epoch           time.Duration
-	runStart        atomic.Int64 // when the run began, by now; 0: not yet
+	runStart        atomic.Int64 // when the run began, on the cluster's clock; 0: not yet
 	ports           ports
 	links           *linkFaults
 	launcher        *processLauncher
@@ -39,13 +40,13 @@
 	frontend        *frontBalancer
 	connectionIDs   atomic.Uint64
 	workDir         string
-	errors          chan error // the cluster's own troubles
-	mu              sync.Mutex // of what follows
+	errors          chan error // of the test cluster itself
+	mu              sync.Mutex // guards the fields down to connectLatency, and the relays' processes
 	backends        []*backend
 	counts          map[string]int
 	effects         []FaultEffect
 	attempts        []int               // by backend
-	pendingAttempts map[string]*session // attempts that have no answer yet, by request
+	pendingAttempts map[string]*session // open attempts, by request
 	random          *rand.Rand
 	connectLatency  *hdrhistogram.Histogram
 	loadMu          sync.Mutex
@@ -56,9 +57,11 @@
 	clients         clients
 }
 
+// now is the current time on the cluster's clock, which is monotonic and starts at the wall-clock time of its
+// creation.
 func (c *cluster) now() time.Duration { return c.epoch + time.Since(c.start) }
 
-// elapsed is the run's own time; before its beginning 0.
+// elapsed is the time since all relays became ready and the run began; 0 before that.
 func (c *cluster) elapsed() time.Duration {
 	began := time.Duration(c.runStart.Load())
 	if began == 0 {
@@ -67,7 +70,7 @@
 	return max(0, c.now()-began)
 }
 
-// runAfter has something happen after a while, unless the run is over then.
+// runAfter calls do after a delay, unless the run is over by then.
 func (c *cluster) runAfter(d time.Duration, do func()) {
 	time.AfterFunc(d, func() {
 		if c.ctx.Err() == nil {
@@ -76,41 +79,47 @@
 	})
 }
 
+// withChecker calls do with the invariant checker locked.
 func (c *cluster) withChecker(do func()) {
 	c.checkerMu.Lock()
 	defer c.checkerMu.Unlock()
 	do()
 }
 
+// withLoadRecorder calls do with the load recorder locked.
 func (c *cluster) withLoadRecorder(do func(l *loadstats.Recorder)) {
 	c.loadMu.Lock()
 	defer c.loadMu.Unlock()
 	do(&c.load)
 }
 
+// incrementCount counts one more occurrence of an event that Result.Counts reports.
 func (c *cluster) incrementCount(what string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts[what]++
 }
 
+// reportError records an error of the test cluster itself, which ends the run.
 func (c *cluster) reportError(err error) {
 	select {
 	case c.errors <- err:
-	default: // the first ones tell enough
+	default: // the first errors are enough
 	}
 }
 
+// randomFloat draws from the generator of the run's seed: a number in [0, 1).
 func (c *cluster) randomFloat() float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.random.Float64()
 }
 
+// chance is true with probability p.
 func (c *cluster) chance(p float64) bool { return p > 0 && c.randomFloat() < p }
 
-// Run plays a script on processes. It returns once all that it started has ended. A run whose faults did nothing, or
-// which the cluster could not play, is an error.
+// Run starts a cluster, drives it with clients and faults for Options.Duration, and returns once everything it
+// started has ended. A run in which a fault had no effect, or which could not be carried out, is an error.
 func Run(ctx context.Context, opt Options) (res Result, err error) {
 	if opt, err = validateOptions(opt); err != nil {
 		return res, err
@@ -121,7 +130,7 @@
 		if c.workDir, err = os.MkdirTemp("", "fleet"); err != nil {
 			return res, err
 		}
-		defer func() { _ = os.RemoveAll(c.workDir) }() // in the system's folder for temporary files
+		defer func() { _ = os.RemoveAll(c.workDir) }()
 	}
 	c.launcher = newProcessLauncher()
 	defer c.shutdown()
@@ -146,7 +155,7 @@
 	return res, checkFaultsTookEffect(res.Faults)
 }
 
-// execute has the run take its course and sums it up.
+// execute carries out the run on a cluster that is ready, and fills in the result.
 func (c *cluster) execute(res *Result) error {
 	c.runStart.Store(int64(c.now()))
 	before := c.relayUsages()
@@ -179,7 +188,8 @@
 	return nil
 }
 
-// measureUntilEnd measures second by second until the run is over, cancelled or in trouble of the cluster's own.
+// measureUntilEnd takes measurements every second until the run is over, is cancelled, or fails with an error of the
+// test cluster itself.
 func (c *cluster) measureUntilEnd(res *Result, sweep, over <-chan time.Time) error {
 	last := c.totalCPUTime()
 	for {
@@ -200,7 +210,7 @@
 	}
 }
 
-// sleepContext returns after a time, or with false when ctx is done before.
+// sleepContext waits for a duration. It returns false if ctx is done before.
 func sleepContext(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/testcluster/cluster_test.go
+++ b/internal/testcluster/cluster_test.go
@@ -16,7 +16,7 @@
 func TestMain(m *testing.M) { os.Exit(testMain(m)) }
 
 func testMain(m *testing.M) int {
-	if p := os.Getenv("TESTCLUSTER_TEST_PROGRAM"); p != "" { // a cluster that is to be killed
+	if p := os.Getenv("TESTCLUSTER_TEST_PROGRAM"); p != "" { // run a cluster that the parent test kills
 		_, err := Run(context.Background(), Options{Program: p, Seed: 1, Duration: time.Minute, Fleet: smallCluster(6, 3, 12)})
 		fmt.Fprintln(os.Stderr, err)
 		return 1
@@ -26,7 +26,7 @@
 		fmt.Fprintln(os.Stderr, err)
 		return 1
 	}
-	defer func() { _ = os.RemoveAll(dir) }() // in the system's folder for temporary files
+	defer func() { _ = os.RemoveAll(dir) }()
 	if program, err = Build(context.Background(), dir); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 1
@@ -34,7 +34,7 @@
 	return m.Run()
 }
 
-// smallCluster is a fleet that a test can afford; its clients fill its backends to six tenths.
+// smallCluster is a cluster small enough for a test; its clients load its backends to 60 percent.
 func smallCluster(relays, backends, clients int) simulation.Fleet {
 	f := simulation.Fleet{Relays: relays, Backends: backends, Clients: clients, SetUpWork: 0.004, LineWork: 0.0005, Peers: true,
 		Rush: time.Second, Stay: [2]time.Duration{8 * time.Second, 30 * time.Second}, Return: 200 * time.Millisecond,
@@ -46,6 +46,7 @@
 	return f
 }
 
+// runCluster runs a cluster and fails the test on any violation of the rules.
 func runCluster(t *testing.T, o Options) Result {
 	t.Helper()
 	o.Program = program
@@ -62,6 +63,7 @@
 	return res
 }
 
+// servedShare is the share of the clients' demand that was served within a range of seconds.
 func servedShare(res Result, from, to int) float64 {
 	asked, served := 0.0, 0.0
 	for _, s := range res.Service[from:min(to, len(res.Service))] {
--- a/internal/testcluster/datagrams.go
+++ b/internal/testcluster/datagrams.go
@@ -11,8 +11,8 @@
 	"aspenbarrow/internal/fault"
 )
 
-// datagramForwarder passes the datagrams between relays on: one wildcard socket takes all of them and sends each from the address
-// by which its receiver knows the sender.
+// datagramForwarder forwards datagrams between relays and applies link faults to them. One wildcard socket receives
+// them all and sends each from the address by which the receiver knows the sender.
 type datagramForwarder struct {
 	cluster *cluster
 	conn    *ipv4.PacketConn
@@ -36,7 +36,7 @@
 
 func (forwarder *datagramForwarder) close() { _ = forwarder.conn.Close() }
 
-// serve takes datagrams until the socket is closed.
+// serve receives datagrams until the socket is closed.
 func (forwarder *datagramForwarder) serve(ctx context.Context) {
 	buf := make([]byte, 2048)
 	for {
@@ -59,7 +59,7 @@
 	}
 }
 
-// route finds out whose datagram it is and for whom. Only a relay's own address may send as that relay.
+// route determines the sender and the receivers of a datagram. Only a relay's own address can send as that relay.
 func (forwarder *datagramForwarder) route(ctx context.Context, src, dst netip.Addr, data []byte) {
 	c := forwarder.cluster
 	sender, ok := indexInNet(src, relayNet)
@@ -83,7 +83,7 @@
 	}
 }
 
-// forward has a datagram meet what is on its way.
+// forward delivers a datagram subject to the faults on its link.
 func (forwarder *datagramForwarder) forward(ctx context.Context, from, to int, data []byte) {
 	c := forwarder.cluster
 	late, held := c.links.datagramDelays(node{fault.Relays, from}, node{fault.Relays, to})
@@ -105,14 +105,14 @@
 	}
 }
 
-// deliver sends it from the address that the receiver knows the sender by.
+// deliver sends a datagram from the address by which its receiver knows the sender.
 func (forwarder *datagramForwarder) deliver(from, to int, data []byte) {
 	c := forwarder.cluster
 	src := loopbackAddress(peerNet, to<<peerBits|from).As4()
 	dst := loopbackAddress(relayNet, to)
 	_, err := forwarder.conn.WriteTo(data, &ipv4.ControlMessage{Src: net.IP(src[:])},
 		net.UDPAddrFromAddrPort(netip.AddrPortFrom(dst, uint16(c.ports.peer))))
-	if err != nil { // nobody there, or its queue is full: datagrams may be lost
+	if err != nil { // the receiver is down or its queue is full: datagrams may be lost
 		c.traffic.undelivered.Add(1)
 	}
 }
--- a/internal/testcluster/discovery.go
+++ b/internal/testcluster/discovery.go
@@ -12,7 +12,7 @@
 	"aspenbarrow/internal/fault"
 )
 
-// endpoint is one backend in an agent's list.
+// endpoint is one backend in the endpoint list of a relay.
 type endpoint struct {
 	ID           string  `json:"id"`
 	Addr         string  `json:"addr"`
@@ -24,22 +24,22 @@
 	Started      int64   `json:"started_ms"`
 	backend      int
 	port         int
-	revision     int // counts what was published of the fleet
-	sinceVersion int // the agent's version that brought it
+	revision     int // of the discovery service
+	sinceVersion int // version of the agent that added this entry
 }
 
-// discoveryAgent is one relay's discovery service. It tells what it has learnt, late or not at all.
+// discoveryAgent is the discovery service of one relay. Faults delay or suppress what it learns and answers.
 type discoveryAgent struct {
 	mu        sync.Mutex
 	relay     int
 	version   int
 	endpoints []endpoint
-	changed   chan struct{} // closed when there is something new, or the silence is over
+	changed   chan struct{} // closed on a change, and when the agent is no longer silent
 	silent    bool
-	frozen    bool // learns nothing any more
+	frozen    bool // ignores changes
 }
 
-// discoveryService is the truth about the backends, and the server behind which all agents stand.
+// discoveryService knows the true state of the backends and serves the HTTP requests of all relays.
 type discoveryService struct {
 	cluster    *cluster
 	agents     []*discoveryAgent
@@ -49,6 +49,7 @@
 	server     *http.Server
 }
 
+// agentContextKey is the context key of the agent that a connection belongs to.
 type agentContextKey struct{}
 
 func newDiscoveryService(owner *cluster, relays int) *discoveryService {
@@ -69,7 +70,7 @@
 	return service
 }
 
-// publish has all agents learn of a backend, each in its own time; at once before the run.
+// publish tells all agents of a change to a backend: each after a delay of its own, or immediately before the run.
 func (service *discoveryService) publish(e endpoint, when publishTiming) {
 	service.mu.Lock()
 	service.revision++
@@ -85,6 +86,7 @@
 	}
 }
 
+// publishTiming says whether agents learn of a change immediately or after a delay.
 type publishTiming bool
 
 const (
@@ -92,6 +94,7 @@
 	publishDelayed     publishTiming = false
 )
 
+// applyUpdate has the agent learn of a change, unless it is frozen or knows a newer one.
 func (agent *discoveryAgent) applyUpdate(c *cluster, e endpoint) {
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
@@ -102,7 +105,7 @@
 	for i < len(agent.endpoints) && agent.endpoints[i].ID != e.ID {
 		i++
 	}
-	if i < len(agent.endpoints) && agent.endpoints[i].revision > e.revision { // what is late must not undo what is newer
+	if i < len(agent.endpoints) && agent.endpoints[i].revision > e.revision { // a late update must not undo a newer one
 		return
 	}
 	agent.version++
@@ -118,12 +121,13 @@
 	}
 }
 
-// notifyWatchers is called with the lock held.
+// notifyWatchers wakes the requests that wait for a change. It is called with the lock held.
 func (agent *discoveryAgent) notifyWatchers() {
 	close(agent.changed)
 	agent.changed = make(chan struct{})
 }
 
+// setSilent makes the agent leave requests without an answer, or answer them again.
 func (agent *discoveryAgent) setSilent(c *cluster, out bool) {
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
@@ -137,6 +141,7 @@
 	c.withChecker(func() { c.checker.SetAgentSilent(agent.relay, c.ports.discoveryAddr(agent.relay), out) })
 }
 
+// handleMembers answers a long poll of the endpoint list.
 func (service *discoveryService) handleMembers(w http.ResponseWriter, q *http.Request) {
 	agent, ok := q.Context().Value(agentContextKey{}).(*discoveryAgent)
 	if !ok {
@@ -196,6 +201,7 @@
 	return told
 }
 
+// reply writes the answer to a request and tells the checker what the relay learns by it.
 func (service *discoveryService) reply(w http.ResponseWriter, agent *discoveryAgent, version int, full bool, list []endpoint) {
 	text, err := json.Marshal(map[string]any{"version": version, "full": full, "servers": list})
 	if err != nil {
--- a/internal/testcluster/discovery_faults.go
+++ b/internal/testcluster/discovery_faults.go
@@ -6,6 +6,7 @@
 	"aspenbarrow/internal/fault"
 )
 
+// delayDiscovery makes all agents learn of changes later.
 func delayDiscovery(owner *cluster, f *fault.Fault, effects *effectCounters) func() {
 	service := owner.discovery
 	set := func(d time.Duration) {
@@ -18,6 +19,7 @@
 	return func() { set(0) }
 }
 
+// affectedAgents are the discovery agents that a fault affects.
 func (c *cluster) affectedAgents(f *fault.Fault) (out []*discoveryAgent) {
 	if f.Targets == nil && f.Severity > 0.5 {
 		return c.discovery.agents
@@ -28,6 +30,7 @@
 	return out
 }
 
+// silenceDiscovery makes agents leave requests without an answer.
 func silenceDiscovery(c *cluster, f *fault.Fault, effects *effectCounters) func() {
 	agents := c.affectedAgents(f)
 	for _, agent := range agents {
@@ -41,7 +44,7 @@
 	}
 }
 
-// freezeDiscovery has some relays' agents learn nothing for a while, and then all that they missed.
+// freezeDiscovery makes the agents of some relays learn nothing for a while, and then everything they missed.
 func freezeDiscovery(c *cluster, f *fault.Fault, effects *effectCounters) func() {
 	agents := c.affectedAgents(f)
 	for _, agent := range agents {
--- a/internal/testcluster/effects.go
+++ b/internal/testcluster/effects.go
@@ -2,11 +2,12 @@
 
 import "sync/atomic"
 
-// effectCounters is what a fault really did.
+// effectCounters count the effects of one fault.
 type effectCounters struct {
 	lost, duplicated, delayed, held, refused, struck atomic.Int64
 }
 
+// counts are the counters above zero, by the name that Result.Faults reports.
 func (counters *effectCounters) counts() map[string]int {
 	out := map[string]int{}
 	for name, v := range map[string]int64{"datagrams lost": counters.lost.Load(), "datagrams doubled": counters.duplicated.Load(),
--- a/internal/testcluster/failure_rate.go
+++ b/internal/testcluster/failure_rate.go
@@ -4,12 +4,14 @@
 	"time"
 )
 
-// failureRate counts the errors of a backend by the second; what it reports is that of the last whole one.
+// failureRate counts a backend's failures for each second. The rate it reports is the count of the last complete
+// second.
 type failureRate struct {
 	second            time.Duration
 	current, previous float64
 }
 
+// advance moves on to the second that a time lies in.
 func (rate *failureRate) advance(at time.Duration) {
 	switch second := at.Truncate(time.Second); second {
 	case rate.second:
@@ -21,11 +23,13 @@
 	}
 }
 
+// add counts a failure.
 func (rate *failureRate) add(at time.Duration) {
 	rate.advance(at)
 	rate.current++
 }
 
+// rate is the number of failures in the last complete second.
 func (rate *failureRate) rate(at time.Duration) float64 {
 	rate.advance(at)
 	return rate.previous
--- a/internal/testcluster/faults.go
+++ b/internal/testcluster/faults.go
@@ -10,10 +10,10 @@
 	"aspenbarrow/internal/fault"
 )
 
-// faultInjector begins a fault, writes down what it did and may return what ends it.
+// faultInjector starts a fault and counts its effects. The function it returns, if any, ends the fault.
 type faultInjector func(c *cluster, f *fault.Fault, effects *effectCounters) (end func())
 
-// faultInjectors are all that processes can play.
+// faultInjectors are the faults that a test cluster supports, by name.
 var faultInjectors map[string]faultInjector
 
 func init() {
@@ -49,7 +49,7 @@
 	}
 }
 
-// FaultKinds names all that processes can play.
+// FaultKinds returns the names of all supported faults, sorted.
 func FaultKinds() []string {
 	var names []string
 	for name := range faultInjectors {
@@ -59,7 +59,7 @@
 	return names
 }
 
-// targetIndexes are the numbers that a fault strikes, of so many.
+// targetIndexes are the indexes of the parties that a fault affects, out of so many.
 func targetIndexes(f *fault.Fault, of int) []int {
 	if f.Targets != nil {
 		return f.Targets
@@ -81,7 +81,7 @@
 	return out
 }
 
-// scheduleFault has one fault of the script take place; what it returns ends it now if it has not ended.
+// scheduleFault schedules a fault of Options.Faults. The function it returns ends the fault if it has not ended yet.
 func (c *cluster) scheduleFault(i int) (end func()) {
 	f := c.options.Faults[i]
 	effects := &effectCounters{}
@@ -116,6 +116,7 @@
 	return finish
 }
 
+// clientBurst adds clients that stay for the duration of the fault.
 func clientBurst(c *cluster, f *fault.Fault, effects *effectCounters) func() {
 	n := int((0.2 + f.Severity) * float64(c.options.Fleet.Clients))
 	now := c.elapsed()
@@ -127,7 +128,8 @@
 	return nil
 }
 
-// linkFault troubles ways. A cut between relays and backends lets no connection come up: each pair's address is taken out.
+// linkFault applies a fault to links. A partition between relays and backends also prevents new connections: the
+// address of each pair becomes unreachable.
 func linkFault(c *cluster, f *fault.Fault, effects *effectCounters) func() {
 	l := f.Link
 	end := c.links.inject(l, effects)
@@ -165,7 +167,7 @@
 	}
 }
 
-// CheckFault returns an error if processes cannot play a fault of this kind.
+// CheckFault returns an error if a test cluster does not support a fault of this kind.
 func CheckFault(f *fault.Fault) error {
 	if _, ok := faultInjectors[f.Kind]; !ok {
 		return fmt.Errorf("processes can't play %q", f.Kind)
--- a/internal/testcluster/faults_test.go
+++ b/internal/testcluster/faults_test.go
@@ -9,14 +9,14 @@
 	"aspenbarrow/internal/fault"
 )
 
-// What each kind of fault really does, between processes that serve.
+// Each kind of fault has its effect on a cluster under load.
 func TestCluster_FaultsTakeEffect(t *testing.T) {
 	all := func(kind fault.NodeKind) fault.NodeSet { return fault.NodeSet{Kind: kind} }
 	some := func(kind fault.NodeKind, who ...int) fault.NodeSet { return fault.NodeSet{Kind: kind, Indexes: who} }
 	for _, tc := range []struct {
 		name  string
 		fault fault.Fault
-		did   string // has to be among what it did
+		did   string // effect that is counted at least this often
 		least int
 		check func(t *testing.T, res Result)
 	}{
@@ -43,12 +43,12 @@
 					t.Errorf("service %.3f though every line is late", s)
 				}
 			}},
-		// Nobody waits so long: each of these requests is given up before its line is there.
+		// The delay is longer than any client timeout: each of these requests is abandoned before its line arrives.
 		{"way to backends slower than clients wait", fault.Fault{Kind: "link", Link: &fault.Link{From: some(fault.Relays, 0, 1), To: all(fault.Backends), Delay: 4 * time.Second}}, "delayed", 5, nil},
 		{"lossy way to backends", fault.Fault{Kind: "link", Link: &fault.Link{From: all(fault.Relays), To: all(fault.Backends), Bidirectional: true, LossRate: 0.3}}, "datagrams lost", 20, nil},
 		{"discovery held", fault.Fault{Kind: "list out", Targets: []int{0, 1, 2}}, "struck", 3, nil},
 		{"backends vanish", fault.Fault{Kind: "backends vanished", Targets: []int{1}}, "struck", 1, func(t *testing.T, res Result) {
-			// Back and cold under its old name it may get what relays take it for warm for, and fall over.
+			// It comes back cold under its old name: relays that consider it warm may overload it.
 			last := res.Evenness[len(res.Evenness)-1].Loads[1]
 			if during := res.Evenness[5].Loads[1]; during != -1 || last < 0 && res.Counts["cold backend fell over"] == 0 {
 				t.Errorf("its load is %v and then %v", during, last)
--- a/internal/testcluster/front_balancer.go
+++ b/internal/testcluster/front_balancer.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// frontBalancer deals connections out among the relays that it takes for good ones.
+// frontBalancer distributes new connections of clients over the relays that it considers available.
 type frontBalancer struct {
 	cluster   *cluster
 	mu        sync.Mutex
 	available []bool
-	changes   []int // counts changes, so that what was noticed late does not undo what is newer
+	changes   []int // number of changes, so that a late detection does not undo a newer one
 }
 
 func newFrontBalancer(c *cluster) *frontBalancer {
@@ -19,6 +19,7 @@
 	return &frontBalancer{cluster: c, available: make([]bool, n), changes: make([]int, n)}
 }
 
+// setAvailable marks a relay as available or not.
 func (front *frontBalancer) setAvailable(relay int, good bool) {
 	front.mu.Lock()
 	defer front.mu.Unlock()
@@ -26,7 +27,7 @@
 	front.available[relay] = good
 }
 
-// noticeLoss is noticed after a while.
+// noticeLoss marks a relay as unavailable after a random detection delay, unless its state has changed by then.
 func (front *frontBalancer) noticeLoss(relay int) {
 	front.mu.Lock()
 	life := front.changes[relay]
@@ -41,7 +42,7 @@
 	})
 }
 
-// pick is a relay for a new connection; below 0: there is none.
+// pick chooses a relay for a new connection; below 0: none is available.
 func (front *frontBalancer) pick(rng *rand.Rand) int {
 	front.mu.Lock()
 	defer front.mu.Unlock()
--- a/internal/testcluster/line_splitter.go
+++ b/internal/testcluster/line_splitter.go
@@ -1,6 +1,6 @@
 package testcluster
 
-// lineSplitter cuts pieces into lines.
+// lineSplitter splits a stream of chunks into lines.
 type lineSplitter struct{ partial []byte }
 
 func (splitter *lineSplitter) feed(b []byte, each func(line string)) {
--- a/internal/testcluster/link_faults.go
+++ b/internal/testcluster/link_faults.go
@@ -10,33 +10,33 @@
 	"aspenbarrow/internal/fault"
 )
 
-// retransmission is what a lost segment costs a stream, and a lost opening one that comes up late.
+// The delay that the loss of a segment costs: TCP's retransmission timeouts on an established connection, and when connecting.
 const (
 	retransmission        = 200 * time.Millisecond
 	connectRetransmission = time.Second
 )
 
-// node is one end of a way.
+// node is one end of a link.
 type node struct {
 	kind  fault.NodeKind
 	index int
 }
 
-// activeFault is a fault on ways, in force.
+// activeFault is a link fault in force.
 type activeFault struct {
 	link    *fault.Link
-	ended   chan struct{} // closed at its end
+	ended   chan struct{} // closed when the fault ends
 	effects *effectCounters
 }
 
-// linkFaults are all links between parties with the faults in force on them. Bytes of a stream are delayed, never lost or
-// reordered, and nothing is held longer than its fault lasts. It is safe for concurrent use.
+// linkFaults apply faults to the links between parties. Data of a stream is delayed, never lost or reordered, and
+// nothing is held longer than its fault lasts. It is safe for concurrent use.
 type linkFaults struct {
 	mu       sync.RWMutex
 	active   []*activeFault
 	randomMu sync.Mutex
 	random   *rand.Rand
-	idle     atomic.Bool // no fault is in force: the usual case, without a lock
+	idle     atomic.Bool // no fault is in force, which is checked without a lock
 }
 
 func newLinkFaults(seed uint64) *linkFaults {
@@ -45,6 +45,7 @@
 	return links
 }
 
+// inject puts a fault in force until the function it returns is called.
 func (links *linkFaults) inject(l *fault.Link, effects *effectCounters) (end func()) {
 	a := &activeFault{link: l, ended: make(chan struct{}), effects: effects}
 	links.mu.Lock()
@@ -65,7 +66,7 @@
 	}
 }
 
-// affecting are the faults in force that what passes from one to another meets.
+// affecting are the faults in force on the link from one party to another.
 func (links *linkFaults) affecting(from, to node) []*activeFault {
 	if links.idle.Load() {
 		return nil
@@ -138,7 +139,7 @@
 	return delay, nil
 }
 
-// connectDelay says whether a connection comes up now, and how much later than usual.
+// connectDelay is how much later than usual a connection is established; false: it is not established at all.
 func (links *linkFaults) connectDelay(from, to node) (late time.Duration, ok bool) {
 	for _, d := range [2][2]node{{from, to}, {to, from}} {
 		for _, a := range links.affecting(d[0], d[1]) {
@@ -156,7 +157,8 @@
 	return late, true
 }
 
-// datagramDelays says when a datagram arrives, once for each copy; none: never. A held one arrives at the end of what holds it.
+// datagramDelays are the delays after which the copies of a datagram arrive; none: it is lost. A datagram that is
+// held arrives at the end of the fault that holds it.
 func (links *linkFaults) datagramDelays(from, to node) (late []time.Duration, held *activeFault) {
 	late = []time.Duration{0}
 	for _, a := range links.affecting(from, to) {
--- a/internal/testcluster/machine_limits.go
+++ b/internal/testcluster/machine_limits.go
@@ -9,17 +9,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// checkMachineLimits says, before anything is started, whether the machine bears so many.
+// checkMachineLimits checks, before anything is started, that the machine has enough file descriptors and memory.
 func checkMachineLimits(relays, conns int) error {
 	var lim unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &lim); err != nil {
 		return err
 	}
-	if lim.Cur < lim.Max { // the runtime has raised it already where it may
+	if lim.Cur < lim.Max { // the Go runtime has usually raised it already
 		lim.Cur = lim.Max
 		_ = unix.Setrlimit(unix.RLIMIT_NOFILE, &lim)
 	}
-	// A connection takes one descriptor at its client and one at its backend; a relay one of a watch and some of probes.
+	// A connection takes one descriptor each at its client and its backend; a relay those of discovery and health checks.
 	const ofRelay, own = 24, 200
 	if need := uint64(2*conns + ofRelay*relays + own); need > lim.Cur {
 		most := (int64(lim.Cur) - own - int64(2*conns)) / ofRelay
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// availableKB is what the system says can be had without swapping; 0: it doesn't say.
+// availableKB is MemAvailable of /proc/meminfo, in kilobytes; 0: the system does not report it.
 func availableKB() int64 {
 	text, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
--- a/internal/testcluster/membership_test.go
+++ b/internal/testcluster/membership_test.go
@@ -13,16 +13,16 @@
 	"aspenbarrow/internal/simulation"
 )
 
-// memberViews is what some relays hold of all, as they tell staff, asked again and again.
+// memberViews polls some relays for the states that they hold of all members.
 type memberViews struct {
 	mu        sync.Mutex
-	relays    []int // whom
+	relays    []int // polled
 	states    map[int][]string
 	queriedAt map[int]time.Duration
 	each      func(v *memberViews, now time.Duration)
 }
 
-// observe asks all of them and then has each called with the lock held.
+// observe polls all of them and then calls each with the lock held.
 func (views *memberViews) observe(view *View) {
 	var wg sync.WaitGroup
 	for _, i := range views.relays {
@@ -53,7 +53,7 @@
 	views.each(views, view.Elapsed())
 }
 
-// countState counts those who hold one in a state, among the asked but the one itself.
+// countState counts the polled relays that hold a member in a state, leaving out the member itself.
 func (views *memberViews) countState(of int, state string) (n, asked int) {
 	for _, i := range views.relays {
 		if st := views.states[i]; i != of && len(st) > of {
@@ -73,8 +73,8 @@
 	return out
 }
 
-// Relays are killed, stopped, cut off one way and leave while others are asked whom they hold for what. Nobody who lives
-// and can be reached is held dead by anyone, at any time.
+// Relays are killed, paused, partitioned in one direction and drained while others are polled for their views. No
+// relay that runs and can be reached is ever considered dead by another.
 func TestCluster_MembershipUnderFaults(t *testing.T) {
 	const relays = 24
 	all := func(kind fault.NodeKind) fault.NodeSet { return fault.NodeSet{Kind: kind} }
@@ -82,12 +82,12 @@
 	for _, tc := range []struct {
 		name   string
 		fault  fault.Fault
-		of     int           // whom it is about
-		during string        // what the others hold of it then, all of them
-		within time.Duration // of the fault's beginning
-		back   time.Duration // alive again to all within this of the fault's end; 0: not asked
+		of     int           // member that the case is about
+		during string        // state in which all others hold it during the fault; empty: not checked
+		within time.Duration // deadline for that, from the start of the fault
+		back   time.Duration // deadline for all others to hold it alive again, from the end of the fault; 0: not checked
 		more   []fault.Fault
-		apart  func(i, j int) bool // cannot reach one another; nil: all others can
+		apart  func(i, j int) bool // whether two relays cannot reach each other; nil: all can
 	}{
 		{name: "killed", fault: fault.Fault{Kind: "relay killed", Targets: []int{1}}, of: 1, during: "dead", within: 6500 * time.Millisecond, back: 5 * time.Second},
 		{name: "leaves", fault: fault.Fault{Kind: "relays leave", Targets: []int{1}}, of: 1, during: "left", within: 4 * time.Second, back: 5 * time.Second},
@@ -144,7 +144,7 @@
 	}
 }
 
-// TestCluster_ManyMembers is a measurement with hundreds, asked for by MEMBERS=200.
+// TestCluster_ManyMembers is a measurement with hundreds of relays, run on request by MEMBERS=200.
 func TestCluster_ManyMembers(t *testing.T) {
 	relays, err := strconv.Atoi(os.Getenv("MEMBERS"))
 	if err != nil {
--- a/internal/testcluster/mixed_versions_test.go
+++ b/internal/testcluster/mixed_versions_test.go
@@ -12,8 +12,8 @@
 	"aspenbarrow/internal/fault"
 )
 
-// otherProgramVariable names the path of another build of the relay's program, such as that of the release before. Unset,
-// the program under test stands in for both.
+// otherProgramVariable is the environment variable with the path of another build of the relay program, such as the
+// previous release. If it is unset, the program under test is used for both.
 const otherProgramVariable = "ASPENBARROW_OTHER_PROGRAM"
 
 func otherProgram(t *testing.T) string {
@@ -32,20 +32,20 @@
 	return path
 }
 
-// memberPoll asks all relays for their views of the members, again and again.
+// memberPoll polls all relays for their views of the membership.
 type memberPoll struct {
 	relays         int
-	isolated       []int // who is cut off from all others for a while
+	isolated       []int // relays that are partitioned from all others for a while
 	mu             sync.Mutex
-	rounds         int           // in which all answered
-	convergedAt    time.Duration // since when all have had one view, of all alive; 0: they have not
-	views          []string      // of the last round, by relay
-	isolatedDeadAt time.Duration // when all others first held dead who is cut off; 0: they have not
-	falseDeaths    map[int]int   // those whom anybody held dead who was not cut off, as they were not, and how often
+	rounds         int           // polls that all relays answered
+	convergedAt    time.Duration // since when all relays have agreed that all are alive; 0: they do not
+	views          []string      // of the last poll, by relay
+	isolatedDeadAt time.Duration // when all others first held the isolated relays dead; 0: not yet
+	falseDeaths    map[int]int   // how often a relay that was not isolated was held dead, by relay
 }
 
-// parseMembers reads what a relay answers to MEMBERS: the states by member, and as a text all that has to be the same at
-// all relays, which is member, name, state and incarnation.
+// parseMembers parses a relay's answer to MEMBERS: the states by member, and as text what has to be the same at all
+// relays, which is index, name, state and incarnation.
 func parseMembers(lines []string) (text string, states []string) {
 	if len(lines) < 3 || lines[0] != "SUCCESS" {
 		return "", nil
@@ -89,7 +89,7 @@
 		for j, state := range states[i] {
 			one = one && state == "alive"
 			switch off := slices.Contains(c.isolated, j); {
-			case slices.Contains(c.isolated, i): // it hears nobody
+			case slices.Contains(c.isolated, i): // it receives nothing from the others
 			case off:
 				told = told && state == "dead"
 			case state == "dead":
@@ -111,15 +111,15 @@
 	}
 }
 
-// Half of a cluster's relays run another version of the program. Under load half of either version restart as the other,
-// then one of either is cut off from all relays. No rule is broken, no client loses its connection to a restart, who is cut
-// off, and nobody else, is held dead, and in the end all come to one view of the members.
+// Half of the relays run another build of the program. Under load, half of each build's relays restart as the other;
+// then one relay of each is partitioned from all others. No rule is violated, no client loses its connection to a
+// restart, only the partitioned relays are considered dead, and in the end all relays agree on the membership.
 func TestCluster_MixedVersions(t *testing.T) {
 	t.Parallel()
 	const relays, restarted = 12, 6
 	other := otherProgram(t)
 	var mu sync.Mutex
-	var starts [2][2]int // by the program's version, first starts and later ones
+	var starts [2][2]int // by program: first starts and restarts
 	programOf := func(relay, start int) string {
 		version := (relay + start) % 2
 		mu.Lock()
--- a/internal/testcluster/options.go
+++ b/internal/testcluster/options.go
@@ -10,27 +10,25 @@
 	"aspenbarrow/internal/simulation"
 )
 
-// TimingAllowance is what every time limit is longer by here than the rules say: a relay shares the machine with hundreds.
+// TimingAllowance is added to each time limit of the rules: here a relay shares the machine with hundreds of others.
 const TimingAllowance = 500 * time.Millisecond
 
-// Options say what is run.
-//
-// Program, Length and Fleet's numbers of parties have to be set.
+// Options configure a run. Program, Duration and the numbers of relays, backends and clients in Fleet are required.
 type Options struct {
-	Program  string           // the relay's, built already
-	Seed     uint64           // of what clients draw and of what faults strike
-	Duration time.Duration    // once all relays are ready
-	Fleet    simulation.Fleet // the installation
-	Faults   []fault.Fault    // what goes wrong
-	Observe  func(v *View)    // called now and then while the run takes its course; nil: nobody looks
-	WorkDir  string           // a folder for the relays' files; empty: a temporary one that is removed
+	Program  string           // path of the relay program
+	Seed     uint64           // of clients and faults
+	Duration time.Duration    // counted from when all relays are ready
+	Fleet    simulation.Fleet // size and properties of the cluster
+	Faults   []fault.Fault    // to be injected
+	Observe  func(v *View)    // called every 100 ms during the run; may be nil
+	WorkDir  string           // for the relays' files; empty: a temporary directory that is removed
 
-	// ProgramOf names the program, by an absolute path, that a relay's process runs: start 0 is the relay's first process,
-	// 1 the one after its first restart. It may be called from several goroutines at once. nil: Program for all.
+	// ProgramFor returns the absolute path of the program that a relay's process runs: start 0 is the relay's first
+	// process, 1 the one after its first restart. It must be safe for concurrent use. nil: Program for all.
 	ProgramFor func(relay, start int) string
 }
 
-// validateOptions checks that the cluster can play what is asked, and makes the path of the program absolute.
+// validateOptions checks the options before anything is started, and makes the path of the program absolute.
 func validateOptions(opt Options) (Options, error) {
 	f := &opt.Fleet
 	if f.Relays < 1 || f.Relays > maxRelays || f.Backends < 1 || f.Backends > maxBackends {
--- a/internal/testcluster/ports.go
+++ b/internal/testcluster/ports.go
@@ -9,16 +9,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// lentPorts are the ports that rigs of this process have given to their relays, which bind them one by one.
+// lentPorts are the ports that this process's clusters have assigned to their relays, which bind them one by one.
 var lentPorts = struct {
 	sync.Mutex
 	ports map[int]bool
 }{ports: map[int]bool{}}
 
-// lendDatagramPort finds a port for datagrams that nobody has on any address, and lends it until it is given back.
+// lendDatagramPort finds a UDP port that is free on all addresses, and reserves it among the clusters of this
+// process until ports.release.
 func lendDatagramPort() (port int, err error) {
 	for range 100 {
-		c, err := net.ListenPacket("udp4", "0.0.0.0:0") // for a moment: it is asked on all addresses, since relays have many
+		c, err := net.ListenPacket("udp4", "0.0.0.0:0") // closed again at once: relays bind it on addresses of their own
 		if err != nil {
 			return 0, err
 		}
@@ -37,8 +38,8 @@
 	return 0, errors.New("no port is free")
 }
 
-// reservePort binds a port on all addresses without listening, so that it is nobody else's while who listens there is down:
-// whoever dials then is refused.
+// reservePort binds a TCP port on all addresses without listening: no other process can take it while its owner is
+// down, and connections to it are refused.
 func reservePort() (port int, free func(), err error) {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -63,7 +64,7 @@
 	return at.(*unix.SockaddrInet4).Port, func() { _ = unix.Close(fd) }, nil
 }
 
-// release ends the loan of a cluster's ports.
+// release returns the ports that newPorts reserved.
 func (p ports) release() {
 	lentPorts.Lock()
 	defer lentPorts.Unlock()
@@ -73,7 +74,8 @@
 	delete(lentPorts.ports, p.peer)
 }
 
-// newPorts chooses the relays' ports. The cluster's wildcard sockets bind theirs at once.
+// newPorts chooses the ports of the relays. The ports of the cluster's own wildcard sockets are chosen when these
+// are bound.
 func newPorts() (p ports, err error) {
 	if p.relay, p.releaseRelay, err = reservePort(); err == nil {
 		p.peer, err = lendDatagramPort()
--- a/internal/testcluster/processes.go
+++ b/internal/testcluster/processes.go
@@ -11,18 +11,18 @@
 	"syscall"
 )
 
-// process is one life of a relay's process. Only processes that the launcher started are ever signalled.
+// process is one process of a relay. Only processes started by a processLauncher are ever signalled.
 type process struct {
 	cmd    *exec.Cmd
 	relay  int
 	log    string
-	ended  chan struct{} // closed once it has been waited for
-	err    error         // then
-	killed bool          // by the cluster
+	ended  chan struct{} // closed after Wait has returned
+	err    error         // of Wait; valid once ended is closed
+	killed bool          // its end is expected
 }
 
-// processLauncher starts processes from one thread that lives as long as the cluster: the system ends them with that thread, so
-// that they are gone even when the cluster itself is killed.
+// processLauncher starts processes from a single thread that lives as long as the cluster. The kernel kills them
+// when that thread ends (PR_SET_PDEATHSIG), even if the test cluster itself is killed.
 type processLauncher struct {
 	requests  chan func()
 	done      chan struct{}
@@ -33,7 +33,7 @@
 func newProcessLauncher() *processLauncher {
 	launcher := &processLauncher{requests: make(chan func()), done: make(chan struct{})}
 	go func() {
-		runtime.LockOSThread() // never unlocked: the thread ends with this goroutine
+		runtime.LockOSThread() // never unlocked, so that the thread ends with this goroutine
 		defer close(launcher.done)
 		for f := range launcher.requests {
 			f()
@@ -42,14 +42,14 @@
 	return launcher
 }
 
-// start runs a program until it ends. Its standard error goes to a file.
+// start starts a program. Its standard output and error are appended to the file log in dir.
 func (launcher *processLauncher) start(program, dir string, number int, env []string) (*process, error) {
 	p := &process{relay: number, log: filepath.Join(dir, "log"), ended: make(chan struct{})}
 	f, err := os.OpenFile(p.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = f.Close() }() // the process has a descriptor of its own
+	defer func() { _ = f.Close() }() // the process has its own descriptor
 	p.cmd = exec.Command(program)
 	p.cmd.Dir, p.cmd.Env, p.cmd.Stdout, p.cmd.Stderr = dir, env, f, f
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
@@ -68,7 +68,7 @@
 	return p, nil
 }
 
-// close kills what still runs and waits for its end.
+// close kills the processes that are still running and waits for them.
 func (launcher *processLauncher) close() {
 	launcher.mu.Lock()
 	all := launcher.processes
@@ -83,7 +83,7 @@
 	<-launcher.done
 }
 
-// Build builds the relay's program from this source into a folder and returns its path.
+// Build builds the relay program from this module into a directory and returns its path.
 func Build(ctx context.Context, dir string) (string, error) {
 	path := filepath.Join(dir, "aspenbarrow")
 	c := exec.CommandContext(ctx, "go", "build", "-o", path, "aspenbarrow/cmd/aspenbarrow")
@@ -93,7 +93,7 @@
 	return path, nil
 }
 
-// running says whether the process has not ended.
+// running reports whether the process has not ended yet.
 func (p *process) running() bool {
 	select {
 	case <-p.ended:
@@ -104,7 +104,7 @@
 }
 
 func (p *process) signal(s syscall.Signal) {
-	if p.running() { // Process.Signal knows an ended one too, so no other can be hit
+	if p.running() { // Process.Signal refuses one that has ended too, so no other process can be hit
 		_ = p.cmd.Process.Signal(s)
 	}
 }
--- a/internal/testcluster/processes_test.go
+++ b/internal/testcluster/processes_test.go
@@ -13,7 +13,7 @@
 	"aspenbarrow/internal/fault"
 )
 
-// processesRunning finds processes that run a program.
+// processesRunning finds the processes that run a program.
 func processesRunning(t *testing.T, program string) (pids []string) {
 	t.Helper()
 	links, err := filepath.Glob("/proc/[0-9]*/exe")
@@ -28,7 +28,7 @@
 	return pids
 }
 
-// waitFor polls until something holds, for ten seconds at most.
+// waitFor polls until a condition holds, for ten seconds at most.
 func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); !ok(); {
@@ -39,7 +39,7 @@
 	}
 }
 
-// copyProgram is a copy of the program, so that no other test's processes are seen.
+// copyProgram copies the program, so that a test does not see the processes of others.
 func copyProgram(t *testing.T) string {
 	t.Helper()
 	text, err := os.ReadFile(program)
--- a/internal/testcluster/relay_conn.go
+++ b/internal/testcluster/relay_conn.go
@@ -14,13 +14,13 @@
 	"aspenbarrow/internal/invariant"
 )
 
-// How a side ends, as package invariant counts it.
+// How one side of a connection ends, in the terms of package invariant.
 const (
 	closedCleanly = invariant.Closed
 	closedByReset = invariant.Reset
 )
 
-// connObserver hears what passes on a relay's side of a connection; called with the cluster's check locked.
+// connObserver is told what passes on the relay's side of a connection. It is called with the checker locked.
 type connObserver interface {
 	Received(b []byte)
 	ReceivedEnd(how invariant.EndKind)
@@ -28,15 +28,16 @@
 	WrittenEnd(how invariant.EndKind)
 }
 
-// outgoing is what waits to go out; without bytes it is the end.
+// outgoing is an item of a connection's send queue: data, the end of this side, or a request to confirm that
+// everything before it has been sent.
 type outgoing struct {
 	data    []byte
 	end     invariant.EndKind
-	flushed chan struct{} // only this is closed: all before it is out
+	flushed chan struct{} // closed once everything before it has been sent
 }
 
-// relayConn is one connection with a relay. Its bytes pass the ways unchanged in both directions. The checker hears of them
-// where the relay would: of what the relay wrote when it comes, of what the relay gets when it goes.
+// relayConn is a connection with a relay, subject to link faults in both directions. The checker is told what the
+// relay sees: of data from the relay when it is read here, of data to the relay when it is written.
 type relayConn struct {
 	cluster          *cluster
 	conn             *net.TCPConn
@@ -46,12 +47,12 @@
 	ctx              context.Context
 	cancel           context.CancelFunc
 	queue            chan outgoing
-	mu               sync.Mutex // of watch's ends
-	relayEndRecorded bool       // the relay's end
-	localEndRecorded bool       // ours
+	mu               sync.Mutex // guards the fields below
+	relayEndRecorded bool       // the observer knows of the relay's end
+	localEndRecorded bool       // the observer knows of this side's end
 }
 
-// newRelayConn begins to write what is said. Whoever reads calls listen.
+// newRelayConn starts sending what is queued. The caller starts receiving by receive or startReading.
 func newRelayConn(c *cluster, conn *net.TCPConn, relay, here node, watch connObserver) *relayConn {
 	rc := &relayConn{cluster: c, conn: conn, relay: relay, local: here, observer: watch, queue: make(chan outgoing, 64)}
 	rc.ctx, rc.cancel = context.WithCancel(c.ctx)
@@ -59,25 +60,25 @@
 	return rc
 }
 
-// sendLine has a line go to the relay. What a relay doesn't take in for long is dropped with the connection.
+// sendLine queues a line. A connection whose relay does not read is closed once the queue is full.
 func (rc *relayConn) sendLine(line string) { rc.enqueue(outgoing{data: []byte(line + "\r\n")}) }
 
 func (rc *relayConn) enqueue(p outgoing) {
 	select {
 	case rc.queue <- p:
 	case <-rc.ctx.Done():
-	default: // sixty-four lines are waiting: nobody reads
+	default: // the queue is full: the relay does not read
 		rc.cluster.incrementCount("unread lines dropped with their connection")
 		rc.close(closedByReset)
 	}
 }
 
-// closeWrite ends this side after what was said; end at once.
+// closeWrite ends this side after what is queued; close ends it immediately.
 func (rc *relayConn) closeWrite() { rc.enqueue(outgoing{end: closedCleanly}) }
 
 func (rc *relayConn) close(how invariant.EndKind) {
 	rc.recordLocalEnd(how)
-	rc.recordRelayEnd(how) // nobody looks any more
+	rc.recordRelayEnd(how) // nothing is read any more
 	if how == closedByReset {
 		_ = rc.conn.SetLinger(0)
 	}
@@ -85,7 +86,7 @@
 	_ = rc.conn.Close()
 }
 
-// recordLocalEnd and theirs tell the checker of the ends, once each.
+// recordLocalEnd and recordRelayEnd tell the checker how each side ended, once each.
 func (rc *relayConn) recordLocalEnd(how invariant.EndKind) {
 	rc.mu.Lock()
 	defer rc.mu.Unlock()
@@ -104,7 +105,7 @@
 	}
 }
 
-// closeGracefully ends this side in good order and waits a while for the relay's end; listen goes on meanwhile.
+// closeGracefully ends this side and waits for the relay's end, up to closeTimeout. Receiving continues meanwhile.
 func (rc *relayConn) closeGracefully(read <-chan struct{}) {
 	rc.closeWrite()
 	select {
@@ -115,7 +116,7 @@
 	rc.close(closedCleanly)
 }
 
-// flush has what was said go out, for a moment.
+// flush waits briefly for what is queued to be sent.
 func (rc *relayConn) flush() {
 	gone := make(chan struct{})
 	select {
@@ -130,7 +131,7 @@
 	}
 }
 
-// closeTimeout is how long a relay's end is waited for: longer than the rules give it.
+// closeTimeout is how long to wait for a relay's end. It is longer than the rules allow a relay to take.
 const closeTimeout = 3 * time.Second
 
 func (rc *relayConn) writeLoop() {
@@ -160,10 +161,11 @@
 	}
 }
 
-// receive reads until the relay's end or ours, and hands on each piece once it has arrived.
+// receive reads until either side ends, and calls each with every chunk after its delay on the link.
 func (rc *relayConn) receive(each func(b []byte)) { rc.deliver(rc.startReading(), each) }
 
-// startReading begins to read, until the relay's end or ours. What comes is heard of when it comes, though its way may hold it.
+// startReading starts reading, until either side ends. The checker is told of data when it is read, even if a link
+// fault delays its delivery.
 func (rc *relayConn) startReading() <-chan []byte {
 	chunks := make(chan []byte, 1024)
 	go func() {
@@ -212,7 +214,7 @@
 	rc.recordRelayEnd(how)
 }
 
-// deliver hands on each piece once it has arrived.
+// deliver calls each with every chunk after its delay on the link.
 func (rc *relayConn) deliver(way <-chan []byte, each func(b []byte)) {
 	for b := range way {
 		if !rc.cluster.links.passStream(rc.ctx, rc.relay, rc.local) {
@@ -220,10 +222,10 @@
 		}
 		each(b)
 	}
-	rc.cluster.links.passStream(rc.ctx, rc.relay, rc.local) // an end takes its way as well
+	rc.cluster.links.passStream(rc.ctx, rc.relay, rc.local) // the end is subject to the link's delay too
 }
 
-// peerHungUp says whether the relay has ended its side, though that has not been read yet.
+// peerHungUp reports whether the relay has ended its side, even if that has not been read yet.
 func (rc *relayConn) peerHungUp() bool {
 	raw, err := rc.conn.SyscallConn()
 	if err != nil {
--- a/internal/testcluster/relay_faults.go
+++ b/internal/testcluster/relay_faults.go
@@ -7,14 +7,14 @@
 	"aspenbarrow/internal/fault"
 )
 
-// relayFault strikes relays, and has those that were struck come back.
+// relayFault returns an injector that applies begin to each relay affected, and end to those that it succeeded for.
 func relayFault(begin func(c *cluster, target *relay, f *fault.Fault) bool, end func(c *cluster, target *relay)) faultInjector {
 	return func(c *cluster, f *fault.Fault, effects *effectCounters) func() {
 		var affected []*relay
 		var mu sync.Mutex
 		var wg sync.WaitGroup
 		for _, i := range targetIndexes(f, len(c.relays)) {
-			wg.Go(func() { // together, not one after another
+			wg.Go(func() { // at the same time, not one after another
 				if target := c.relays[i]; begin(c, target, f) {
 					effects.struck.Add(1)
 					mu.Lock()
@@ -32,6 +32,7 @@
 	}
 }
 
+// rollingRestart restarts relays one after another, spread over the duration of the fault.
 func rollingRestart(c *cluster, f *fault.Fault, effects *effectCounters) func() {
 	which := targetIndexes(f, len(c.relays))
 	if f.Targets == nil {
--- a/internal/testcluster/relays.go
+++ b/internal/testcluster/relays.go
@@ -19,14 +19,14 @@
 	shutdownTimeout = 3700 * time.Millisecond
 )
 
-// relay is one relay and its present process.
+// relay is one relay of the cluster and its current process.
 type relay struct {
 	index   int
 	dir     string
 	process *process
 	paused  bool
-	down    bool // killed, or to be started late
-	starts  int  // of processes so far
+	down    bool // no process is running, or it is ending
+	starts  int  // number of processes started so far
 }
 
 // startRelays starts every relay except those that a fault starts late, and waits until they accept clients.
@@ -80,11 +80,12 @@
 	return nil
 }
 
+// relayReady reports whether a relay accepts clients.
 func (c *cluster) relayReady(target *relay) bool {
 	return respondsToPing(c.ports.relayAddr(target.index), time.Second)
 }
 
-// logTail is the end of a log, for a message.
+// logTail is the last part of a log file, for error messages.
 func logTail(path string) string {
 	text, err := os.ReadFile(path)
 	if err != nil || len(text) == 0 {
@@ -157,7 +158,7 @@
 	c.reportError(fmt.Errorf("relay %d ended by itself: %w; its log ends with %s", target.index, p.err, logTail(p.log)))
 }
 
-// programFor is the program that the relay's next process runs.
+// programFor is the program that the next process of a relay runs.
 func (c *cluster) programFor(target *relay) string {
 	c.mu.Lock()
 	start := target.starts
@@ -213,7 +214,7 @@
 	return true
 }
 
-// restartRelay starts a relay again and has the front take it once it is ready.
+// restartRelay starts a relay that is down and makes it available to clients once it is ready.
 func (c *cluster) restartRelay(target *relay) {
 	if err := c.startRelay(target); err != nil {
 		c.reportError(err)
@@ -232,7 +233,7 @@
 	c.frontend.setAvailable(target.index, true)
 }
 
-// setRelayPaused stops a relay's process, or lets it go on.
+// setRelayPaused stops a relay's process with SIGSTOP, or continues it. It returns false if nothing changed.
 func (c *cluster) setRelayPaused(target *relay, on bool) bool {
 	c.mu.Lock()
 	p := target.process
@@ -256,7 +257,7 @@
 	return true
 }
 
-// relayUsages are what relays' processes have used; nil for one that doesn't run.
+// relayUsages is the resource usage so far of the relay processes that are running.
 func (c *cluster) relayUsages() map[*process]processUsage {
 	out := map[*process]processUsage{}
 	c.mu.Lock()
@@ -271,7 +272,7 @@
 	return out
 }
 
-// totalCPUTime is the processor time of all processes that run.
+// totalCPUTime is the CPU time used so far by all relay processes that are running.
 func (c *cluster) totalCPUTime() (sum time.Duration) {
 	for _, u := range c.relayUsages() {
 		sum += u.cpu
@@ -279,7 +280,7 @@
 	return sum
 }
 
-// writeConfig writes a relay's file in the platform's form.
+// writeConfig writes a relay's configuration file and returns its path.
 func writeConfig(dir string, c map[string]any) (string, error) {
 	text, err := json.Marshal(c)
 	if err != nil {
@@ -289,7 +290,7 @@
 	return path, os.WriteFile(path, text, 0o600)
 }
 
-// respondsToPing asks a relay whether it takes clients.
+// respondsToPing reports whether a relay answers a PING of the line protocol.
 func respondsToPing(addr string, within time.Duration) bool {
 	c, err := net.DialTimeout("tcp", addr, within)
 	if err != nil {
--- a/internal/testcluster/result.go
+++ b/internal/testcluster/result.go
@@ -11,32 +11,33 @@
 	"aspenbarrow/internal/simulation"
 )
 
-// Result is what a run came to.
+// Result is the outcome of a run.
 type Result struct {
 	Program        string              `json:"program"`
 	Seed           uint64              `json:"seed"`
-	ReadyAfter     time.Duration       `json:"ready_ns"` // until all relays took clients
+	ReadyAfter     time.Duration       `json:"ready_ns"` // until all relays accepted clients
 	Service        []simulation.Second `json:"service"`  // by second
-	Evenness       []loadstats.Second  `json:"evenness"` // of the load, by second
+	Evenness       []loadstats.Second  `json:"evenness"` // of the load on backends, by second
 	Faults         []FaultEffect       `json:"faults"`
-	Violations     []string            `json:"broken,omitempty"` // rules
-	Counts         map[string]int      `json:"counts"`           // how often what came up
+	Violations     []string            `json:"broken,omitempty"` // of the invariants
+	Counts         map[string]int      `json:"counts"`           // of events, by name
 	ConnectLatency LatencySummary      `json:"waits"`
 	Rates          TrafficRates        `json:"rates"`
 	Usage          ResourceUsage       `json:"usage"`
-	CPUCores       []float64           `json:"machine"`  // processor seconds a second, of all relays
+	CPUCores       []float64           `json:"machine"`  // used by all relays, by second
 	Attempts       []int               `json:"attempts"` // by backend
 }
 
-// FaultEffect is what a fault really did.
+// FaultEffect is a fault with the times and the effects it really had.
 type FaultEffect struct {
 	fault.Fault
 	StartedAt time.Duration  `json:"began_ns"` // since the run began
 	EndedAt   time.Duration  `json:"ended_ns"` // likewise
-	Counts    map[string]int `json:"did"`      // how often what; empty: nothing
+	Counts    map[string]int `json:"did"`      // of effects, by name; empty: none
 }
 
-// LatencySummary are the times from a client's wish for a connection to its UP, in milliseconds.
+// LatencySummary summarizes how long clients waited for a connection, from the first attempt to the answer UP, in
+// milliseconds.
 type LatencySummary struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
@@ -45,7 +46,8 @@
 	Max   float64 `json:"max_ms"`
 }
 
-// TrafficRates are means over the run, and peaks, of what relays send beside clients' lines.
+// TrafficRates are the rates of what relays send beside the lines of clients: means over the run, and peaks in any
+// one second.
 type TrafficRates struct {
 	HealthChecks               float64 `json:"probes_per_s"` // of all relays
 	PeakHealthChecksPerBackend int     `json:"probes_at_one_backend_in_a_second"`
@@ -56,15 +58,17 @@
 	DiscoveryCalls             float64 `json:"discovery_calls_per_s"`
 }
 
-// ResourceUsage is the medians and maxima over those relays' processes that ran from beginning to end.
+// ResourceUsage is the median and the maximum over the relay processes that ran from the beginning of the run to its
+// end.
 type ResourceUsage struct {
 	CPUMedian    float64 `json:"cpu_share_median"` // of a core
 	CPUMax       float64 `json:"cpu_share_most"`
-	MemoryMedian int64   `json:"memory_bytes_median"` // resident, the high-water mark
+	MemoryMedian int64   `json:"memory_bytes_median"` // peak resident size
 	MemoryMax    int64   `json:"memory_bytes_most"`
 }
 
-// checkFaultsTookEffect is an error that names the faults that did nothing; nil: each did something.
+// checkFaultsTookEffect returns an error that names the faults without effect; a run with such a fault demonstrates
+// nothing.
 func checkFaultsTookEffect(faults []FaultEffect) (err error) {
 	for i := range faults {
 		if f := &faults[i]; len(f.Counts) == 0 {
@@ -74,7 +78,7 @@
 	return err
 }
 
-// scriptPosition names the line of a script for a message.
+// scriptPosition names the line of the script that a fault came from, for error messages.
 func scriptPosition(f *fault.Fault) string {
 	if f.ScriptLine == 0 {
 		return "script"
@@ -82,7 +86,7 @@
 	return fmt.Sprintf("script line %d", f.ScriptLine)
 }
 
-// fillResult writes the books of a run of a length into its result.
+// fillResult copies what a run of the given length recorded into its result.
 func (c *cluster) fillResult(res *Result, length time.Duration) {
 	c.mu.Lock()
 	res.Faults = slices.Clone(c.effects)
@@ -102,7 +106,7 @@
 	res.Rates = c.traffic.rates(length)
 }
 
-// summarizeUsage sums up what the processes used that ran from beginning to end.
+// summarizeUsage summarizes the resource usage of the processes that were running at both times.
 func summarizeUsage(before, after map[*process]processUsage, length time.Duration) (u ResourceUsage) {
 	var cpu []float64
 	var mem []int64
@@ -119,6 +123,7 @@
 	return ResourceUsage{cpu[len(cpu)/2], cpu[len(cpu)-1], mem[len(mem)/2], mem[len(mem)-1]}
 }
 
+// recordConnectLatency records how long a client waited for its connection.
 func (c *cluster) recordConnectLatency(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/testcluster/settings.go
+++ b/internal/testcluster/settings.go
@@ -8,7 +8,7 @@
 	"aspenbarrow/internal/simulation"
 )
 
-// requestClass is a class of requests: settingsOf tells relays of it, rulesOf the checker.
+// requestClass is a class of requests. relaySettings configures relays with it, invariantLimits the checker.
 type requestClass struct {
 	name               string
 	clientTimeout      time.Duration
@@ -18,6 +18,7 @@
 	priorityWeight     float64
 }
 
+// requestClasses are the classes that clients choose from.
 var requestClasses = []requestClass{
 	{"watch", 2 * time.Second, 400 * time.Millisecond, "read_like", invariant.Idempotent, 1},
 	{"fetch", 1800 * time.Millisecond, 400 * time.Millisecond, "idempotency_key", invariant.IdempotentWithKey, 2},
@@ -38,7 +39,7 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// relaySettings is the settings object of one relay, with the names and units of the platform's page.
+// relaySettings is the settings object in the configuration file of the relay with index me.
 func relaySettings(f *simulation.Fleet, me int) map[string]any {
 	var list []map[string]any
 	var aims []float64
@@ -65,7 +66,7 @@
 			"warm-up-ms": milliseconds(warmUpTime), "fall-multiple": overloadFactor, "fall-ms": milliseconds(overloadWindow), "ask-every-ms": 10000}}
 }
 
-// invariantLimits are the same for the checker, with what an onlooker on a busy machine has to allow.
+// invariantLimits are the same limits for the checker, plus what an observer on a busy machine has to allow.
 func invariantLimits(f *simulation.Fleet) invariant.Limits {
 	const sockets = 50 * time.Millisecond
 	allowed := sockets + TimingAllowance
--- a/internal/testcluster/setup.go
+++ b/internal/testcluster/setup.go
@@ -15,7 +15,7 @@
 	"aspenbarrow/internal/invariant"
 )
 
-// newCluster is a cluster that has started nothing yet.
+// newCluster returns a cluster that has not started anything yet.
 func newCluster(ctx context.Context, opt Options) *cluster {
 	c := &cluster{options: opt, start: time.Now(), links: newLinkFaults(opt.Seed), counts: map[string]int{}, pendingAttempts: map[string]*session{},
 		random: rand.New(rand.NewPCG(opt.Seed, 0xf1ee7)), errors: make(chan error, 16),
@@ -25,7 +25,7 @@
 	return c
 }
 
-// shutdown ends all that was started. What relays do from here on is not held against them.
+// shutdown ends everything that was started. Violations of the rules by relays from here on are not counted.
 func (c *cluster) shutdown() {
 	c.withChecker(func() {
 		for i := range c.relays {
@@ -45,7 +45,7 @@
 	}
 }
 
-// setUp opens the cluster's sockets and sets up what stands around the relays.
+// setUp opens the cluster's sockets and starts everything except the relays.
 func (c *cluster) setUp() (err error) {
 	f := &c.options.Fleet
 	if c.ports, err = newPorts(); err != nil {
@@ -91,7 +91,7 @@
 	})
 }
 
-// addBackend brings one more up: cold in the run, warm before it.
+// addBackend starts one more backend: warm before the run, cold during it.
 func (c *cluster) addBackend(cold bool) *backend {
 	sizes := c.options.Fleet.Sizes
 	c.mu.Lock()
--- a/internal/testcluster/slow_start_test.go
+++ b/internal/testcluster/slow_start_test.go
@@ -8,7 +8,7 @@
 	"aspenbarrow/internal/fault"
 )
 
-// Empty backends that join fill up without being pushed over.
+// Cold backends that join take up their share of the load without being overloaded.
 func TestCluster_NewBackendsFillWithoutOverload(t *testing.T) {
 	t.Parallel()
 	res := runCluster(t, Options{Duration: 28 * time.Second, Fleet: smallCluster(30, 10, 300), Faults: []fault.Fault{
@@ -25,8 +25,9 @@
 	}
 }
 
-// Half of the backends go and two start: those that are left are full, and few of the clients' keys are at home at the new ones,
-// which are cold. Left to those keys, cold backends would stay empty while the others drop what they hold. None falls over.
+// Half of the backends drain and two cold ones start. The remaining ones are full, and only few of the clients' keys
+// have a cold backend as their primary. With those keys alone, the cold backends would stay empty while the others
+// reject requests. None of them may be overloaded.
 func TestCluster_ColdBackendsTakeOverflow(t *testing.T) {
 	t.Parallel()
 	f := smallCluster(60, 10, 300)
@@ -45,14 +46,14 @@
 	}
 }
 
-// Three in ten backends start cold while all clients are at hand, and half of the relays are killed and come again at once
-// meanwhile, knowing nothing. What all processes send together stays within what a cold backend bears, at a budget of about
-// 5, 20 and 100 calls in a span, without any allowance for chance. Little of the room is used where a backend bears few calls.
+// Three of ten backends start cold, and meanwhile half of the relays are killed and restart without any state. The
+// requests of all relays together stay within what a cold backend can take, at budgets of about 5, 20 and 100
+// requests per window.
 func TestCluster_SlowStartHoldsAcrossRelays(t *testing.T) {
 	for _, tc := range []struct {
 		relays int
-		calls  float64 // that a backend bears in a span when it has just started
-		least  int     // calls to cold ones
+		calls  float64 // that a backend can take per window when it has just started
+		least  int     // requests to cold backends, at least
 	}{{20, 5, 0}, {30, 20, 2}, {20, 100, 60}} {
 		t.Run(fmt.Sprintf("%d relays, %.0f calls", tc.relays, tc.calls), func(t *testing.T) {
 			t.Parallel()
@@ -60,7 +61,7 @@
 			opens := tc.calls / (overloadFactor * coldCapacity * overloadWindow.Seconds())
 			f := smallCluster(tc.relays, backends, int(3*opens*backends))
 			f.Server.WarmRequestRate = opens
-			f.Stay = [2]time.Duration{400 * time.Millisecond, 1600 * time.Millisecond} // many come again while they are cold
+			f.Stay = [2]time.Duration{400 * time.Millisecond, 1600 * time.Millisecond} // many clients reconnect while the backends are cold
 			var half []int
 			for i := range tc.relays {
 				if i%2 == 1 {
--- a/internal/testcluster/sockets.go
+++ b/internal/testcluster/sockets.go
@@ -69,12 +69,12 @@
 	return err
 }
 
-// loopbackOnly binds a socket to the loopback device where the system lets it; whoever comes elsewhere is dropped.
+// loopbackOnly binds a socket to the loopback device, if the system permits it, which drops traffic from elsewhere.
 func loopbackOnly(fd uintptr) {
 	_ = unix.BindToDevice(int(fd), "lo")
 }
 
-// prepareWildcardSocket prepares a wildcard socket: for this machine alone, and so that one address of it can be taken out.
+// prepareWildcardSocket restricts a wildcard socket to this machine and lets blackhole bind one of its addresses.
 func prepareWildcardSocket(_, _ string, c syscall.RawConn) error {
 	var failed error
 	err := c.Control(func(fd uintptr) {
--- a/internal/testcluster/traffic.go
+++ b/internal/testcluster/traffic.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// peakCounter counts by party in the second that runs, and keeps the most that one had in any.
+// peakCounter counts events for each party and keeps the highest count that any party reached within one second.
 type peakCounter struct {
-	counts  []atomic.Int64 // of the present second
-	seconds []atomic.Int64 // which that is, by party
+	counts  []atomic.Int64 // in the current second, by party
+	seconds []atomic.Int64 // the second that counts refers to, by party
 	peak    atomic.Int64
 	total   atomic.Int64
 }
@@ -35,7 +35,8 @@
 	}
 }
 
-// trafficCounters counts by second and party. Nobody waits for a counter.
+// trafficCounters count what relays send beside the lines of clients. They are lock-free, so that counting delays no
+// traffic.
 type trafficCounters struct {
 	cluster        *cluster
 	healthChecks   *peakCounter // by backend
@@ -49,7 +50,7 @@
 	return trafficCounters{cluster: c, healthChecks: newPeakCounter(backends), handshakes: newPeakCounter(backends), datagrams: newPeakCounter(relays), discoveryCalls: newPeakCounter(relays)}
 }
 
-// countTraffic counts something of a relay's, once the run has begun.
+// countTraffic counts one event of a party, once the run has begun.
 func (c *cluster) countTraffic(who int, what **peakCounter) {
 	if c.elapsed() > 0 {
 		(*what).add(who, c.elapsed())
@@ -60,6 +61,7 @@
 
 func (c *cluster) countHandshake(_, backend int) { c.countTraffic(backend, &c.traffic.handshakes) }
 
+// rates converts the counts into rates over a run of the given length.
 func (traffic *trafficCounters) rates(length time.Duration) TrafficRates {
 	s := length.Seconds()
 	per := func(counter *peakCounter) float64 { return float64(counter.total.Load()) / s }
--- a/internal/testcluster/usage.go
+++ b/internal/testcluster/usage.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// processUsage is what a process has used so far: processor time, and the most memory.
+// processUsage is the CPU time that a process has used and its peak memory.
 type processUsage struct {
 	cpu    time.Duration
-	memory int64 // bytes, the high-water mark
+	memory int64 // peak resident size in bytes
 }
 
 func (p *process) usage() (u processUsage, err error) {
@@ -21,7 +21,7 @@
 	if err != nil {
 		return u, err
 	}
-	rest := stat[bytes.LastIndexByte(stat, ')')+1:] // its name may hold anything
+	rest := stat[bytes.LastIndexByte(stat, ')')+1:] // the name before it may contain anything
 	fields := strings.Fields(string(rest))
 	if len(fields) < 13 {
 		return u, errors.New("stat is short")
--- a/internal/testcluster/view.go
+++ b/internal/testcluster/view.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// View is a run as it goes, for who looks at it from outside.
+// View gives an observer access to a run in progress.
 type View struct{ cluster *cluster }
 
-// Elapsed is how long the run has been going.
+// Elapsed is the time since the run began.
 func (view *View) Elapsed() time.Duration { return view.cluster.elapsed() }
 
-// RelayRunning says whether a relay's process runs and is not stopped.
+// RelayRunning reports whether a relay's process is running and not paused.
 func (view *View) RelayRunning(relay int) bool {
 	view.cluster.mu.Lock()
 	defer view.cluster.mu.Unlock()
@@ -21,7 +21,7 @@
 	return target.process != nil && !target.down && !target.paused
 }
 
-// QueryAdmin makes a call at a relay's second address and returns its answer's lines.
+// QueryAdmin sends a command to a relay's admin endpoint and returns the lines of the answer.
 func (view *View) QueryAdmin(relay int, call string) ([]string, error) {
 	c, err := net.DialTimeout("tcp", view.cluster.ports.adminAddr(relay), time.Second)
 	if err != nil {
@@ -36,7 +36,8 @@
 	return strings.Split(strings.TrimSpace(string(text)), "\n"), err
 }
 
-// startObserver has somebody look at the run while it takes its course; what it returns waits for the last look to end.
+// startObserver calls Options.Observe repeatedly during the run. The function it returns waits for the last call to
+// end.
 func (c *cluster) startObserver() (ended func()) {
 	looked := make(chan struct{})
 	go func() {
--- a/internal/testcluster/visits.go
+++ b/internal/testcluster/visits.go
@@ -7,7 +7,7 @@
 	"aspenbarrow/internal/simulation"
 )
 
-// visit is one client's wish for a connection, from when it comes until it goes.
+// visit is the time during which one client wants a connection.
 type visit struct {
 	key   uint64
 	class int
@@ -16,7 +16,8 @@
 	seed  uint64
 }
 
-// planVisits draws all visits of a run: those that come in the first rush, and who comes later so that as many are there.
+// planVisits draws all visits of a run: the initial clients, who connect within Fleet.Rush, and later arrivals that
+// keep their number constant on average.
 func planVisits(f *simulation.Fleet, seed uint64, length time.Duration) []visit {
 	rng := rand.New(rand.NewPCG(seed, 0xc11e))
 	stay := func() time.Duration {
@@ -32,7 +33,7 @@
 		return v
 	}
 	var out []visit
-	for range f.Clients { // what is left of the stay of those who would be there: long ones are the likelier
+	for range f.Clients { // the remaining time of a visit in progress, where long visits are more likely
 		s := stay()
 		for rng.Float64() > float64(s)/float64(f.Stay[1]) {
 			s = stay()
