--- a/internal/testcluster/faults.go
+++ b/internal/testcluster/faults.go
@@ -10,57 +10,57 @@
 	"aspenbarrow/internal/fault"
 )
 
-// kind begins a fault, writes down what it did and may return what ends it.
-type kind func(r *rig, f *fault.Fault, did *deeds) (end func())
+// faultInjector starts a fault and counts its effects. The function it returns, if any, ends the fault.
+type faultInjector func(c *cluster, f *fault.Fault, effects *effectCounters) (end func())
 
-// kinds are all that processes can play.
-var kinds map[string]kind
+// faultInjectors are the faults that a test cluster supports, by name.
+var faultInjectors map[string]faultInjector
 
 func init() {
-	kinds = map[string]kind{
-		"link":                link,
-		"relays die together": relays(func(r *rig, x *relay, f *fault.Fault) bool { return r.kill(x) }, (*rig).revive),
-		"relay killed":        relays(func(r *rig, x *relay, f *fault.Fault) bool { return r.kill(x) }, (*rig).revive),
-		"relays paused":       relays(func(r *rig, x *relay, f *fault.Fault) bool { return r.pause(x, true) }, func(r *rig, x *relay) { r.pause(x, false) }),
-		"relays start late":   relays(func(*rig, *relay, *fault.Fault) bool { return true }, (*rig).revive),
-		"relays leave":        relays(func(r *rig, x *relay, f *fault.Fault) bool { return r.leave(x, func() {}) }, (*rig).revive),
-		"rolling restart":     rolling,
-		"backends slow":       backends(func(r *rig, b *backend, f *fault.Fault) { b.slowDown(4 + 30*f.Severity) }, func(b *backend) { b.slowDown(1) }),
-		"backends paused":     backends(func(r *rig, b *backend, f *fault.Fault) { b.pause() }, func(b *backend) { b.resume() }),
-		"backends die":        backends(func(r *rig, b *backend, f *fault.Fault) { b.die() }, func(b *backend) { b.launch(true) }),
-		"backends vanished":   backends(func(r *rig, b *backend, f *fault.Fault) { b.vanish() }, func(b *backend) { b.back() }),
-		"backends failing fast": backends(func(r *rig, b *backend, f *fault.Fault) {
-			b.with(func(time.Duration) { b.errs = 0.4 + 0.6*f.Severity })
-		}, func(b *backend) { b.with(func(time.Duration) { b.errs = 0 }) }),
-		"backends resetting": backends(func(r *rig, b *backend, f *fault.Fault) {
-			b.with(func(time.Duration) { b.breaks = 0.3 + 0.6*f.Severity })
-		}, func(b *backend) { b.with(func(time.Duration) { b.breaks = 0 }) }),
-		"backends full": backends(func(r *rig, b *backend, f *fault.Fault) {
-			b.with(func(time.Duration) { b.full = 0.5 + 0.4*f.Severity })
-		}, func(b *backend) { b.with(func(time.Duration) { b.full = 0 }) }),
-		"backends drain": backends(func(r *rig, b *backend, f *fault.Fault) { b.drain(f.Duration) }, func(b *backend) { b.launch(true) }),
-		"backends start": starts,
-		"zone cut off":   zoneCut,
-		"power cut":      powerCut,
-		"list late":      listLate,
-		"list out":       listOut,
-		"list differs":   listDiffers,
-		"burst":          burst,
-	}
-}
-
-// Kinds names all that processes can play.
-func Kinds() []string {
+	faultInjectors = map[string]faultInjector{
+		"link":                linkFault,
+		"relays die together": relayFault(func(c *cluster, target *relay, f *fault.Fault) bool { return c.killRelay(target) }, (*cluster).restartRelay),
+		"relay killed":        relayFault(func(c *cluster, target *relay, f *fault.Fault) bool { return c.killRelay(target) }, (*cluster).restartRelay),
+		"relays paused":       relayFault(func(c *cluster, target *relay, f *fault.Fault) bool { return c.setRelayPaused(target, true) }, func(c *cluster, target *relay) { c.setRelayPaused(target, false) }),
+		"relays start late":   relayFault(func(*cluster, *relay, *fault.Fault) bool { return true }, (*cluster).restartRelay),
+		"relays leave":        relayFault(func(c *cluster, target *relay, f *fault.Fault) bool { return c.drainRelay(target, func() {}) }, (*cluster).restartRelay),
+		"rolling restart":     rollingRestart,
+		"backends slow":       backendFault(func(c *cluster, b *backend, f *fault.Fault) { b.slowDown(4 + 30*f.Severity) }, func(b *backend) { b.slowDown(1) }),
+		"backends paused":     backendFault(func(c *cluster, b *backend, f *fault.Fault) { b.pause() }, func(b *backend) { b.resume() }),
+		"backends die":        backendFault(func(c *cluster, b *backend, f *fault.Fault) { b.crash() }, func(b *backend) { b.launch(true) }),
+		"backends vanished":   backendFault(func(c *cluster, b *backend, f *fault.Fault) { b.disappear() }, func(b *backend) { b.reappear() }),
+		"backends failing fast": backendFault(func(c *cluster, b *backend, f *fault.Fault) {
+			b.updateModel(func(time.Duration) { b.errorRate = 0.4 + 0.6*f.Severity })
+		}, func(b *backend) { b.updateModel(func(time.Duration) { b.errorRate = 0 }) }),
+		"backends resetting": backendFault(func(c *cluster, b *backend, f *fault.Fault) {
+			b.updateModel(func(time.Duration) { b.resetRate = 0.3 + 0.6*f.Severity })
+		}, func(b *backend) { b.updateModel(func(time.Duration) { b.resetRate = 0 }) }),
+		"backends full": backendFault(func(c *cluster, b *backend, f *fault.Fault) {
+			b.updateModel(func(time.Duration) { b.busyRate = 0.5 + 0.4*f.Severity })
+		}, func(b *backend) { b.updateModel(func(time.Duration) { b.busyRate = 0 }) }),
+		"backends drain": backendFault(func(c *cluster, b *backend, f *fault.Fault) { b.drain(f.Duration) }, func(b *backend) { b.launch(true) }),
+		"backends start": startBackends,
+		"zone cut off":   cutOffZone,
+		"power cut":      cutPower,
+		"list late":      delayDiscovery,
+		"list out":       silenceDiscovery,
+		"list differs":   freezeDiscovery,
+		"burst":          clientBurst,
+	}
+}
+
+// FaultKinds returns the names of all supported faults, sorted.
+func FaultKinds() []string {
 	var names []string
-	for name := range kinds {
+	for name := range faultInjectors {
 		names = append(names, name)
 	}
 	slices.Sort(names)
 	return names
 }
 
-// hit are the numbers that a fault strikes, of so many.
-func hit(f *fault.Fault, of int) []int {
+// targetIndexes are the indexes of the parties that a fault affects, out of so many.
+func targetIndexes(f *fault.Fault, of int) []int {
 	if f.Targets != nil {
 		return f.Targets
 	}
@@ -81,10 +81,10 @@
 	return out
 }
 
-// happen has one fault of the script take place; what it returns ends it now if it has not ended.
-func (r *rig) happen(i int) (end func()) {
-	f := r.opt.Script[i]
-	did := &deeds{}
+// scheduleFault schedules a fault of Options.Faults. The function it returns ends the fault if it has not ended yet.
+func (c *cluster) scheduleFault(i int) (end func()) {
+	f := c.options.Faults[i]
+	effects := &effectCounters{}
 	var once sync.Once
 	var mu sync.Mutex
 	var over func()
@@ -98,239 +98,79 @@
 			if o != nil {
 				o()
 			}
-			r.mu.Lock()
-			defer r.mu.Unlock()
-			r.effects[i] = Effect{Fault: f, Began: began, Ended: r.since(), Did: did.counts()}
+			c.mu.Lock()
+			defer c.mu.Unlock()
+			c.effects[i] = FaultEffect{Fault: f, StartedAt: began, EndedAt: c.elapsed(), Counts: effects.counts()}
 		})
 	}
-	time.AfterFunc(f.Start-r.since(), func() {
+	time.AfterFunc(f.Start-c.elapsed(), func() {
 		mu.Lock()
 		defer mu.Unlock()
-		if ended || r.ctx.Err() != nil {
+		if ended || c.ctx.Err() != nil {
 			return
 		}
-		began = r.since()
-		over = kinds[f.Kind](r, &f, did)
-		r.in(f.Duration, finish)
+		began = c.elapsed()
+		over = faultInjectors[f.Kind](c, &f, effects)
+		c.runAfter(f.Duration, finish)
 	})
 	return finish
 }
 
-// relays strikes relays, and has those that were struck come back.
-func relays(begin func(r *rig, x *relay, f *fault.Fault) bool, end func(r *rig, x *relay)) kind {
-	return func(r *rig, f *fault.Fault, did *deeds) func() {
-		var struck []*relay
-		var mu sync.Mutex
-		var wg sync.WaitGroup
-		for _, i := range hit(f, len(r.relays)) {
-			wg.Go(func() { // together, not one after another
-				if x := r.relays[i]; begin(r, x, f) {
-					did.struck.Add(1)
-					mu.Lock()
-					struck = append(struck, x)
-					mu.Unlock()
-				}
-			})
-		}
-		wg.Wait()
-		return func() {
-			for _, x := range struck {
-				go end(r, x)
-			}
-		}
-	}
-}
-
-func rolling(r *rig, f *fault.Fault, did *deeds) func() {
-	which := hit(f, len(r.relays))
-	if f.Targets == nil {
-		which = make([]int, len(r.relays))
-		for i := range which {
-			which[i] = (f.Target + i) % len(r.relays)
-		}
-	}
-	for k, i := range which {
-		r.in(time.Duration(k)*f.Duration/time.Duration(len(which)), func() {
-			x := r.relays[i]
-			if r.leave(x, func() { r.revive(x) }) {
-				did.struck.Add(1)
-			}
-		})
+// clientBurst adds clients that stay for the duration of the fault.
+func clientBurst(c *cluster, f *fault.Fault, effects *effectCounters) func() {
+	n := int((0.2 + f.Severity) * float64(c.options.Fleet.Clients))
+	now := c.elapsed()
+	for _, v := range planVisits(&c.options.Fleet, c.options.Seed+1, 0)[:min(n, c.options.Fleet.Clients)] {
+		v.start, v.end = now+time.Duration(c.randomFloat()*float64(time.Second)), now+f.Duration
+		c.clients.schedule(v)
+		effects.struck.Add(1)
 	}
 	return nil
 }
 
-func (r *rig) backendsNow() []*backend {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return slices.Clone(r.backends)
-}
-
-func backends(begin func(r *rig, b *backend, f *fault.Fault), end func(b *backend)) kind {
-	return func(r *rig, f *fault.Fault, did *deeds) func() {
-		all := r.backendsNow()
-		var struck []*backend
-		for _, i := range hit(f, len(all)) {
-			if b := all[i]; b.loadNow() >= 0 {
-				begin(r, b, f)
-				did.struck.Add(1)
-				struck = append(struck, b)
-			}
-		}
-		return func() {
-			for _, b := range struck {
-				end(b)
-			}
-		}
-	}
-}
-
-func starts(r *rig, f *fault.Fault, did *deeds) func() {
-	for range 1 + int(f.Severity*3) {
-		r.addBackend(true)
-		did.struck.Add(1)
-	}
-	return nil
-}
-
-func zoneCut(r *rig, f *fault.Fault, did *deeds) func() {
-	var struck []*backend
-	for _, b := range r.backendsNow() {
-		if b.zone == f.Target%len(zones) && b.loadNow() >= 0 {
-			b.vanish()
-			did.struck.Add(1)
-			struck = append(struck, b)
-		}
+// linkFault applies a fault to links. A partition between relays and backends also prevents new connections: the
+// address of each pair becomes unreachable.
+func linkFault(c *cluster, f *fault.Fault, effects *effectCounters) func() {
+	l := f.Link
+	end := c.links.inject(l, effects)
+	if !l.Partitioned && !l.Buffered {
+		return end
 	}
-	noticed := make(chan struct{})
-	r.in(time.Duration(f.Severity*float64(6*time.Second)), func() {
-		select {
-		case <-noticed:
-			return
-		default:
-		}
-		for _, b := range struck {
-			b.publish("gone")
-		}
-	})
+	removeBlackholes := blackholeBackends(c, f, effects)
 	return func() {
-		close(noticed)
-		for _, b := range struck {
-			b.back()
-		}
+		removeBlackholes()
+		end()
 	}
 }
 
-func powerCut(r *rig, f *fault.Fault, did *deeds) func() {
-	for i, b := range r.backendsNow() { // all at once, and cold ones a little after one another
-		if b.loadNow() >= 0 {
-			b.die()
-			did.struck.Add(1)
-			r.in(f.Duration+time.Duration(i)*200*time.Millisecond, func() { b.launch(true) })
+// blackholeBackends makes the address of each pair of relay and backend that a partition separates unreachable.
+func blackholeBackends(c *cluster, f *fault.Fault, effects *effectCounters) (removeAll func()) {
+	var removers []func()
+	for _, b := range c.currentBackends() {
+		for i := range c.relays {
+			if !f.Link.Affects(fault.Relays, i, fault.Backends, b.index) && !f.Link.Affects(fault.Backends, b.index, fault.Relays, i) {
+				continue
+			}
+			remove, err := blackhole(netip.AddrPortFrom(loopbackAddress(backendNet, i<<backendBits|b.index), uint16(b.port)))
+			if err != nil {
+				c.reportError(fmt.Errorf("%s: %w", scriptPosition(f), err))
+				break
+			}
+			effects.struck.Add(1)
+			removers = append(removers, remove)
 		}
 	}
-	return nil
-}
-
-func listLate(r *rig, f *fault.Fault, did *deeds) func() {
-	c := r.catalog
-	set := func(d time.Duration) {
-		c.mu.Lock()
-		defer c.mu.Unlock()
-		c.late = d
-	}
-	set(time.Second + time.Duration(f.Severity*float64(6*time.Second)))
-	did.struck.Add(int64(len(c.agents)))
-	return func() { set(0) }
-}
-
-func (r *rig) agentsOf(f *fault.Fault) (out []*agent) {
-	if f.Targets == nil && f.Severity > 0.5 {
-		return r.catalog.agents
-	}
-	for _, i := range hit(f, len(r.relays)) {
-		out = append(out, r.catalog.agents[i])
-	}
-	return out
-}
-
-func listOut(r *rig, f *fault.Fault, did *deeds) func() {
-	agents := r.agentsOf(f)
-	for _, a := range agents {
-		a.setOut(r, true)
-		did.struck.Add(1)
-	}
 	return func() {
-		for _, a := range agents {
-			a.setOut(r, false)
+		for _, remove := range removers {
+			remove()
 		}
 	}
 }
 
-// listDiffers has some relays' agents learn nothing for a while, and then all that they missed.
-func listDiffers(r *rig, f *fault.Fault, did *deeds) func() {
-	agents := r.agentsOf(f)
-	for _, a := range agents {
-		a.mu.Lock()
-		a.strange = true
-		a.mu.Unlock()
-		did.struck.Add(1)
-	}
-	return func() {
-		for _, a := range agents {
-			a.mu.Lock()
-			a.strange = false
-			a.mu.Unlock()
-			for _, b := range r.backendsNow() {
-				b.mu.Lock()
-				e := b.entry()
-				b.mu.Unlock()
-				r.catalog.mu.Lock()
-				r.catalog.rev++
-				e.rev = r.catalog.rev
-				r.catalog.mu.Unlock()
-				a.learn(r, e)
-			}
-		}
-	}
-}
-
-func burst(r *rig, f *fault.Fault, did *deeds) func() {
-	n := int((0.2 + f.Severity) * float64(r.opt.Fleet.Clients))
-	now := r.since()
-	for _, v := range plan(&r.opt.Fleet, r.opt.Seed+1, 0)[:min(n, r.opt.Fleet.Clients)] {
-		v.from, v.until = now+time.Duration(r.roll()*float64(time.Second)), now+f.Duration
-		r.clients.come(v)
-		did.struck.Add(1)
+// CheckFault returns an error if a test cluster does not support a fault of this kind.
+func CheckFault(f *fault.Fault) error {
+	if _, ok := faultInjectors[f.Kind]; !ok {
+		return fmt.Errorf("processes can't play %q", f.Kind)
 	}
 	return nil
 }
-
-// link troubles ways. A cut between relays and backends lets no connection come up: each pair's address is taken out.
-func link(r *rig, f *fault.Fault, did *deeds) func() {
-	l := f.Link
-	end := r.ways.begin(l, did)
-	if !l.Partitioned && !l.Buffered {
-		return end
-	}
-	var walls []func()
-	for _, b := range r.backendsNow() {
-		for i := range r.relays {
-			if l.Affects(fault.Relays, i, fault.Backends, b.number) || l.Affects(fault.Backends, b.number, fault.Relays, i) {
-				w, err := wall(netip.AddrPortFrom(address(backendNet, i<<backendBits|b.number), uint16(b.port)))
-				if err != nil {
-					r.fail(fmt.Errorf("%s: %w", where(f), err))
-					break
-				}
-				did.struck.Add(1)
-				walls = append(walls, w)
-			}
-		}
-	}
-	return func() {
-		for _, w := range walls {
-			w()
-		}
-		end()
-	}
-}
--- /dev/null
+++ b/internal/testcluster/options.go
@@ -0,0 +1,56 @@
+package testcluster
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"time"
+
+	"aspenbarrow/internal/fault"
+	"aspenbarrow/internal/simulation"
+)
+
+// TimingAllowance is added to each time limit of the rules: here a relay shares the machine with hundreds of others.
+const TimingAllowance = 500 * time.Millisecond
+
+// Options configure a run. Program, Duration and the numbers of relays, backends and clients in Fleet are required.
+type Options struct {
+	Program  string                  // path of the relay program
+	Seed     uint64                  // of clients and faults
+	Duration time.Duration           // counted from when all relays are ready
+	Fleet    simulation.Installation // size and properties of the cluster
+	Faults   []fault.Fault           // to be injected
+	Observe  func(v *View)           // called every 100 ms during the run; may be nil
+	WorkDir  string                  // for the relays' files; empty: a temporary directory that is removed
+
+	// ProgramFor returns the absolute path of the program that a relay's process runs: start 0 is the relay's first
+	// process, 1 the one after its first restart. It must be safe for concurrent use. nil: Program for all.
+	ProgramFor func(relay, start int) string
+}
+
+// validateOptions checks the options before anything is started, and makes the path of the program absolute.
+func validateOptions(opt Options) (Options, error) {
+	f := &opt.Fleet
+	if f.Relays < 1 || f.Relays > maxRelays || f.Backends < 1 || f.Backends > maxBackends {
+		return opt, fmt.Errorf("%d relays and %d backends: 1 to %d and 1 to %d can be played", f.Relays, f.Backends, maxRelays, maxBackends)
+	}
+	if err := checkMachineLimits(f.Relays, f.Clients); err != nil {
+		return opt, err
+	}
+	program, err := filepath.Abs(opt.Program)
+	if err != nil {
+		return opt, err
+	}
+	if info, err := os.Stat(program); err != nil {
+		return opt, fmt.Errorf("the relay's program: %w", err)
+	} else if info.IsDir() || info.Mode()&0o111 == 0 {
+		return opt, fmt.Errorf("the relay's program: %s cannot be executed", opt.Program)
+	}
+	opt.Program = program
+	for i := range opt.Faults {
+		if err := CheckFault(&opt.Faults[i]); err != nil {
+			return opt, err
+		}
+	}
+	return opt, nil
+}
