--- a/internal/relay/session.go
+++ b/internal/relay/session.go
@@ -51,7 +51,8 @@
 	admitted := false
 	defer s.relay.connections.Done()
 	defer s.finish(pending, &admitted)
-	if admitted = s.admit(pending); !admitted {
+	opened, err := s.readHandshake() // called here, not in admit: one frame more would grow each session's stack by 4 KiB
+	if admitted = s.admit(pending, opened, err); !admitted {
 		return
 	}
 	s.state.Admitted()
@@ -87,9 +88,8 @@
 	}
 }
 
-// admit reads the handshake and counts the session in. A client that is not admitted has had its answer.
-func (s *clientSession) admit(pending *handshake.Connection) bool {
-	opened, err := s.readHandshake()
+// admit counts a session in after its handshake. A client that is not admitted has had its answer.
+func (s *clientSession) admit(pending *handshake.Connection, opened bool, err error) bool {
 	if err != nil {
 		s.relay.logProtocolError(s.client.conn, err)
 		s.sendFinalAnswer(protocol.AnswerFailed)
@@ -178,33 +178,29 @@
 		case sentMore := <-clientGone:
 			handleClientGone(sentMore)
 		case result := <-s.attemptResults:
-			if s.attemptDone(&result) {
+			s.logUnknownAnswer(&result)
+			actions := s.state.AttemptDone(s.relay.now(), result.attempt, result.failure)
+			if actions.Establish {
+				result.established = actions.Event
 				return &result
 			}
+			if actions.CloseBackend {
+				_ = result.backend.conn.Close()
+				result.backend.recycle()
+			}
+			s.relay.log.Debug("backend attempt ended", zap.String("backend", result.attempt.Backend.Name), zap.Error(result.failure))
+			s.perform(actions)
 		}
 	}
 	return nil
 }
 
-// attemptDone feeds the result of an attempt to the state machine; true: the session is established.
-func (s *clientSession) attemptDone(result *attemptResult) bool {
-	name := result.attempt.Backend.Name
+// logUnknownAnswer logs a backend's answer that the protocol does not know.
+func (s *clientSession) logUnknownAnswer(result *attemptResult) {
 	if result.failure != nil && result.failure.UnknownAnswer() {
-		s.relay.log.Error("unknown answer from backend", zap.String("backend", name),
+		s.relay.log.Error("unknown answer from backend", zap.String("backend", result.attempt.Backend.Name),
 			zap.Error(result.failure))
 	}
-	actions := s.state.AttemptDone(s.relay.now(), result.attempt, result.failure)
-	if actions.Establish {
-		result.established = actions.Event
-		return true
-	}
-	if actions.CloseBackend {
-		_ = result.backend.conn.Close()
-		result.backend.recycle()
-	}
-	s.relay.log.Debug("backend attempt ended", zap.String("backend", name), zap.Error(result.failure))
-	s.perform(actions)
-	return false
 }
 
 // perform carries out the state machine's actions.
