--- a/internal/simulation/client_faults.go
+++ b/internal/simulation/client_faults.go
@@ -14,15 +14,16 @@
 
 // shareHotKey has two thirds of the clients use the same key.
 func shareHotKey(run *run, _ Fault) (end func()) {
-	was := make([]uint64, len(run.clients))
+	previous := make([]uint64, len(run.clients))
 	for i, c := range run.clients {
-		if was[i] = c.key; i%3 != 0 {
-			c.key = 0x407
+		previous[i] = c.key
+		if i%3 != 0 {
+			c.key = hotKey
 		}
 	}
 	return func() {
-		for i := range was {
-			run.clients[i].key = was[i]
+		for i, key := range previous {
+			run.clients[i].key = key
 		}
 	}
 }
--- a/internal/simulation/engine.go
+++ b/internal/simulation/engine.go
@@ -29,8 +29,7 @@
 	trace         *bufio.Writer // nil without a trace
 	connCount     int           // connection ends created so far; numbers them
 	conditions    networkConditions
-	receiveWindow int    // bytes an end buffers before its peer's writes block
-	afterEvent    func() // called after every event; may be nil
+	receiveWindow int // bytes an end buffers before its peer's writes block
 	linkFaults    []linkFault
 }
 
@@ -60,9 +59,6 @@
 	e.now = next.at
 	e.eventCount++
 	next.action()
-	if e.afterEvent != nil {
-		e.afterEvent()
-	}
 	return true
 }
 
--- a/internal/simulation/load_balancer.go
+++ b/internal/simulation/load_balancer.go
@@ -125,8 +125,10 @@
 		return nil
 	}
 	installation := lb.run.options.Installation
-	if installation != nil && installation.HotRelayShare > 0 && lb.healthy[0] && lb.run.engine.rng.Float64() < installation.HotRelayShare {
-		return lb.run.relays[0]
+	if installation != nil && installation.HotRelayShare > 0 && lb.healthy[0] {
+		if lb.run.engine.rng.Float64() < installation.HotRelayShare {
+			return lb.run.relays[0]
+		}
 	}
 	return good[lb.run.engine.rng.IntN(len(good))]
 }
--- a/internal/simulation/network_faults.go
+++ b/internal/simulation/network_faults.go
@@ -4,9 +4,9 @@
 
 // delayDiscovery delays what discovery's agents learn.
 func delayDiscovery(run *run, f Fault) (end func()) {
-	was := run.catalog.publishDelay
+	previous := run.catalog.publishDelay
 	run.catalog.publishDelay = time.Second + time.Duration(f.Severity*float64(6*time.Second))
-	return func() { run.catalog.publishDelay = was }
+	return func() { run.catalog.publishDelay = previous }
 }
 
 // silenceDiscovery has discovery's agents not answer.
--- a/internal/simulation/topology.go
+++ b/internal/simulation/topology.go
@@ -12,6 +12,7 @@
 	"aspenbarrow/internal/fault"
 )
 
+// zones are the availability zones; relays and backends are placed in them by turns.
 var zones = []string{"east", "west"}
 
 // installationSize is the number of nodes of each kind at the start.
@@ -66,15 +67,19 @@
 	engine := run.engine
 	releases := engine.rng.IntN(4)
 	if run.options.Installation != nil {
-		releases = 0 // a script says all that happens
+		releases = 0
 	}
 	for range releases {
-		at, long := engine.randomDuration(4*time.Second, 36*time.Second), engine.randomDuration(6*time.Second, 14*time.Second)
+		start := engine.randomDuration(4*time.Second, 36*time.Second)
+		grace := engine.randomDuration(6*time.Second, 14*time.Second)
 		b := run.backends[engine.rng.IntN(backends)]
-		engine.schedule(at, func() { b.release(long, time.Second) })
+		engine.schedule(start, func() { b.release(grace, time.Second) })
 	}
 }
 
+// unavailableLoad is the load of a backend that does not serve: more than any other.
+const unavailableLoad = 1e9
+
 // trueLoad is the demand on a backend relative to its capacity. No node knows it; a baseline policy may use it as an
 // oracle.
 func (run *run) trueLoad(id balance.BackendID) float64 {
@@ -83,14 +88,14 @@
 			continue
 		}
 		if !b.up || b.paused {
-			return 1e9
+			return unavailableLoad
 		}
 		if b.model != nil {
 			return b.model.Utilization(run.engine.now)
 		}
 		return float64(b.sessionCount) * b.slowdown
 	}
-	return 1e9
+	return unavailableLoad
 }
 
 // addBackend creates a backend and starts it.
@@ -160,6 +165,9 @@
 	run.loadBalancer.checkRelay(r)
 }
 
+// hotKey is the key that many clients share where some key is to be hot.
+const hotKey = 0x407
+
 // addClient creates a client, which does not connect yet.
 func (run *run) addClient() *client {
 	rng := run.engine.rng
@@ -167,10 +175,19 @@
 	if run.options.Installation != nil {
 		stay = run.options.Installation.StayRange
 	}
-	c := &client{run: run, number: len(run.clients), key: rng.Uint64(), class: []int{0, 0, 1, 1, 2}[rng.IntN(5)],
-		stayDuration: run.engine.randomDuration(stay[0], stay[1]), sendsBursts: rng.IntN(12) == 0}
-	if f := run.options.Installation; f != nil && f.HotKeyShare > 0 && rng.Float64() < f.HotKeyShare {
-		c.key = 0x407
+	classes := []int{0, 0, 1, 1, 2} // the shares of the classes
+	c := &client{
+		run:          run,
+		number:       len(run.clients),
+		key:          rng.Uint64(),
+		class:        classes[rng.IntN(len(classes))],
+		stayDuration: run.engine.randomDuration(stay[0], stay[1]),
+		sendsBursts:  rng.IntN(12) == 0,
+	}
+	if installation := run.options.Installation; installation != nil && installation.HotKeyShare > 0 {
+		if rng.Float64() < installation.HotKeyShare {
+			c.key = hotKey
+		}
 	}
 	if run.settings.Groups {
 		c.group = uint64(1 + rng.IntN(40))
