--- a/balance/codec_test.go
+++ b/balance/codec_test.go
@@ -2,46 +2,15 @@
 
 import (
 	"encoding/hex"
-	"flag"
 	"fmt"
 	"os"
-	"path/filepath"
 	"slices"
 	"strings"
 	"testing"
 	"time"
-)
-
-var update = flag.Bool("update", false, "write the golden files anew")
 
-// checkGolden compares a text with the one that an earlier version wrote.
-func checkGolden(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *update {
-		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got == string(want) {
-		return
-	}
-	g, w := strings.Split(got, "\n"), strings.Split(string(want), "\n")
-	for i := range max(len(g), len(w)) {
-		switch {
-		case i >= len(g):
-			t.Fatalf("%s:%d: %q is missing", path, i+1, w[i])
-		case i >= len(w):
-			t.Fatalf("%s:%d: %q is too much", path, i+1, g[i])
-		case g[i] != w[i]:
-			t.Fatalf("%s:%d:\ngot  %q\nwant %q", path, i+1, g[i], w[i])
-		}
-	}
-}
+	"aspenbarrow/internal/golden"
+)
 
 // gossipRecorder keeps the messages to other relays as well.
 type gossipRecorder struct {
@@ -76,7 +45,7 @@
 	for i := range 3 {
 		b.HealthCheckDone(4*sec+time.Duration(i)*ms, HealthCheckResult{Backend: slow, Latency: 2 * ms, Load: []float32{0.3}})
 	}
-	checkGolden(t, "notice.txt", strings.Join(r.messages, "\n")+"\n")
+	golden.Compare(t, "notice.txt", strings.Join(r.messages, "\n")+"\n")
 
 	text, err := os.ReadFile("testdata/notice.txt")
 	if err != nil {
--- a/cmd/aspenbarrow/codec_test.go
+++ b/cmd/aspenbarrow/codec_test.go
@@ -3,48 +3,18 @@
 import (
 	"encoding/json"
 	"errors"
-	"flag"
 	"fmt"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
 
+	"aspenbarrow/internal/golden"
+
 	"aspenbarrow/example"
 	"aspenbarrow/internal/config"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
-
-// checkGolden compares output with a golden file.
-func checkGolden(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *update {
-		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got == string(want) {
-		return
-	}
-	g, w := strings.Split(got, "\n"), strings.Split(string(want), "\n")
-	for i := range max(len(g), len(w)) {
-		switch {
-		case i >= len(g):
-			t.Fatalf("%s:%d: %q is missing", path, i+1, w[i])
-		case i >= len(w):
-			t.Fatalf("%s:%d: %q is too much", path, i+1, g[i])
-		case g[i] != w[i]:
-			t.Fatalf("%s:%d:\ngot  %q\nwant %q", path, i+1, g[i], w[i])
-		}
-	}
-}
-
 // writeGoldenInputs writes valid and invalid files into a temporary directory and returns it.
 func writeGoldenInputs(t *testing.T) string {
 	t.Helper()
@@ -120,7 +90,7 @@
 		files = append(files, printed{"commands.txt", all.String()})
 	})
 	for _, f := range files {
-		checkGolden(t, f.name, f.text)
+		golden.Compare(t, f.name, f.text)
 	}
 }
 
@@ -158,5 +128,5 @@
 		}
 		fmt.Fprintf(&out, "%d faults, the first: %v\n", len(problems), problems[0])
 	}
-	checkGolden(t, "sites.txt", out.String())
+	golden.Compare(t, "sites.txt", out.String())
 }
--- a/cmd/aspenbarrow/log_keys_test.go
+++ b/cmd/aspenbarrow/log_keys_test.go
@@ -12,6 +12,8 @@
 	"strconv"
 	"strings"
 	"testing"
+
+	"aspenbarrow/internal/golden"
 )
 
 // stringLiteral returns the value of a string literal, or * for any other expression.
@@ -138,7 +140,7 @@
 	}
 	slices.Sort(lines)
 	got, name := []byte(strings.Join(lines, "\n")+"\n"), filepath.Join("testdata", "log_keys.txt")
-	if *update {
+	if golden.Updating() {
 		if err := os.WriteFile(name, got, 0o644); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -1,48 +1,17 @@
 package config
 
 import (
-	"flag"
 	"fmt"
 	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 
+	"aspenbarrow/internal/golden"
+
 	"aspenbarrow/balance"
 	"aspenbarrow/internal/routing"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
-
-// golden compares a text with the one in testdata that an earlier version wrote.
-func golden(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *update {
-		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got == string(want) {
-		return
-	}
-	g, w := strings.Split(got, "\n"), strings.Split(string(want), "\n")
-	for i := range max(len(g), len(w)) {
-		switch {
-		case i >= len(g):
-			t.Fatalf("%s:%d: %q is missing", path, i+1, w[i])
-		case i >= len(w):
-			t.Fatalf("%s:%d: %q is too much", path, i+1, g[i])
-		case g[i] != w[i]:
-			t.Fatalf("%s:%d:\ngot  %q\nwant %q", path, i+1, g[i], w[i])
-		}
-	}
-}
-
 var (
 	effectWords  = map[balance.Idempotency]string{balance.Idempotent: "safe", balance.IdempotentWithKey: "keyed", balance.NonIdempotent: "unsafe"}
 	scopeWords   = map[balance.DedupScope]string{balance.ScopeAll: "all", balance.ScopeZone: "zone", balance.ScopeCell: "cell"}
@@ -158,11 +127,11 @@
 			t.Errorf("%s: %v", tc.path, err)
 			continue
 		}
-		golden(t, tc.name+".told", describe(&c))
+		golden.Compare(t, tc.name+".told", describe(&c))
 		if c.document == nil {
 			continue
 		}
-		golden(t, tc.name+".written", c.FormatTOML())
+		golden.Compare(t, tc.name+".written", c.FormatTOML())
 		again, err := Parse("again.toml", []byte(c.FormatTOML()), tc.env, false)
 		if err != nil || describe(&again) != describe(&c) || again.FormatTOML() != c.FormatTOML() {
 			t.Errorf("%s written out is read otherwise: %v", tc.path, err)
@@ -239,7 +208,7 @@
 		_, err := c.RoutingRequest(description(a))
 		fmt.Fprintf(&out, "explain %q\n%s\n", a, indented(err))
 	}
-	golden(t, "faults-toml.txt", out.String())
+	golden.Compare(t, "faults-toml.txt", out.String())
 }
 
 // The problems of a JSON file keep their texts, at a start and when the file is to replace the one in force.
@@ -275,5 +244,5 @@
 			fmt.Fprintf(&out, "read again\n%s\n", indented(c.CheckReplacement(old)))
 		}
 	}
-	golden(t, "faults-json.txt", out.String())
+	golden.Compare(t, "faults-json.txt", out.String())
 }
--- a/internal/discovery/endpoint_list_test.go
+++ b/internal/discovery/endpoint_list_test.go
@@ -7,6 +7,8 @@
 	"testing"
 	"time"
 
+	"aspenbarrow/internal/golden"
+
 	"aspenbarrow/balance"
 )
 
@@ -66,7 +68,7 @@
 				l.Zone, l.Cell, l.Weight, l.Kind, l.ReadyAt)
 		}
 	}
-	golden(t, "members.txt", out.String())
+	golden.Compare(t, "members.txt", out.String())
 }
 
 func TestParseEndpointsLenient_ErrorTypes(t *testing.T) {
--- a/internal/healthcheck/checker_test.go
+++ b/internal/healthcheck/checker_test.go
@@ -6,6 +6,8 @@
 	"testing"
 	"time"
 
+	"aspenbarrow/internal/golden"
+
 	"aspenbarrow/balance"
 	"aspenbarrow/internal/settings"
 	"aspenbarrow/internal/upstream"
@@ -110,5 +112,5 @@
 			fmt.Fprintf(&out, "  %q: %s, %v\n", line, goldenStatuses[check.Result.Status], check.Result.Load)
 		}
 	}
-	golden(t, "checks.txt", out.String())
+	golden.Compare(t, "checks.txt", out.String())
 }
--- a/internal/membership/codec_test.go
+++ b/internal/membership/codec_test.go
@@ -10,6 +10,8 @@
 	"slices"
 	"strings"
 	"testing"
+
+	"aspenbarrow/internal/golden"
 )
 
 // goldenMembers is the length of the list of peers in the golden tests.
@@ -59,7 +61,7 @@
 		}
 		fmt.Fprintf(&out, "refused at %d other lengths\n", len(data)-whole)
 	}
-	compareGolden(t, "datagrams.txt", out.String())
+	golden.Compare(t, "datagrams.txt", out.String())
 
 	text, err := os.ReadFile("testdata/datagrams.txt")
 	if err != nil {
@@ -142,7 +144,7 @@
 		// protowire writes its first space as one of two kinds, by the build.
 		fmt.Fprintf(&out, "%s\n%x\n%s\n", tc.name, data, strings.ReplaceAll(err.Error(), "\u00a0", " "))
 	}
-	compareGolden(t, "refusals.txt", out.String())
+	golden.Compare(t, "refusals.txt", out.String())
 }
 
 // TestCodec_DecodeErrors checks that a refused datagram says why and where: the reason, the field and the offset.
--- a/internal/protocol/codec_test.go
+++ b/internal/protocol/codec_test.go
@@ -4,6 +4,8 @@
 	"fmt"
 	"strings"
 	"testing"
+
+	"aspenbarrow/internal/golden"
 )
 
 // goldenKinds are the words for the kinds of line.
@@ -40,7 +42,7 @@
 	writeClientLines(&out)
 	writeFirstBackendLines(&out)
 	writeLaterBackendLines(&out)
-	golden(t, "lines.txt", out.String())
+	golden.Compare(t, "lines.txt", out.String())
 }
 
 func writeClientLines(out *strings.Builder) {
--- a/internal/session/golden_test.go
+++ b/internal/session/golden_test.go
@@ -8,6 +8,8 @@
 	"testing"
 	"time"
 
+	"aspenbarrow/internal/golden"
+
 	"aspenbarrow/balance"
 	"aspenbarrow/internal/metrics"
 	"aspenbarrow/internal/protocol"
@@ -45,7 +47,7 @@
 	writeBackendAnswers(t, &out)
 	writeClientCloses(t, &out)
 	writeAttemptErrors(t, &out)
-	golden(t, "sessions.txt", out.String())
+	golden.Compare(t, "sessions.txt", out.String())
 }
 
 func writeAnswers(out *strings.Builder) {
--- a/internal/simwire/codec_test.go
+++ b/internal/simwire/codec_test.go
@@ -5,7 +5,6 @@
 	"encoding/binary"
 	"encoding/hex"
 	"errors"
-	"flag"
 	"fmt"
 	"io"
 	"math"
@@ -16,40 +15,11 @@
 	"testing"
 	"time"
 
+	"aspenbarrow/internal/golden"
+
 	"aspenbarrow/balance"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
-
-// golden holds what was made now to what an earlier version wrote.
-func golden(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *update {
-		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got == string(want) {
-		return
-	}
-	g, w := strings.Split(got, "\n"), strings.Split(string(want), "\n")
-	for i := range max(len(g), len(w)) {
-		switch {
-		case i >= len(g):
-			t.Fatalf("%s:%d: %q is missing", path, i+1, w[i])
-		case i >= len(w):
-			t.Fatalf("%s:%d: %q is too much", path, i+1, g[i])
-		case g[i] != w[i]:
-			t.Fatalf("%s:%d:\ngot  %q\nwant %q", path, i+1, g[i], w[i])
-		}
-	}
-}
-
 // recordedFrames is a run of frames, each of events: a start, a list, requests, ends, and the exit. Every code and every
 // outcome comes, and every field other than 0.
 var recordedFrames = [][]string{
@@ -300,12 +270,12 @@
 
 // Frames of the simulator as recorded are read to the same events, and those written again are the same bytes.
 func TestCodec_MatchesGoldenFrames(t *testing.T) {
-	if *update {
+	if golden.Updating() {
 		var all strings.Builder
 		for _, events := range recordedFrames {
 			fmt.Fprintf(&all, "%x\n", frame(uint32(len(events)), unhex(t, strings.Join(events, " "))))
 		}
-		golden(t, "frames.txt", all.String())
+		golden.Compare(t, "frames.txt", all.String())
 	}
 	frames := readHexLines(t, "frames.txt")
 	if len(frames) != len(recordedFrames) {
@@ -337,7 +307,7 @@
 	if err := ReadFrame(stream, &buf); !errors.Is(err, io.EOF) || errors.Unwrap(err) != nil {
 		t.Errorf("after the last frame: %v", err)
 	}
-	golden(t, "events.txt", out.String())
+	golden.Compare(t, "events.txt", out.String())
 	for _, c := range []EventCode{EventLoadReported, EventTimerFired, EventConfigure, EventClientClosed, EventEndpointsUpdated, EventGossipReceived, EventEndpointList, EventSessionAdopted, EventHealthCheckDone, EventExit, EventAttemptEnded, EventSelectInstance, EventRequestArrived, EventAttemptSucceeded} {
 		if !seen[c] {
 			t.Errorf("no event %d is recorded", c)
@@ -371,7 +341,7 @@
 		_, _, err := decodeAll(f)
 		fmt.Fprintf(&out, "%x: %v\n", f, err)
 	}
-	golden(t, "refusals.txt", out.String())
+	golden.Compare(t, "refusals.txt", out.String())
 }
 
 // writeEveryAction writes every action with figures other than 0, of two instances that take turns.
@@ -469,7 +439,7 @@
 	if !ok {
 		t.Fatal("the long text is not at the end")
 	}
-	golden(t, "reply.txt", fmt.Sprintf("%x\nand %d times 78\n", short, len(tail)))
+	golden.Compare(t, "reply.txt", fmt.Sprintf("%x\nand %d times 78\n", short, len(tail)))
 	was := readHexLines(t, "reply.txt")
 	if len(was) != 1 {
 		t.Fatalf("%d replies in the file", len(was))
