--- a/internal/relay/attempt_test.go
+++ b/internal/relay/attempt_test.go
@@ -27,7 +27,8 @@
 			r, _, _ := startRelay(t, cfg)
 			d.nextRequest().respond(fake.EncodeList(1, []fake.Endpoint{one}))
 			c := openSession(t, r, 1, "")
-			eventually(t, "its dial is out", r.connectionCountIs(1))
+			eventually(t, "the balancer counts it", r.connectionCountIs(1))
+			eventually(t, "its dial is out", dialIsPending(t, addr))
 			d.nextRequest().respond(encodeChange(2, "s-0", state))
 			eventually(t, "it is heard", func() bool {
 				return onEventLoop(r, func() bool {
--- a/internal/relay/helpers_test.go
+++ b/internal/relay/helpers_test.go
@@ -8,6 +8,7 @@
 	"io"
 	"net"
 	"net/http"
+	"net/netip"
 	"os"
 	"strings"
 	"testing"
@@ -290,6 +291,34 @@
 	}
 }
 
+// synSent is the state of a socket in /proc/net/tcp whose connection is being dialled.
+const synSent = "02"
+
+// dialIsPending returns a condition: a connection to the IPv4 address is being dialled. That the balancer counts the
+// connection says only that the attempt was ordered: on a busy machine its goroutine may dial some milliseconds later.
+func dialIsPending(t *testing.T, addr string) func() bool {
+	t.Helper()
+	target, err := netip.ParseAddrPort(addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	ip := target.Addr().As4()
+	remote := fmt.Sprintf("%02X%02X%02X%02X:%04X", ip[3], ip[2], ip[1], ip[0], target.Port())
+	return func() bool {
+		table, err := os.ReadFile("/proc/net/tcp")
+		if err != nil {
+			t.Fatal(err)
+		}
+		for line := range strings.Lines(string(table)) {
+			fields := strings.Fields(line) // number, local address, remote address, state, ...
+			if len(fields) > 3 && fields[2] == remote && fields[3] == synSent {
+				return true
+			}
+		}
+		return false
+	}
+}
+
 // scriptedDiscovery is a discovery agent whose requests the test answers.
 type scriptedDiscovery struct {
 	t        *testing.T
--- a/internal/relay/session_test.go
+++ b/internal/relay/session_test.go
@@ -119,7 +119,8 @@
 			cfg.Settings.DialTimeout = time.Minute
 			r, _, _ := startRelay(t, cfg)
 			c := openSession(t, r, 1, "")
-			eventually(t, "its dial is out", r.connectionCountIs(1))
+			eventually(t, "the balancer counts it", r.connectionCountIs(1))
+			eventually(t, "its dial is out", dialIsPending(t, addr))
 			closeAndAwaitCleanup(t, r, c, way.how)
 			expectServed(t, r, &scriptedBackend{t, empty()}, 2)
 		})
--- a/internal/relay/shutdown_test.go
+++ b/internal/relay/shutdown_test.go
@@ -66,7 +66,8 @@
 			s.PassThrough, s.DialTimeout, s.Classes[0].ClientTimeout, s.Classes[0].Idempotency = pass, 9*time.Second, 9*time.Second, balance.NonIdempotent
 			r, term, ended := startRelay(t, cfg)
 			c := openSession(t, r, 1, "")
-			eventually(t, "its dial is out", r.connectionCountIs(1))
+			eventually(t, "the balancer counts it", r.connectionCountIs(1))
+			eventually(t, "its dial is out", dialIsPending(t, addr))
 			at := time.Now()
 			term()
 			c.expectLine("BUSY")
