--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -18,14 +18,15 @@
 	return settings.Settings{ZoneNames: []string{"east"}, KindNames: []string{"k"}}
 }
 
-// newTestClient is a client whose lists are polled, or pushed.
+// newTestClient returns a client whose lists are polled, or pushed.
 func newTestClient(poll bool) *Client {
 	s := clientSettings()
 	s.PollEndpoints = poll
 	return NewClient("d:1", &s, false, rand.New(rand.NewPCG(1, 1)))
 }
 
-// Versions that go back are those of a discovery that has started anew: what it published in between is fetched.
+// A version that goes back means that discovery has restarted: the client fetches the whole list, so that it receives what
+// was published in between.
 func TestClient_FetchesListWhenVersionGoesBack(t *testing.T) {
 	for _, poll := range []bool{false, true} {
 		client := newTestClient(poll)
@@ -50,8 +51,8 @@
 	}
 }
 
-// Where lists are polled, a whole list and then a watch were two calls of each relay that starts; discovery has room
-// for one of each, turned half of the watches away, and drains were not received.
+// Guards against a fault with polled lists: each starting relay made two calls, one for the whole list and then a watch.
+// Discovery has capacity for one call per relay and refused half of the watches, so drains were not received.
 func TestClient_ResumesFromKnownVersion(t *testing.T) {
 	client := newTestClient(true)
 	client.ResumeFrom(41)
@@ -60,19 +61,20 @@
 		t.Fatalf("%+v, %v", request, ok)
 	}
 	if update, err := client.HandleResponse([]byte(`{"version":41,"full":false,"servers":[]}`)); err != nil || !update.Changed {
-		t.Errorf("the first response is no update: %+v, %v", update, err)
+		t.Errorf("the first response is not an update: %+v, %v", update, err)
 	}
 	if request, ok := client.NextRequest(); !ok || request.FullList {
-		t.Errorf("the watch does not go on: %+v, %v", request, ok)
+		t.Errorf("the next call is not a watch: %+v, %v", request, ok)
 	}
-	pushed := newTestClient(false) // where lists are pushed the whole list costs nothing, and may be newer
+	pushed := newTestClient(false) // where lists are pushed, fetching the whole list costs nothing, and it may be newer
 	pushed.ResumeFrom(41)
 	if request, ok := pushed.NextRequest(); !ok || !request.FullList {
 		t.Errorf("%+v, %v", request, ok)
 	}
 }
 
-// A watch that has timed out is renewed at once: between two watches drains count as published, though nobody received them.
+// A watch that has timed out is renewed at once: between two watches drains count as published although no client receives
+// them.
 func TestClient_RenewsTimedOutWatchAtOnce(t *testing.T) {
 	for _, poll := range []bool{false, true} {
 		client := newTestClient(poll)
@@ -93,23 +95,23 @@
 	}
 }
 
-// However earlier calls ended, a change is received within 6 s of the moment from which discovery can be reached, and a
-// relay whose calls fail at once doesn't make many. All sequences of five endings of a call are tried, from each state in
+// Whatever the outcome of earlier calls, a change is received within 6 s of the time from which discovery can be reached, and
+// a relay whose calls fail at once makes few of them. All sequences of five outcomes of a call are tried, from each state in
 // which a client may be when they begin.
 func TestClient_BoundsStalenessAfterFailures(t *testing.T) {
 	const drain = `{"version":9,"full":false,"servers":[{"id":"b","state":"draining"}]}`
-	endings := []struct {
+	outcomes := []struct {
 		name     string
-		lasts    func(limit time.Duration) time.Duration
+		duration func(limit time.Duration) time.Duration
 		timedOut bool
 		body     string
 	}{
-		{name: "refused", lasts: func(time.Duration) time.Duration { return 0 }},
-		{name: "a dial that never comes up", lasts: func(limit time.Duration) time.Duration { return min(limit, ResponseGrace) }, timedOut: true},
-		{name: "no word, or headers, or half a body, to the end", lasts: func(limit time.Duration) time.Duration { return limit }, timedOut: true},
-		{name: "broken off just before the end", lasts: func(limit time.Duration) time.Duration { return limit - time.Millisecond }},
-		{name: "no list", lasts: func(time.Duration) time.Duration { return time.Millisecond }, body: "<html>"},
-		{name: "an invalid endpoint", lasts: func(limit time.Duration) time.Duration { return limit - time.Millisecond },
+		{name: "refused", duration: func(time.Duration) time.Duration { return 0 }},
+		{name: "dial timed out", duration: func(limit time.Duration) time.Duration { return min(limit, ResponseGrace) }, timedOut: true},
+		{name: "no response, only headers or half a body until the time limit", duration: func(limit time.Duration) time.Duration { return limit }, timedOut: true},
+		{name: "connection lost just before the time limit", duration: func(limit time.Duration) time.Duration { return limit - time.Millisecond }},
+		{name: "body is not a list", duration: func(time.Duration) time.Duration { return time.Millisecond }, body: "<html>"},
+		{name: "an invalid endpoint", duration: func(limit time.Duration) time.Duration { return limit - time.Millisecond },
 			body: `{"version":3,"full":false,"servers":[{"id":"x","state":7}]}`},
 	}
 	states := map[string]func(poll bool, rng *rand.Rand) *Client{
@@ -127,31 +129,31 @@
 			}
 			return client
 		},
-		"moved to another address": func(poll bool, rng *rand.Rand) *Client { return newWatchingClient(poll, true, rng) },
+		"address changed": func(poll bool, rng *rand.Rand) *Client { return newWatchingClient(poll, true, rng) },
 	}
 	const callsBefore = 5
 	worst, count := time.Duration(0), 1
 	for range callsBefore {
-		count *= len(endings)
+		count *= len(outcomes)
 	}
-	for name, begin := range states {
+	for name, newClient := range states {
 		for _, poll := range []bool{false, true} {
 			for sequence := range count {
-				client := begin(poll, rand.New(rand.NewPCG(uint64(sequence), 1)))
-				var took time.Duration // from the beginning of the call that came just too early
-				for left, step := sequence, 0; step < callsBefore; left, step = left/len(endings), step+1 {
+				client := newClient(poll, rand.New(rand.NewPCG(uint64(sequence), 1)))
+				var took time.Duration // from the start of the last failed call, which began just before the change
+				for remaining, step := sequence, 0; step < callsBefore; remaining, step = remaining/len(outcomes), step+1 {
 					call, ok := client.NextRequest()
 					if !ok {
 						t.Fatalf("%s, polled %v, sequence %d: no further call after %d", name, poll, sequence, step)
 					}
-					e := endings[left%len(endings)]
+					outcome := outcomes[remaining%len(outcomes)]
 					var update Update
-					if e.body != "" {
-						update, _ = client.HandleResponse([]byte(e.body))
+					if outcome.body != "" {
+						update, _ = client.HandleResponse([]byte(outcome.body))
 					} else {
-						update = client.HandleFailure(e.timedOut)
+						update = client.HandleFailure(outcome.timedOut)
 					}
-					took = e.lasts(call.Timeout) + update.RetryDelay
+					took = outcome.duration(call.Timeout) + update.RetryDelay
 				}
 				call, ok := client.NextRequest()
 				if !ok {
@@ -170,7 +172,7 @@
 	if worst > maxStaleness-time.Second || worst > worstStaleness || worst < worstStaleness-listTimeout-maxRetryDelay/2 {
 		t.Errorf("received after %v at worst, %v derived, %v allowed", worst, worstStaleness, maxStaleness)
 	}
-	for _, poll := range []bool{false, true} { // and at rest: half a minute of a discovery that refuses every call at once
+	for _, poll := range []bool{false, true} { // the rate of calls, while discovery refuses every call at once for 30 s
 		client, now, calls := states["between two watches"](poll, rand.New(rand.NewPCG(7, 1))), time.Duration(0), 0
 		for ; now < 30*time.Second; calls++ {
 			if _, ok := client.NextRequest(); !ok {
@@ -179,22 +181,22 @@
 			now += client.HandleFailure(false).RetryDelay
 		}
 		if calls > 40 {
-			t.Errorf("polled %v: %d calls in %v at a discovery that refuses all", poll, calls, now)
+			t.Errorf("polled %v: %d calls in %v while discovery refuses all", poll, calls, now)
 		}
 	}
 }
 
-// newWatchingClient is a client that a watch is scheduled with.
-func newWatchingClient(poll, moved bool, rng *rand.Rand) *Client {
+// newWatchingClient returns a client with a watch scheduled.
+func newWatchingClient(poll, addressChanged bool, rng *rand.Rand) *Client {
 	s := clientSettings()
 	s.PollEndpoints = poll
-	client := NewClient("d:1", &s, moved, rng)
+	client := NewClient("d:1", &s, addressChanged, rng)
 	client.Schedule(true)
 	return client
 }
 
-// Seed 284: a watch that was scheduled while a call was out that then failed was forgotten, and no change was received
-// again.
+// Guards against the fault of seed 284: a watch that was scheduled during a call that then failed was lost, and no further
+// change was received.
 func TestClient_WatchScheduledDuringFailingCall(t *testing.T) {
 	s := clientSettings()
 	s.PollEndpoints = true
@@ -225,6 +227,6 @@
 		t.Fatal(err)
 	}
 	if request, ok := client.NextRequest(); !ok || request.FullList {
-		t.Errorf("no watch goes on after the list: %+v, %v", request, ok)
+		t.Errorf("no watch follows the list: %+v, %v", request, ok)
 	}
 }
--- a/internal/discovery/endpoint_list.go
+++ b/internal/discovery/endpoint_list.go
@@ -13,10 +13,10 @@
 	"aspenbarrow/internal/settings"
 )
 
-// EndpointList is one answer of discovery.
+// EndpointList is one response of discovery.
 type EndpointList struct {
 	Version   uint64
-	Full      bool // it names all endpoints; false: those that have changed since another version
+	Full      bool // it lists all endpoints; false: those that have changed since another version
 	Endpoints []Endpoint
 }
 
@@ -26,28 +26,28 @@
 	Backend       balance.Backend
 }
 
-// BackendID is the balancer's id of a backend: a hash of its name, alike on every relay.
+// BackendID returns the balancer's ID of a backend: a hash of its name, the same on every relay.
 func BackendID(name string) balance.BackendID {
 	h := fnv.New64a()
 	_, _ = io.WriteString(h, name)
 	return balance.BackendID(h.Sum64())
 }
 
-// ErrNoVersion is a list without a version.
-var ErrNoVersion = errors.New("no version")
+// ErrNoVersion is the error of a list without a version.
+var ErrNoVersion = errors.New(`endpoint list has no field "version"`)
 
-// UnknownStateError is an endpoint in a state that the protocol of discovery doesn't have.
+// UnknownStateError is the error of an endpoint in a state that is not part of discovery's protocol.
 type UnknownStateError struct{ Backend, State string }
 
 func (e *UnknownStateError) Error() string {
-	return fmt.Sprintf("backend %q has unknown state %q", e.Backend, e.State)
+	return fmt.Sprintf("backend %q has unknown state %q, expected %q, %q or %q", e.Backend, e.State, stateReady, stateDraining, stateGone)
 }
 
-// IncompleteEndpointError is an endpoint without a name, or one that is ready and has no address.
+// IncompleteEndpointError is the error of an endpoint without a name, or of a ready one without an address.
 type IncompleteEndpointError struct{ Backend, Address string }
 
 func (e *IncompleteEndpointError) Error() string {
-	return fmt.Sprintf("backend %q at %q lacks a name or an address", e.Backend, e.Address)
+	return fmt.Sprintf("endpoint with id %q and addr %q is incomplete, expected an id and, in state %q, an addr", e.Backend, e.Address, stateReady)
 }
 
 // The states of an endpoint on the wire.
@@ -57,38 +57,38 @@
 	stateGone     = "gone"
 )
 
-// listDocument is a list as discovery writes it.
+// listDocument is an endpoint list in discovery's JSON form.
 type listDocument struct {
 	Version *uint64           `json:"version"`
 	Full    bool              `json:"full"`
 	Servers []json.RawMessage `json:"servers"`
 }
 
-// endpointDocument is one entry of it. Zones and kinds are names, or numbers of the settings.
+// endpointDocument is one endpoint of a listDocument. Zone and Kind are names, or their numbers in the settings.
 type endpointDocument struct {
-	ID      string          `json:"id"`
-	Addr    string          `json:"addr"`
-	Zone    json.RawMessage `json:"zone"`
-	Kind    json.RawMessage `json:"kind"`
-	Cell    int             `json:"cell"`
-	State   string          `json:"state"`
-	Weight  *float64        `json:"weight"`
-	Started float64         `json:"started_ms"`
+	ID        string          `json:"id"`
+	Addr      string          `json:"addr"`
+	Zone      json.RawMessage `json:"zone"`
+	Kind      json.RawMessage `json:"kind"`
+	Cell      int             `json:"cell"`
+	State     string          `json:"state"`
+	Weight    *float64        `json:"weight"`
+	StartedMs float64         `json:"started_ms"`
 }
 
-// ParseEndpoints reads a list in discovery's form. One bad endpoint fails the whole list: half a list taken for a whole one
-// would declare backends gone.
-func ParseEndpoints(body []byte, names *settings.Settings) (EndpointList, error) {
-	list, invalid, err := ParseEndpointsLenient(body, names)
+// ParseEndpoints parses a list in discovery's form. One invalid endpoint fails the whole list: a partial list taken for a
+// full one would remove backends.
+func ParseEndpoints(body []byte, current *settings.Settings) (EndpointList, error) {
+	list, invalid, err := ParseEndpointsLenient(body, current)
 	if err = errors.Join(err, invalid); err != nil {
 		return EndpointList{}, err
 	}
 	return list, nil
 }
 
-// ParseEndpointsLenient reads a list endpoint by endpoint and leaves out those that cannot be read: invalid joins their
-// errors. An err is about the list as a whole.
-func ParseEndpointsLenient(body []byte, names *settings.Settings) (list EndpointList, invalid, err error) {
+// ParseEndpointsLenient parses a list endpoint by endpoint and leaves out those that cannot be parsed: invalid joins their
+// errors. An err concerns the list as a whole.
+func ParseEndpointsLenient(body []byte, current *settings.Settings) (list EndpointList, invalid, err error) {
 	var document listDocument
 	if err := json.Unmarshal(body, &document); err != nil {
 		return EndpointList{}, nil, err
@@ -98,7 +98,7 @@
 	}
 	list = EndpointList{Version: *document.Version, Full: document.Full}
 	for _, raw := range document.Servers {
-		endpoint, err := parseEndpoint(raw, names)
+		endpoint, err := parseEndpoint(raw, current)
 		if err != nil {
 			invalid = errors.Join(invalid, err)
 			continue
@@ -108,7 +108,7 @@
 	return list, invalid, nil
 }
 
-func parseEndpoint(raw json.RawMessage, names *settings.Settings) (Endpoint, error) {
+func parseEndpoint(raw json.RawMessage, current *settings.Settings) (Endpoint, error) {
 	var document endpointDocument
 	if err := json.Unmarshal(raw, &document); err != nil {
 		return Endpoint{}, err
@@ -125,11 +125,11 @@
 		Cell:   document.Cell,
 		Weight: 1,
 		State:  state,
-		Zone:   nameOrdinal(document.Zone, names.ZoneNames),
-		Kind:   nameOrdinal(document.Kind, names.KindNames),
+		Zone:   nameOrdinal(document.Zone, current.ZoneNames),
+		Kind:   nameOrdinal(document.Kind, current.KindNames),
 	}
-	if document.Started > 0 {
-		backend.ReadyAt = time.Duration(document.Started * float64(time.Millisecond))
+	if document.StartedMs > 0 {
+		backend.ReadyAt = time.Duration(document.StartedMs * float64(time.Millisecond))
 	}
 	if document.Weight != nil {
 		backend.Weight = *document.Weight
@@ -149,8 +149,8 @@
 	return balance.StateRemoved, &UnknownStateError{Backend: d.ID, State: d.State}
 }
 
-// nameOrdinal is a zone's or kind's number in the settings, given its name or the number itself. A name that the settings
-// don't have gets a number of its own above theirs.
+// nameOrdinal returns a zone's or kind's number in the settings, given its name or the number itself. A name that is not in
+// the settings gets a number above theirs, a hash of the name.
 func nameOrdinal(raw json.RawMessage, names []string) int {
 	var name string
 	if json.Unmarshal(raw, &name) != nil {
--- a/internal/discovery/endpoint_list_test.go
+++ b/internal/discovery/endpoint_list_test.go
@@ -13,15 +13,15 @@
 )
 
 func TestParseEndpoints(t *testing.T) {
-	m, err := ParseEndpoints([]byte(`{"version":41,"full":true,"servers":[
+	list, err := ParseEndpoints([]byte(`{"version":41,"full":true,"servers":[
 {"id":"s-1","addr":"127.0.0.1:1","zone":"west","kind":"k","cell":3,"state":"ready","weight":1.5,"started_ms":1700000000000},
 {"id":"s-2","addr":"127.0.0.1:2","zone":"moon","kind":"z","state":"draining"},
 {"id":"s-3","state":"gone"}]}`), testSettings)
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, b, c := m.Endpoints[0], m.Endpoints[1], m.Endpoints[2]
-	if m.Version != 41 || !m.Full || a.Name != "s-1" || a.Address != "127.0.0.1:1" || a.Backend.Zone != 1 || a.Backend.Kind != 0 ||
+	a, b, c := list.Endpoints[0], list.Endpoints[1], list.Endpoints[2]
+	if list.Version != 41 || !list.Full || a.Name != "s-1" || a.Address != "127.0.0.1:1" || a.Backend.Zone != 1 || a.Backend.Kind != 0 ||
 		a.Backend.Cell != 3 || a.Backend.Weight != 1.5 || a.Backend.State != balance.StateReady ||
 		a.Backend.ReadyAt != 1700000000000*time.Millisecond || a.Backend.ID != BackendID("s-1") {
 		t.Errorf("%+v", a)
@@ -43,14 +43,14 @@
 func FuzzParseEndpoints(f *testing.F) {
 	f.Add([]byte(`{"version":1,"full":true,"servers":[{"id":"s","addr":"a:1","state":"ready","zone":1,"kind":{}}]}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		m, err := ParseEndpoints(b, testSettings)
-		if err != nil && len(m.Endpoints) != 0 {
-			t.Errorf("%d entries beside %v", len(m.Endpoints), err)
+		list, err := ParseEndpoints(b, testSettings)
+		if err != nil && len(list.Endpoints) != 0 {
+			t.Errorf("%d endpoints returned with error %v", len(list.Endpoints), err)
 		}
 	})
 }
 
-// Lists as discovery writes them are read as they were.
+// The result of parsing lists as discovery writes them is that of the golden file.
 func TestParseEndpoints_Golden(t *testing.T) {
 	var out strings.Builder
 	for _, text := range []string{`{"version":41,"full":true,"servers":[` +
@@ -59,13 +59,13 @@
 		`{"version":1,"servers":[]}`, "", "null", "[]", `{"servers":[]}`, `{"version":-1}`,
 		`{"version":1,"servers":[{"id":"s","addr":"a:1","state":"asleep"}]}`, `{"version":1,"servers":[{"id":"","addr":"a:1","state":"ready"}]}`,
 		`{"version":1,"servers":[{"id":"s","state":"ready"}]}`} {
-		m, err := ParseEndpoints([]byte(text), testSettings)
-		fmt.Fprintf(&out, "%s\n  version %d, full %v, refused %v\n", text, m.Version, m.Full, err != nil)
-		for _, e := range m.Endpoints {
-			l := &e.Backend
-			fmt.Fprintf(&out, "  %s at %q: id %x, %s, zone %d, cell %d, weight %v, kind %d, ready at %v\n", e.Name, e.Address, uint64(l.ID),
-				map[balance.BackendState]string{balance.StateRemoved: "gone", balance.StateReady: "ready", balance.StateDraining: "draining"}[l.State],
-				l.Zone, l.Cell, l.Weight, l.Kind, l.ReadyAt)
+		list, err := ParseEndpoints([]byte(text), testSettings)
+		fmt.Fprintf(&out, "%s\n  version %d, full %v, refused %v\n", text, list.Version, list.Full, err != nil)
+		for _, e := range list.Endpoints {
+			b := &e.Backend
+			fmt.Fprintf(&out, "  %s at %q: id %x, %s, zone %d, cell %d, weight %v, kind %d, ready at %v\n", e.Name, e.Address, uint64(b.ID),
+				map[balance.BackendState]string{balance.StateRemoved: "gone", balance.StateReady: "ready", balance.StateDraining: "draining"}[b.State],
+				b.Zone, b.Cell, b.Weight, b.Kind, b.ReadyAt)
 		}
 	}
 	golden.Compare(t, "members.txt", out.String())
--- a/internal/protocol/backend_reader.go
+++ b/internal/protocol/backend_reader.go
@@ -14,17 +14,17 @@
 )
 
 // BackendReader reads what a backend sends: one first line, then lines to forward. Among those it looks for LOAD, and for
-// BYE and MOVE, which say how a close that follows is meant.
+// BYE and MOVE, which give the reason for a close that follows.
 type BackendReader struct {
 	ReportFields []string // names of the fields of a load report, in order
-	Established  bool     // UP has come
+	Established  bool     // UP has been received
 	LastKind     LineKind // KindBye or KindMove once such a line has been forwarded, the later of them
-	Load         float64  // of the last LOAD line among those of the last Feed, above 0; 0: there was none
+	Load         float64  // of the last LOAD line with a value above 0 in the last Feed; 0: there was none
 	Report       []float32
 }
 
-// Feed looks at all bytes that are not consumed yet. It returns what comes first among them and how many bytes that takes; 0
-// with KindIncomplete. An error is a LineError.
+// Feed parses the bytes that are not consumed yet, all of which are passed in. It returns what comes first among them and
+// how many bytes long that is; 0 with KindIncomplete. An error is a LineError.
 func (r *BackendReader) Feed(b []byte) (kind LineKind, length int, err error) {
 	if !r.Established {
 		line, length, err := cutLine(b)
@@ -66,7 +66,7 @@
 	return KindUnknown
 }
 
-// observeLine looks at a line that is forwarded.
+// observeLine inspects a forwarded line for LOAD, BYE and MOVE.
 func (r *BackendReader) observeLine(line []byte) {
 	if !mayBeControlLine(line) {
 		return
@@ -83,7 +83,7 @@
 	}
 }
 
-// mayBeControlLine tells most lines apart by their first byte: every line that a backend sends passes here.
+// mayBeControlLine rules out most lines by their first byte, at little cost: every line that a backend sends is checked.
 func mayBeControlLine(line []byte) bool {
 	if len(line) < len(wordBye) {
 		return false
--- a/internal/protocol/client_reader.go
+++ b/internal/protocol/client_reader.go
@@ -12,12 +12,12 @@
 // ClientReader reads what a client sends: any number of PING and STATS lines, one OPEN line, then lines to forward.
 type ClientReader struct {
 	Settings *settings.Settings
-	Open     Open // once Feed has returned KindOpen
+	Open     Open // set once Feed has returned KindOpen
 	Opened   bool
 }
 
-// Feed looks at all bytes that are not consumed yet. It returns what comes first among them and how many bytes that takes; 0
-// with KindIncomplete. An error is a LineError.
+// Feed parses the bytes that are not consumed yet, all of which are passed in. It returns what comes first among them and
+// how many bytes long that is; 0 with KindIncomplete. An error is a LineError.
 func (r *ClientReader) Feed(b []byte) (kind LineKind, length int, err error) {
 	if r.Opened {
 		return feedWholeLines(b)
--- a/internal/protocol/codec_test.go
+++ b/internal/protocol/codec_test.go
@@ -8,11 +8,11 @@
 	"aspenbarrow/internal/golden"
 )
 
-// goldenKinds are the words for the kinds of line.
+// goldenKinds are the names of the kinds of line in the golden file.
 var goldenKinds = map[LineKind]string{KindIncomplete: "need more", KindPing: "pinged", KindOpen: "opened", KindForward: "passed", KindUp: "up", KindBye: "bye", KindMove: "moved",
 	KindError: "failed", KindBusy: "busy", KindSyntax: "unread", KindUnknown: "odd"}
 
-// goldenClientLines are pings, openings with each parameter, and lines that are refused.
+// goldenClientLines returns PING and STATS lines, OPEN lines with each parameter, and lines that are refused.
 func goldenClientLines() []string {
 	lines := []string{"", "PING", "PING\r\n", "PING now\r\n", "STATS\r\n", "STATS x\r\nPING\r\n", "PING\n", "\r\n", "PINGS\r\n", "ping\r\n",
 		strings.Repeat("x", MaxLineLength), "PING " + strings.Repeat("x", MaxLineLength-7) + "\r\n", "PING " + strings.Repeat("x", MaxLineLength-6) + "\r\n",
@@ -22,13 +22,13 @@
 		"d=1,c=chat,t=nobody,r=0,again=0,mid=0", "c=cat,d=1", "d=1", "c=chat", "c=chat,d=1 x", "c", "c=chat,d=", "c=chat,d=1,", "c=chat,d=-1", "c=chat,d=1e3",
 		"c=chat,d=.5", "c=chat,d=9999999999999", "c=chat,d=1,h=1e3", "c=chat,d=1,r=2", "c=chat,d=1,again=x", "c=chat,d=1,g=x", "c=chat,d=1,g=5C0F6E1A2B3D4C59",
 		"c=chat,d=1,c=chat", "c=chat,d=1,new=a=b", "c=chat,d=1,mid=1,at=s", "c=chat,d=1,new=" + strings.Repeat("x", maxWordLength+1),
-		"c=chat,d=1" + strings.Repeat(",n=1", maxNames)} {
+		"c=chat,d=1" + strings.Repeat(",n=1", maxParameters)} {
 		lines = append(lines, idAndKey+rest+"\r\n")
 	}
 	return append(lines, idAndKey+"c=chat,d=1500\r\nhello\r\n", idAndKey+"c=chat,d=1500\n")
 }
 
-// abbreviate quotes a line, or its beginning.
+// abbreviate quotes a line, or the beginning of a long one.
 func abbreviate(s string) string {
 	if q := fmt.Sprintf("%q", s); len(q) <= 160 {
 		return q
@@ -36,7 +36,7 @@
 	return fmt.Sprintf("%.60q... of %d bytes", s, len(s))
 }
 
-// What each line is read as stays as it was.
+// The result of parsing each line is that of the golden file.
 func TestReaders_Golden(t *testing.T) {
 	var out strings.Builder
 	writeClientLines(&out)
@@ -46,8 +46,8 @@
 }
 
 func writeClientLines(out *strings.Builder) {
-	proxy := *testSettings
-	proxy.PassThrough = false
+	withoutPassThrough := *testSettings
+	withoutPassThrough.PassThrough = false
 	fmt.Fprintln(out, "# clients")
 	for _, line := range goldenClientLines() {
 		reader := ClientReader{Settings: testSettings}
@@ -62,7 +62,7 @@
 			fmt.Fprintf(out, "  then lines are %s, %v\n", goldenKinds[kind], err)
 		}
 		if strings.Contains(line, "mid=") {
-			_, err := ParseOpen([]byte(line), &proxy)
+			_, err := ParseOpen([]byte(line), &withoutPassThrough)
 			fmt.Fprintf(out, "  where no packets pass through: %v\n", err)
 		}
 	}
--- a/internal/protocol/errors.go
+++ b/internal/protocol/errors.go
@@ -1,26 +1,30 @@
 package protocol
 
-import "errors"
+import (
+	"errors"
+	"fmt"
+)
 
-// The reasons for which a line is refused; a LineError wraps them. Their texts are read in logs, so they stay.
+// The reasons for which a line is refused; a LineError wraps them. Their texts appear in the relay's log.
 var (
-	ErrLineTooLong   = errors.New("line over 4 KiB")
-	ErrBareLF        = errors.New("line ended by a bare LF")
-	ErrSyntax        = errors.New("not a line of the protocol")
-	ErrUnknownClass  = errors.New("unknown class")
-	ErrInvalidNumber = errors.New("bad number")
-	ErrInvalidID     = errors.New("bad id")
-	ErrDuplicateName = errors.New("a name comes twice")
+	ErrLineTooLong   = fmt.Errorf("line is longer than %d bytes", MaxLineLength)
+	ErrBareLF        = errors.New("line ends in LF, expected CRLF")
+	ErrSyntax        = errors.New("line is not PING, STATS or a valid OPEN")
+	ErrUnknownClass  = errors.New("unknown class, expected the name of a configured one")
+	ErrInvalidNumber = fmt.Errorf("invalid number, expected digits with an optional decimal point, at most %d bytes; for a flag, 0 or 1",
+		maxNumberLength)
+	ErrInvalidID     = fmt.Errorf("invalid ID, key or group, expected %d lower-case hexadecimal digits", idDigits)
+	ErrDuplicateName = errors.New("parameter name occurs more than once")
 )
 
-// LineError is a line that was refused.
+// LineError describes a line that was refused.
 type LineError struct {
-	Kind      LineKind // of the line, as far as it was known: KindIncomplete where it could not be told
-	Parameter string   // the name in an OPEN line whose value was refused, or that came twice; empty: the line as a whole
+	Kind      LineKind // of the line, as far as it is known; KindIncomplete if it could not be determined
+	Parameter string   // the name in an OPEN line whose value was refused, or that occurs twice; empty: the line as a whole
 	Err       error    // the reason, one of the Err values of this package
 }
 
-// Error is the reason's text alone: what was on the line is the client's and doesn't belong in a log.
+// Error returns the text of the reason alone: the content of the line is the client's and must not be logged.
 func (e LineError) Error() string { return e.Err.Error() }
 
 // Unwrap returns the reason.
--- a/internal/protocol/load_report.go
+++ b/internal/protocol/load_report.go
@@ -2,8 +2,8 @@
 
 import "bytes"
 
-// ParseReport reads a load report, "name=value,name=value", into the order of the given fields. It returns nil where a
-// field is missing or a number is bad: half a report says nothing.
+// ParseReport parses a load report, "name=value,name=value", into the order of the given fields. It returns nil if a field
+// is missing or a number is invalid: an incomplete report is not used.
 func ParseReport(text []byte, fields []string) []float32 {
 	if len(text) == 0 || len(fields) == 0 {
 		return nil
@@ -11,12 +11,12 @@
 	report := make([]float32, len(fields))
 	found := 0
 	for pair := range bytes.SplitSeq(text, []byte{','}) {
-		name, text, _ := bytes.Cut(pair, []byte{'='})
+		name, number, _ := bytes.Cut(pair, []byte{'='})
 		field := indexOf(fields, name)
 		if field < 0 { // a field of another version
 			continue
 		}
-		value, err := parseNumber(text)
+		value, err := parseNumber(number)
 		if err != nil {
 			return nil
 		}
--- a/internal/protocol/numbers.go
+++ b/internal/protocol/numbers.go
@@ -8,8 +8,8 @@
 
 const idDigits = 16
 
-// parseID reads an id or a key: 16 hexadecimal digits in lower case and no other way. Written in two ways, one id would
-// pass for two.
+// parseID parses an ID or a key: exactly 16 hexadecimal digits in lower case. If it could be written in two ways, one ID
+// would be taken for two.
 func parseID(b []byte) (uint64, error) {
 	if len(b) != idDigits {
 		return 0, ErrInvalidID
@@ -28,11 +28,11 @@
 	return id, nil
 }
 
-// parseDecimal reads a number of a client: digits, perhaps with a point between them. Signs, exponents and whatever else
-// ParseFloat takes are not of the protocol's form, and a backend would close the connection on them.
+// parseDecimal parses a number of a client: digits, optionally with a decimal point between them. Signs, exponents and
+// whatever else ParseFloat accepts are not in the protocol's form, and a backend would close the connection on them.
 func parseDecimal(b []byte) (float64, error) {
 	whole, fraction, hasPoint := bytes.Cut(b, []byte{'.'})
-	if !allDigits(whole) || hasPoint && !allDigits(fraction) || len(b) > maxDigits {
+	if !allDigits(whole) || hasPoint && !allDigits(fraction) || len(b) > maxNumberLength {
 		return 0, ErrInvalidNumber
 	}
 	return parseNumber(b)
@@ -47,7 +47,7 @@
 	return len(b) > 0
 }
 
-// parseNumber reads a number of a backend: whatever ParseFloat takes, but for infinities and NaN.
+// parseNumber parses a number of a backend: whatever ParseFloat accepts, except infinities and NaN.
 func parseNumber(b []byte) (float64, error) {
 	v, err := strconv.ParseFloat(string(b), 64)
 	if err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
--- a/internal/protocol/open.go
+++ b/internal/protocol/open.go
@@ -9,14 +9,14 @@
 	"aspenbarrow/internal/settings"
 )
 
-// What an OPEN line holds at most; clients send far less.
+// The limits of an OPEN line; clients stay far below them.
 const (
-	maxNames      = 32
-	maxWordLength = 256
-	maxDigits     = 12
+	maxParameters   = 32
+	maxWordLength   = 256 // bytes of a parameter's name, or of its value
+	maxNumberLength = 12  // bytes of a number, its decimal point included
 )
 
-// openWords is how many words an OPEN line has: OPEN, the id, the key and the parameters.
+// openWords is how many words an OPEN line has: OPEN, the ID, the key and the parameters.
 const openWords = 4
 
 // The names of an OPEN line's parameters.
@@ -32,15 +32,15 @@
 	nameHolder       = "at"
 )
 
-// loadPerMillisecond turns the expected load of an OPEN line into the balancer's unit, microseconds of work a second.
+// loadPerMillisecond converts the expected load of an OPEN line into the balancer's unit, microseconds of work per second.
 const loadPerMillisecond = 1000
 
-// Open is one OPEN line. Its slices lie in the buffer that the line came in.
+// Open is a parsed OPEN line. Its slices point into the buffer that the line was parsed from.
 type Open struct {
 	Line                     []byte // with its CRLF
-	timeoutStart, timeoutEnd int    // where the digits of the time-out stand in Line
+	timeoutStart, timeoutEnd int    // position of the time-out's digits in Line
 	ID                       uint64
-	Holder                   []byte // the backend that holds the connection already; nil: none
+	Holder                   []byte // the backend that already holds the connection; nil: none
 	Request                  balance.Request
 	Timeout                  time.Duration // how long the client waits for its answer
 }
@@ -53,11 +53,11 @@
 	return o.Line[:o.timeoutStart], o.Line[o.timeoutEnd:]
 }
 
-// ParseOpen reads an OPEN line, its CRLF included. A backend closes a connection whose line it cannot read, and that must
-// not count against the backend, so only the protocol's form passes: each name once, numbers as decimals, nothing outside
-// printable ASCII. Names that it doesn't know pass; they are for the backend. An error is a LineError.
-func ParseOpen(line []byte, names *settings.Settings) (Open, error) {
-	p := openParser{open: Open{Line: line}, settings: names}
+// ParseOpen parses an OPEN line, its CRLF included. A backend closes a connection whose line it cannot parse, and that must
+// not count against the backend, so only the protocol's form is accepted: each name once, numbers in decimal, nothing
+// outside printable ASCII. Unknown names are accepted; they are for the backend. An error is a LineError.
+func ParseOpen(line []byte, current *settings.Settings) (Open, error) {
+	p := openParser{open: Open{Line: line}, settings: current}
 	if err := p.parse(); err != nil {
 		return Open{}, err
 	}
@@ -96,10 +96,10 @@
 	return nil
 }
 
-// parseParameters reads "name=value,name=value", which starts at an offset of the line.
+// parseParameters parses "name=value,name=value"; offset is the position of text in the line.
 func (p *openParser) parseParameters(text []byte, offset int) error {
 	pairs := bytes.Split(text, []byte{','})
-	if len(pairs) > maxNames {
+	if len(pairs) > maxParameters {
 		return LineError{Kind: KindOpen, Err: ErrSyntax}
 	}
 	for i, pair := range pairs {
@@ -120,7 +120,7 @@
 	return nil
 }
 
-// parseParameter takes in one parameter, whose value starts at an offset of the line.
+// parseParameter parses one parameter; offset is the position of its value in the line.
 func (p *openParser) parseParameter(name, value []byte, offset int) (err error) {
 	request := &p.open.Request
 	switch string(name) {
@@ -155,7 +155,8 @@
 	return err
 }
 
-// parseMidStream reads the flag of a connection that comes here unbroken, which only packets that pass through can do.
+// parseMidStream parses the flag of an open connection that another relay has placed. It can arrive here only where packets
+// pass through the relay.
 func (p *openParser) parseMidStream(value []byte) (bool, error) {
 	if !p.settings.PassThrough {
 		return false, ErrSyntax
@@ -163,14 +164,14 @@
 	return parseFlag(value)
 }
 
-// limitTimeout holds the time-out to the one of the class: nobody waits longer than that, whatever the line says.
+// limitTimeout caps the time-out at that of the class: no client waits longer than that, whatever its OPEN line asks for.
 func (p *openParser) limitTimeout() {
 	if limit := p.settings.Classes[p.open.Request.Class].ClientTimeout; limit > 0 {
 		p.open.Timeout = min(p.open.Timeout, limit)
 	}
 }
 
-// isPrintable reports whether a name or a value has the length that it may have and is printable ASCII without "=".
+// isPrintable reports whether a name or a value has a permitted length and is printable ASCII without "=".
 func isPrintable(b []byte) bool {
 	for _, c := range b {
 		if c <= ' ' || c >= 0x7f || c == '=' {
--- a/internal/protocol/open_test.go
+++ b/internal/protocol/open_test.go
@@ -11,7 +11,7 @@
 	"aspenbarrow/balance"
 )
 
-// idAndKey begins an OPEN line that has its parameters to come.
+// idAndKey is an OPEN line up to its parameters.
 const idAndKey = "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 "
 
 func TestParseOpen_AllParameters(t *testing.T) {
@@ -26,10 +26,10 @@
 		line[o.timeoutStart:o.timeoutEnd] != "1500.5" {
 		t.Errorf("%+v", o)
 	}
-	proxy := *testSettings
-	proxy.PassThrough = false
-	if _, err := ParseOpen([]byte(line), &proxy); !errors.Is(err, ErrSyntax) {
-		t.Errorf("mid-stream where no packets pass through: got error %v, want %v", err, ErrSyntax)
+	withoutPassThrough := *testSettings
+	withoutPassThrough.PassThrough = false
+	if _, err := ParseOpen([]byte(line), &withoutPassThrough); !errors.Is(err, ErrSyntax) {
+		t.Errorf("mid-stream without pass-through: got error %v, want %v", err, ErrSyntax)
 	}
 }
 
@@ -57,13 +57,13 @@
 		{"c=chat,d=1,new=\x00", ErrSyntax}, {"c=chat,d=1,new=\xc3\xa4", ErrSyntax}, {"c=chat,d=1,new=a=b", ErrSyntax},
 		{"c=chat,d=1,new=\r", ErrSyntax}, {"c=chat,d=1,=1", ErrSyntax}, {"c=chat,d=1,mid=1,at=s", ErrSyntax},
 		{"c=chat,d=1,new=" + strings.Repeat("x", maxWordLength+1), ErrSyntax},
-		{"c=chat,d=1" + strings.Repeat(",n=1", maxNames), ErrSyntax},
+		{"c=chat,d=1" + strings.Repeat(",n=1", maxParameters), ErrSyntax},
 	} {
 		_, err := ParseOpen([]byte(idAndKey+tc.rest+"\r\n"), testSettings)
 		if !errors.Is(err, tc.want) {
 			t.Errorf("%.40q: got error %v, want %v", tc.rest, err, tc.want)
 		}
-		if refused := (LineError{}); !errors.As(err, &refused) || refused.Kind != KindOpen {
+		if lineError := (LineError{}); !errors.As(err, &lineError) || lineError.Kind != KindOpen {
 			t.Errorf("%.40q: error %#v is not that of an OPEN line", tc.rest, err)
 		}
 	}
@@ -82,13 +82,13 @@
 func TestParseOpen_NamesRejectedParameter(t *testing.T) {
 	for rest, want := range map[string]string{"c=chat,d=x": "d", "c=cat,d=1": "c", "c=chat,d=1,new=1,new=2": "new", "c=chat": ""} {
 		_, err := ParseOpen([]byte(idAndKey+rest+"\r\n"), testSettings)
-		if refused := (LineError{}); !errors.As(err, &refused) || refused.Parameter != want {
-			t.Errorf("%q: got parameter %q, want %q", rest, refused.Parameter, want)
+		if lineError := (LineError{}); !errors.As(err, &lineError) || lineError.Parameter != want {
+			t.Errorf("%q: got parameter %q, want %q", rest, lineError.Parameter, want)
 		}
 	}
 }
 
-// Whatever a client sends, only the protocol's form gets through to a backend.
+// Whatever a client sends, only lines in the protocol's form are accepted and so reach a backend.
 func FuzzParseOpen(f *testing.F) {
 	form := regexp.MustCompile(`^OPEN [0-9a-f]{16} [0-9a-f]{16} ([!-~]+=[!-~]+)(,[!-~]+=[!-~]+)*\r\n$`)
 	f.Add([]byte("OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=chat,d=1500,g=5c0f6e1a2b3d4c59,new=x"))
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -1,6 +1,6 @@
-// Package protocol is the grammar and codec of the operators' line protocol: the lines of clients and backends, the OPEN
-// line, load reports, and the answers to clients. Its readers are fed bytes and leave them in the caller's buffer; they
-// do no I/O.
+// Package protocol implements the grammar and codec of the operators' line protocol: the lines of clients and backends, the
+// OPEN line, load reports, and the answers to clients. Its readers parse bytes in place, in the caller's buffer; they do no
+// I/O.
 package protocol
 
 import "bytes"
@@ -13,12 +13,12 @@
 	crlf  = "\r\n"
 )
 
-// LineKind is what a reader found in the bytes that it was fed.
+// LineKind is the kind of line that a reader found.
 type LineKind uint8
 
 // The kinds of line.
 const (
-	KindIncomplete LineKind = iota // no whole line yet
+	KindIncomplete LineKind = iota // no complete line yet
 	KindPing                       // PING or STATS of a client
 	KindOpen                       // OPEN of a client
 	KindForward                    // whole lines to forward to the other side
@@ -27,12 +27,12 @@
 	KindMove                       // MOVE of a backend
 	KindError                      // ERR of a backend
 	KindBusy                       // BUSY of a backend
-	KindSyntax                     // SYNTAX of a backend: it cannot read what it was sent
-	KindUnknown                    // a first line that the protocol does not have
+	KindSyntax                     // SYNTAX of a backend: it cannot parse what it received
+	KindUnknown                    // a first line that is not part of the protocol
 )
 
-// cutLine finds the first line of b. It returns the line without its CRLF and its length with it; the length is 0 while
-// the line is not whole.
+// cutLine finds the first line of b. It returns the line without its CRLF, and its length including the CRLF; the length is
+// 0 while the line is not complete.
 func cutLine(b []byte) (line []byte, length int, err error) {
 	end := bytes.IndexByte(b, '\n')
 	switch {
@@ -46,8 +46,8 @@
 	return b[:end-1], end + 1, nil
 }
 
-// WholeLines returns how many bytes of b are whole lines. It fails with ErrLineTooLong where one line fills the buffer. How
-// a line ends, by CRLF or LF, is left to the side that reads it.
+// WholeLines returns how many bytes of b are whole lines. It fails with ErrLineTooLong if one line fills the buffer. Whether
+// a line ends in CRLF or LF is not checked here; that is left to the side that receives it.
 func WholeLines(b []byte) (length int, err error) {
 	length = bytes.LastIndexByte(b, '\n') + 1
 	if length == 0 && len(b) >= MaxLineLength {
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -80,37 +80,37 @@
 // feedFunc is a reader's Feed.
 type feedFunc func([]byte) (LineKind, int, error)
 
-// drive feeds a reader bytes as they might arrive: first so many, then the rest.
-func drive(feed feedFunc, b []byte, split int) (kinds []LineKind, lines int, err error) {
-	have := min(split, len(b))
-	for at := 0; ; {
-		kind, length, err := feed(b[at:have])
+// feedInTwo passes b to a reader in two pieces, the first of which has splitAt bytes.
+func feedInTwo(feed feedFunc, b []byte, splitAt int) (kinds []LineKind, lines int, err error) {
+	available := min(splitAt, len(b))
+	for offset := 0; ; {
+		kind, length, err := feed(b[offset:available])
 		switch {
-		case err != nil || length < 0 || length > have-at:
+		case err != nil || length < 0 || length > available-offset:
 			return kinds, lines, err
-		case length == 0 && have == len(b):
+		case length == 0 && available == len(b):
 			return kinds, lines, nil
 		case length == 0:
-			have = len(b)
+			available = len(b)
 			continue
 		}
-		lines += bytes.Count(b[at:at+length], []byte("\n"))
+		lines += bytes.Count(b[offset:offset+length], []byte("\n"))
 		if kind != KindForward || len(kinds) == 0 || kinds[len(kinds)-1] != KindForward {
 			kinds = append(kinds, kind)
 		}
-		at += length
+		offset += length
 	}
 }
 
-// compareSplit holds a reader that is fed all bytes at once to one that is fed them in two pieces.
-func compareSplit(t *testing.T, whole, split feedFunc, b []byte, at int) {
-	if len(b) >= MaxLineLength || at < 0 {
+// compareSplit compares a reader that gets all bytes at once with one that gets them in two pieces.
+func compareSplit(t *testing.T, whole, split feedFunc, b []byte, splitAt int) {
+	if len(b) >= MaxLineLength || splitAt < 0 {
 		return
 	}
-	wholeKinds, wholeCount, wholeErr := drive(whole, b, len(b))
-	splitKinds, splitCount, splitErr := drive(split, b, at)
+	wholeKinds, wholeCount, wholeErr := feedInTwo(whole, b, len(b))
+	splitKinds, splitCount, splitErr := feedInTwo(split, b, splitAt)
 	if len(wholeKinds) != len(splitKinds) || wholeCount != splitCount || !errors.Is(splitErr, wholeErr) {
-		t.Errorf("%q: %v, %d lines, %v; split at %d: %v, %d lines, %v", b, wholeKinds, wholeCount, wholeErr, at,
+		t.Errorf("%q: %v, %d lines, %v; split at %d: %v, %d lines, %v", b, wholeKinds, wholeCount, wholeErr, splitAt,
 			splitKinds, splitCount, splitErr)
 	}
 }
@@ -119,18 +119,18 @@
 func FuzzClientReader(f *testing.F) {
 	f.Add([]byte("PING\r\nOPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=chat,d=5\r\nhello\r\nthere\r\n"), 9)
 	f.Add([]byte("OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=chat,d=5\n"), 1)
-	f.Fuzz(func(t *testing.T, b []byte, at int) {
+	f.Fuzz(func(t *testing.T, b []byte, splitAt int) {
 		whole, split := ClientReader{Settings: testSettings}, ClientReader{Settings: testSettings}
-		compareSplit(t, whole.Feed, split.Feed, b, at)
+		compareSplit(t, whole.Feed, split.Feed, b, splitAt)
 	})
 }
 
 func FuzzBackendReader(f *testing.F) {
 	f.Add([]byte("UP r\r\nLOAD 3\r\nBYE\r\n"), 4)
 	f.Add([]byte("BUSY utilization=1,x0=2\r\n"), 7)
-	f.Fuzz(func(t *testing.T, b []byte, at int) {
+	f.Fuzz(func(t *testing.T, b []byte, splitAt int) {
 		whole, split := BackendReader{ReportFields: testSettings.ReportFieldNames}, BackendReader{ReportFields: testSettings.ReportFieldNames}
-		compareSplit(t, whole.Feed, split.Feed, b, at)
+		compareSplit(t, whole.Feed, split.Feed, b, splitAt)
 		if whole.LastKind != split.LastKind {
 			t.Errorf("last kind %v or %v", whole.LastKind, split.LastKind)
 		}
--- a/internal/session/errors.go
+++ b/internal/session/errors.go
@@ -8,23 +8,23 @@
 	"aspenbarrow/internal/protocol"
 )
 
-// What can be wrong with a handshake, beside its lines. The texts are read in logs, so they stay.
+// The errors of a handshake, besides those of its lines. The texts appear in the relay's log.
 var (
-	ErrHandshakeTimeout = errors.New("no whole line in time")
-	ErrTruncatedLine    = errors.New("ended within a line")
-	ErrTooManyPings     = errors.New("too many probes")
-	ErrNotResumable     = errors.New("at a backend, but not from before the start")
-	ErrDataBeforeAnswer = errors.New("sent on before its answer")
+	ErrHandshakeTimeout = errors.New("handshake timed out")
+	ErrTruncatedLine    = errors.New("connection closed within a line")
+	ErrTooManyPings     = fmt.Errorf("more than %d PING or STATS lines before OPEN", maxPings)
+	ErrNotResumable     = fmt.Errorf("session to resume arrived after a new one, or more than %v after the relay's start", ResumeTimeout)
+	ErrDataBeforeAnswer = errors.New("client sent more data before the answer to its OPEN line")
 )
 
-// Why this relay ends an attempt; an AttemptError wraps them.
+// The reasons for which this relay ends an attempt; an AttemptError wraps them.
 var (
-	ErrLateUp           = errors.New("UP came after the final answer")
-	ErrDeadlineExceeded = errors.New("the time was up before the first byte")
-	ErrBackendDraining  = errors.New("the backend drains or is gone")
+	ErrLateUp           = errors.New("UP arrived after the client was answered or had left")
+	ErrDeadlineExceeded = errors.New("attempt deadline exceeded")
+	ErrBackendDraining  = errors.New("backend is draining or removed")
 )
 
-// attemptStage is how far an attempt had come.
+// attemptStage is the progress of an attempt.
 type attemptStage uint8
 
 const (
@@ -34,7 +34,7 @@
 	stageAnswered                       // the backend has answered, but not with UP
 )
 
-// AttemptError is the end of an attempt that established no session.
+// AttemptError describes the end of an attempt that established no session.
 type AttemptError struct {
 	stage     attemptStage
 	bytesSent int // of the request, at stagePartlySent
@@ -48,13 +48,13 @@
 func (e *AttemptError) Error() string {
 	switch e.stage {
 	case stageNotSent:
-		return fmt.Sprintf("not sent: %v", e.err)
+		return fmt.Sprintf("request not sent: %v", e.err)
 	case stagePartlySent:
-		return fmt.Sprintf("broken after %d bytes: %v", e.bytesSent, e.err)
+		return fmt.Sprintf("connection lost after %d bytes of the request: %v", e.bytesSent, e.err)
 	case stageSent:
-		return fmt.Sprintf("sent, no answer: %v", e.err)
+		return fmt.Sprintf("request sent, but no answer: %v", e.err)
 	}
-	return fmt.Sprintf("answered: %v", e.err)
+	return fmt.Sprintf("backend did not answer UP: %v", e.err)
 }
 
 // Unwrap returns the cause.
@@ -63,13 +63,13 @@
 // Abandon marks an attempt that this relay itself has ended.
 func (e *AttemptError) Abandon() { e.abandoned = true }
 
-// UnknownAnswer reports whether the backend's answer was none of the protocol, or SYNTAX.
+// UnknownAnswer reports whether the backend's answer was SYNTAX or not part of the protocol.
 func (e *AttemptError) UnknownAnswer() bool {
 	return e.answer == protocol.KindUnknown || e.answer == protocol.KindSyntax
 }
 
-// Status is the outcome that the balancer is told. Until the last byte of the request is written it cannot have been
-// executed.
+// Status returns the outcome that is reported to the balancer. A request cannot have been executed before its last byte is
+// written.
 func (e *AttemptError) Status() balance.Status {
 	requestIncomplete := e.stage == stageNotSent || e.stage == stagePartlySent
 	switch {
@@ -91,7 +91,7 @@
 	switch e.answer {
 	case protocol.KindBusy:
 		return balance.StatusOverloaded
-	case protocol.KindMove, protocol.KindSyntax: // a request that it cannot read is no fault of the backend's
+	case protocol.KindMove, protocol.KindSyntax: // a request that it cannot parse does not count against the backend
 		return balance.StatusCancelled
 	case protocol.KindBye:
 		return balance.StatusOK
--- a/internal/session/established.go
+++ b/internal/session/established.go
@@ -10,11 +10,12 @@
 // Established reports whether UP has been or is being written to the client.
 func (s *Session) Established() bool { return s.established.Load() }
 
-// Migrate asks that the client leave at the next end of a line. The caller then wakes the goroutine that reads the backend.
+// Migrate requests that the session end with MOVE at the next line boundary. The caller then wakes the goroutine that reads
+// the backend.
 func (s *Session) Migrate() { s.migrating.Store(true) }
 
-// FromClient takes in all bytes of the client that are not forwarded yet and returns how many are whole lines, which go to
-// the backend.
+// FromClient processes all bytes of the client that are not forwarded yet and returns how many of them are whole lines,
+// which are to be forwarded to the backend.
 func (s *Session) FromClient(now time.Duration, b []byte) (int, error) {
 	length, err := protocol.WholeLines(b)
 	if length > 0 {
@@ -23,8 +24,8 @@
 	return length, err
 }
 
-// FromBackend takes in all bytes of the backend that are not forwarded yet and returns how many go to the client, and an
-// event where a LOAD line is among them.
+// FromBackend processes all bytes of the backend that are not forwarded yet and returns how many are to be forwarded to the
+// client, and an event if a LOAD line is among them.
 func (s *Session) FromBackend(b []byte) (length int, event Event, err error) {
 	_, length, err = s.backendReader.Feed(b)
 	if err != nil || length == 0 {
@@ -37,8 +38,8 @@
 	return length, event, nil
 }
 
-// BackendBlocked takes in that the backend takes no lines. Part of one may have been written, so no more can follow. The
-// caller then wakes the goroutine that reads the backend.
+// BackendBlocked records that the backend accepts no more lines. Part of one may have been written, so no more can follow.
+// The caller then wakes the goroutine that reads the backend.
 func (s *Session) BackendBlocked() { s.backendBlocked.Store(true) }
 
 // CloseMode is how one side of a session is closed after the other has ended.
@@ -46,13 +47,13 @@
 
 // The modes of closing.
 const (
-	CloseNone  CloseMode = iota // it is not to be closed
-	CloseFIN                    // the backend's side ends orderly
+	CloseNone  CloseMode = iota // it stays open
+	CloseFIN                    // the backend's side is closed in an orderly way
 	CloseReset                  // both sides are reset
 )
 
-// ClientEnded takes in the client's end and says how the backend's side is closed: in the same way. Only the first end
-// counts.
+// ClientEnded records how the client's side ended and returns how the backend's side is to be closed: in the same way. Only
+// the first end counts.
 func (s *Session) ClientEnded(end EndKind) CloseMode {
 	if !s.clientEnd.CompareAndSwap(int32(NoEnd), int32(end)) {
 		return CloseNone
@@ -66,19 +67,19 @@
 // Termination is how an established session ends.
 type Termination struct {
 	Status        balance.Status
-	CloseClient   bool   // the client's side ends orderly, after LastLine
+	CloseClient   bool   // the client's side is closed in an orderly way, after LastLine
 	LastLine      string // for the client; it may be empty
 	ResetClient   bool   // the client's side is reset
-	BackendSilent bool   // the backend has sent nothing any more
+	BackendSilent bool   // the backend has stopped responding
 }
 
-// AtLineBoundary is to be asked whenever no line is being forwarded: only there may MOVE be written. It returns how the
-// session ends, if it is to migrate.
+// AtLineBoundary is to be called whenever no line is being forwarded: MOVE may be written only then. It returns how the
+// session ends, and reports whether it is to migrate.
 func (s *Session) AtLineBoundary() (Termination, bool) {
 	return Termination{Status: balance.StatusCancelled, CloseClient: true, LastLine: protocol.AnswerMove}, s.migrating.Load()
 }
 
-// CheckIdle is to be asked while nothing comes from the backend. It returns how the session ends, if it does.
+// CheckIdle is to be called while the backend sends nothing. It returns how the session ends, and reports whether it does.
 func (s *Session) CheckIdle(now time.Duration) (Termination, bool) {
 	if s.hasClientEnded() { // and the backend leaves its side open
 		return s.clientTermination(), true
@@ -86,18 +87,18 @@
 	since := time.Duration(s.unansweredSince.Load())
 	timedOut := since != 0 && now-since > BackendSilenceTimeout
 	if s.backendBlocked.Load() || timedOut {
-		// A host that has vanished or is cut off sends nothing: a time-out alone tells.
+		// A host that has crashed or is cut off sends nothing: only a time-out detects it.
 		return Termination{Status: balance.StatusReset, CloseClient: true, LastLine: protocol.AnswerMove, BackendSilent: true}, true
 	}
 	return Termination{}, false
 }
 
-// Idle reports that CheckIdle would find nothing until something more happens to the session.
+// Idle reports whether CheckIdle cannot end the session until something else happens to it.
 func (s *Session) Idle() bool {
 	return s.unansweredSince.Load() == 0 && !s.hasClientEnded() && !s.backendBlocked.Load()
 }
 
-// ClientBlocked takes in that the client takes nothing any more: the session ends.
+// ClientBlocked records that the client accepts no more bytes: the session ends.
 func (s *Session) ClientBlocked() (Termination, CloseMode) {
 	mode := s.ClientEnded(EndReset)
 	return s.clientTermination(), mode
@@ -105,7 +106,7 @@
 
 func (s *Session) hasClientEnded() bool { return EndKind(s.clientEnd.Load()) != NoEnd }
 
-// clientTermination is the end of a session whose client has ended it.
+// clientTermination returns how a session ends whose client has ended it.
 func (s *Session) clientTermination() Termination {
 	if EndKind(s.clientEnd.Load()) == EndFIN {
 		return Termination{Status: balance.StatusOK}
@@ -113,11 +114,11 @@
 	return Termination{Status: balance.StatusCancelled}
 }
 
-// BackendEnded takes in the backend's end; the client's side ends in the same way.
+// BackendEnded records how the backend's side ended; the client's side is to be closed in the same way.
 //
-// A backend closes on what it cannot read. Where a line of the client's is still unanswered the end may be of the client's
-// making and says nothing of the backend: one bad client could have it ejected and all others moved off it. A backend that
-// dies resets its other sessions as well.
+// A backend closes a connection on which it receives a line that it cannot parse. If a line of the client is still
+// unanswered, the client may have caused the end, so it does not count against the backend: otherwise one bad client could
+// get it ejected and all other clients migrated off it. A backend that crashes resets its other sessions as well.
 func (s *Session) BackendEnded(end EndKind) Termination {
 	if s.hasClientEnded() {
 		return s.clientTermination()
@@ -140,7 +141,7 @@
 	return termination
 }
 
-// Terminated is the event of the session's end.
+// Terminated returns the event of the session's end.
 func (s *Session) Terminated(termination Termination) Event {
 	s.Ended()
 	return Event{Kind: AttemptEnded, Result: balance.AttemptResult{ID: s.Seq, Attempt: s.attempt.number,
--- a/internal/session/golden_test.go
+++ b/internal/session/golden_test.go
@@ -17,7 +17,7 @@
 	"aspenbarrow/internal/upstream"
 )
 
-// goldenStatuses are the words for the statuses of attempts.
+// goldenStatuses are the names of the statuses of attempts in the golden file.
 var goldenStatuses = map[balance.Status]string{balance.StatusOK: "ok", balance.StatusError: "error", balance.StatusOverloaded: "full", balance.StatusTimeout: "timeout",
 	balance.StatusConnectFailed: "connect failed", balance.StatusReset: "reset", balance.StatusCancelled: "cancelled", balance.StatusAbandoned: "moot"}
 
@@ -27,7 +27,7 @@
 	return registry
 }
 
-// goldenAttempt is a session with an attempt that is pending.
+// goldenAttempt returns a session with a pending attempt.
 func goldenAttempt(t *testing.T) (*Session, *Attempt) {
 	t.Helper()
 	s := New(7, goldenSettings, goldenRegistry())
@@ -39,7 +39,7 @@
 	return s, s.Execute(0, Command{Backend: backend, Deadline: 1234567 * time.Microsecond}).Attempt
 }
 
-// What clients are answered, and how attempts and sessions end, stays as it was.
+// The answers to clients, and how attempts and sessions end, are those of the golden file.
 func TestSession_Golden(t *testing.T) {
 	var out strings.Builder
 	writeAnswers(&out)
@@ -56,9 +56,9 @@
 	for _, d := range []time.Duration{-time.Second, 0, 1, time.Millisecond, time.Millisecond + 1, 250 * time.Millisecond, 1500 * time.Millisecond, time.Hour} {
 		fmt.Fprintf(out, "busy for %v %q\n", d, protocol.BusyAnswer(d))
 	}
-	for _, set := range []settings.Settings{{}, {Settings: balance.Settings{RetryAfter: true, MaxRetryAfter: 300 * time.Millisecond}},
+	for _, current := range []settings.Settings{{}, {Settings: balance.Settings{RetryAfter: true, MaxRetryAfter: 300 * time.Millisecond}},
 		{Settings: balance.Settings{RetryAfter: true, MaxRetryAfter: time.Minute}}} {
-		fmt.Fprintf(out, "held off, told %v, at most %v: %q\n", set.RetryAfter, set.MaxRetryAfter, protocol.BusyAnswer(RetryAfter(&set)))
+		fmt.Fprintf(out, "held off, told %v, at most %v: %q\n", current.RetryAfter, current.MaxRetryAfter, protocol.BusyAnswer(RetryAfter(&current)))
 	}
 	for _, ready := range []bool{true, false} {
 		for _, line := range []string{"PING\r\n", "STATS\r\n"} {
@@ -127,12 +127,12 @@
 		attempt.ConnectionEnded(12, false, cause, false), attempt.ConnectionEnded(0, true, cause, true), attempt.ConnectionEnded(0, true, cause, false)} {
 		fmt.Fprintf(out, "%v: %s\n", failure, goldenStatuses[failure.Status()])
 	}
-	for range 2 { // before the session is to migrate, and then
-		termination, now := s.AtLineBoundary()
-		fmt.Fprintf(out, "to move %v: %q, %s\n", now, termination.LastLine, goldenStatuses[termination.Status])
+	for range 2 { // before and after the migration is requested
+		termination, ended := s.AtLineBoundary()
+		fmt.Fprintf(out, "to move %v: %q, %s\n", ended, termination.LastLine, goldenStatuses[termination.Status])
 		s.Migrate()
 	}
 	s.BackendBlocked()
-	termination, now := s.CheckIdle(0)
-	fmt.Fprintf(out, "silent %v: %q, %s\n", now, termination.LastLine, goldenStatuses[termination.Status])
+	termination, ended := s.CheckIdle(0)
+	fmt.Fprintf(out, "silent %v: %q, %s\n", ended, termination.LastLine, goldenStatuses[termination.Status])
 }
--- a/internal/session/handshake.go
+++ b/internal/session/handshake.go
@@ -2,25 +2,26 @@
 
 import (
 	"bytes"
+	"fmt"
 	"time"
 
 	"aspenbarrow/internal/handshake"
 	"aspenbarrow/internal/protocol"
 )
 
-// maxPings is how many PING and STATS lines may come before OPEN: their answers fit into any socket's send buffer, read or
-// not.
+// maxPings is how many PING and STATS lines may precede OPEN: their answers fit into any socket's send buffer even if the
+// client does not read them.
 const maxPings = 16
 
-// Handshake is what the first bytes of a client ask for.
+// Handshake is the result of reading the first bytes of a client.
 type Handshake struct {
-	Consumed int    // bytes that are done with
+	Consumed int    // bytes that the caller may discard
 	Reply    string // to be written to the client
-	Opened   bool   // OPEN is whole; its bytes are to stay in place until the session is established
+	Opened   bool   // the OPEN line is complete; its bytes must stay in place until the session is established
 }
 
-// ReadHandshake takes in all bytes that the client has sent and that are not consumed yet; ready says whether the relay takes
-// sessions, for the answer to PING.
+// ReadHandshake parses the first line among the bytes that the client has sent and that are not consumed yet. The answer
+// to PING and STATS depends on ready, which tells whether the relay accepts sessions.
 func (s *Session) ReadHandshake(now time.Duration, b []byte, ready bool) (Handshake, error) {
 	reader := protocol.ClientReader{Settings: s.settings}
 	kind, length, err := reader.Feed(b)
@@ -31,7 +32,7 @@
 	case protocol.KindPing:
 		return s.answerPing(length, ready)
 	case protocol.KindOpen:
-		if len(b) > length { // a client waits for its answer: what comes with OPEN is meant for a backend's parser
+		if len(b) > length { // a client must wait for its answer: data sent with OPEN is meant for a backend's parser
 			return Handshake{}, ErrDataBeforeAnswer
 		}
 		err = s.open(now, reader.Open)
@@ -54,23 +55,24 @@
 
 func (s *Session) open(now time.Duration, open protocol.Open) (err error) {
 	s.Open, s.ArrivedAt = open, now
-	if now-s.acceptedAt < handshake.EvictionGrace { // else it was sent after the connection was accepted
+	if now-s.acceptedAt < handshake.EvictionGrace { // otherwise it was sent after the connection was accepted
 		s.ArrivedAt -= s.queuedFor
 	}
-	if s.pings > 0 { // the caller's buffer may move once the pings in front of the line are consumed
+	if s.pings > 0 { // the caller's buffer may move once the PING and STATS lines before OPEN are consumed
 		s.Open, err = protocol.ParseOpen(bytes.Clone(open.Line), s.settings)
 	}
 	return err
 }
 
-// HandshakeEnded says what was wrong with an end before any OPEN line, when so many bytes of a line had come; nil: nothing, a
-// client may leave.
+// HandshakeEnded returns the error of a connection that ended before a complete OPEN line, bytesRead bytes after the last
+// complete line; nil if the client may end it there.
 func (s *Session) HandshakeEnded(end EndKind, bytesRead int) error {
 	switch {
 	case end == EndTimeout:
-		return ErrHandshakeTimeout
+		return fmt.Errorf("%w: no complete OPEN line within %v, got %d bytes of a line", ErrHandshakeTimeout,
+			handshake.HandshakeTimeout, bytesRead)
 	case end == EndFIN && bytesRead > 0:
-		return ErrTruncatedLine
+		return fmt.Errorf("%w: got %d bytes, expected CRLF", ErrTruncatedLine, bytesRead)
 	}
 	return nil
 }
--- a/internal/session/helpers_test.go
+++ b/internal/session/helpers_test.go
@@ -10,12 +10,12 @@
 	"aspenbarrow/internal/upstream"
 )
 
-// goldenSettings are those of the golden file.
+// goldenSettings are the settings that the golden file was written with.
 var goldenSettings = &settings.Settings{ClassNames: []string{"chat", "order"}, TenantNames: []string{"acme", "bolt"},
 	ZoneNames: []string{"east", "west"}, KindNames: []string{"k"}, ReportFieldNames: []string{"utilization", "x0"},
 	Settings: balance.Settings{PassThrough: true, Classes: []balance.Class{{ClientTimeout: 2 * time.Second}, {}}}}
 
-// sessionSettings are those of a relay with one class.
+// sessionSettings returns the settings of a relay with one class.
 func sessionSettings() *settings.Settings {
 	return &settings.Settings{ClassNames: []string{"chat"}, ZoneNames: []string{"east"}, KindNames: []string{"k"},
 		ReportFieldNames: []string{"x0"}, IdleTimeout: 5 * time.Second, Settings: balance.Settings{RelayCount: 2,
@@ -26,18 +26,18 @@
 				MessageLatencyObjective: 60 * time.Millisecond}}}}
 }
 
-// testBackends are two backends that are ready.
+// testBackends returns two backends that are ready.
 func testBackends() []*upstream.Backend {
 	return []*upstream.Backend{{ID: 1, Name: "a"}, {ID: 2, Name: "b"}}
 }
 
 func newTestSession(seq uint64) *Session {
-	set, registry := sessionSettings(), &metrics.Registry{}
-	registry.SetClasses(set.ClassNames)
-	return New(seq, set, registry)
+	initial, registry := sessionSettings(), &metrics.Registry{}
+	registry.SetClasses(initial.ClassNames)
+	return New(seq, initial, registry)
 }
 
-// openSession is a session whose client has sent a line.
+// openSession returns a session whose client has sent an OPEN line.
 func openSession(t *testing.T, seq uint64, line string) *Session {
 	t.Helper()
 	s := newTestSession(seq)
--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -1,8 +1,9 @@
-// Package session is one client session, from its handshake to its end, and its attempts at backends. It does no I/O: the
-// caller feeds it bytes, ends of connections and commands, and carries out the actions that it returns.
+// Package session implements the state machine of a client session, from its handshake to its end, and of its attempts at
+// backends. It does no I/O: the caller passes in received bytes, ends of connections and commands, and carries out the
+// actions that are returned.
 //
-// Until a session is established one goroutine may use it. From then on two may, one that reads the client and one that
-// reads the backend; the state that both use is atomic.
+// Only one goroutine may use a session before it is established. From then on two may, the one that reads the client and
+// the one that reads the backend; the state that both use is atomic.
 package session
 
 import (
@@ -17,16 +18,16 @@
 )
 
 const (
-	// IdleCheckInterval is how often CheckIdle is to be called while nothing comes from the backend.
+	// IdleCheckInterval is the interval at which CheckIdle is to be called while the backend sends nothing.
 	IdleCheckInterval = 250 * time.Millisecond
-	// BackendSilenceTimeout is how long a client's line may go without any answer until its backend passes for dead or cut
+	// BackendSilenceTimeout is how long a client's line may remain unanswered before its backend is considered dead or cut
 	// off.
 	BackendSilenceTimeout = 4 * time.Second
-	// CloseTimeout is how long the client's end of the connection is waited for after the relay's.
+	// CloseTimeout is how long the relay waits for the client to close the connection after it has closed its own side.
 	CloseTimeout = time.Second
-	// ClientWriteTimeout is how long a client may take nothing until it passes for gone.
+	// ClientWriteTimeout is how long a client may accept no bytes before it is considered gone.
 	ClientWriteTimeout = 30 * time.Second
-	// ResumeTimeout is how long connections from before the relay's start are resumed after it.
+	// ResumeTimeout is how long after the relay's start connections from before the start may be resumed.
 	ResumeTimeout = 38 * time.Second
 )
 
@@ -36,23 +37,23 @@
 // The kinds of end.
 const (
 	NoEnd      EndKind = iota
-	EndFIN             // an orderly end
-	EndReset           // reset, or a connection that cannot be used any more
-	EndTimeout         // nothing came within the time limit
+	EndFIN             // an orderly close
+	EndReset           // a reset, or a connection that is no longer usable
+	EndTimeout         // nothing arrived within the time limit
 )
 
 // Session is one client's connection.
 type Session struct {
-	Seq       uint64 // the relay's own number of it
+	Seq       uint64 // the relay's own number for the session
 	Open      protocol.Open
-	ArrivedAt time.Duration // when its OPEN line was whole, or was sent if that may have been earlier
+	ArrivedAt time.Duration // when its OPEN line was complete, or the earliest time at which it may have been sent
 	settings  *settings.Settings
 	metrics   *metrics.Registry
 
-	acceptedAt     time.Duration // when it was taken out of the accept queue
-	queuedFor      time.Duration // how long it may have been there
+	acceptedAt     time.Duration // when the connection was taken out of the accept queue
+	queuedFor      time.Duration // how long the connection may have been in the accept queue
 	pings          int
-	answered       bool // the final answer has been given, or the client is gone
+	answered       bool // the final answer has been given, or the client has left
 	attemptPending bool
 	attempts       int
 	attempt        *Attempt // the one that established the session
@@ -60,39 +61,41 @@
 
 	established     atomic.Bool
 	migrating       atomic.Bool
-	backendBlocked  atomic.Bool  // the backend took no more of the client's lines
-	unansweredSince atomic.Int64 // when the oldest line without an answer went to the backend; 0: there is none
+	backendBlocked  atomic.Bool  // the backend accepts no more of the client's lines
+	unansweredSince atomic.Int64 // when the oldest unanswered line was sent to the backend; 0: there is none
 	clientEnd       atomic.Int32 // an EndKind
-	counted         atomic.Bool  // among the active sessions of the metrics
+	counted         atomic.Bool  // included in the ActiveSessions metric
 }
 
-// New is a session whose connection has just been accepted.
-func New(seq uint64, set *settings.Settings, registry *metrics.Registry) *Session {
-	return &Session{Seq: seq, settings: set, metrics: registry}
+// New returns a session whose connection has just been accepted.
+func New(seq uint64, initial *settings.Settings, registry *metrics.Registry) *Session {
+	return &Session{Seq: seq, settings: initial, metrics: registry}
 }
 
-// Accepted says when the connection was taken out of the accept queue and how long it may have been there. What lay there
-// with it was sent earlier: the client's time-out counts from then, though no clock here has seen it come.
+// Accepted records when the connection was taken out of the accept queue and how long it may have been there. Data that
+// was in the queue with it was sent earlier: the client's time-out counts from then, although the relay could not measure
+// when the data arrived.
 func (s *Session) Accepted(c *handshake.Connection) {
 	s.acceptedAt, s.queuedFor = c.AcceptedAt, c.QueuedFor
 }
 
-// SetSettings replaces the settings until the OPEN line has been read; those in force then stay the session's.
-func (s *Session) SetSettings(set *settings.Settings) { s.settings = set }
+// SetSettings replaces the settings. It is called only until the OPEN line has been read; the session keeps the settings
+// that are in force at that time.
+func (s *Session) SetSettings(current *settings.Settings) { s.settings = current }
 
 // Timeout is how long the client waits for its answer.
 func (s *Session) Timeout() time.Duration { return s.Open.Timeout }
 
-// Admitted counts a session whose OPEN line is whole and that has its place.
+// Admitted counts a session whose OPEN line is complete and that is within the relay's limits.
 func (s *Session) Admitted() {
 	s.counted.Store(true)
 	s.metrics.ActiveSessions.Add(1)
 }
 
-// Refused counts a session that has none, for the relay is near a limit.
+// Refused counts a session that is refused because the relay has reached a limit.
 func (s *Session) Refused() { s.classCounters().Overload.Add(1) }
 
-// Ended counts the end of a session that was admitted. It may be called again.
+// Ended counts the end of a session that was admitted. It may be called more than once.
 func (s *Session) Ended() {
 	if s.counted.CompareAndSwap(true, false) {
 		s.metrics.ActiveSessions.Add(-1)
@@ -103,21 +106,21 @@
 	return s.metrics.Class(s.Open.Request.Class)
 }
 
-// EventKind is what the controller is to be told of a session.
+// EventKind is the kind of an event that is reported to the controller.
 type EventKind uint8
 
 // The kinds of event.
 const (
 	NoEvent      EventKind = iota
-	ClientLeft             // before its final answer
+	ClientLeft             // the client has left before its final answer
 	AttemptEnded           // an attempt has failed, or an established session has ended
 	Established
 	LoadReported // the backend has sent a LOAD line
 )
 
-// Event is what the controller is to be told of a session.
+// Event is what a session reports to the controller.
 type Event struct {
 	Kind   EventKind
 	Result balance.AttemptResult
-	Load   float64 // as the LOAD line has it; the settings say what it measures
+	Load   float64 // the value in the LOAD line; the settings determine what it measures
 }
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -45,9 +45,9 @@
 
 func TestRetryAfter_OnlyWhereSettingsAllow(t *testing.T) {
 	for allowed, want := range map[bool]string{true: "BUSY 1000\r\n", false: "BUSY\r\n"} {
-		set := sessionSettings()
-		set.RetryAfter = allowed
-		if got := protocol.BusyAnswer(RetryAfter(set)); got != want {
+		current := sessionSettings()
+		current.RetryAfter = allowed
+		if got := protocol.BusyAnswer(RetryAfter(current)); got != want {
 			t.Errorf("allowed %v: got %q, want %q", allowed, got, want)
 		}
 	}
@@ -84,7 +84,7 @@
 	}
 }
 
-// One final answer is given, in whatever order commands and ends of attempts come.
+// Exactly one final answer is given, in whatever order commands and ends of attempts arrive.
 func TestSession_OneFinalAnswer(t *testing.T) {
 	backends := testBackends()
 	for _, tc := range []struct {
@@ -133,7 +133,7 @@
 	}
 }
 
-// finalAnswers is the number of final answers in what the caller is told to do.
+// finalAnswers returns the number of final answers among the actions.
 func finalAnswers(actions Actions) (n int) {
 	if actions.Answer != "" {
 		n++
@@ -144,8 +144,9 @@
 	return n
 }
 
-// A client whose connection lay in the accept queue has been waiting since before any clock here saw it: its time-out
-// counts from when the queue began to fill, half a second at most. An acceptor that finds nobody has an empty queue.
+// A client whose connection was in the accept queue has waited for a time that the relay cannot measure: its time-out
+// counts from when the queue began to fill, but from half a second before the accept at most. The queue counts as empty
+// once the acceptor finds no connection.
 func TestSession_TimeoutCountsFromAcceptQueue(t *testing.T) {
 	pool, now := handshake.NewPool(1), time.Second
 	accept := func(name string) *handshake.Connection {
@@ -157,14 +158,14 @@
 			}
 		}
 	}
-	// waited is how long ago a client arrived that sends its OPEN line so long after it was accepted.
-	waited := func(c *handshake.Connection, after time.Duration) time.Duration {
+	// waited returns for how long a client has waited that sends its OPEN line with this delay after it was accepted.
+	waited := func(c *handshake.Connection, delay time.Duration) time.Duration {
 		s := newTestSession(1)
 		s.Accepted(c)
-		if _, err := s.ReadHandshake(now+after, []byte("OPEN 0000000000000009 0000000000000009 c=chat,d=1000\r\n"), true); err != nil {
+		if _, err := s.ReadHandshake(now+delay, []byte("OPEN 0000000000000009 0000000000000009 c=chat,d=1000\r\n"), true); err != nil {
 			t.Fatal(err)
 		}
-		return now + after - s.ArrivedAt
+		return now + delay - s.ArrivedAt
 	}
 	for i, want := range []time.Duration{0, 30 * time.Millisecond, 60 * time.Millisecond, 90 * time.Millisecond} {
 		if got := waited(accept("silent"), 0); got != want {
@@ -178,7 +179,7 @@
 		accept("silent")
 	}
 	if got := waited(accept("long in the queue"), 0); got != handshake.MaxQueueTime {
-		t.Errorf("after a second of crowd: got %v, want %v", got, handshake.MaxQueueTime)
+		t.Errorf("after 30 more connections with a full pool: got %v, want %v", got, handshake.MaxQueueTime)
 	}
 	now += handshake.EvictionGrace
 	if got := waited(accept("later"), 0); got != 0 {
--- a/internal/session/split_test.go
+++ b/internal/session/split_test.go
@@ -7,7 +7,7 @@
 	"aspenbarrow/balance"
 )
 
-// An OPEN line that arrives in two pieces, split at any byte, is the request that it is in one.
+// An OPEN line that arrives in two pieces, split at any byte, is parsed as if it had arrived in one.
 func TestSession_HandshakeSplitAtAnyByte(t *testing.T) {
 	const line = "PING\r\nOPEN 00000000000000aa 00000000000000bb c=chat,d=900,g=00000000000000cc\r\n"
 	for i := range len(line) {
@@ -35,7 +35,7 @@
 }
 
 // A backend's bytes may be split at any two places, in UP, in LOAD and in MOVE: every byte is forwarded once and in order,
-// each LOAD is reported once, and the end is known for what it is.
+// no LOAD is reported twice, and the end is recognized as that of a migrated session.
 func TestSession_BackendLinesSplitAtAnyTwoBytes(t *testing.T) {
 	const lines = "UP r1\r\nR 1\r\nLOAD 5.5\r\nR 2\r\nLOAD 7\r\nMOVE\r\n"
 	for i := range len(lines) {
@@ -52,7 +52,7 @@
 	}
 }
 
-// playPieces feeds a session the pieces of what its backend sends.
+// playPieces passes what a backend sends to a session, piece by piece.
 func playPieces(t *testing.T, pieces ...string) (s *Session, forwarded string, loads []float64, unread int) {
 	t.Helper()
 	s = openSession(t, 1, "OPEN 00000000000000aa 00000000000000bb c=chat,d=900\r\n")
