--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,35 +1,35 @@
-// Package admin serves the admin endpoint of a relay: a second address where operators read its state and metrics and
-// have it drained. A client sends one command in a line, receives one response, and the connection is closed.
+// Package admin serves the admin endpoint of a relay: a separate address where operators read its state and metrics and
+// drain it. A client sends a command as one line and receives one response; then the connection is closed.
 //
-// The package decides nothing about the relay. It reads published state, passes drain and undrain on, and never waits
-// for the relay's event loop, so that the endpoint answers while the relay is overloaded. A response begins with SUCCESS
-// only if a whole command arrived. There is no authentication: the address has to be one that clients cannot reach.
+// The package reads published state and passes drain and undrain on. It never waits for the relay's event loop, so that
+// the endpoint answers while the relay is overloaded. A response begins with SUCCESS only if a complete command arrived.
+// There is no authentication: the address must not be reachable by the relay's clients.
 package admin
 
 import "aspenbarrow/internal/metrics"
 
-// State is the stage of a relay's life.
+// State is the lifecycle state of a relay.
 type State uint8
 
-// The states, of which only Serving accepts clients.
+// The states. READY succeeds only in Serving.
 const (
 	Starting     State = iota // there is no endpoint list yet, or the relay does not listen
 	Serving                   // clients are accepted
-	Drained                   // clients are sent away, until an undrain
-	ShuttingDown              // the process is about to end
+	Drained                   // a drain is requested: sessions are migrated away, until an undrain
+	ShuttingDown              // the process is about to exit
 )
 
-// Relay is what the endpoint needs of a relay. No method may block.
+// Relay is the part of a relay that the endpoint uses. No method may block.
 type Relay interface {
-	// State returns the stage of the relay's life.
+	// State returns the relay's lifecycle state.
 	State() State
 	// Metrics returns a copy of the counters and gauges.
 	Metrics() metrics.Snapshot
-	// SetDrained has clients sent away, or accepted again. It may be repeated.
+	// SetDrained drains the relay or ends the drain. It is idempotent.
 	SetDrained(drained bool)
 }
 
-// The commands, each the whole of a line.
+// The commands. Each is a line of its own, without arguments.
 const (
 	commandReady   = "READY"
 	commandStats   = "STATS"
@@ -45,10 +45,10 @@
 	failure = "FAILURE"
 )
 
-// endOfText is the last line of a response of several lines.
+// endOfText is the last line of a multi-line response.
 const endOfText = "EOT"
 
-// Execute executes a command, given without its line end, and returns the response. lineEnd ends each of its lines.
+// Execute executes a command, given without its line end, and returns the response, each line of which ends with lineEnd.
 func Execute(command, lineEnd string, relay Relay) string {
 	switch command {
 	case commandReady:
@@ -69,7 +69,7 @@
 	return failure + " unknown call, there are READY, STATS, WATCH, MEMBERS, DRAIN and UNDRAIN" + lineEnd
 }
 
-// ready says whether the relay accepts clients, for the health checks of whatever sends them.
+// ready returns the response to READY, which load balancers in front of the relay use as a health check.
 func ready(state State) string {
 	switch state {
 	case Serving:
@@ -82,7 +82,7 @@
 	return failure + " leaving: the process is about to end"
 }
 
-// drain drains the relay, also one that is shutting down: the process that takes over hears of it.
+// drain drains the relay, even one that is shutting down: SetDrained also drains its successor process.
 func drain(relay Relay) string {
 	relay.SetDrained(true)
 	if relay.State() == ShuttingDown {
--- a/internal/admin/format.go
+++ b/internal/admin/format.go
@@ -7,7 +7,7 @@
 	"aspenbarrow/internal/metrics"
 )
 
-// response builds a response of several lines.
+// response builds a multi-line response.
 type response struct {
 	strings.Builder
 	lineEnd string
@@ -34,7 +34,7 @@
 	return r.String()
 }
 
-// formatStats returns all counters and gauges, one a line.
+// formatStats returns the response with all counters and gauges, one per line.
 func formatStats(snapshot metrics.Snapshot, lineEnd string) string {
 	r := newResponse(lineEnd)
 	for _, class := range snapshot.Classes {
@@ -54,10 +54,10 @@
 	return r.end()
 }
 
-// memberStates are the states of membership.Member in the order in which they are listed.
+// memberStates are the states of membership.Member in the order of the response.
 var memberStates = []string{"joining", "alive", "suspect", "dead", "left"}
 
-// membershipValues adds how many members are in each state, and the counters of the failure detector.
+// membershipValues adds the number of members in each state and the counters of the failure detector.
 func (r *response) membershipValues(membership *metrics.Membership) {
 	inState := map[string]int64{}
 	for _, member := range membership.Members {
@@ -92,8 +92,8 @@
 	}
 }
 
-// formatMembers returns the relays of the fleet, one a line in the order of their numbers; nil stands for a relay without
-// membership.
+// formatMembers returns the response with the relays of the fleet, one per line in the order of their numbers; membership
+// is nil if it is off or not started.
 func formatMembers(membership *metrics.Membership, lineEnd string) string {
 	if membership == nil {
 		return failure + " nobody finds out who is there: the configuration has no membership, or it has just begun" + lineEnd
@@ -112,8 +112,8 @@
 	return r.end()
 }
 
-// formatShadow returns how often the shadow settings would have decided otherwise, one kind of decision a line; nil
-// stands for a relay without shadow settings.
+// formatShadow returns the response with the differences that the shadow evaluation has counted, one kind per line; shadow
+// is nil if there is no shadow evaluation.
 func formatShadow(shadow *metrics.ShadowSnapshot, lineEnd string) string {
 	if shadow == nil {
 		return failure + " nothing is watched: the configuration has no shape to watch" + lineEnd
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -18,16 +18,16 @@
 
 var update = flag.Bool("update", false, "write golden files")
 
-// fixed is a relay in a state of choice whose figures all differ; quiet: nothing is watched, nobody finds out who is there.
-type fixed struct {
-	state State
-	quiet bool
-	told  string
+// goldenRelay is a relay in a given state whose metrics all have different values.
+type goldenRelay struct {
+	state     State
+	quiet     bool   // neither shadow evaluation nor membership
+	drainCall string // last call of SetDrained, for the golden file
 }
 
-func (f *fixed) State() State       { return f.state }
-func (f *fixed) SetDrained(on bool) { f.told = fmt.Sprintf(" (Drain %v)", on) }
-func (f *fixed) Metrics() metrics.Snapshot {
+func (f *goldenRelay) State() State       { return f.state }
+func (f *goldenRelay) SetDrained(on bool) { f.drainCall = fmt.Sprintf(" (Drain %v)", on) }
+func (f *goldenRelay) Metrics() metrics.Snapshot {
 	out := metrics.Snapshot{Classes: []metrics.ClassCounts{{Name: "chat", Success: 812, Overload: 3, Error: 1}, {Name: "bulk", Success: 90, Overload: 31, Error: 11}},
 		Dispatches: 820, Concurrent: 14, Targets: 9, TargetsDisabled: 2, ReloadSuccess: 4, ReloadFailure: 5}
 	if f.quiet {
@@ -67,17 +67,17 @@
 	}
 }
 
-// Staff's scripts read the answers: each call in each state is answered as it was, byte for byte.
+// Operators' scripts parse the responses: each command's response in each state must not change by a byte.
 func TestExecute_Golden(t *testing.T) {
 	var out bytes.Buffer
 	for i, state := range []string{"starting", "serving", "drained", "leaving"} {
 		for _, quiet := range []bool{false, true} {
-			for _, call := range []string{"READY", "DRAIN", "UNDRAIN", "STATS", "WATCH", "MEMBERS", "", "ready", "DRAIN now"} {
-				f := &fixed{state: State(i), quiet: quiet}
-				answer := Execute(call, "\n", f)
-				fmt.Fprintf(&out, "--- %s, quiet %v: %q%s\n%s", state, quiet, call, f.told, answer)
-				if crlf := Execute(call, "\r\n", &fixed{state: State(i), quiet: quiet}); crlf != strings.ReplaceAll(answer, "\n", "\r\n") {
-					t.Errorf("%q with CRLF: %q", call, crlf)
+			for _, command := range []string{"READY", "DRAIN", "UNDRAIN", "STATS", "WATCH", "MEMBERS", "", "ready", "DRAIN now"} {
+				f := &goldenRelay{state: State(i), quiet: quiet}
+				response := Execute(command, "\n", f)
+				fmt.Fprintf(&out, "--- %s, quiet %v: %q%s\n%s", state, quiet, command, f.drainCall, response)
+				if crlf := Execute(command, "\r\n", &goldenRelay{state: State(i), quiet: quiet}); crlf != strings.ReplaceAll(response, "\n", "\r\n") {
+					t.Errorf("%q with CRLF: %q", command, crlf)
 				}
 			}
 		}
@@ -85,15 +85,15 @@
 	goldenText(t, "answers.txt", out.Bytes())
 }
 
-// The same on the wire, with what never becomes a call.
+// The responses of a running server must not change by a byte either, also to input that is not a command.
 func TestServer_WireGolden(t *testing.T) {
-	addr := served(t, 8)
+	addr := startServer(t, 8)
 	var out bytes.Buffer
-	for _, said := range []string{"READY\n", "READY\r\n", " READY \n", "READY\nDRAIN\n", "DRAIN\n", "UNDRAIN\r\n", "STATS\r\n", "WATCH\n", "MEMBERS\r\n", "\n", "\r\n", "nothing\n",
+	for _, input := range []string{"READY\n", "READY\r\n", " READY \n", "READY\nDRAIN\n", "DRAIN\n", "UNDRAIN\r\n", "STATS\r\n", "WATCH\n", "MEMBERS\r\n", "\n", "\r\n", "nothing\n",
 		strings.Repeat("x", MaxLineBytes-1) + "\n", strings.Repeat("x", MaxLineBytes) + "\n", "DRAI", ""} {
-		c := dialled(t, addr)
+		c := dial(t, addr)
 		_ = c.SetDeadline(time.Now().Add(10 * time.Second))
-		if _, err := io.WriteString(c, said); err != nil {
+		if _, err := io.WriteString(c, input); err != nil {
 			t.Fatal(err)
 		}
 		if err := c.(*net.TCPConn).CloseWrite(); err != nil {
@@ -101,9 +101,9 @@
 		}
 		got, err := io.ReadAll(c)
 		if err != nil {
-			t.Fatalf("%q: %v", said, err)
+			t.Fatalf("%q: %v", input, err)
 		}
-		fmt.Fprintf(&out, "%q\n\t%q\n", said, got)
+		fmt.Fprintf(&out, "%q\n\t%q\n", input, got)
 	}
 	goldenText(t, "wire.txt", out.Bytes())
 }
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -17,23 +17,23 @@
 	"aspenbarrow/internal/handshake"
 )
 
-// MaxLineBytes bounds the line of a command, its end included.
+// MaxLineBytes is the maximum length of a command's line, its end included.
 const MaxLineBytes = 256
 
 const (
 	readTimeout      = 6 * time.Second      // from the accept to the end of the command's line
 	writeTimeout     = time.Second          // for the response
-	acceptRetryDelay = 5 * time.Millisecond // after a failed accept: descriptors may be short for a moment
+	acceptRetryDelay = 5 * time.Millisecond // after a failed accept: descriptors may be exhausted briefly
 )
 
-// What can be wrong with a command's line. The texts are sent to the client.
+// Errors of a command's line. Their texts are sent to the client.
 var (
 	errLineTooLong = fmt.Errorf("call over %d bytes", MaxLineBytes)
 	errTruncated   = errors.New("call cut short")
 )
 
-// Server serves the admin endpoint. It holds a bounded number of connections: when that is used up, the oldest one that
-// has not sent its command gives way, so that silent clients keep nobody from a response.
+// Server serves the admin endpoint. The number of connections is bounded: a new connection evicts the oldest one when the
+// limit is reached, so that clients that send no command cannot block others.
 type Server struct {
 	relay    Relay
 	log      *zap.Logger
@@ -43,15 +43,15 @@
 	mu   sync.Mutex
 	pool *handshake.Pool
 
-	released chan struct{}  // a connection has left the pool
-	handlers sync.WaitGroup // of all connections
+	released chan struct{}  // signals that a connection has left the pool
+	handlers sync.WaitGroup // one per connection
 }
 
 // Listen opens the endpoint for at most maxConnections connections at once. Its errors wrap those of package net.
 func Listen(address string, maxConnections int, relay Relay, log *zap.Logger) (*Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, fmt.Errorf("second address: %w", err)
+		return nil, fmt.Errorf("admin endpoint: %w", err)
 	}
 	return &Server{
 		relay:    relay,
@@ -74,7 +74,7 @@
 			return
 		}
 		if err != nil {
-			s.log.Error("accept at the second address", zap.Error(err))
+			s.log.Error("admin endpoint: accept failed", zap.Error(err))
 			time.Sleep(acceptRetryDelay)
 			continue
 		}
@@ -99,15 +99,15 @@
 	s.handlers.Wait()
 }
 
-// SetMaxConnections changes how many connections there may be at once.
+// SetMaxConnections changes the maximum number of connections.
 func (s *Server) SetMaxConnections(maxConnections int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.pool.Resize(maxConnections)
 }
 
-// admit adds a connection to the pool. If the pool is full, it closes the oldest one, and waits for as long as the pool
-// grants that one to send its command.
+// admit adds a connection to the pool. If the pool is full, it evicts and closes the oldest one; it waits first if that one
+// still has time to send its command.
 func (s *Server) admit(conn net.Conn) *handshake.Connection {
 	for {
 		s.mu.Lock()
@@ -125,7 +125,7 @@
 	}
 }
 
-// awaitRelease waits until a connection leaves the pool, at most for so long.
+// awaitRelease waits until a connection leaves the pool, at most for limit.
 func (s *Server) awaitRelease(limit time.Duration) {
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
@@ -135,10 +135,10 @@
 	}
 }
 
-// release ends a connection. A panic of its handler ends here as well: the endpoint outlives it.
+// release closes a connection and removes it from the pool. It recovers a panic of the connection's handler.
 func (s *Server) release(connection *handshake.Connection, conn net.Conn) {
 	if p := recover(); p != nil {
-		s.log.Error("panic at the second address", zap.Any("panic", p), zap.ByteString("stack", debug.Stack()))
+		s.log.Error("panic in admin endpoint", zap.Any("panic", p), zap.ByteString("stack", debug.Stack()))
 	}
 	_ = conn.Close()
 	s.mu.Lock()
@@ -160,18 +160,18 @@
 		response = Execute(string(bytes.TrimSpace(line)), lineEnd, s.relay)
 	case errors.Is(err, errLineTooLong) || errors.Is(err, errTruncated):
 		response = failure + " " + err.Error() + lineEnd
-	default: // the client left, sent nothing, or had to give way to another
+	default: // the client closed, sent nothing in time, or was evicted
 		return
 	}
 	if strings.HasPrefix(response, failure) {
-		s.log.Warn("call answered with FAILURE", zap.Stringer("from", conn.RemoteAddr()), zap.ByteString("call", line),
+		s.log.Warn("admin command answered with FAILURE", zap.Stringer("from", conn.RemoteAddr()), zap.ByteString("call", line),
 			zap.String("answer", response))
 	}
 	send(conn, response)
 }
 
-// readLine reads a line and returns it without its end, and the end, with which the response's lines end as well. If
-// the line is not whole, it returns what there is of it with errLineTooLong or errTruncated.
+// readLine reads a line and returns it and its line end, which the response also uses. If the line is incomplete, it
+// returns the bytes that were read with errLineTooLong or errTruncated.
 func readLine(reader *bufio.Reader) (line []byte, lineEnd string, err error) {
 	line, err = reader.ReadSlice('\n')
 	switch {
@@ -183,14 +183,14 @@
 		return nil, "", err
 	}
 	line = line[:len(line)-1]
-	if withoutReturn, ok := bytes.CutSuffix(line, []byte("\r")); ok {
-		return withoutReturn, "\r\n", nil
+	if withoutCR, ok := bytes.CutSuffix(line, []byte("\r")); ok {
+		return withoutCR, "\r\n", nil
 	}
 	return line, "\n", nil
 }
 
-// send sends a response and waits for the client to close: closing over unread bytes would reset the connection, and
-// the client might lose the response.
+// send sends a response and waits for the client to close: closing a connection with unread bytes resets it, and the
+// client might lose the response.
 func send(conn net.Conn, response string) {
 	_ = conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := io.WriteString(conn, response); err != nil {
--- a/internal/handshake/pool.go
+++ b/internal/handshake/pool.go
@@ -1,6 +1,6 @@
-// Package handshake is a bounded pool of connections that have not identified themselves, or that have had their final
-// answer and are read until they close. When it is full the oldest one gives way, so that silent connections keep nobody
-// out.
+// Package handshake provides a bounded pool of connections that have not completed the handshake, or that have been sent
+// their final answer and are read until they close. A full pool evicts its oldest connection, so that silent connections
+// cannot block new ones.
 package handshake
 
 import (
@@ -9,44 +9,44 @@
 )
 
 const (
-	// HandshakeTimeout is how long after it was accepted a client may take to say what it wants, whatever else it sends.
+	// HandshakeTimeout is how long after the accept a client may take to send its OPEN line, whatever else it sends.
 	HandshakeTimeout = 2 * time.Second
-	// LingerTimeout is how long a connection is read after its final answer, so that a reset doesn't overtake the answer.
+	// LingerTimeout is how long a connection is read after its final answer, so that a reset does not discard the answer.
 	LingerTimeout = 500 * time.Millisecond
-	// MaxLingerBytes is how many bytes of it are read at full speed in that time.
+	// MaxLingerBytes is how many bytes are read at full speed during LingerTimeout.
 	MaxLingerBytes = 64 << 10
-	// EvictionGrace is how long a connection doesn't give way: its OPEN line may be on its way.
+	// EvictionGrace is how long a new connection cannot be evicted: its OPEN line may be in transit.
 	EvictionGrace = 30 * time.Millisecond
-	// MaxQueueTime bounds the time for which a connection passes for having been in the accept queue.
+	// MaxQueueTime bounds Connection.QueuedFor.
 	MaxQueueTime = 500 * time.Millisecond
 
-	// idleAcceptTime is how long an acceptor finds nobody until the accept queue passes for empty.
+	// idleAcceptTime is how long after the last accepted connection the accept queue is assumed to be empty.
 	idleAcceptTime = 5 * time.Millisecond
 )
 
-// Pool is a bounded pool of connections. Its methods are called one at a time.
+// Pool is a bounded pool of connections. Its methods must not be called concurrently.
 type Pool struct {
-	connections   list.List // of *Connection: those with their final answer first, then the oldest
+	connections   list.List // of *Connection: answered ones first, then the others, oldest first
 	capacity      int
-	acceptPending bool          // a connection waits for room
-	lastAccepted  time.Duration // when the last one was added
-	backlogSince  time.Duration // since when the accept queue has not been empty, for want of room; 0: it is
+	acceptPending bool          // a connection is waiting for room
+	lastAccepted  time.Duration // when the last connection was added
+	backlogSince  time.Duration // since when a full pool has held up the accept queue; 0: it has not
 }
 
 // Connection is one connection in the pool.
 type Connection struct {
-	Conn       any           // the caller's
+	Conn       any           // the caller's connection
 	AcceptedAt time.Duration // on the relay's clock
 	QueuedFor  time.Duration // how long it may have been in the accept queue
-	answered   bool          // its final answer has been written
+	answered   bool          // its final answer has been sent
 	element    *list.Element // nil once it has left the pool
 }
 
-// NewPool is a pool with room for so many connections.
+// NewPool returns a pool for at most capacity connections.
 func NewPool(capacity int) *Pool { return &Pool{capacity: capacity} }
 
-// Add takes a connection in, if there is room. If not, it returns either the connection that gives way, after which Add is
-// to be called again, or how long to wait until one may give way.
+// Add adds a connection if there is room. If not, it returns either a connection that it has evicted, for the caller to close
+// before it calls Add again, or how long to wait until one may be evicted.
 func (p *Pool) Add(now time.Duration, conn any) (added, evicted *Connection, wait time.Duration) {
 	if !p.acceptPending && now-p.lastAccepted > idleAcceptTime {
 		p.backlogSince = 0
@@ -65,7 +65,7 @@
 	return added, nil, 0
 }
 
-// evict removes the oldest connection, or returns how long it still has its place.
+// evict removes the oldest connection, or returns how long it cannot be evicted yet.
 func (p *Pool) evict(now time.Duration) (evicted *Connection, wait time.Duration) {
 	oldest := p.oldest()
 	wait = EvictionGrace - (now - oldest.AcceptedAt)
@@ -79,10 +79,10 @@
 	return nil, wait
 }
 
-// AwaitsAnswer reports whether a connection that gave way is still to have its final answer.
+// AwaitsAnswer reports whether a connection has not been sent its final answer yet.
 func (c *Connection) AwaitsAnswer() bool { return !c.answered }
 
-// Remove takes a connection out; false if it had to give way before.
+// Remove removes a connection. It returns false if the connection was evicted or removed before.
 func (p *Pool) Remove(c *Connection) bool {
 	if c.element == nil {
 		return false
@@ -91,7 +91,7 @@
 	return true
 }
 
-// MarkAnswered takes in that a connection has had its final answer: from now on it gives way first.
+// MarkAnswered records that a connection has been sent its final answer: from now on it is evicted first.
 func (p *Pool) MarkAnswered(c *Connection) {
 	c.answered = true
 	if c.element != nil {
@@ -102,7 +102,7 @@
 // Resize changes the capacity.
 func (p *Pool) Resize(capacity int) { p.capacity = capacity }
 
-// RemoveAll takes all connections out, since the relay ends: those that await it are to have their final answer.
+// RemoveAll removes all connections because the relay shuts down. The caller sends a final answer to those that await one.
 func (p *Pool) RemoveAll() (all []*Connection) {
 	for p.connections.Len() > 0 {
 		oldest := p.oldest()
@@ -112,7 +112,7 @@
 	return all
 }
 
-// Len is how many connections are in the pool.
+// Len returns the number of connections in the pool.
 func (p *Pool) Len() int { return p.connections.Len() }
 
 func (p *Pool) oldest() *Connection { return p.connections.Front().Value.(*Connection) }
--- a/internal/handshake/pool_test.go
+++ b/internal/handshake/pool_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestPool_OldestGivesWayAfterGrace(t *testing.T) {
+func TestPool_EvictsOldestAfterGrace(t *testing.T) {
 	pool := NewPool(2)
 	first, _, _ := pool.Add(0, "first")
 	pool.Add(10*time.Millisecond, "second")
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestPool_AnsweredGivesWayFirst(t *testing.T) {
+func TestPool_EvictsAnsweredFirst(t *testing.T) {
 	pool := NewPool(2)
 	pool.Add(0, "first")
 	second, _, _ := pool.Add(0, "second")
--- a/internal/healthcheck/check.go
+++ b/internal/healthcheck/check.go
@@ -9,28 +9,28 @@
 	"aspenbarrow/internal/upstream"
 )
 
-// Check is one health check under way.
+// Check is one health check in progress.
 type Check struct {
 	Backend   *upstream.Backend
 	Address   string
-	StartedAt time.Duration // on the relay's clock, as all times here; when the connection was up, if it was dialled
+	StartedAt time.Duration // on the relay's clock, like all times here; reset when a new connection is established
 	Deadline  time.Duration
-	Result    balance.HealthCheckResult // once a Step is Done
+	Result    balance.HealthCheckResult // valid once a Step is Done
 	checker   *Checker
 	conn      any
-	reused    bool // conn was an idle one
+	reused    bool // conn was an idle connection
 }
 
-// Step is what the caller does next, in the order of the fields.
+// Step tells the caller what to do next, in the order of the fields.
 type Step struct {
-	Close []any           // these connections
-	Dial  bool            // the check's address, for no longer than the settings' dial time-out
-	Send  any             // the request line on this connection, and read one line
-	Keep  *IdleConnection // until it is in use again, or for the checker's idle time-out
+	Close []any           // close these connections
+	Dial  bool            // connect to the check's address, within the settings' dial timeout
+	Send  any             // send the request line on this connection, and read one line
+	Keep  *IdleConnection // keep this connection until it is in use again or the checker's idle timeout is over
 	Done  bool            // the check has its result
 }
 
-// dial asks for a new connection, in place of the oldest idle one if need be.
+// dial requests a new connection. At the capacity it first closes the oldest idle connection.
 func (c *Check) dial(now time.Duration) (step Step) {
 	checker := c.checker
 	c.reused, c.conn = false, nil
@@ -38,7 +38,7 @@
 		step.Close = append(step.Close, checker.takeIdle(0).Conn)
 		checker.open--
 	}
-	if checker.open >= checker.capacity { // the backend isn't asked: the result says nothing of it
+	if checker.open >= checker.capacity { // no request is sent: the result says nothing about the backend
 		step.Done = true
 		c.finish(now, balance.StatusAbandoned)
 		return step
@@ -48,20 +48,20 @@
 	return step
 }
 
-// DialFailed takes in that no connection came up.
+// DialFailed ends the check because no connection could be established.
 func (c *Check) DialFailed(now time.Duration) Step {
 	c.checker.open--
 	return c.finish(now, balance.StatusConnectFailed)
 }
 
-// Connected takes in that a connection is up. The latency counts from here: the time to the answer tells how fast the
-// backend works, that of the dial doesn't.
+// Connected continues the check on a new connection. The latency is measured from here: the time to the answer shows how
+// fast the backend works, the time of the dial does not.
 func (c *Check) Connected(now time.Duration, conn any) Step {
 	c.conn, c.StartedAt = conn, now
 	return Step{Send: conn}
 }
 
-// ReadAnswer takes in the answer, without its line end.
+// ReadAnswer ends the check with the answer, given without its line end.
 func (c *Check) ReadAnswer(now time.Duration, line string) Step {
 	checker := c.checker
 	word, report, _ := strings.Cut(line, " ")
@@ -81,8 +81,8 @@
 	return step
 }
 
-// ConnectionEnded takes in that the connection has ended or, with timeout set, that no answer came in time. An idle connection
-// that its backend has closed in the meantime is no answer: the check goes out on a new one.
+// ConnectionEnded handles the end of the connection or, with timeout set, a missing answer at the deadline. If the backend has
+// closed a reused connection, that is no result: the check continues on a new connection.
 func (c *Check) ConnectionEnded(now time.Duration, timeout bool) (step Step) {
 	c.checker.open--
 	conn := c.conn
--- a/internal/healthcheck/checker_test.go
+++ b/internal/healthcheck/checker_test.go
@@ -13,7 +13,7 @@
 	"aspenbarrow/internal/upstream"
 )
 
-// testChecker is a checker for so many connections, and its settings.
+// testChecker returns a checker and its settings.
 func testChecker(capacity int) (*Checker, *settings.Settings) {
 	set := &settings.Settings{ReportFieldNames: []string{"x0"}, IdleTimeout: 5 * time.Second,
 		Settings: balance.Settings{DialTimeout: 250 * time.Millisecond}}
@@ -26,23 +26,23 @@
 	return backend
 }
 
-// checkOnce has a backend checked on a new connection, which is kept.
+// checkOnce checks a backend on a new connection and returns it as it is kept.
 func checkOnce(t *testing.T, checker *Checker, now time.Duration, backend *upstream.Backend, conn string) *IdleConnection {
 	t.Helper()
 	check, step := checker.Start(now, backend)
 	if !step.Dial {
-		t.Fatalf("no dial: %+v", step)
+		t.Fatalf("got %+v, want a dial", step)
 	}
 	check.Connected(now, conn)
 	step = check.ReadAnswer(now, "PONG")
 	if step.Keep == nil {
-		t.Fatalf("not kept: %+v", step)
+		t.Fatalf("got %+v, want the connection to be kept", step)
 	}
 	return step.Keep
 }
 
-// A reload that shortens the idle time holds for connections that were kept before it too.
-func TestChecker_IdleTimeoutInForceCounts(t *testing.T) {
+// A reload that shortens the idle timeout also applies to connections that are idle already.
+func TestChecker_ShorterIdleTimeoutAppliesAtOnce(t *testing.T) {
 	checker, set := testChecker(4)
 	backend := testBackend(1)
 	checkOnce(t, checker, 0, backend, "first")
@@ -63,14 +63,14 @@
 	if step.Send != "first" || step.Dial || checker.ExpireIdle(idle) {
 		t.Fatalf("%+v", step)
 	}
-	// The backend has closed it in the meantime: the check goes out on a new connection.
+	// The backend has closed it in the meantime: the check continues on a new connection.
 	step = check.ConnectionEnded(time.Second, false)
 	if !step.Dial || step.Done || len(step.Close) != 1 || checker.Connections() != 1 {
 		t.Errorf("%+v, %d connections", step, checker.Connections())
 	}
 }
 
-func TestChecker_GivesUpIdleConnectionsAtCapacity(t *testing.T) {
+func TestChecker_ClosesIdleConnectionsAtCapacity(t *testing.T) {
 	checker, _ := testChecker(1)
 	checkOnce(t, checker, 0, testBackend(1), "first")
 	check, step := checker.Start(time.Second, testBackend(2))
@@ -99,7 +99,7 @@
 	}
 }
 
-// What backends are asked, and what their answers are read as, stays as it was.
+// The requests to backends and the interpretation of their answers must not change.
 func TestChecker_Golden(t *testing.T) {
 	var out strings.Builder
 	fmt.Fprintln(&out, "# questions to backends, and their answers")
--- a/internal/healthcheck/helpers_test.go
+++ b/internal/healthcheck/helpers_test.go
@@ -7,7 +7,7 @@
 	"aspenbarrow/internal/settings"
 )
 
-// goldenSettings are those of the golden file.
+// goldenSettings are the settings of the golden file.
 var goldenSettings = &settings.Settings{ClassNames: []string{"chat", "order"}, TenantNames: []string{"acme", "bolt"},
 	ZoneNames: []string{"east", "west"}, KindNames: []string{"k"}, ReportFieldNames: []string{"utilization", "x0"},
 	Settings: balance.Settings{PassThrough: true, Classes: []balance.Class{{ClientTimeout: 2 * time.Second}, {}}}}
--- a/internal/hotrestart/document.go
+++ b/internal/hotrestart/document.go
@@ -1,5 +1,5 @@
-// Package hotrestart is the document by which one process of a relay hands its state to its successor while both run:
-// its format, its limits and its checks. A successor that gets no valid document starts without state.
+// Package hotrestart defines the document in which a relay process hands its state to its successor while both run: its
+// format, limits and validation. A successor that receives no valid document starts without state.
 //
 // It neither transports the document (package relay) nor collects and applies the state (package controller).
 package hotrestart
@@ -13,37 +13,37 @@
 )
 
 const (
-	// documentVersion is raised when a document can no longer be read by the version before.
+	// documentVersion is incremented when processes of the previous version could no longer read the document.
 	documentVersion = 1
-	// MaxDocumentBytes is the longest document that is written.
+	// MaxDocumentBytes is the size limit of an encoded document.
 	MaxDocumentBytes = 1 << 20
-	// maxDocumentAge bounds how long ago a document was written: both processes run at once, so an older one is of a
-	// hot restart that failed.
+	// maxDocumentAge bounds the age of an accepted document: both processes run at the same time, so an older document
+	// was left by a hot restart that failed.
 	maxDocumentAge = 10 * time.Second
 )
 
-// Document is the state that a process hands to its successor. Its JSON keys are read by processes of other versions,
-// so they stay when a field is renamed.
+// Document is the state that a process hands to its successor. Processes of other versions read its JSON keys, so a key
+// stays when its field is renamed.
 type Document struct {
 	Version     int              `json:"version"` // set by Encode
-	Name        string           `json:"name"`    // of the relay
+	Name        string           `json:"name"`    // name of the relay
 	WrittenAt   time.Duration    `json:"at"`      // on the clock that both processes share
 	Classes     []string         `json:"classes"` // names of all classes by number, retired ones included
 	Drained     bool             `json:"drained"`
-	Incarnation uint64           `json:"incarnation,omitempty"` // in the membership protocol; 0: it is off
+	Incarnation uint64           `json:"incarnation,omitempty"` // in the membership protocol; 0: membership is off
 	Backends    []BackendRecord  `json:"members"`
 	Snapshot    balance.Snapshot `json:"memory"`
 }
 
-// BackendRecord is one backend as the endpoint list had it last.
+// BackendRecord is one backend of the latest endpoint list.
 type BackendRecord struct {
 	Name    string          `json:"name"`
 	Address string          `json:"addr"`
 	Backend balance.Backend `json:"line"`
 }
 
-// Encode writes the document in the version of this process. A document over MaxDocumentBytes is returned with a
-// *SizeError.
+// Encode returns the document as JSON, in the version of this process. A document over MaxDocumentBytes is returned
+// together with a *SizeError.
 func (d Document) Encode() ([]byte, error) {
 	d.Version = documentVersion
 	text, err := json.Marshal(d)
@@ -56,8 +56,8 @@
 	return text, nil
 }
 
-// Decode reads a document for the relay of a name. It is accepted whole or not at all: every error meets ErrUnusable,
-// and is a *SyntaxError, *VersionError, *RelayError, *AgeError or *BackendError.
+// Decode parses and validates a document for the relay with the given name. No part of an invalid document is returned.
+// Every error matches ErrUnusable and is a *SyntaxError, *VersionError, *RelayError, *AgeError or *BackendError.
 func Decode(text []byte, name string, now time.Duration) (Document, error) {
 	var d Document
 	if err := json.Unmarshal(text, &d); err != nil {
@@ -96,8 +96,8 @@
 	return list
 }
 
-// RemapClasses reorders the snapshot's loads of classes by the numbers that the classes have in this process. The entry
-// after the last class is over all classes and stays. Loads that do not fit the document's classes are dropped.
+// RemapClasses reorders the snapshot's class loads by this process's class numbers. The entry after the last class is the
+// load over all classes; it stays last. Class loads whose number does not match the document's classes are dropped.
 func (d *Document) RemapClasses(names []string) {
 	s := &d.Snapshot
 	if len(s.ClassLoads) != len(d.Classes)+1 || len(s.ClassLoadSamples) != len(s.ClassLoads) {
@@ -106,7 +106,7 @@
 	}
 	loads, samples := make([]float64, len(names)+1), make([]float64, len(names)+1)
 	for number, name := range names {
-		for oldNumber, oldName := range d.Classes { // of several with one name the last is the newest
+		for oldNumber, oldName := range d.Classes { // among classes of the same name the last one is the newest
 			if oldName == name && s.ClassLoadSamples[oldNumber] > 0 {
 				loads[number], samples[number] = s.ClassLoads[oldNumber], s.ClassLoadSamples[oldNumber]
 			}
--- a/internal/hotrestart/document_test.go
+++ b/internal/hotrestart/document_test.go
@@ -37,8 +37,8 @@
 		if err != nil {
 			t.Fatalf("age %v: %v", age, err)
 		}
-		if again, err := d.Encode(); err != nil || string(again) != string(text) {
-			t.Errorf("%v\n got %s\nwant %s", err, again, text)
+		if reencoded, err := d.Encode(); err != nil || string(reencoded) != string(text) {
+			t.Errorf("%v\n got %s\nwant %s", err, reencoded, text)
 		}
 	}
 }
@@ -59,10 +59,10 @@
 		{"another version", `"version":1`, `"version":2`, 0, isError[*VersionError]},
 		{"another relay", `"name":"n0"`, `"name":"n9"`, 0, isError[*RelayError]},
 		{"too old", "", "", maxDocumentAge + 1, isError[*AgeError]},
-		{"from the future", "", "", -maxDocumentAge - 1, isError[*AgeError]},
+		{"written in the future", "", "", -maxDocumentAge - 1, isError[*AgeError]},
 		{"a backend without a name", `"name":"b"`, `"name":""`, 0, isError[*BackendError]},
 		{"a backend without an address", `"addr":"h:2"`, `"addr":""`, 0, isError[*BackendError]},
-		{"a backend with another's ID", `"name":"b"`, `"name":"x"`, 0, isError[*BackendError]},
+		{"a backend with another backend's ID", `"name":"b"`, `"name":"x"`, 0, isError[*BackendError]},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			text := strings.Replace(string(valid), tc.old, tc.replacement, 1)
@@ -71,10 +71,10 @@
 			}
 			d, err := Decode([]byte(text), "n0", writtenAt+tc.age)
 			if !tc.want(err) || !errors.Is(err, ErrUnusable) {
-				t.Errorf("%T: %v", err, err)
+				t.Errorf("unexpected %T: %v", err, err)
 			}
 			if d.Name != "" || d.Backends != nil {
-				t.Errorf("a part of a refused document is returned: %+v", d)
+				t.Errorf("part of a rejected document is returned: %+v", d)
 			}
 		})
 	}
@@ -85,19 +85,19 @@
 	return errors.As(err, &target)
 }
 
-func TestDecode_SyntaxErrorHasTheDecodersError(t *testing.T) {
+func TestDecode_SyntaxErrorWrapsJSONError(t *testing.T) {
 	_, err := Decode([]byte(`{"version":"1"}`), "n0", writtenAt)
 	if !isError[*json.UnmarshalTypeError](err) {
-		t.Errorf("%v", err)
+		t.Errorf("got %v, want a wrapped *json.UnmarshalTypeError", err)
 	}
 }
 
-func TestDocument_EncodeRefusesTooLargeState(t *testing.T) {
+func TestDocument_EncodeReportsOversize(t *testing.T) {
 	d := testDocument()
 	d.Classes = []string{strings.Repeat("x", MaxDocumentBytes)}
 	_, err := d.Encode()
 	if tooLarge := (*SizeError)(nil); !errors.As(err, &tooLarge) || tooLarge.Size <= MaxDocumentBytes {
-		t.Errorf("%v", err)
+		t.Errorf("got %v, want a *SizeError over %d bytes", err, MaxDocumentBytes)
 	}
 }
 
@@ -120,11 +120,11 @@
 		{"same order", nil, []string{"chat", "bulk"}, []float64{10, 20, 30}, []float64{1, 2, 3}},
 		{"another order and a new class", nil, []string{"bulk", "new", "chat"}, []float64{20, 0, 10, 30}, []float64{2, 0, 1, 3}},
 		{"a dropped class", nil, []string{"bulk"}, []float64{20, 30}, []float64{2, 3}},
-		{"the newer of two classes with one name", func(d *Document) { d.Classes[0] = "bulk" }, []string{"bulk"}, []float64{20, 30}, []float64{2, 3}},
-		{"the one that has samples", func(d *Document) { d.Classes[0], d.Snapshot.ClassLoadSamples[1] = "bulk", 0 }, []string{"bulk"},
+		{"the newer of two classes of the same name", func(d *Document) { d.Classes[0] = "bulk" }, []string{"bulk"}, []float64{20, 30}, []float64{2, 3}},
+		{"of two classes of the same name the one with samples", func(d *Document) { d.Classes[0], d.Snapshot.ClassLoadSamples[1] = "bulk", 0 }, []string{"bulk"},
 			[]float64{10, 30}, []float64{1, 3}},
-		{"loads that do not fit the classes", func(d *Document) { d.Classes = d.Classes[1:] }, []string{"bulk"}, nil, nil},
-		{"samples that do not fit the loads", func(d *Document) { d.Snapshot.ClassLoadSamples = nil }, []string{"bulk"}, nil, nil},
+		{"number of loads does not match the classes", func(d *Document) { d.Classes = d.Classes[1:] }, []string{"bulk"}, nil, nil},
+		{"number of samples does not match the loads", func(d *Document) { d.Snapshot.ClassLoadSamples = nil }, []string{"bulk"}, nil, nil},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			d := testDocument()
--- a/internal/hotrestart/errors.go
+++ b/internal/hotrestart/errors.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// ErrUnusable is met by every error of a document that is refused.
+// ErrUnusable matches every error of a rejected document.
 var ErrUnusable = errors.New("state of the predecessor process cannot be used")
 
 // SyntaxError is a document that is not JSON of the expected form.
@@ -21,7 +21,7 @@
 type VersionError struct{ Version int }
 
 func (e *VersionError) Error() string {
-	return fmt.Sprintf("%v: version %d, this process knows %d", ErrUnusable, e.Version, documentVersion)
+	return fmt.Sprintf("%v: document has version %d, want %d", ErrUnusable, e.Version, documentVersion)
 }
 
 // Unwrap returns ErrUnusable.
@@ -31,31 +31,35 @@
 type RelayError struct{ Name string }
 
 func (e *RelayError) Error() string {
-	return fmt.Sprintf("%v: written by relay %q", ErrUnusable, e.Name)
+	return fmt.Sprintf("%v: written by another relay, %q", ErrUnusable, e.Name)
 }
 
 // Unwrap returns ErrUnusable.
 func (e *RelayError) Unwrap() error { return ErrUnusable }
 
-// AgeError is a document that was written too long ago or, with a negative age, by a clock that is ahead.
+// AgeError is a document that was written too long ago or, with a negative age, in the future.
 type AgeError struct{ Age time.Duration }
 
-func (e *AgeError) Error() string { return fmt.Sprintf("%v: written %v ago", ErrUnusable, e.Age) }
+func (e *AgeError) Error() string {
+	return fmt.Sprintf("%v: written %v ago, limit %v", ErrUnusable, e.Age, maxDocumentAge)
+}
 
 // Unwrap returns ErrUnusable.
 func (e *AgeError) Unwrap() error { return ErrUnusable }
 
-// BackendError is a record of a backend without a name or address, or with an ID that is not its name's.
+// BackendError is a backend record without a name or address, or with an ID that does not match its name.
 type BackendError struct{ Name, Address string }
 
 func (e *BackendError) Error() string {
-	return fmt.Sprintf("%v: backend %q at %q", ErrUnusable, e.Name, e.Address)
+	return fmt.Sprintf("%v: backend record with name %q and address %q, want both set and the ID of that name", ErrUnusable, e.Name, e.Address)
 }
 
 // Unwrap returns ErrUnusable.
 func (e *BackendError) Unwrap() error { return ErrUnusable }
 
-// SizeError is a state that is too large to be handed over, in bytes.
+// SizeError is a document over MaxDocumentBytes, with its size in bytes.
 type SizeError struct{ Size int }
 
-func (e *SizeError) Error() string { return fmt.Sprintf("%d bytes, over %d", e.Size, MaxDocumentBytes) }
+func (e *SizeError) Error() string {
+	return fmt.Sprintf("state has %d bytes, limit %d", e.Size, MaxDocumentBytes)
+}
--- a/internal/hotrestart/load.go
+++ b/internal/hotrestart/load.go
@@ -6,14 +6,14 @@
 	"aspenbarrow/balance"
 )
 
-// EncodeLoad writes the loads that a process goes on tracking, for its successor while both run. State that the
-// document has already handed over is left out.
+// EncodeLoad encodes the loads that a process still tracks after the handover, for its successor while both run. State
+// that the document has already handed over is omitted.
 func EncodeLoad(s balance.Snapshot) ([]byte, error) {
 	s.StickyOverrides, s.ClassLoads, s.ClassLoadSamples, s.KindLateness = nil, nil, nil, nil
 	return json.Marshal(s)
 }
 
-// DecodeLoad reads what EncodeLoad wrote; an empty text means that the other process has ended. Its error is a
+// DecodeLoad parses the output of EncodeLoad; an empty text means that the other process has exited. Its error is a
 // *SyntaxError.
 func DecodeLoad(text []byte) (balance.Snapshot, error) {
 	var s balance.Snapshot
--- a/internal/metrics/registry.go
+++ b/internal/metrics/registry.go
@@ -1,4 +1,4 @@
-// Package metrics holds the counters and gauges that the admin endpoint reads. No decision rests on them.
+// Package metrics holds the counters and gauges that the admin endpoint reads. No decision depends on them.
 package metrics
 
 import (
@@ -10,22 +10,22 @@
 	"aspenbarrow/internal/membership"
 )
 
-// Registry is one relay's counters and gauges since its process began. It may be written and read from any goroutine. Each
-// thing is counted where it happens, once.
+// Registry holds one relay's counters and gauges since its process started. It is safe for concurrent use. Each event is
+// counted once, where it happens.
 type Registry struct {
-	classes        atomic.Pointer[[]*ClassCounters] // by the number of a class; classes of one name share theirs
-	Dispatches     atomic.Int64                     // attempts whose request was written whole
+	classes        atomic.Pointer[[]*ClassCounters] // by class number; classes of the same name share their counters
+	Dispatches     atomic.Int64                     // attempts whose request was written completely
 	ActiveSessions atomic.Int64                     // admitted and not ended
-	targets        atomic.Int64
-	disabled       atomic.Int64
+	backends       atomic.Int64                     // in the endpoint list
+	unavailable    atomic.Int64                     // of those
 	reloadSuccess  atomic.Int64
 	reloadFailure  atomic.Int64
 	shadow         atomic.Pointer[ShadowCounters] // nil: there is no shadow evaluation
-	membership     atomic.Pointer[Membership]     // nil: the relays don't find out about one another
-	RejectedGossip atomic.Int64                   // notices of relays that are not active
+	membership     atomic.Pointer[Membership]     // nil: membership is off
+	RejectedGossip atomic.Int64                   // gossip messages from relays that are not active
 }
 
-// ClassCounters is what became of one class's sessions.
+// ClassCounters counts the outcomes of one class's sessions.
 type ClassCounters struct {
 	name                      string
 	Success, Overload, Failed atomic.Int64
@@ -33,14 +33,14 @@
 
 // Snapshot is one reading of a Registry.
 type Snapshot struct {
-	Classes         []ClassCounts   // each name once, in the order in which they came
-	Dispatches      int64           // attempts whose request was written whole
+	Classes         []ClassCounts   // each name once, in the order of the class numbers
+	Dispatches      int64           // attempts whose request was written completely
 	Concurrent      int64           // sessions that were admitted and have not ended
 	Targets         int64           // backends in the endpoint list
 	TargetsDisabled int64           // of those, unavailable now
-	ReloadSuccess   int64           // configurations taken over at SIGHUP
-	ReloadFailure   int64           // and refused
-	Membership      *Membership     // nil: the relays don't find out about one another
+	ReloadSuccess   int64           // configurations applied on SIGHUP
+	ReloadFailure   int64           // configurations rejected on SIGHUP
+	Membership      *Membership     // nil: membership is off
 	Shadow          *ShadowSnapshot // nil: there is no shadow evaluation
 }
 
@@ -48,7 +48,7 @@
 type ClassCounts struct {
 	Name     string
 	Success  int64 // sessions established
-	Overload int64 // sessions refused
+	Overload int64 // sessions rejected
 	Error    int64 // sessions failed
 }
 
@@ -56,12 +56,12 @@
 type Membership struct {
 	ActiveRelays   int // this one included
 	Health         int
-	RejectedGossip int64 // notices of relays that are not active
+	RejectedGossip int64 // gossip messages from relays that are not active
 	Members        []membership.Member
 	Counters       membership.Stats
 }
 
-// SetClasses names the classes by their numbers. Classes whose name was known keep their counts.
+// SetClasses sets the names of the classes by number. A class whose name existed before keeps its counts.
 func (r *Registry) SetClasses(names []string) {
 	byName, classes := map[string]*ClassCounters{}, make([]*ClassCounters, 0, len(names))
 	if old := r.classes.Load(); old != nil {
@@ -80,13 +80,13 @@
 	r.classes.Store(&classes)
 }
 
-// Class is the counters of a class, by its number.
+// Class returns the counters of a class by its number.
 func (r *Registry) Class(class int) *ClassCounters { return (*r.classes.Load())[class] }
 
 // SetBackends sets how many backends the endpoint list has and how many of them are unavailable.
-func (r *Registry) SetBackends(targets, disabled int) {
-	r.targets.Store(int64(targets))
-	r.disabled.Store(int64(disabled))
+func (r *Registry) SetBackends(backends, unavailable int) {
+	r.backends.Store(int64(backends))
+	r.unavailable.Store(int64(unavailable))
 }
 
 // SetMembership publishes the relay's view of the other relays.
@@ -94,7 +94,7 @@
 	r.membership.Store(&Membership{ActiveRelays: m.ActiveCount(), Health: m.Health(), RejectedGossip: r.RejectedGossip.Load(), Members: m.Members(now), Counters: m.Stats()})
 }
 
-// EnableShadow has the registry count the differences that a shadow evaluation finds, from zero.
+// EnableShadow adds counters, starting from zero, for the differences that a shadow evaluation finds.
 func (r *Registry) EnableShadow() *ShadowCounters {
 	counters := &ShadowCounters{}
 	r.shadow.Store(counters)
@@ -110,11 +110,11 @@
 	}
 }
 
-// maxReadings bounds how often a Snapshot is read again until two readings in a row agree.
+// maxReadings bounds how often Snapshot reads again until two consecutive readings agree.
 const maxReadings = 8
 
-// Snapshot reads all counters as they were at one moment, unless counts come so fast that no two readings in a row agree:
-// then the last one holds, a count or two apart.
+// Snapshot returns a consistent reading of all counters. If they change so fast that no two consecutive readings agree, it
+// returns the last one, in which counters may differ by a count or two.
 func (r *Registry) Snapshot() Snapshot {
 	snapshot := r.readOnce()
 	for range maxReadings {
@@ -131,8 +131,8 @@
 	snapshot := Snapshot{
 		Dispatches:      r.Dispatches.Load(),
 		Concurrent:      r.ActiveSessions.Load(),
-		Targets:         r.targets.Load(),
-		TargetsDisabled: r.disabled.Load(),
+		Targets:         r.backends.Load(),
+		TargetsDisabled: r.unavailable.Load(),
 		ReloadSuccess:   r.reloadSuccess.Load(),
 		ReloadFailure:   r.reloadFailure.Load(),
 		Membership:      r.membership.Load(),
@@ -148,7 +148,7 @@
 	classes := *r.classes.Load()
 	counts := make([]ClassCounts, 0, len(classes))
 	for i, counters := range classes {
-		if slices.Contains(classes[:i], counters) { // several classes of one name
+		if slices.Contains(classes[:i], counters) { // several classes of the same name
 			continue
 		}
 		counts = append(counts, ClassCounts{Name: counters.name, Success: counters.Success.Load(),
--- a/internal/metrics/registry_test.go
+++ b/internal/metrics/registry_test.go
@@ -10,7 +10,7 @@
 	registry.SetClasses([]string{"chat", "bulk"})
 	registry.Class(0).Success.Add(2)
 	registry.Class(1).Overload.Add(1)
-	registry.SetClasses([]string{"chat", "bulk", "chat", "order"}) // a changed class has a number of its own
+	registry.SetClasses([]string{"chat", "bulk", "chat", "order"}) // a changed class gets a new number
 	registry.Class(2).Failed.Add(3)
 	want := []ClassCounts{{Name: "chat", Success: 2, Error: 3}, {Name: "bulk", Overload: 1}, {Name: "order"}}
 	if got := registry.Snapshot().Classes; !slices.Equal(got, want) {
--- a/internal/shadow/actions.go
+++ b/internal/shadow/actions.go
@@ -10,7 +10,7 @@
 	return verdict{made: true, admitted: true, backend: id}
 }
 
-// answered is the verdict of a request that is rejected or fails.
+// answered is the verdict for a request that is rejected or fails.
 var answered = verdict{made: true}
 
 // actualDecided records a decision of the actual side.
@@ -34,12 +34,12 @@
 	}
 }
 
-// Observe returns actions that record the actual side's decisions on their way.
+// Observe wraps actions so that the actual side's decisions are recorded before they are passed on.
 func (e *Evaluator) Observe(actions balance.Actions) balance.Actions {
 	return observedActions{actions, e}
 }
 
-// observedActions passes all actions on. It embeds them, and overrides those that are compared.
+// observedActions passes all actions on and records those that are compared.
 type observedActions struct {
 	balance.Actions
 	evaluator *Evaluator
@@ -68,7 +68,7 @@
 	o.Actions.Migrate(id)
 }
 
-// shadowActions are the shadow's actions. Its decisions are recorded and its timers set; nothing else is done.
+// shadowActions records the shadow's decisions and sets its timers; all other actions are ignored.
 type shadowActions struct{ evaluator *Evaluator }
 
 var _ balance.Actions = shadowActions{}
--- a/internal/shadow/comparison.go
+++ b/internal/shadow/comparison.go
@@ -8,14 +8,14 @@
 	"aspenbarrow/internal/upstream"
 )
 
-// verdict is one side's last decision on a request.
+// verdict is one side's latest decision on a request.
 type verdict struct {
-	made     bool // there is one that is not compared yet
-	admitted bool // an attempt was started; else the request was answered
+	made     bool // a decision has been made that is not compared yet
+	admitted bool // true: an attempt was started; false: the final answer was given
 	backend  balance.BackendID
 }
 
-// requestState is the evaluation's state of one request and of the session that it becomes.
+// requestState is the evaluation's state of a request and of the session that results from it.
 type requestState struct {
 	request           balance.Request
 	arrivedAt         time.Duration
@@ -27,7 +27,7 @@
 	migrationCompared bool
 }
 
-// compareChanged compares the requests that both sides have decided.
+// compareChanged compares the changed requests on which both sides have decided.
 func (e *Evaluator) compareChanged(now time.Duration) {
 	for _, id := range e.changed {
 		if state := e.requests[id]; state != nil && state.actual.made && state.shadow.made {
@@ -37,20 +37,20 @@
 	e.changed = e.changed[:0]
 }
 
-// compareNow compares a request before an event of it, whether or not the shadow has decided.
+// compareNow compares a request before its next event is delivered, whether or not the shadow has decided.
 func (e *Evaluator) compareNow(now time.Duration, id uint64) {
 	if state := e.requests[id]; state != nil && state.actual.made {
 		e.compare(now, id, state)
 	}
 }
 
-// compare counts a difference once and has the shadow take in what was actually done.
+// compare compares the decisions on a request. It counts a difference and replays the actual decision into the shadow.
 func (e *Evaluator) compare(now time.Duration, id uint64, state *requestState) {
 	e.counters.Compared.Add(1)
-	actual, evaluated := state.actual, state.shadow
+	actual, shadow := state.actual, state.shadow
 	state.actual, state.shadow = verdict{}, verdict{}
-	if actual != evaluated {
-		e.count(differenceOf(actual, evaluated, state.attempts))
+	if actual != shadow {
+		e.count(differenceOf(actual, shadow, state.attempts))
 		request := state.request
 		request.TimeLeft -= now - state.arrivedAt
 		e.shadow.ReplayDecision(now, request, state.attempts-1, actual.backend, actual.admitted)
@@ -60,12 +60,12 @@
 	}
 }
 
-// differenceOf returns the kind of a difference. attempts counts the actual ones, the one just started included.
-func differenceOf(actual, evaluated verdict, attempts int) metrics.Difference {
+// differenceOf returns the kind of a difference. attempts is the number of actual attempts, one just started included.
+func differenceOf(actual, shadow verdict, attempts int) metrics.Difference {
 	switch {
-	case !evaluated.made:
+	case !shadow.made:
 		return metrics.DecisionDelayed
-	case actual.admitted && evaluated.admitted:
+	case actual.admitted && shadow.admitted:
 		return metrics.DifferentBackend
 	case actual.admitted && attempts <= 1:
 		return metrics.RejectedNotAdmitted
@@ -86,7 +86,7 @@
 	}
 }
 
-// sweepMigrations compares the migrations since the last sweep, which gives both sides the time to decide.
+// sweepMigrations compares the migrations since the last sweep. The delay gives both sides time to decide.
 func (e *Evaluator) sweepMigrations() {
 	for _, id := range e.migrations {
 		if state := e.requests[id]; state != nil {
@@ -96,7 +96,7 @@
 	e.migrations = e.migrations[:0]
 }
 
-// compareMigration counts a session that only one side has migrated, once.
+// compareMigration counts a session that only one side has migrated, once per session.
 func (e *Evaluator) compareMigration(state *requestState) {
 	if state.migrationCompared || state.actualMigrated == state.shadowMigrated {
 		return
@@ -109,20 +109,20 @@
 	}
 }
 
-// compareAvailability counts the backends that one side has come to avoid and the other has not.
+// compareAvailability counts the backends that are unavailable on one side only, once per change of the difference.
 func (e *Evaluator) compareAvailability(now time.Duration, backends []*upstream.Backend) {
 	reporter, ok := e.actual.(availabilityReporter)
-	if !ok { // a simpler policy, which avoids none
+	if !ok { // a simpler policy, for which no backend is unavailable
 		return
 	}
 	for _, backend := range backends {
-		actual, evaluated := reporter.Unavailable(now, backend.ID), e.shadow.Unavailable(now, backend.ID)
-		if actual == evaluated {
+		actual, shadow := reporter.Unavailable(now, backend.ID), e.shadow.Unavailable(now, backend.ID)
+		if actual == shadow {
 			delete(e.availability, backend.ID)
 			continue
 		}
 		kind := metrics.UsedNotUnavailable
-		if evaluated {
+		if shadow {
 			kind = metrics.UnavailableNotUsed
 		}
 		if counted, ok := e.availability[backend.ID]; !ok || counted != kind {
--- a/internal/shadow/evaluator.go
+++ b/internal/shadow/evaluator.go
@@ -1,9 +1,9 @@
-// Package shadow evaluates a second configuration beside the one in force. A second balancer, the shadow, gets the same
-// events as the actual one; its decisions are compared with the actual ones and the differences counted by kind. After
-// each comparison the shadow takes in what was actually done, so that one difference does not grow into others.
+// Package shadow evaluates a second configuration alongside the active one. A second balancer, the shadow, receives the
+// same events as the actual balancer; its decisions are compared with the actual ones and the differences are counted by
+// kind. After a difference the actual decision is replayed into the shadow, so that it does not cause further differences.
 //
-// Nothing that the shadow decides is done, and a fault of the evaluation ends the evaluation alone. Its state does not
-// outlive the process.
+// The shadow's decisions are never carried out, and a panic in the evaluation stops only the evaluation. Its state is lost
+// when the process exits.
 package shadow
 
 import (
@@ -17,26 +17,26 @@
 	"aspenbarrow/internal/upstream"
 )
 
-// logInterval is the shortest time between two log lines with the differences.
+// logInterval is the minimum time between two log lines about differences.
 const logInterval = 10 * time.Second
 
-// Host is what an Evaluator needs of the controller that it belongs to.
+// Host is the part of the controller that an Evaluator uses.
 type Host interface {
 	// Now returns the time of the event that is being delivered.
 	Now() time.Duration
-	// SetShadowTimer has ShadowTimerFired called with the token after a time.
+	// SetShadowTimer schedules a call of ShadowTimerFired with the token after the given delay.
 	SetShadowTimer(token uint64, after time.Duration)
 }
 
-// availabilityReporter is a Decider that tells which backends it sends nothing new to.
+// availabilityReporter is a Decider that reports which backends it sends no new requests to.
 type availabilityReporter interface {
 	Unavailable(now time.Duration, id balance.BackendID) bool
 }
 
 var _ availabilityReporter = (*balance.Balancer)(nil)
 
-// Evaluator is a Decider that passes events to the actual Decider and to the shadow, and compares the two. It names the
-// actual Decider instead of embedding it, so that an event that is added or renamed must be handled here.
+// Evaluator is a Decider that passes events to the actual Decider and to the shadow, and compares their decisions. It does
+// not embed the actual Decider, so that an added or renamed event does not compile until it is handled here.
 type Evaluator struct {
 	actual   decision.Decider
 	shadow   *balance.Balancer
@@ -46,12 +46,12 @@
 	log      *zap.Logger
 
 	requests     map[uint64]*requestState
-	changed      []uint64 // requests with a decision that is not compared yet
+	changed      []uint64 // requests with a decision that has not been compared
 	migrations   []uint64 // requests that either side has migrated since the last sweep
 	availability map[balance.BackendID]metrics.Difference
 
 	loggedAt    time.Duration
-	loggedTotal int64 // differences when they were logged last
+	loggedTotal int64 // number of differences when they were last logged
 }
 
 var (
@@ -59,12 +59,13 @@
 	_ decision.Snapshotter = (*Evaluator)(nil)
 )
 
-// New returns an evaluator of a shape. It takes events after Start only.
+// New returns an evaluator of a shape. It must not receive events before Start.
 func New(host Host, shape *Shape, log *zap.Logger) *Evaluator {
 	return &Evaluator{host: host, shape: shape, log: log}
 }
 
-// Start begins to evaluate beside the actual Decider, whose actions must go through Observe. s are the actual settings.
+// Start starts the evaluation alongside the actual Decider, whose actions must be wrapped by Observe. s holds the actual
+// settings.
 func (e *Evaluator) Start(now time.Duration, seed uint64, actual decision.Decider, s balance.Settings, counters *metrics.ShadowCounters) {
 	e.actual = actual
 	e.counters = counters
@@ -75,13 +76,13 @@
 	e.log.Info("shadow evaluation started", zap.Any("shape", e.shape))
 }
 
-// Balancer returns the shadow, for checks.
+// Balancer returns the shadow, for tests.
 func (e *Evaluator) Balancer() *balance.Balancer { return e.shadow }
 
-// Requests returns how many requests are being compared, for checks.
+// Requests returns how many requests are being compared, for tests.
 func (e *Evaluator) Requests() int { return len(e.requests) }
 
-// runGuarded runs a part of the evaluation. A panic in it ends the evaluation and nothing else.
+// runGuarded runs a part of the evaluation unless it has failed. A panic stops only the evaluation.
 func (e *Evaluator) runGuarded(part func()) {
 	if e.failed() {
 		return
@@ -100,8 +101,8 @@
 
 func (e *Evaluator) count(kind metrics.Difference) { e.counters.Counts[kind].Add(1) }
 
-// Sweep compares what has no event of its own, migrations and the availability of backends, and logs the differences.
-// It is called at regular intervals.
+// Sweep compares migrations and the availability of backends, which are not compared at events, and logs the differences.
+// It is called periodically.
 func (e *Evaluator) Sweep(now time.Duration, backends []*upstream.Backend) {
 	e.runGuarded(func() {
 		e.sweepMigrations()
@@ -113,7 +114,7 @@
 	})
 }
 
-// logDifferences logs the counts since the start if any has grown.
+// logDifferences logs the counts since Start, unless none has changed since the last log line.
 func (e *Evaluator) logDifferences() {
 	snapshot, total := e.counters.Snapshot(), int64(0)
 	for _, count := range snapshot.Counts {
--- a/internal/shadow/evaluator_test.go
+++ b/internal/shadow/evaluator_test.go
@@ -54,7 +54,7 @@
 	return s
 }
 
-// newTestEvaluator starts an evaluator whose two sides differ in whether there are health checks, with one ready backend.
+// newTestEvaluator starts an evaluator with one ready backend, with or without health checks on either side.
 func newTestEvaluator(actualChecks, shadowChecks bool) (*Evaluator, *metrics.ShadowCounters, *fakeActions) {
 	const now = time.Second
 	other := testSettings(shadowChecks)
@@ -67,20 +67,20 @@
 	return evaluator, counters, actions
 }
 
-// establish has a request arrive and its attempt succeed.
+// establish delivers a request and the success of its attempt.
 func establish(evaluator *Evaluator, now time.Duration, id uint64) {
 	evaluator.RequestArrived(now, balance.Request{ID: id, Key: id, TimeLeft: time.Second, RetryPolicy: &balance.RetryPolicy{}})
 	evaluator.AttemptSucceeded(now, balance.AttemptResult{ID: id, Backend: testBackend, Latency: time.Millisecond})
 }
 
-// A backend that reports full utilization is avoided by the side that has health checks, and by it alone. Each time that the
-// two sides come to differ is counted once, under the kind of that difference.
+// A backend that reports full utilization becomes unavailable only on the side with health checks. The difference is counted
+// once, under its kind, however long it lasts.
 func TestEvaluator_CountsAvailability(t *testing.T) {
 	for _, tc := range []struct {
 		name                       string
 		actualChecks, shadowChecks bool
 		want                       metrics.Difference
-		key                        string // on the wire
+		key                        string // in the WATCH response
 	}{
 		{"the shadow has no health checks", true, false, metrics.UsedNotUnavailable, "back"},
 		{"only the shadow has health checks", false, true, metrics.UnavailableNotUsed, "avoided"},
@@ -94,9 +94,9 @@
 			backends := []*upstream.Backend{{ID: testBackend, Name: "a"}}
 			evaluator.Sweep(now, backends)
 			if n := counters.Counts[tc.want].Load(); n != 0 {
-				t.Fatalf("%d differences of a backend that is not full", n)
+				t.Fatalf("%d differences for a backend that is not full", n)
 			}
-			for range 20 { // the checking side ends up with a limit that its sessions have reached
+			for range 20 { // the side with health checks lowers its limit until the sessions reach it
 				now += 200 * time.Millisecond
 				evaluator.HealthCheckDone(now, balance.HealthCheckResult{Backend: testBackend, Load: []float32{2}, Latency: time.Millisecond})
 				evaluator.Sweep(now, backends)
@@ -105,7 +105,7 @@
 				t.Errorf("%s is counted %d times, want once: %+v", tc.want, n, counters.Snapshot())
 			}
 			if tc.want.String() != tc.key {
-				t.Errorf("the kind is called %q, want %q", tc.want, tc.key)
+				t.Errorf("the name of the kind is %q, want %q", tc.want, tc.key)
 			}
 			if evaluator.failed() {
 				t.Error("the evaluation has failed")
@@ -141,7 +141,7 @@
 	evaluator.AttemptEnded(time.Second, balance.AttemptResult{ID: 1, Backend: testBackend, Closed: true})
 	evaluator.ClientClosed(time.Second, 2)
 	if n := evaluator.Requests(); n != 0 {
-		t.Errorf("%d requests are kept", n)
+		t.Errorf("%d requests after both have closed, want 0", n)
 	}
 }
 
@@ -160,23 +160,23 @@
 }
 
 func TestDifferenceOf(t *testing.T) {
-	none, here, there := verdict{}, admittedAt(1), admittedAt(2)
+	undecided, backend1, backend2 := verdict{}, admittedAt(1), admittedAt(2)
 	for _, tc := range []struct {
-		name              string
-		actual, evaluated verdict
-		attempts          int
-		want              metrics.Difference
+		name           string
+		actual, shadow verdict
+		attempts       int
+		want           metrics.Difference
 	}{
-		{"not decided yet", here, none, 1, metrics.DecisionDelayed},
-		{"another backend", here, there, 1, metrics.DifferentBackend},
-		{"another backend for a retry", here, there, 2, metrics.DifferentBackend},
-		{"rejected", here, answered, 1, metrics.RejectedNotAdmitted},
-		{"answered instead of retried", here, answered, 2, metrics.AnsweredNotRetried},
-		{"admitted", answered, here, 0, metrics.AdmittedNotRejected},
-		{"retried instead of answered", answered, here, 1, metrics.RetriedNotAnswered},
+		{"shadow undecided", backend1, undecided, 1, metrics.DecisionDelayed},
+		{"another backend", backend1, backend2, 1, metrics.DifferentBackend},
+		{"another backend for a retry", backend1, backend2, 2, metrics.DifferentBackend},
+		{"rejected", backend1, answered, 1, metrics.RejectedNotAdmitted},
+		{"answered instead of retried", backend1, answered, 2, metrics.AnsweredNotRetried},
+		{"admitted", answered, backend1, 0, metrics.AdmittedNotRejected},
+		{"retried instead of answered", answered, backend1, 1, metrics.RetriedNotAnswered},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			if got := differenceOf(tc.actual, tc.evaluated, tc.attempts); got != tc.want {
+			if got := differenceOf(tc.actual, tc.shadow, tc.attempts); got != tc.want {
 				t.Errorf("%s, want %s", got, tc.want)
 			}
 		})
@@ -186,7 +186,7 @@
 func TestShape_EqualAndApply(t *testing.T) {
 	base := Shape{HealthChecks: true, ReportFields: []balance.ReportField{balance.FieldLoadShare}}
 	if same := base; !base.Equal(&same) || base.Equal(nil) || (*Shape)(nil).Equal(&base) || !(*Shape)(nil).Equal(nil) {
-		t.Error("a shape equals its copy, and none equals none alone")
+		t.Error("a shape must equal its copy, and nil only nil")
 	}
 	for name, change := range map[string]func(*Shape){
 		"health checks": func(s *Shape) { s.HealthChecks = false },
@@ -200,7 +200,7 @@
 			changed := base
 			change(&changed)
 			if base.Equal(&changed) || changed.Equal(&base) {
-				t.Error("the change is not seen")
+				t.Error("Equal does not detect the change")
 			}
 			applied := changed.Apply(base.Apply(balance.Settings{MaxAttempts: 3}))
 			if got := ShapeOf(&applied); !got.Equal(&changed) || applied.MaxAttempts != 3 || !slices.Equal(got.ReportFields, changed.ReportFields) {
--- a/internal/shadow/events.go
+++ b/internal/shadow/events.go
@@ -8,7 +8,7 @@
 	"aspenbarrow/internal/decision"
 )
 
-// onBoth passes an event to both sides, the actual one first, and compares.
+// onBoth passes an event to both sides, the actual one first, and compares their decisions.
 func (e *Evaluator) onBoth(now time.Duration, event func(decision.Decider)) {
 	event(e.actual)
 	e.runGuarded(func() {
@@ -46,14 +46,14 @@
 
 // AttemptEnded compares the request's last decision and passes the event to both sides.
 func (e *Evaluator) AttemptEnded(now time.Duration, result balance.AttemptResult) {
-	over := false
+	ended := false
 	e.runGuarded(func() {
 		e.compareNow(now, result.ID)
 		state := e.requests[result.ID]
-		over = state != nil && (state.established || result.Closed)
+		ended = state != nil && (state.established || result.Closed)
 	})
 	e.onBoth(now, func(d decision.Decider) { d.AttemptEnded(now, result) })
-	if over {
+	if ended {
 		e.runGuarded(func() { e.forget(result.ID) })
 	}
 }
@@ -62,7 +62,7 @@
 func (e *Evaluator) ClientClosed(now time.Duration, id uint64) {
 	e.runGuarded(func() {
 		e.compareNow(now, id)
-		// The shadow has started an attempt while the actual side still waits: nothing of it may stay in the shadow's load.
+		// An attempt that only the shadow has started must not remain in the shadow's tracked load.
 		if state := e.requests[id]; state != nil && state.shadow.admitted {
 			e.shadow.ReplayDecision(now, state.request, 0, 0, false)
 		}
@@ -76,13 +76,13 @@
 	e.onBoth(now, func(d decision.Decider) { d.LoadReported(now, id, signal, value) })
 }
 
-// TimerFired is a timer of the actual side.
+// TimerFired passes a timer of the actual side to it.
 func (e *Evaluator) TimerFired(now time.Duration, token uint64) {
 	e.actual.TimerFired(now, token)
 	e.runGuarded(func() { e.compareChanged(now) })
 }
 
-// ShadowTimerFired is a timer of the shadow, set with Host.SetShadowTimer.
+// ShadowTimerFired passes a timer that was set with Host.SetShadowTimer to the shadow.
 func (e *Evaluator) ShadowTimerFired(now time.Duration, token uint64) {
 	e.runGuarded(func() {
 		e.shadow.TimerFired(now, token)
@@ -95,12 +95,12 @@
 	e.onBoth(now, func(d decision.Decider) { d.DrainBy(now, at) })
 }
 
-// DeadlineExceeded is for the actual side alone: the shadow takes in the answer with the next comparison.
+// DeadlineExceeded passes the event to the actual side only: the next comparison replays the answer into the shadow.
 func (e *Evaluator) DeadlineExceeded(now time.Duration, id uint64) {
 	e.actual.DeadlineExceeded(now, id)
 }
 
-// HealthCheckDone passes a result to the shadow only if its shape has health checks: else it would not have come.
+// HealthCheckDone passes a result to the shadow only if its shape has health checks: without them a balancer gets none.
 func (e *Evaluator) HealthCheckDone(now time.Duration, result balance.HealthCheckResult) {
 	e.actual.HealthCheckDone(now, result)
 	e.runGuarded(func() {
@@ -122,7 +122,7 @@
 	})
 }
 
-// EndpointsUpdated passes a list to both sides, a copy to each, since a balancer keeps it.
+// EndpointsUpdated passes each side its own copy of the list, since a balancer keeps it.
 func (e *Evaluator) EndpointsUpdated(now time.Duration, kind balance.EndpointUpdateKind, backends []balance.Backend) {
 	e.onBoth(now, func(d decision.Decider) { d.EndpointsUpdated(now, kind, slices.Clone(backends)) })
 }
@@ -132,21 +132,21 @@
 	e.onBoth(e.host.Now(), func(d decision.Decider) { d.SetActiveRelays(relays) })
 }
 
-// UpdateSettings passes settings to both sides, to the shadow with its own shape.
+// UpdateSettings passes settings to both sides, with the shadow's shape applied for the shadow.
 func (e *Evaluator) UpdateSettings(s balance.Settings) {
 	e.actual.UpdateSettings(s)
 	e.runGuarded(func() { e.shadow.UpdateSettings(e.shape.Apply(s)) })
 }
 
 // Connections returns the actual side's counts.
-func (e *Evaluator) Connections() (all, byServer int) { return e.actual.Connections() }
+func (e *Evaluator) Connections() (all, byBackend int) { return e.actual.Connections() }
 
 // CountUnavailable returns the actual side's counts.
 func (e *Evaluator) CountUnavailable(now time.Duration) (listed, avoided int) {
 	return e.actual.CountUnavailable(now)
 }
 
-// Snapshot returns the actual side's state: the evaluation begins anew with each process.
+// Snapshot returns the actual side's state only: the evaluation starts anew in each process.
 func (e *Evaluator) Snapshot() balance.Snapshot {
 	if snapshotter, ok := e.actual.(decision.Snapshotter); ok {
 		return snapshotter.Snapshot()
@@ -154,7 +154,7 @@
 	return balance.Snapshot{}
 }
 
-// Restore restores the actual side's state of the predecessor process in both sides.
+// Restore restores both sides from the actual side's state in the predecessor process.
 func (e *Evaluator) Restore(now time.Duration, snapshot balance.Snapshot) {
 	if snapshotter, ok := e.actual.(decision.Snapshotter); ok {
 		snapshotter.Restore(now, snapshot)
--- a/internal/shadow/shape.go
+++ b/internal/shadow/shape.go
@@ -6,14 +6,14 @@
 	"aspenbarrow/balance"
 )
 
-// Shape is the part of the balancer's settings that differs between deployments: what the balancer has to go by. The
-// JSON keys are those under which it is logged.
+// Shape is the part of the balancer's settings that depends on the deployment: the inputs available to the balancer. It
+// is logged under its JSON keys.
 type Shape struct {
 	HealthChecks bool `json:"Probes"`
 	Gossip       bool `json:"Peers"`
 	Groups       bool
 	RetryAfter   bool
-	ReportFields []balance.ReportField `json:"Report"` // of load reports, in order; empty: there are none
+	ReportFields []balance.ReportField `json:"Report"` // fields of a load report, in order; empty: there are no load reports
 	Weights      balance.WeightMode
 }
 
@@ -36,7 +36,7 @@
 	return to
 }
 
-// Equal reports whether two shapes are the same; nil equals nil alone.
+// Equal reports whether two shapes are the same; nil equals only nil.
 func (s *Shape) Equal(other *Shape) bool {
 	if s == nil || other == nil {
 		return s == other
