--- a/cmd/aspenbarrow/command_serve.go
+++ b/cmd/aspenbarrow/command_serve.go
@@ -94,7 +94,7 @@
 	loaded, err := loadReplacement(path, current, server)
 	server.Reloaded(err == nil)
 	if err != nil {
-		log.Error("configuration not taken, the running one stays", zap.Error(err))
+		log.Error("configuration reload rejected, keeping the current configuration", zap.Error(err))
 		return current
 	}
 	applyProcessLimits(loaded)
--- a/cmd/aspenbarrow/harness_test.go
+++ b/cmd/aspenbarrow/harness_test.go
@@ -38,7 +38,7 @@
 // Log messages of the program that tests wait for or count.
 const (
 	logReloaded              = `"msg":"configuration reloaded"`
-	logReloadRejected        = `"msg":"configuration not taken, the running one stays"`
+	logReloadRejected        = `"msg":"configuration reload rejected, keeping the current configuration"`
 	logCachedListMalformed   = "cached endpoint list is malformed"
 	logShutdownStarted       = `"msg":"graceful shutdown started"`
 	logRestored              = "state restored from predecessor process"
--- a/internal/controller/actions.go
+++ b/internal/controller/actions.go
@@ -16,7 +16,7 @@
 
 var _ balance.Actions = balancerActions{}
 
-// Send starts an attempt. The attempt at a backend that no list has named fails, once the current event is handled.
+// Send starts an attempt. An attempt at a backend that no endpoint list has contained fails after the current event.
 func (a balancerActions) Send(id uint64, to balance.BackendID, timeout time.Duration) {
 	c := a.controller
 	record, backend := c.sessions.bySequence[id], c.endpoints.byID[to]
@@ -77,25 +77,25 @@
 	}
 }
 
-// SendGossip sends to one peer, or to all for a negative index. The data is copied: the balancer uses its buffer again.
+// SendGossip sends to one peer, or to all for a negative index. The data is copied: the balancer reuses its buffer.
 func (a balancerActions) SendGossip(peer int, data []byte) {
 	cfg := &a.controller.config
 	if !a.controller.settings.Gossip || len(data) > MaxDatagramBytes || peer >= len(cfg.Peers) {
 		return
 	}
-	to := cfg.BroadcastPeer
+	address := cfg.BroadcastPeer
 	if peer >= 0 {
-		to = cfg.Peers[peer]
+		address = cfg.Peers[peer]
 	}
-	a.controller.driver.SendDatagram(to, append([]byte(nil), data...))
+	a.controller.driver.SendDatagram(address, append([]byte(nil), data...))
 }
 
 func (a balancerActions) SetTimer(token uint64, after time.Duration) {
 	a.controller.setTimer(balancerTimer, token, after)
 }
 
-func (a balancerActions) WatchEndpoints(on bool) { a.controller.driver.RequestEndpoints(on) }
-func (a balancerActions) FetchEndpoints()        { a.controller.driver.RequestEndpoints(false) }
+func (a balancerActions) WatchEndpoints(watch bool) { a.controller.driver.RequestEndpoints(watch) }
+func (a balancerActions) FetchEndpoints()           { a.controller.driver.RequestEndpoints(false) }
 
 func (a balancerActions) Log(text string) {
 	a.controller.log.Info("balancer message", zap.String("text", text))
--- a/internal/controller/architecture_test.go
+++ b/internal/controller/architecture_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// The core runs in a relay and in the deterministic simulation. So it may not use a socket, a file, a clock, a goroutine or
+// The core runs in a relay and in the deterministic simulation, so it must not use a socket, a file, a clock, a goroutine or
 // randomness of its own, directly or through a package of this module.
 func TestCore_HasNoIO(t *testing.T) {
 	allowed := map[string]bool{"net/netip": true, "math/rand/v2": true}
@@ -24,29 +24,29 @@
 			if strings.HasSuffix(name, "_test.go") {
 				continue
 			}
-			set := token.NewFileSet()
-			f, err := parser.ParseFile(set, name, nil, 0)
+			fileSet := token.NewFileSet()
+			file, err := parser.ParseFile(fileSet, name, nil, 0)
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, i := range f.Imports {
-				p := strings.Trim(i.Path.Value, `"`)
-				root, _, _ := strings.Cut(p, "/")
-				if !allowed[p] && (slices.Contains([]string{"net", "os", "syscall", "bufio", "context", "sync"}, root) &&
-					p != "sync/atomic" || p == "math/rand" || p == "crypto/rand") {
-					t.Errorf("%s imports %s", name, p)
+			for _, spec := range file.Imports {
+				importPath := strings.Trim(spec.Path.Value, `"`)
+				root, _, _ := strings.Cut(importPath, "/")
+				if !allowed[importPath] && (slices.Contains([]string{"net", "os", "syscall", "bufio", "context", "sync"}, root) &&
+					importPath != "sync/atomic" || importPath == "math/rand" || importPath == "crypto/rand") {
+					t.Errorf("%s imports %s", name, importPath)
 				}
 			}
-			ast.Inspect(f, func(n ast.Node) bool {
+			ast.Inspect(file, func(n ast.Node) bool {
 				switch n := n.(type) {
 				case *ast.GoStmt, *ast.SelectStmt, *ast.ChanType:
-					t.Errorf("%s: a goroutine or a channel", set.Position(n.Pos()))
+					t.Errorf("%s: goroutine, select or channel", fileSet.Position(n.Pos()))
 				case *ast.SelectorExpr:
-					x, ok := n.X.(*ast.Ident)
-					if ok && x.Obj == nil && (x.Name == "time" && slices.Contains([]string{"Now", "Since", "Until", "After",
+					pkg, ok := n.X.(*ast.Ident)
+					if ok && pkg.Obj == nil && (pkg.Name == "time" && slices.Contains([]string{"Now", "Since", "Until", "After",
 						"AfterFunc", "NewTimer", "NewTicker", "Sleep", "Tick"}, n.Sel.Name) ||
-						x.Name == "rand" && !slices.Contains([]string{"New", "NewPCG", "Rand"}, n.Sel.Name)) {
-						t.Errorf("%s: %s.%s", set.Position(n.Pos()), x.Name, n.Sel.Name)
+						pkg.Name == "rand" && !slices.Contains([]string{"New", "NewPCG", "Rand"}, n.Sel.Name)) {
+						t.Errorf("%s: use of %s.%s", fileSet.Position(n.Pos()), pkg.Name, n.Sel.Name)
 					}
 				}
 				return true
--- a/internal/controller/config.go
+++ b/internal/controller/config.go
@@ -22,66 +22,66 @@
 	PeerListen      string // address for datagrams of other relays
 	Peers           []string
 	BroadcastPeer   string // address that reaches all peers
-	CachedEndpoints []byte // the endpoint list as this relay last had it, in discovery's form; may be empty
+	CachedEndpoints []byte // the last endpoint list of this relay, in discovery's format; may be empty
 	Settings        settings.Settings
 	Routes          *routing.Table       // nil: no request has a retry policy of its own
-	AdminListen     string               // address of the admin endpoint; empty: there is none
+	AdminListen     string               // address of the admin endpoint; empty: no admin endpoint
 	Shadow          *shadow.Shape        // evaluated without acting on it; nil: no shadow evaluation
 	Membership      *membership.Settings // of failure detection among relays; nil: off
 	RuntimeDir      string               // directory shared with a successor process; empty: no hot restart
 
-	// NewDecider makes what decides; nil: package balance. Only experiments set it, to compare simpler policies.
+	// NewDecider returns a new Decider; nil: package balance. Only experiments set it, to compare simpler policies.
 	NewDecider decision.Factory
 }
 
 const (
-	// sessionBytes is a generous bound on what an established session costs in memory.
+	// sessionBytes is a generous upper bound on the memory that an established session uses.
 	sessionBytes = 48 << 10
-	// maxSessionMemoryShare is the part of the memory limit, as a divisor, that sessions may take.
-	maxSessionMemoryShare = 2
-	// maxHandshakes limits connections without a whole OPEN, however many descriptors there are.
+	// sessionMemoryDivisor divides the memory limit: sessions may use that part of it.
+	sessionMemoryDivisor = 2
+	// maxHandshakes limits connections without a complete OPEN line, regardless of the number of descriptors.
 	maxHandshakes = 256
 	// maxHealthChecks limits health check connections, idle ones included.
 	maxHealthChecks = 48
 	// minAdminConnections and maxAdminConnections bound the connections at the admin endpoint.
 	minAdminConnections = 4
 	maxAdminConnections = 32
-	// descriptorsPerSession: one to the client, one to the backend.
+	// descriptorsPerSession counts one connection to the client and one to the backend.
 	descriptorsPerSession = 2
-	// The parts of all descriptors, as divisors, that each other use may take.
-	handshakeShare   = 9
-	healthCheckShare = 10
-	adminShare       = 20
-	reservedShare    = 4
+	// Each other use may take at most the number of all descriptors divided by its divisor.
+	handshakeDivisor   = 9
+	healthCheckDivisor = 10
+	adminDivisor       = 20
+	reservedDivisor    = 4
 )
 
-// ReservedDescriptors is how many descriptors are kept for discovery, peers, the listener and the runtime.
+// ReservedDescriptors is the number of descriptors reserved for discovery, peers, the listener and the runtime.
 const ReservedDescriptors = 16
 
-// Limits is how the descriptors are shared out.
+// Limits is the highest number of sessions and of each other kind of connection.
 type Limits struct{ Sessions, Handshakes, HealthChecks, AdminConnections int }
 
-// AllocateDescriptors shares out the descriptors of a relay with a memory limit in MiB (0: none) and perhaps an admin
-// endpoint. A session takes two, any other connection one. Clients may hold a third of all descriptors for requests,
-// so sessions get two thirds whatever else goes on; the admin endpoint's share answers when all others are used up.
+// AllocateDescriptors divides the descriptors of a relay among its uses; memoryMB is its memory limit in MiB (0: none). A
+// session takes two descriptors, any other connection one. Clients may hold a third of all descriptors for requests, so
+// two thirds are always left to sessions. The admin endpoint has a part of its own, to answer when all others are used up.
 func AllocateDescriptors(descriptors, memoryMB int, adminEndpoint bool) Limits {
 	limits := Limits{
-		Handshakes:   max(1, min(maxHandshakes, descriptors/handshakeShare)),
-		HealthChecks: max(1, min(maxHealthChecks, descriptors/healthCheckShare)),
+		Handshakes:   max(1, min(maxHandshakes, descriptors/handshakeDivisor)),
+		HealthChecks: max(1, min(maxHealthChecks, descriptors/healthCheckDivisor)),
 	}
 	if adminEndpoint {
-		limits.AdminConnections = max(minAdminConnections, min(maxAdminConnections, descriptors/adminShare))
+		limits.AdminConnections = max(minAdminConnections, min(maxAdminConnections, descriptors/adminDivisor))
 	}
-	others := min(ReservedDescriptors, descriptors/reservedShare) +
+	others := min(ReservedDescriptors, descriptors/reservedDivisor) +
 		limits.Handshakes + limits.HealthChecks + limits.AdminConnections
 	limits.Sessions = max(1, (descriptors-others)/descriptorsPerSession)
 	if memoryMB > 0 {
-		limits.Sessions = min(limits.Sessions, max(1, memoryMB<<20/maxSessionMemoryShare/sessionBytes))
+		limits.Sessions = min(limits.Sessions, max(1, memoryMB<<20/sessionMemoryDivisor/sessionBytes))
 	}
 	return limits
 }
 
-// descriptorBudget is how many descriptors this relay has, and how many of them its other process holds during a hot
+// descriptorBudget is the number of descriptors of this relay, and how many of them its other process holds during a hot
 // restart.
 type descriptorBudget struct {
 	total        int // 0: not known yet
@@ -92,7 +92,7 @@
 	return AllocateDescriptors(d.total-d.otherProcess, memoryMB, adminEndpoint)
 }
 
-// CachedEndpointsError is a cached endpoint list that cannot be read at all.
+// CachedEndpointsError reports a cached endpoint list that cannot be parsed at all.
 type CachedEndpointsError struct{ Err error }
 
 func (e *CachedEndpointsError) Error() string { return fmt.Sprintf("cached endpoint list: %v", e.Err) }
@@ -100,8 +100,8 @@
 // Unwrap returns what is wrong with the list.
 func (e *CachedEndpointsError) Unwrap() error { return e.Err }
 
-// cachedEndpoints parses the cached endpoint list, if any, by the names in force. Entries that cannot be read are left
-// out and reported by malformed; err means that nothing could be read.
+// cachedEndpoints parses the cached endpoint list, if any, with the zone and kind names in force. Entries that cannot be
+// parsed are left out and reported by malformed; err means that the list could not be parsed at all.
 func (c *Config) cachedEndpoints(names *settings.Settings) (list discovery.EndpointList, malformed, err error) {
 	if len(c.CachedEndpoints) == 0 {
 		return discovery.EndpointList{}, nil, nil
@@ -113,8 +113,8 @@
 	return list, malformed, nil
 }
 
-// resolveLoadSignal decides what a LOAD line means, since it does not say what it measures: a connection's load where
-// backends report that, else, where the settings promise it, the delay of a message.
+// resolveLoadSignal determines what LOAD lines measure, since the lines do not say it: the delay of a message if the
+// settings specify that and not the connection's load, otherwise the connection's load.
 func resolveLoadSignal(s settings.Settings) settings.Settings {
 	s.ReportsMessageDelay = s.ReportsMessageDelay && !s.ReportsConnectionLoad
 	return s
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -2,28 +2,28 @@
 // to the balancer, turns the balancer's actions into commands for a Driver, and runs the relay's lifecycle (start,
 // reload, drain, hot restart, graceful shutdown).
 //
-// It does no I/O, reads no clock and starts no goroutine: every event comes with its time, and whatever must happen
-// outside is a call of the Driver. Package relay drives it on sockets, package simulation on a virtual clock.
+// It does no I/O, reads no clock and starts no goroutine: the caller passes each event with its time, and external
+// effects are calls of the Driver. Package relay runs it on sockets, package simulation on a virtual clock.
 //
 // Its parts:
 //
 //	controller.go      Controller and its accessors
-//	config.go          Config, and how descriptors and memory are shared out
-//	driver.go          Driver, what the controller asks of its surroundings
+//	config.go          Config, and the allocation of descriptors and memory
+//	driver.go          Driver, the interface to sockets, timers and other I/O
 //	start.go           New and readiness
-//	events.go          delivery of an event, with panics confined to it
+//	events.go          delivery of events, with recovery from panics
 //	timers.go          timer kinds and the timer queue
 //	sessions.go        the table of open sessions
-//	session_events.go  what happens to a session
+//	session_events.go  events of a session
 //	endpoints.go       the endpoint list and health check results
-//	actions.go         what the balancer's actions become
+//	actions.go         the balancer's actions as calls of the Driver
 //	peers.go           datagrams of other relays
 //	membership.go      which relays are active
-//	reload.go          taking over a changed configuration
+//	reload.go          application of a changed configuration
 //	drain.go           draining and undraining
 //	shutdown.go        graceful shutdown
 //	hotrestart.go      state passed between two processes of one relay
-//	shadow.go          the evaluation of a second configuration
+//	shadow.go          the clock and timers of the shadow evaluation
 package controller
 
 import (
@@ -43,8 +43,8 @@
 // called from any goroutine. Times are on the driver's clock; they never decrease.
 type Controller struct {
 	config     Config             // in force
-	settings   *settings.Settings // in force; replaced whole by a reload, never changed
-	classNames []string           // of all classes by number, retired ones included
+	settings   *settings.Settings // in force; immutable, replaced by a reload
+	classNames []string           // of all classes, indexed by class number, retired ones included
 	log        *zap.Logger
 	driver     Driver
 	metrics    *metrics.Registry
@@ -64,40 +64,40 @@
 	shutdown    shutdownState
 
 	startedAt            time.Duration
-	ready                atomic.Bool // has an endpoint list, or has waited long enough for one
+	ready                atomic.Bool // an endpoint list has been received, or maxWaitForEndpoints has passed
 	replaced             atomic.Bool // a successor process accepts new connections
-	messageDelayReported bool        // a LOAD line has reported a late message, as the settings promise
+	messageDelayReported bool        // a LOAD line has reported message delay
 }
 
 // Metrics returns the counters and gauges. They may be read from any goroutine.
 func (c *Controller) Metrics() *metrics.Registry { return c.metrics }
 
-// Settings returns the settings in force. They never change; a reload puts others in their place.
+// Settings returns the settings in force. They are immutable; a reload replaces them.
 func (c *Controller) Settings() *settings.Settings { return c.settings }
 
 // Config returns the configuration in force.
 func (c *Controller) Config() Config { return c.config }
 
-// Ready reports whether clients may be sent here: not before the first endpoint list, and not while the relay is
-// drained. A relay that has had no list for maxWaitForEndpoints is ready as well: when discovery is out for all relays,
-// somebody has to tell clients so. It may be called from any goroutine.
+// Ready reports whether clients may be sent to this relay: not before the first endpoint list, and not while the relay is
+// drained. A relay without a list becomes ready after maxWaitForEndpoints: when discovery is down for all relays, some
+// relay still has to answer the clients. It may be called from any goroutine.
 func (c *Controller) Ready() bool { return c.ready.Load() && !c.drain.requested.Load() }
 
-// SetReplaced sets whether a successor process accepts new connections, and returns the value before. It may be called
-// from any goroutine.
-func (c *Controller) SetReplaced(on bool) (was bool) { return c.replaced.Swap(on) }
+// SetReplaced sets whether a successor process accepts new connections, and returns the previous value. It may be
+// called from any goroutine.
+func (c *Controller) SetReplaced(replaced bool) (previous bool) { return c.replaced.Swap(replaced) }
 
 // Replaced reports whether a successor process accepts new connections. It may be called from any goroutine.
 func (c *Controller) Replaced() bool { return c.replaced.Load() }
 
-// Balancer returns what makes the decisions, for checks.
+// Balancer returns the Decider, for checks.
 func (c *Controller) Balancer() decision.Decider { return c.balancer }
 
-// Backends returns all backends that any endpoint list has named, in the order in which they were first named.
+// Backends returns all backends that any endpoint list has contained, in the order in which they first appeared.
 func (c *Controller) Backends() []*upstream.Backend { return c.endpoints.ordered }
 
-// CachedVersion returns the version of the endpoint list that the configuration held at the start; ok is false if it
-// held none or one with malformed entries.
+// CachedVersion returns the version of the cached endpoint list in the initial configuration; ok is false if there was
+// no list or it had malformed entries.
 func (c *Controller) CachedVersion() (version uint64, ok bool) {
 	if c.endpoints.cachedVersion == nil {
 		return 0, false
--- a/internal/controller/drain_test.go
+++ b/internal/controller/drain_test.go
@@ -9,8 +9,8 @@
 	"aspenbarrow/internal/session"
 )
 
-// DRAIN, UNDRAIN and SIGTERM may come in any order. An undrained relay migrates nobody, also when the migration had begun; a
-// drained one migrates all sessions within four seconds; a shutdown migrates all whatever else is called.
+// DRAIN, UNDRAIN and SIGTERM may arrive in any order. Undraining stops the migration, even one that has begun. A drain migrates
+// all sessions within four seconds, and a shutdown migrates all sessions whatever else is called.
 func TestController_DrainAndUndrain(t *testing.T) {
 	for _, tc := range []struct {
 		name     string
@@ -82,8 +82,8 @@
 				}
 			})
 			endMigrated(5 * time.Second)
-			if m := len(driver.migrated); m < tc.migrated[0] || m > tc.migrated[1] || controller.Ready() != tc.ready {
-				t.Errorf("%d migrated, want %v; ready %v", m, tc.migrated, controller.Ready())
+			if count := len(driver.migrated); count < tc.migrated[0] || count > tc.migrated[1] || controller.Ready() != tc.ready {
+				t.Errorf("%d migrated, want %v; ready %v", count, tc.migrated, controller.Ready())
 			}
 		})
 	}
@@ -99,10 +99,10 @@
 	controller.SetDrained(true)
 	controller.ApplyDrain(time.Second)
 	fireTimersUntil(controller, 4500*time.Millisecond)
-	do := opened.Execute(time.Second, driver.commands[1][0])
-	controller.SessionEvent(4500*time.Millisecond, 1, opened.AttemptDone(4500*time.Millisecond, do.Attempt, nil).Event)
+	actions := opened.Execute(time.Second, driver.commands[1][0])
+	controller.SessionEvent(4500*time.Millisecond, 1, opened.AttemptDone(4500*time.Millisecond, actions.Attempt, nil).Event)
 	fireTimersUntil(controller, 4700*time.Millisecond)
 	if !slices.Equal(driver.migrated, []uint64{1}) {
-		t.Errorf("migrated %v", driver.migrated)
+		t.Errorf("migrated %v, want [1]", driver.migrated)
 	}
 }
--- a/internal/controller/endpoints.go
+++ b/internal/controller/endpoints.go
@@ -11,14 +11,14 @@
 	"aspenbarrow/internal/upstream"
 )
 
-// endpointTable holds all backends that any endpoint list has named. A removed backend stays, for sessions that are
+// endpointTable holds all backends that any endpoint list has contained. A removed backend is kept, for sessions that are
 // still open there.
 type endpointTable struct {
 	byID              map[balance.BackendID]*upstream.Backend
-	ordered           []*upstream.Backend // in the order in which they were first named
-	received          bool                // there has been a list
-	discoveryAnswered bool                // discovery itself has given a list
-	cachedVersion     *uint64             // of the list that the configuration held at the start; nil: none
+	ordered           []*upstream.Backend // in the order in which they first appeared
+	received          bool                // a list has been applied, cached ones included
+	discoveryAnswered bool                // a list has been received from discovery
+	cachedVersion     *uint64             // version of the cached list in the initial configuration; nil: none
 }
 
 // records returns the backends that are not removed, for a successor process.
@@ -32,8 +32,8 @@
 	return records
 }
 
-// add returns the backend of an ID, a new one if the ID is new.
-func (t *endpointTable) add(id balance.BackendID, name string) *upstream.Backend {
+// findOrAdd returns the backend with an ID, and adds it if the ID is new.
+func (t *endpointTable) findOrAdd(id balance.BackendID, name string) *upstream.Backend {
 	if b := t.byID[id]; b != nil {
 		return b
 	}
@@ -43,12 +43,12 @@
 	return b
 }
 
-// update takes in an endpoint list, a full one or changes, and returns its entries for the balancer.
+// update applies a full endpoint list or changes to it, and returns its entries for the balancer.
 func (t *endpointTable) update(now time.Duration, list discovery.EndpointList, full bool, log *zap.Logger) []balance.Backend {
-	named := map[*upstream.Backend]bool{}
+	present := map[*upstream.Backend]bool{}
 	entries := make([]balance.Backend, 0, len(list.Endpoints))
 	for _, endpoint := range list.Endpoints {
-		b := t.add(endpoint.Backend.ID, endpoint.Name)
+		b := t.findOrAdd(endpoint.Backend.ID, endpoint.Name)
 		if b.Name != endpoint.Name {
 			log.Error("backend ID hash collision, endpoint skipped", zap.String("one", b.Name), zap.String("other", endpoint.Name))
 			continue
@@ -58,26 +58,26 @@
 		}
 		b.SetState(now, endpoint.Backend.State)
 		b.Listed = endpoint.Backend
-		named[b] = true
+		present[b] = true
 		entries = append(entries, endpoint.Backend)
 	}
 	if full {
-		t.removeOthers(now, named)
+		t.removeMissing(now, present)
 	}
 	return entries
 }
 
-// removeOthers marks the backends that a full list does not name as removed.
-func (t *endpointTable) removeOthers(now time.Duration, named map[*upstream.Backend]bool) {
+// removeMissing marks the backends that a full list does not contain as removed.
+func (t *endpointTable) removeMissing(now time.Duration, present map[*upstream.Backend]bool) {
 	for _, b := range t.ordered {
-		if !named[b] {
+		if !present[b] {
 			b.Listed.State = balance.StateRemoved
 			b.SetState(now, balance.StateRemoved)
 		}
 	}
 }
 
-// EndpointsUpdated takes in an endpoint list, changes to it, or the failure to get one.
+// EndpointsUpdated handles an endpoint list, changes to it, or the failure to get one.
 func (c *Controller) EndpointsUpdated(now time.Duration, list discovery.EndpointList, kind balance.EndpointUpdateKind) {
 	c.deliver(now, func() {
 		if kind != balance.UpdateCached && kind != balance.UpdateFailed {
@@ -87,7 +87,7 @@
 	})
 }
 
-// updateEndpoints updates addresses before it tells the balancer, which may send to them at once.
+// updateEndpoints updates the addresses before it notifies the balancer, which may start attempts at once.
 func (c *Controller) updateEndpoints(list discovery.EndpointList, kind balance.EndpointUpdateKind) {
 	if kind == balance.UpdateFailed {
 		c.balancer.EndpointsUpdated(c.now, kind, nil)
--- a/internal/controller/events.go
+++ b/internal/controller/events.go
@@ -18,7 +18,7 @@
 	}
 }
 
-// runGuarded confines a panic to its event, so that one fault does not end all sessions.
+// runGuarded runs an event and recovers from a panic in it, so that one fault does not end all sessions.
 func (c *Controller) runGuarded(event func()) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/internal/controller/fake_test.go
+++ b/internal/controller/fake_test.go
@@ -15,7 +15,7 @@
 	"aspenbarrow/internal/upstream"
 )
 
-// fakeDriver records what the controller has done.
+// fakeDriver records the controller's calls.
 type fakeDriver struct {
 	commands           map[uint64][]session.Command
 	healthChecks       []balance.BackendID
@@ -62,14 +62,14 @@
 	d.discoveryAddresses = append(d.discoveryAddresses, address)
 }
 
-func (d *fakeDriver) SetLimits(s Limits) { d.limits = append(d.limits, s) }
-func (d *fakeDriver) StopAccepting()     { d.stoppedAccepting++ }
-func (d *fakeDriver) Stopped()           { d.stopped++ }
+func (d *fakeDriver) SetLimits(limits Limits) { d.limits = append(d.limits, limits) }
+func (d *fakeDriver) StopAccepting()          { d.stoppedAccepting++ }
+func (d *fakeDriver) Stopped()                { d.stopped++ }
 
 // lastBackend returns the backend of the session's last command; nil if it has none.
 func (d *fakeDriver) lastBackend(sequence uint64) *upstream.Backend {
-	if o := d.commands[sequence]; len(o) > 0 {
-		return o[len(o)-1].Backend
+	if commands := d.commands[sequence]; len(commands) > 0 {
+		return commands[len(commands)-1].Backend
 	}
 	return nil
 }
@@ -80,7 +80,7 @@
 	`{"id":"c","addr":"h:3","state":"ready","weight":1}]}`
 
 func testConfig() Config {
-	s := settings.Settings{ClassNames: []string{"chat"}, ZoneNames: []string{"east"}, KindNames: []string{"k"},
+	relaySettings := settings.Settings{ClassNames: []string{"chat"}, ZoneNames: []string{"east"}, KindNames: []string{"k"},
 		ReportFieldNames: []string{"x0"}, IdleTimeout: 5 * time.Second, Settings: balance.Settings{RelayCount: 2,
 			Tick: 4 * time.Millisecond, HealthChecks: true, Gossip: true, RetryAfter: true, MaxRetryAfter: time.Second,
 			MaxAttempts: 4, DialTimeout: 250 * time.Millisecond, DrainGrace: 250 * time.Millisecond,
@@ -88,7 +88,7 @@
 			Classes: []balance.Class{{LatencyObjective: 500 * time.Millisecond, ClientTimeout: time.Second,
 				MessageLatencyObjective: 60 * time.Millisecond}}}}
 	return Config{Name: "n0", Discovery: "d:1", Seed: 1, MemoryMB: 64, MaxDescriptors: 256, CachedEndpoints: []byte(threeEndpoints),
-		Peers: []string{"127.0.0.1:1", "127.0.0.1:2"}, Settings: s}
+		Peers: []string{"127.0.0.1:1", "127.0.0.1:2"}, Settings: relaySettings}
 }
 
 // newTestController starts a controller whose backends have all answered a health check, so that no request waits for one.
@@ -110,13 +110,13 @@
 	return controller, driver
 }
 
-// readOpenLine returns a session whose client has sent the line; the controller does not know of it yet.
+// readOpenLine returns a session that has read the OPEN line and has not been passed to the controller yet.
 func readOpenLine(t *testing.T, controller *Controller, sequence uint64, line string) *session.Session {
 	t.Helper()
 	opened := session.New(sequence, controller.Settings(), controller.Metrics())
 	result, err := opened.ReadHandshake(time.Second, []byte(line), true)
 	if err != nil || !result.Opened {
-		t.Fatalf("%+v, %v", result, err)
+		t.Fatalf("the OPEN line is not accepted: %+v, %v", result, err)
 	}
 	return opened
 }
@@ -125,41 +125,41 @@
 	return fmt.Sprintf("OPEN %016x %016x c=chat,d=9000\r\n", sequence, sequence)
 }
 
-func openSession(t *testing.T, controller *Controller, sequence uint64, name string) *session.Session {
+func openSession(t *testing.T, controller *Controller, sequence uint64, class string) *session.Session {
 	t.Helper()
-	opened := readOpenLine(t, controller, sequence, fmt.Sprintf("OPEN %016x %016x c=%s,d=1000\r\n", sequence, sequence, name))
+	opened := readOpenLine(t, controller, sequence, fmt.Sprintf("OPEN %016x %016x c=%s,d=1000\r\n", sequence, sequence, class))
 	controller.SessionOpened(time.Second, opened)
 	return opened
 }
 
-// establishSession opens a session and has its first attempt succeed.
+// establishSession opens a session whose first attempt succeeds.
 func establishSession(t *testing.T, controller *Controller, driver *fakeDriver, sequence uint64, now time.Duration) *session.Session {
 	t.Helper()
 	opened := readOpenLine(t, controller, sequence, fmt.Sprintf("OPEN %016x %016x c=chat,d=1000\r\n", sequence, sequence))
 	controller.SessionOpened(now, opened)
 	if len(driver.commands[sequence]) != 1 || driver.commands[sequence][0].Backend == nil {
-		t.Fatalf("session %d has commands %+v", sequence, driver.commands[sequence])
+		t.Fatalf("session %d has commands %+v, want one attempt", sequence, driver.commands[sequence])
 	}
-	do := opened.Execute(now, driver.commands[sequence][0])
-	controller.SessionEvent(now, sequence, opened.AttemptDone(now, do.Attempt, nil).Event)
+	actions := opened.Execute(now, driver.commands[sequence][0])
+	controller.SessionEvent(now, sequence, opened.AttemptDone(now, actions.Attempt, nil).Event)
 	return opened
 }
 
-// failAttempt ends the running attempt in a way that the backend may have executed it, and returns the command that follows;
-// an empty one if there is none or more than one.
+// failAttempt ends the pending attempt with ERR, after which the backend may have executed the request. It returns the command
+// that follows, or an empty one if there is none or more than one.
 func failAttempt(controller *Controller, driver *fakeDriver, opened *session.Session, now time.Duration) session.Command {
 	commands := driver.commands[opened.Seq]
-	do := opened.Execute(now, commands[len(commands)-1])
-	_, fail := do.Attempt.ReadAnswer([]byte("ERR\r\n"))
-	controller.SessionEvent(now, opened.Seq, opened.AttemptDone(now, do.Attempt, fail).Event)
-	after := driver.commands[opened.Seq][len(commands):]
-	if len(after) != 1 {
+	actions := opened.Execute(now, commands[len(commands)-1])
+	_, failure := actions.Attempt.ReadAnswer([]byte("ERR\r\n"))
+	controller.SessionEvent(now, opened.Seq, opened.AttemptDone(now, actions.Attempt, failure).Event)
+	following := driver.commands[opened.Seq][len(commands):]
+	if len(following) != 1 {
 		return session.Command{}
 	}
-	if after[0].Answer != "" {
-		opened.Execute(now, after[0])
+	if following[0].Answer != "" {
+		opened.Execute(now, following[0])
 	}
-	return after[0]
+	return following[0]
 }
 
 // fireTimersUntil fires all timers up to a time, each at its time.
@@ -169,19 +169,19 @@
 	}
 }
 
-// testClass returns a class of requests that may or may not be repeated.
+// testClass returns a class with the given idempotency.
 func testClass(idempotency balance.Idempotency) balance.Class {
 	return balance.Class{LatencyObjective: 500 * time.Millisecond, ClientTimeout: time.Second, MessageLatencyObjective: 60 * time.Millisecond, Idempotency: idempotency}
 }
 
-// configWithClasses returns the test configuration with other classes and attempts.
-func configWithClasses(names []string, classes []balance.Class, attempts int) Config {
+// configWithClasses returns the test configuration with the given classes and attempt limit.
+func configWithClasses(names []string, classes []balance.Class, maxAttempts int) Config {
 	cfg := testConfig()
-	cfg.Settings.ClassNames, cfg.Settings.Classes, cfg.Settings.MaxAttempts = names, classes, attempts
+	cfg.Settings.ClassNames, cfg.Settings.Classes, cfg.Settings.MaxAttempts = names, classes, maxAttempts
 	return cfg
 }
 
-// oneClassConfig returns the test configuration with one class of a client timeout.
+// oneClassConfig returns the test configuration with one class with the given client timeout.
 func oneClassConfig(clientTimeout time.Duration, idempotency balance.Idempotency, passThrough bool) Config {
 	cfg := testConfig()
 	cfg.Settings.PassThrough = passThrough
@@ -189,7 +189,7 @@
 	return cfg
 }
 
-// messageLogger returns a logger core that passes on each message above debug level.
+// messageLogger returns a logger core that passes each message above debug level to receive.
 func messageLogger(receive func(string)) zapcore.Core {
 	return messageCore{zapcore.NewNopCore(), receive}
 }
--- a/internal/controller/hotrestart.go
+++ b/internal/controller/hotrestart.go
@@ -10,8 +10,8 @@
 	"aspenbarrow/internal/hotrestart"
 )
 
-// ExportLoad encodes the load that this process goes on tracking, for its successor while both run. It fails with
-// hotrestart.ErrUnusable if the balancer has no snapshot.
+// ExportLoad encodes the tracked load of this process for its successor, while both run. It fails with
+// hotrestart.ErrUnusable if the Decider is not a decision.Snapshotter.
 func (c *Controller) ExportLoad() ([]byte, error) {
 	snapshotter, ok := c.balancer.(decision.Snapshotter)
 	if !ok {
@@ -20,8 +20,8 @@
 	return hotrestart.EncodeLoad(snapshotter.Snapshot())
 }
 
-// ImportLoad takes in the load that the other process of this relay tracks; an empty text means that it has ended. Its
-// errors meet hotrestart.ErrUnusable.
+// ImportLoad passes the tracked load of the other process of this relay to the balancer; an empty text means that the
+// other process has ended. All its errors match hotrestart.ErrUnusable.
 func (c *Controller) ImportLoad(now time.Duration, text []byte) error {
 	load, err := hotrestart.DecodeLoad(text)
 	if err != nil {
@@ -51,8 +51,8 @@
 	return document.Encode()
 }
 
-// RestoreState takes over the state of the predecessor process. With an error, which meets hotrestart.ErrUnusable,
-// nothing of it is taken over.
+// RestoreState restores the state of the predecessor process. On an error, which matches hotrestart.ErrUnusable, nothing
+// of it is restored.
 func (c *Controller) RestoreState(now time.Duration, text []byte) error {
 	document, err := hotrestart.Decode(text, c.config.Name, now)
 	if err != nil {
@@ -62,7 +62,7 @@
 	document.RemapClasses(c.classNames)
 	c.membership.previousIncarnation = document.Incarnation
 	c.deliver(now, func() {
-		if len(list.Endpoints) > 0 && !c.endpoints.discoveryAnswered { // what discovery has told this process is newer
+		if len(list.Endpoints) > 0 && !c.endpoints.discoveryAnswered { // a list that discovery has sent to this process is newer
 			c.updateEndpoints(list, balance.UpdateCached)
 		}
 		if snapshotter, ok := c.balancer.(decision.Snapshotter); ok {
@@ -78,11 +78,11 @@
 	return nil
 }
 
-// SetDescriptors sets how many descriptors this relay has, where the configuration alone does not say.
+// SetDescriptors sets the number of descriptors of this relay, where it does not follow from the configuration alone.
 func (c *Controller) SetDescriptors(descriptors int) { c.descriptors.total = descriptors }
 
-// SetOtherProcessDescriptors sets how many descriptors the other process of this relay holds: the limits are shared by
-// both.
+// SetOtherProcessDescriptors sets how many descriptors the other process of this relay holds: the limits apply to both
+// processes together.
 func (c *Controller) SetOtherProcessDescriptors(now time.Duration, held int) {
 	held = max(0, min(held, c.descriptors.total))
 	if held == c.descriptors.otherProcess {
--- a/internal/controller/hotrestart_test.go
+++ b/internal/controller/hotrestart_test.go
@@ -40,7 +40,7 @@
 		{"another version", `"version":1`, `"version":2`, 0, false},
 		{"another relay", `"name":"n0"`, `"name":"n9"`, 0, false},
 		{"too old", "", "", time.Minute, false},
-		{"a backend without a name", `"members":[{"name":"`, `"members":[{"name":"x`, 0, false},
+		{"a backend whose name does not match its ID", `"members":[{"name":"`, `"members":[{"name":"x`, 0, false},
 		{"cut short", valid[len(valid)/2:], "", 0, false},
 		{"empty", valid, "", 0, false},
 	} {
@@ -52,54 +52,54 @@
 			}
 			err := controller.RestoreState(time.Second+tc.age, []byte(changed))
 			if accepted := len(controller.Backends()) > 0; accepted != tc.accepted || accepted != (err == nil) || controller.Drained() != tc.accepted {
-				t.Errorf("%d backends, drained %v, %v", len(controller.Backends()), controller.Drained(), err)
+				t.Errorf("%d backends, drained %v, error %v", len(controller.Backends()), controller.Drained(), err)
 			}
 		})
 	}
 }
 
-// Both processes together stay within the descriptors: what the predecessor holds its successor cannot use.
+// The limits leave out the descriptors that the other process holds, so that both processes together stay within the total.
 func TestController_LimitsAreSharedByBothProcesses(t *testing.T) {
 	controller, driver := newTestController(t, testConfig())
 	controller.SetDescriptors(256)
 	controller.SetOtherProcessDescriptors(time.Second, 120)
 	controller.SetOtherProcessDescriptors(time.Second, 0)
 	if len(driver.limits) != 2 || driver.limits[0] != AllocateDescriptors(136, 64, false) || driver.limits[1] != AllocateDescriptors(256, 64, false) {
-		t.Errorf("%+v", driver.limits)
+		t.Errorf("limits set: %+v", driver.limits)
 	}
 }
 
-// Processes of different versions read one another's state, so no JSON key may change, come or go unnoticed. A key that is
-// changed on purpose is changed in the file by hand: -update writes only what is still read.
+// Processes of different versions read one another's state, so a JSON key that is renamed, added or removed must be noticed. A
+// key that is changed on purpose is changed in the file by hand: -update writes only the keys that are still read.
 func TestController_StateGolden(t *testing.T) {
 	text := readGolden(t, "hot_restart.json")
-	var b hotrestart.Document
-	var plain any
-	if err := json.Unmarshal(text, &b); err != nil {
+	var document hotrestart.Document
+	var untyped any
+	if err := json.Unmarshal(text, &document); err != nil {
 		t.Fatal(err)
 	}
-	if err := json.Unmarshal(text, &plain); err != nil {
+	if err := json.Unmarshal(text, &untyped); err != nil {
 		t.Fatal(err)
 	}
-	if z := zeroValues("", plain); len(z) > 0 {
-		t.Fatalf("the document has no value for %q", z)
+	if zeros := zeroValues("", untyped); len(zeros) > 0 {
+		t.Fatalf("the golden document has zero or empty values at %q", zeros)
 	}
-	again, err := json.Marshal(b)
-	if err != nil || !bytes.Equal(again, text) {
-		t.Errorf("%v\n got %s\nwant %s", err, again, text)
+	encoded, err := json.Marshal(document)
+	if err != nil || !bytes.Equal(encoded, text) {
+		t.Errorf("%v\n got %s\nwant %s", err, encoded, text)
 	}
 	controller := newSuccessor(t)
 	if len(controller.Backends()) != 3 || !controller.Drained() {
-		t.Errorf("%d backends, drained %v", len(controller.Backends()), controller.Drained())
+		t.Errorf("%d backends, drained %v; want 3, true", len(controller.Backends()), controller.Drained())
 	}
-	wrote, err := controller.ExportState(goldenAt)
+	exported, err := controller.ExportState(goldenAt)
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkGolden(t, "hot_restart.json", wrote)
+	checkGolden(t, "hot_restart.json", exported)
 }
 
-// The load that a process goes on tracking is read by processes of other versions.
+// The exported load is read by processes of other versions, so its JSON form must not change unnoticed.
 func TestController_LoadGolden(t *testing.T) {
 	controller := newSuccessor(t)
 	for i, line := range []string{"c=chat,d=1000,at=a", "c=bulk,d=1000,at=a", "c=chat,d=1000,at=b"} {
@@ -107,37 +107,37 @@
 		opened := session.New(sequence, controller.Settings(), controller.Metrics())
 		result, err := opened.ReadHandshake(goldenAt, fmt.Appendf(nil, "OPEN %016x %016x %s\r\n", sequence, sequence, line), true)
 		if err != nil || !result.Opened {
-			t.Fatalf("%+v, %v", result, err)
+			t.Fatalf("the OPEN line is not accepted: %+v, %v", result, err)
 		}
 		controller.SessionOpened(goldenAt, opened)
 	}
 	controller.HealthCheckDone(goldenAt, balance.HealthCheckResult{Backend: discovery.BackendID("b"), Load: []float32{0.5}, Latency: 3 * time.Millisecond})
 	controller.SessionEvent(goldenAt, 3, session.Event{Kind: session.LoadReported, Load: 0.25})
-	wrote, err := controller.ExportLoad()
+	exported, err := controller.ExportLoad()
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkGolden(t, "seen.json", wrote)
+	checkGolden(t, "seen.json", exported)
 
 	text := readGolden(t, "seen.json")
-	var m balance.Snapshot
-	if err := json.Unmarshal(text, &m); err != nil {
+	var snapshot balance.Snapshot
+	if err := json.Unmarshal(text, &snapshot); err != nil {
 		t.Fatal(err)
 	}
-	if again, err := json.Marshal(m); err != nil || !bytes.Equal(again, text) {
-		t.Errorf("%v\n got %s\nwant %s", err, again, text)
+	if encoded, err := json.Marshal(snapshot); err != nil || !bytes.Equal(encoded, text) {
+		t.Errorf("%v\n got %s\nwant %s", err, encoded, text)
 	}
-	next := newSuccessor(t)
-	if err := next.ImportLoad(goldenAt, text); err != nil {
+	successor := newSuccessor(t)
+	if err := successor.ImportLoad(goldenAt, text); err != nil {
 		t.Fatal(err)
 	}
-	imported := next.balancer.(decision.Snapshotter).Snapshot()
-	if len(imported.Backends) != 2 || len(m.Backends) != 2 {
-		t.Fatalf("%d backends, the file has %d", len(imported.Backends), len(m.Backends))
+	imported := successor.balancer.(decision.Snapshotter).Snapshot()
+	if len(imported.Backends) != 2 || len(snapshot.Backends) != 2 {
+		t.Fatalf("%d backends imported, the golden file has %d; want 2", len(imported.Backends), len(snapshot.Backends))
 	}
-	for i, s := range imported.Backends {
-		if s.TrackedLoad != m.Backends[i].TrackedLoad || s.TrackedLoad == 0 {
-			t.Errorf("backend %d has load %v, the file says %v", i, s.TrackedLoad, m.Backends[i].TrackedLoad)
+	for i, backend := range imported.Backends {
+		if backend.TrackedLoad != snapshot.Backends[i].TrackedLoad || backend.TrackedLoad == 0 {
+			t.Errorf("backend %d has tracked load %v, the golden file has %v", i, backend.TrackedLoad, snapshot.Backends[i].TrackedLoad)
 		}
 	}
 }
@@ -170,44 +170,44 @@
 	}
 }
 
-// zeroValues returns the paths of all values of a document that are zero, false or empty, as one whose key is not read is.
-func zeroValues(path string, v any) (out []string) {
-	switch v := v.(type) {
+// zeroValues returns the paths of all zero, false or empty values of a document: a key that is not read gives such a value.
+func zeroValues(path string, value any) (paths []string) {
+	switch value := value.(type) {
 	case map[string]any:
-		for k, e := range v {
-			out = append(out, zeroValues(path+"."+k, e)...)
+		for key, element := range value {
+			paths = append(paths, zeroValues(path+"."+key, element)...)
 		}
-		if len(v) > 0 {
-			return out
+		if len(value) > 0 {
+			return paths
 		}
 	case []any:
-		for i, e := range v {
-			out = append(out, zeroValues(fmt.Sprintf("%s[%d]", path, i), e)...)
+		for i, element := range value {
+			paths = append(paths, zeroValues(fmt.Sprintf("%s[%d]", path, i), element)...)
 		}
-		if len(v) > 0 {
-			return out
+		if len(value) > 0 {
+			return paths
 		}
 	case float64:
-		if v != 0 {
+		if value != 0 {
 			return nil
 		}
 	case string:
-		if v != "" {
+		if value != "" {
 			return nil
 		}
 	case bool:
-		if v {
+		if value {
 			return nil
 		}
 	}
-	return append(out, path)
+	return append(paths, path)
 }
 
 // newSuccessor returns a controller that has restored the golden document.
 func newSuccessor(t *testing.T) *Controller {
 	t.Helper()
-	cfg, joined := testConfig(), membership.DefaultSettings("f")
-	cfg.CachedEndpoints, cfg.Membership = nil, &joined
+	cfg, membershipSettings := testConfig(), membership.DefaultSettings("f")
+	cfg.CachedEndpoints, cfg.Membership = nil, &membershipSettings
 	cfg.Settings.ClassNames = []string{"chat", "bulk"}
 	cfg.Settings.Classes = append(cfg.Settings.Classes, cfg.Settings.Classes[0])
 	controller, err := New(goldenAt, cfg, &fakeDriver{commands: map[uint64][]session.Command{}}, zap.NewNop())
--- a/internal/controller/log_test.go
+++ b/internal/controller/log_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// Operators look messages up: each that can be logged above debug level is documented.
+// Operators look up log messages in docs/oncall.md, so it must contain every message above debug level.
 func TestLog_EachMessageIsDocumented(t *testing.T) {
 	page, err := os.ReadFile("../../docs/oncall.md")
 	if err != nil {
@@ -30,14 +30,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, m := range calls.FindAllSubmatch(text, -1) {
+		for _, match := range calls.FindAllSubmatch(text, -1) {
 			found++
-			if !bytes.Contains(page, append(append([]byte("`"), m[1]...), '`')) {
-				t.Errorf("%s logs %q, which docs/oncall.md does not document", name, m[1])
+			if !bytes.Contains(page, append(append([]byte("`"), match[1]...), '`')) {
+				t.Errorf("%s logs %q, which docs/oncall.md does not document", name, match[1])
 			}
 		}
 	}
 	if found < 15 {
-		t.Errorf("only %d log lines found", found)
+		t.Errorf("found %d log calls, want at least 15", found)
 	}
 }
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -9,22 +9,22 @@
 )
 
 const (
-	// membershipPublishInterval is how often the admin endpoint's view of the members is made.
+	// membershipPublishInterval is how often the admin endpoint's view of the members is updated.
 	membershipPublishInterval = time.Second
-	// replacedPollInterval is how often a process that a successor has replaced looks whether it still is.
+	// replacedPollInterval is how often a replaced process checks whether its successor still accepts connections.
 	replacedPollInterval = 100 * time.Millisecond
 )
 
-// membershipState is the membership protocol of this relay and what the balancer was told of it.
+// membershipState is the state of this relay's membership protocol.
 type membershipState struct {
 	list                *membership.Memberlist // nil: off
-	activeRelays        int                    // as the balancer was told; 0: not known
+	activeRelays        int                    // last number passed to the balancer; 0: not known
 	publishedAt         time.Duration
 	previousIncarnation uint64 // of the predecessor process, or of the list before a reload
 }
 
-// JoinMembership joins the membership protocol if the configuration has one. A successor process calls it once it
-// serves, so that two processes never speak for one relay at once.
+// JoinMembership starts the membership protocol if it is configured. In a successor process it is called once the process
+// serves, so that two processes never take part in the protocol as one relay.
 func (c *Controller) JoinMembership(now time.Duration) {
 	if c.config.Membership == nil || c.membership.list != nil {
 		return
@@ -32,7 +32,7 @@
 	c.deliver(now, func() { c.restartMembership(&c.config) })
 }
 
-// restartMembership starts the protocol anew with other peers or settings, or turns it off.
+// restartMembership restarts the protocol with new peers or settings, or stops it.
 func (c *Controller) restartMembership(cfg *Config) {
 	if cfg.Membership == nil || c.settings.RelayIndex >= len(cfg.Peers) {
 		c.stopMembership()
@@ -63,10 +63,10 @@
 
 func (c *Controller) membershipTick() {
 	list := c.membership.list
-	if list == nil { // turned off: the timer is not set again
+	if list == nil { // stopped: the timer is not set again
 		return
 	}
-	if c.replaced.Load() { // the successor speaks for this relay
+	if c.replaced.Load() { // the successor takes part in the protocol for this relay
 		c.setTimer(membershipTimer, 0, replacedPollInterval)
 		return
 	}
@@ -81,7 +81,7 @@
 	c.setTimer(membershipTimer, 0, max(0, list.NextTick()-c.now))
 }
 
-// setActiveRelays tells the balancer how many relays are active; 0: not known any more.
+// setActiveRelays passes the number of active relays to the balancer; 0: not known any more.
 func (c *Controller) setActiveRelays(active int) {
 	c.log.Info("active relay count changed", zap.Int("before", c.membership.activeRelays), zap.Int("now", active))
 	c.membership.activeRelays = active
@@ -97,7 +97,7 @@
 }
 
 // membershipDatagram handles a peer's datagram if it is a membership message, or gossip of a relay that is not active,
-// which is rejected. It returns false for gossip of an active relay, which is the balancer's.
+// which is rejected. It returns false for gossip of an active relay, which is for the balancer.
 func (c *Controller) membershipDatagram(now time.Duration, peer int, data []byte) (handled bool) {
 	if membership.IsMessage(data) {
 		c.deliver(now, func() { c.sendMembership(c.membership.list.HandlePacket(c.now, peer, data)) })
@@ -111,7 +111,7 @@
 	return true
 }
 
-// leaveMembership tells the other relays that this one leaves, unless its successor goes on.
+// leaveMembership notifies the other relays that this one leaves, unless a successor has replaced this process.
 func (c *Controller) leaveMembership() {
 	if c.membership.list != nil && !c.replaced.Load() {
 		c.sendMembership(c.membership.list.Leave(c.now))
--- a/internal/controller/membership_test.go
+++ b/internal/controller/membership_test.go
@@ -11,7 +11,7 @@
 	"aspenbarrow/internal/membership"
 )
 
-// membershipRecorder is a Decider that records the numbers of active relays and counts the gossip that it gets.
+// membershipRecorder is a Decider that records the numbers of active relays and counts the gossip that it receives.
 type membershipRecorder struct {
 	decision.Decider
 	observed *membershipObservations
@@ -28,8 +28,8 @@
 
 func (d membershipRecorder) GossipReceived(time.Duration, int, []byte) { d.observed.gossip++ }
 
-// newMembershipPair returns two controllers of a fleet of three that reach each other; the third was never started. advance
-// lets time pass.
+// newMembershipPair returns two controllers of a fleet of three that reach each other; the third is never started. advance
+// fires timers and delivers datagrams up to a time.
 func newMembershipPair(t *testing.T, enabled bool) (controllers [2]*Controller, drivers [2]*fakeDriver, observed [2]*membershipObservations, advance func(until time.Duration)) {
 	t.Helper()
 	peers := []string{"10.0.0.1:7946", "10.0.0.2:7946", "10.0.0.3:7946"}
@@ -37,12 +37,12 @@
 		observed[i] = &membershipObservations{}
 		cfg := testConfig()
 		cfg.Peers, cfg.Settings.RelayIndex, cfg.Settings.RelayCount, cfg.Settings.Gossip = peers, i, 3, true
-		cfg.NewDecider = func(now time.Duration, seed uint64, s balance.Settings, actions balance.Actions) decision.Decider {
-			return membershipRecorder{balance.New(now, seed, s, actions), observed[i]}
+		cfg.NewDecider = func(now time.Duration, seed uint64, settings balance.Settings, actions balance.Actions) decision.Decider {
+			return membershipRecorder{balance.New(now, seed, settings, actions), observed[i]}
 		}
 		if enabled {
-			s := membership.DefaultSettings("f")
-			cfg.Membership = &s
+			membershipSettings := membership.DefaultSettings("f")
+			cfg.Membership = &membershipSettings
 		}
 		controllers[i], drivers[i] = newTestController(t, cfg)
 		controllers[i].JoinMembership(time.Second)
@@ -54,8 +54,8 @@
 				controller.FireTimers(now)
 				datagrams := drivers[i].datagrams
 				drivers[i].datagrams = nil
-				for _, d := range datagrams {
-					to, data, _ := strings.Cut(d, " ")
+				for _, datagram := range datagrams {
+					to, data, _ := strings.Cut(datagram, " ")
 					if to == peers[1-i] {
 						controllers[1-i].DatagramReceived(now, netip.MustParseAddrPort(peers[i]), []byte(data))
 					}
@@ -68,26 +68,26 @@
 func TestController_MembershipCountsActiveRelays(t *testing.T) {
 	controllers, _, observed, advance := newMembershipPair(t, true)
 	advance(8 * time.Second)
-	if h := observed[0].activeRelays; len(h) == 0 || h[len(h)-1] != 2 || h[0] < 2 {
-		t.Errorf("the balancer was told of %v relays", h)
+	if counts := observed[0].activeRelays; len(counts) == 0 || counts[len(counts)-1] != 2 || counts[0] < 2 {
+		t.Errorf("numbers of active relays passed to the balancer: %v; want at least 2 first and 2 last", counts)
 	}
-	f := controllers[0].Metrics().Snapshot().Membership
-	if f == nil || f.ActiveRelays != 2 || f.Members[1].State != "alive" || f.Members[2].State == "alive" {
-		t.Errorf("the metrics are %+v", f)
+	snapshot := controllers[0].Metrics().Snapshot().Membership
+	if snapshot == nil || snapshot.ActiveRelays != 2 || snapshot.Members[1].State != "alive" || snapshot.Members[2].State == "alive" {
+		t.Errorf("membership metrics: %+v", snapshot)
 	}
 	from := netip.MustParseAddrPort("10.0.0.3:7946")
 	controllers[0].DatagramReceived(8*time.Second, from, []byte("8 bytes."))
-	if n := controllers[0].metrics.RejectedGossip.Load(); n != 1 || observed[0].gossip != 0 {
-		t.Errorf("%d datagrams of inactive relays were counted as rejected, %d passed on", n, observed[0].gossip)
+	if rejected := controllers[0].metrics.RejectedGossip.Load(); rejected != 1 || observed[0].gossip != 0 {
+		t.Errorf("%d datagrams of an inactive relay counted as rejected, %d passed on; want 1, 0", rejected, observed[0].gossip)
 	}
 	controllers[0].DatagramReceived(8*time.Second, netip.MustParseAddrPort("10.0.0.2:7946"), []byte("8 bytes."))
 	if observed[0].gossip != 1 {
-		t.Error("an active relay's gossip is not passed on")
+		t.Error("gossip of an active relay is not passed on")
 	}
 	controllers[1].Shutdown(8 * time.Second)
 	advance(9 * time.Second)
-	if st := controllers[0].membership.list.State(1); st != membership.Left {
-		t.Errorf("the relay that has left counts as %v", st)
+	if state := controllers[0].membership.list.State(1); state != membership.Left {
+		t.Errorf("a relay that has left has state %v", state)
 	}
 }
 
@@ -95,7 +95,7 @@
 	controllers, drivers, observed, advance := newMembershipPair(t, true)
 	advance(5 * time.Second)
 	cfg := controllers[0].Config()
-	on := cfg.Membership
+	enabled := cfg.Membership
 	cfg.Membership = nil
 	if err := controllers[0].Reload(5*time.Second, cfg, 256); err != nil {
 		t.Fatal(err)
@@ -103,15 +103,15 @@
 	drivers[0].datagrams = nil
 	controllers[0].FireTimers(6 * time.Second)
 	if len(drivers[0].datagrams) != 0 || controllers[0].membership.list != nil || observed[0].activeRelays[len(observed[0].activeRelays)-1] != 0 {
-		t.Errorf("turned off: %d datagrams, the balancer was told of %v relays", len(drivers[0].datagrams), observed[0].activeRelays)
+		t.Errorf("turned off: %d datagrams, numbers of active relays %v", len(drivers[0].datagrams), observed[0].activeRelays)
 	}
-	cfg.Membership = on
+	cfg.Membership = enabled
 	if err := controllers[0].Reload(6*time.Second, cfg, 256); err != nil {
 		t.Fatal(err)
 	}
 	advance(12 * time.Second)
 	if controllers[0].membership.activeRelays != 2 || !controllers[1].membership.list.IsActive(0) {
-		t.Errorf("turned on again: %d relays", controllers[0].membership.activeRelays)
+		t.Errorf("turned on again: %d active relays, want 2", controllers[0].membership.activeRelays)
 	}
 }
 
@@ -119,11 +119,11 @@
 	controllers, drivers, observed, advance := newMembershipPair(t, false)
 	advance(5 * time.Second)
 	if len(drivers[0].datagrams) != 0 || len(observed[0].activeRelays) != 0 || controllers[0].Metrics().Snapshot().Membership != nil {
-		t.Errorf("%d datagrams, active relays %v", len(drivers[0].datagrams), observed[0].activeRelays)
+		t.Errorf("membership is off: %d datagrams, numbers of active relays %v", len(drivers[0].datagrams), observed[0].activeRelays)
 	}
 }
 
-func TestController_IncarnationOutlastsHotRestart(t *testing.T) {
+func TestController_HotRestartRaisesIncarnation(t *testing.T) {
 	controllers, _, _, advance := newMembershipPair(t, true)
 	advance(4 * time.Second)
 	text, err := controllers[0].ExportState(4 * time.Second)
@@ -136,7 +136,7 @@
 	}
 	controllers[0].SetReplaced(true)
 	successor.JoinMembership(4 * time.Second)
-	if a, b := controllers[0].membership.list.Incarnation(), successor.membership.list.Incarnation(); b <= a {
-		t.Errorf("the successor starts at %d, its predecessor had %d", b, a)
+	if before, after := controllers[0].membership.list.Incarnation(), successor.membership.list.Incarnation(); after <= before {
+		t.Errorf("the successor has incarnation %d, its predecessor %d", after, before)
 	}
 }
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -7,24 +7,24 @@
 	"go.uber.org/zap"
 )
 
-// MaxDatagramBytes is the longest datagram between relays.
+// MaxDatagramBytes is the maximum size of a datagram between relays.
 const MaxDatagramBytes = 256
 
-// peerTable finds a peer's index in the configured list by its address.
+// peerTable maps the address of a peer to its index in the configured list.
 type peerTable map[netip.AddrPort]int
 
-// newPeerTable leaves out addresses that cannot be parsed; their indices stay taken.
+// newPeerTable leaves out addresses that cannot be parsed; the indices of the others do not change.
 func newPeerTable(peers []string) peerTable {
 	table := peerTable{}
 	for i, address := range peers {
-		if a, err := netip.ParseAddrPort(address); err == nil {
-			table[a] = i
+		if parsed, err := netip.ParseAddrPort(address); err == nil {
+			table[parsed] = i
 		}
 	}
 	return table
 }
 
-// lookup takes an IPv4 address in its IPv6 form for the same address.
+// lookup treats an IPv4-mapped IPv6 address as the IPv4 address.
 func (p peerTable) lookup(from netip.AddrPort) (peer int, known bool) {
 	peer, known = p[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
 	return peer, known
--- a/internal/controller/reload.go
+++ b/internal/controller/reload.go
@@ -14,7 +14,7 @@
 	"aspenbarrow/internal/settings"
 )
 
-// reload is a changed configuration that is sound, on its way into force.
+// reload is a valid new configuration that is being applied.
 type reload struct {
 	previous, next Config
 	cached         discovery.EndpointList // next's cached endpoint list
@@ -23,9 +23,9 @@
 	limits         Limits
 }
 
-// reloadStep takes over one part of a configuration if it has changed.
+// reloadStep applies one part of a configuration if it has changed.
 type reloadStep struct {
-	part    string // as the log names it
+	part    string // its name in the log
 	changed func(c *Controller, r *reload) bool
 	apply   func(c *Controller, r *reload)
 }
@@ -61,48 +61,48 @@
 	},
 	{
 		"known",
-		func(c *Controller, r *reload) bool { // discovery's own answer is never older
+		func(c *Controller, r *reload) bool { // a list from discovery is never older
 			return !bytes.Equal(r.next.CachedEndpoints, r.previous.CachedEndpoints) &&
 				len(r.cached.Endpoints) > 0 && !c.endpoints.discoveryAnswered
 		},
 		func(c *Controller, r *reload) { c.updateEndpoints(r.cached, balance.UpdateCached) },
 	},
 	{
-		"settings", // open sessions keep those that they opened under
+		"settings", // open sessions keep those under which they opened
 		func(c *Controller, r *reload) bool { return !reflect.DeepEqual(r.settings, *c.settings) },
 		func(c *Controller, r *reload) { c.replaceSettings(&r.settings, r.classNames) },
 	},
 	{
-		"routes", // open sessions keep their retry policy; the configuration in force has the new table
+		"routes", // open sessions keep their retry policy; new ones use the table of the configuration in force
 		func(_ *Controller, r *reload) bool { return !r.next.Routes.Equal(r.previous.Routes) },
 		func(*Controller, *reload) {},
 	},
 }
 
-// Reload takes over the parts of a configuration that may change while the relay runs: the discovery agent, the peers,
+// Reload applies the parts of a configuration that may change while the relay runs: the discovery agent, the peers,
 // the membership protocol, the limits, the settings, the routes and, until discovery has answered, the cached endpoint
-// list. descriptors is how many descriptors there are by the new limits. What waits for a restart is logged. With an
-// error, such as *CachedEndpointsError or *settings.ClassLimitError, nothing is taken over.
+// list. descriptors is the number of descriptors under the new limits. Changes that need a restart are logged. On an
+// error, such as *CachedEndpointsError or *settings.ClassLimitError, nothing is applied.
 func (c *Controller) Reload(now time.Duration, cfg Config, descriptors int) error {
-	r, err := c.prepareReload(cfg)
+	pending, err := c.prepareReload(cfg)
 	if err != nil {
 		return err
 	}
 	c.descriptors.total = descriptors
-	r.limits = c.descriptors.limits(r.next.MemoryMB, r.previous.AdminListen != "")
+	pending.limits = c.descriptors.limits(pending.next.MemoryMB, pending.previous.AdminListen != "")
 	var applied []string
 	c.deliver(now, func() {
 		for _, step := range reloadSteps {
-			if step.changed(c, r) {
+			if step.changed(c, pending) {
 				applied = append(applied, step.part)
-				step.apply(c, r)
+				step.apply(c, pending)
 			}
 		}
 	})
-	needRestart := r.needRestart(c.settings)
-	c.config = r.inForce(c.settings)
+	needRestart := pending.needRestart(c.settings)
+	c.config = pending.inForce(c.settings)
 	c.log.Info("configuration reloaded", zap.Strings("taken", applied), zap.String("discovery", cfg.Discovery),
-		zap.Int("flows", r.limits.Sessions))
+		zap.Int("flows", pending.limits.Sessions))
 	if len(needRestart) > 0 {
 		c.log.Warn("configuration changes need a restart", zap.Strings("parts", needRestart))
 	}
@@ -124,7 +124,7 @@
 	return &reload{previous: c.config, next: cfg, cached: cached, settings: merged, classNames: names}, nil
 }
 
-// needRestart names the changed parts that only a restart takes over.
+// needRestart returns the names of the changed parts that take effect only after a restart.
 func (r *reload) needRestart(inForce *settings.Settings) []string {
 	next, previous := &r.next, &r.previous
 	var parts []string
@@ -146,11 +146,11 @@
 	return parts
 }
 
-// inForce returns the new configuration with the parts that wait for a restart as they were.
-func (r *reload) inForce(s *settings.Settings) Config {
+// inForce returns the new configuration with the previous values of the parts that need a restart.
+func (r *reload) inForce(current *settings.Settings) Config {
 	cfg, previous := r.next, &r.previous
 	cfg.Name, cfg.Listen, cfg.PeerListen = previous.Name, previous.Listen, previous.PeerListen
 	cfg.AdminListen, cfg.RuntimeDir, cfg.Shadow = previous.AdminListen, previous.RuntimeDir, previous.Shadow
-	cfg.Settings = *s
+	cfg.Settings = *current
 	return cfg
 }
--- a/internal/controller/reload_test.go
+++ b/internal/controller/reload_test.go
@@ -22,7 +22,7 @@
 	malformed := testConfig()
 	malformed.CachedEndpoints, malformed.Discovery = []byte("{"), "d:2"
 	if err := controller.Reload(time.Second, malformed, 256); err == nil || len(driver.discoveryAddresses) != 0 {
-		t.Errorf("a malformed configuration: %v, discovery at %v", err, driver.discoveryAddresses)
+		t.Errorf("a malformed configuration: error %v, discovery addresses %v", err, driver.discoveryAddresses)
 	} else if unreadable := (*CachedEndpointsError)(nil); !errors.As(err, &unreadable) {
 		t.Errorf("%v is no CachedEndpointsError", err)
 	}
@@ -33,19 +33,19 @@
 	}
 	if !slices.Equal(driver.discoveryAddresses, []string{"d:2"}) || len(driver.limits) != 1 || driver.limits[0] != AllocateDescriptors(128, 64, false) ||
 		controller.Config().Name != "n0" || controller.Config().Peers[0] != "127.0.0.1:7" {
-		t.Errorf("%+v, %+v", driver, controller.Config())
+		t.Errorf("driver %+v, configuration in force %+v", driver, controller.Config())
 	}
 }
 
-// A request keeps the rules that it arrived under, through its retries: an idempotent one is retried though its class is not
-// idempotent or is gone by now, and one that is not idempotent is not retried though its class is idempotent by now.
+// A request and its retries follow the class rules under which it arrived. An idempotent request is retried even if a reload has
+// made its class non-idempotent or dropped it, and a non-idempotent one is not retried even if its class has become idempotent.
 func TestController_ReloadKeepsRulesOfOpenRequests(t *testing.T) {
 	names := []string{"look", "act"}
 	controller, driver := newTestController(t, configWithClasses(names, []balance.Class{testClass(balance.Idempotent), testClass(balance.NonIdempotent)}, 4))
-	for sequence := uint64(100); sequence < 130; sequence++ { // they earn retry tokens
+	for sequence := uint64(100); sequence < 130; sequence++ { // to earn retry tokens
 		openSession(t, controller, sequence, "look")
 	}
-	establish := func(sequence uint64) { // with failures alone attempts would be paced
+	establish := func(sequence uint64) { // attempts would be paced if all of them failed
 		controller.SessionEvent(time.Second, sequence, session.Event{Kind: session.Established, Result: balance.AttemptResult{ID: sequence, Latency: time.Millisecond}})
 	}
 	idempotent, nonIdempotent, dropped := openSession(t, controller, 1, "look"), openSession(t, controller, 2, "act"), openSession(t, controller, 3, "look")
@@ -56,7 +56,7 @@
 		t.Errorf("an idempotent request is not retried: %+v", command)
 	}
 	if command := failAttempt(controller, driver, nonIdempotent, time.Second); command.Answer != protocol.AnswerFailed {
-		t.Errorf("a request that is not idempotent gets %+v", command)
+		t.Errorf("a non-idempotent request gets %+v, want the failure answer", command)
 	}
 	if err := controller.Reload(time.Second, configWithClasses(names[1:], []balance.Class{testClass(balance.Idempotent)}, 4), 256); err != nil {
 		t.Fatal(err)
@@ -73,24 +73,24 @@
 		t.Errorf("an idempotent request under the new rules gets %+v", command)
 	}
 	var counted []string
-	for _, c := range controller.Metrics().Snapshot().Classes {
-		counted = append(counted, fmt.Sprint(c.Name, c.Error))
+	for _, class := range controller.Metrics().Snapshot().Classes {
+		counted = append(counted, fmt.Sprint(class.Name, class.Error))
 	}
 	if !slices.Equal(counted, []string{"look0", "act1"}) {
-		t.Errorf("counted are %v", counted)
+		t.Errorf("errors counted by class: %v, want look0 and act1", counted)
 	}
 }
 
-// Lowering the attempts below those used ends no request early: it has as many as it arrived with, new ones have fewer.
+// A lower attempt limit applies only to new requests. An open request keeps the limit under which it arrived.
 func TestController_ReloadLowersAttemptsOfNewRequests(t *testing.T) {
 	names, classes := []string{"chat"}, []balance.Class{testClass(balance.Idempotent)}
 	controller, driver := newTestController(t, configWithClasses(names, classes, 3))
-	for sequence := uint64(100); sequence < 130; sequence++ { // they earn retry tokens
+	for sequence := uint64(100); sequence < 130; sequence++ { // to earn retry tokens
 		openSession(t, controller, sequence, "chat")
 	}
 	opened := openSession(t, controller, 1, "chat")
 	if command := failAttempt(controller, driver, opened, time.Second); command.Backend == nil {
-		t.Fatalf("%+v", command)
+		t.Fatalf("the second attempt is not made: %+v", command)
 	}
 	if err := controller.Reload(time.Second, configWithClasses(names, classes, 1), 256); err != nil {
 		t.Fatal(err)
@@ -103,8 +103,8 @@
 	}
 }
 
-// Classes that come and go, in any order, keep their numbers as long as they do not change. Endless changes are refused in the
-// end, and nothing of such a configuration is applied.
+// Classes that are dropped and added again, in any order, keep their numbers as long as their rules do not change. A change that
+// would exceed settings.MaxClasses is refused, and nothing of its configuration is applied.
 func TestController_ReloadKeepsClassNumbers(t *testing.T) {
 	controller, _ := newTestController(t, configWithClasses([]string{"a", "b"}, []balance.Class{testClass(balance.Idempotent), testClass(balance.NonIdempotent)}, 4))
 	table, _ := routing.NewTable([]routing.Route{{Name: "r", Match: routing.Match{Class: 0, Tenant: routing.Any, Zone: routing.Any, Protocol: routing.Any}}})
@@ -119,26 +119,26 @@
 		}
 	}
 	if err := controller.Reload(time.Second, cfg, 256); err != nil || !slices.Equal(controller.Settings().ClassNames, []string{"a", "b"}) {
-		t.Errorf("%v, %v", controller.Settings().ClassNames, err)
+		t.Errorf("classes %v, error %v; want [a b]", controller.Settings().ClassNames, err)
 	}
-	if r := controller.Config().Routes.Lookup(routing.Request{Class: 1}); r == nil || controller.Config().Routes.Lookup(routing.Request{Class: 0}) != nil {
+	if route := controller.Config().Routes.Lookup(routing.Request{Class: 1}); route == nil || controller.Config().Routes.Lookup(routing.Request{Class: 0}) != nil {
 		t.Error("the route of class b is not found by b's number")
 	}
 	var refused error
 	for i := 0; refused == nil && i < 2*settings.MaxClasses; i++ {
-		c := testClass(balance.Idempotent)
-		c.PriorityWeight = float64(i + 2)
-		refused = controller.Reload(time.Second, configWithClasses([]string{"a"}, []balance.Class{c}, 2), 256)
+		class := testClass(balance.Idempotent)
+		class.PriorityWeight = float64(i + 2)
+		refused = controller.Reload(time.Second, configWithClasses([]string{"a"}, []balance.Class{class}, 2), 256)
 	}
 	if refused == nil || len(controller.Settings().Classes) > settings.MaxClasses {
-		t.Errorf("%d classes, %v", len(controller.Settings().Classes), refused)
+		t.Errorf("%d classes, error %v", len(controller.Settings().Classes), refused)
 	}
 	if limit := (*settings.ClassLimitError)(nil); !errors.As(refused, &limit) || limit.Count <= settings.MaxClasses {
 		t.Errorf("%v is no ClassLimitError", refused)
 	}
 }
 
-// A reload keeps the tracked load, and the relay's index and count and its zone wait for a restart.
+// A reload keeps the tracked load. A changed relay index, relay count or zone takes effect only after a restart.
 func TestController_ReloadKeepsOpenSessions(t *testing.T) {
 	controller, driver := newTestController(t, configWithClasses([]string{"chat"}, []balance.Class{testClass(balance.Idempotent)}, 4))
 	for sequence := uint64(1); sequence <= 10; sequence++ {
@@ -149,29 +149,29 @@
 	if err := controller.Reload(time.Second, cfg, 256); err != nil {
 		t.Fatal(err)
 	}
-	if all, by := controller.Balancer().Connections(); all != 10 || by != 10 || controller.Settings().RelayCount != 2 || controller.Settings().ZoneNames[0] != "east" {
-		t.Errorf("connections %d, %d; %+v", all, by, controller.Settings())
+	if total, byBackend := controller.Balancer().Connections(); total != 10 || byBackend != 10 || controller.Settings().RelayCount != 2 || controller.Settings().ZoneNames[0] != "east" {
+		t.Errorf("%d connections, %d by backend, want 10; settings %+v", total, byBackend, controller.Settings())
 	}
 	for sequence := uint64(11); sequence <= 14; sequence++ {
 		openSession(t, controller, sequence, "other")
 	}
-	if all, by := controller.Balancer().Connections(); all != 14 || by != 14 {
-		t.Errorf("connections %d, %d", all, by)
+	if total, byBackend := controller.Balancer().Connections(); total != 14 || byBackend != 14 {
+		t.Errorf("%d connections, %d by backend, want 14", total, byBackend)
 	}
 }
 
-// The shadow evaluation begins and ends with the process: a reload that changes its shape logs so and changes nothing.
+// The shape of the shadow evaluation takes effect only at start: a reload that changes it logs a warning and leaves it as it is.
 func TestController_ReloadKeepsShadowShape(t *testing.T) {
-	for _, was := range []func(*shadow.Shape){nil, func(*shadow.Shape) {}} {
-		t.Run(fmt.Sprint("shadow before: ", was != nil), func(t *testing.T) {
-			controller, _ := newTestController(t, shadowConfig(was))
+	for _, initial := range []func(*shadow.Shape){nil, func(*shadow.Shape) {}} {
+		t.Run(fmt.Sprint("shadow before: ", initial != nil), func(t *testing.T) {
+			controller, _ := newTestController(t, shadowConfig(initial))
 			var messages []string
 			controller.log = zap.New(messageLogger(func(msg string) { messages = append(messages, msg) }))
 			cfg := shadowConfig(func(s *shadow.Shape) { s.HealthChecks = false })
 			if err := controller.Reload(2*time.Second, cfg, 256); err != nil {
 				t.Fatal(err)
 			}
-			if !slices.Contains(messages, "configuration changes need a restart") || (controller.Config().Shadow == nil) != (was == nil) ||
+			if !slices.Contains(messages, "configuration changes need a restart") || (controller.Config().Shadow == nil) != (initial == nil) ||
 				controller.Config().Shadow.Equal(cfg.Shadow) {
 				t.Errorf("logged %q, in force %+v", messages, controller.Config().Shadow)
 			}
--- a/internal/controller/session_events.go
+++ b/internal/controller/session_events.go
@@ -14,16 +14,15 @@
 	"aspenbarrow/internal/upstream"
 )
 
-// workMillisPerSecond converts the load of a connection, a share of one backend, to the balancer's unit: milliseconds
-// of work a second.
-const workMillisPerSecond = 1000
+// connectionLoadScale converts the connection load in a LOAD line to the unit of balance.SignalConnectionLoad.
+const connectionLoadScale = 1000
 
-// DuplicateIDError is a session whose ID another open session has.
+// DuplicateIDError reports an OPEN line whose ID belongs to another open session.
 type DuplicateIDError struct{ ID uint64 }
 
 func (e *DuplicateIDError) Error() string { return fmt.Sprintf("id %016x is in use", e.ID) }
 
-// SessionOpened handles a session whose OPEN line is whole.
+// SessionOpened handles a session whose OPEN line is complete.
 func (c *Controller) SessionOpened(now time.Duration, opened *session.Session) {
 	c.deliver(now, func() { c.sessionOpened(opened) })
 }
@@ -36,7 +35,7 @@
 		class:    opened.Open.Request.Class,
 		resumed:  len(opened.Open.Holder) > 0,
 	}
-	if c.shutdown.finished { // what begins now would never end
+	if c.shutdown.finished { // a request that arrives now would never be answered otherwise
 		c.driver.SendCommand(record.sequence, session.Command{Answer: protocol.BusyAnswer(session.RetryAfter(c.settings))})
 		return
 	}
@@ -64,9 +63,9 @@
 	}
 }
 
-// checkOpening refuses an ID in use, whose two sessions' answers could not be told apart, and a session that can no
-// longer be resumed: sessions from before the start are all resumed before any other opens, and to resume one may take
-// half a minute, for which a client of any other time would hold its place.
+// checkOpening refuses an ID that is in use, since the answers of the two sessions could not be distinguished, and a
+// session that can no longer be resumed: sessions from before the start are all resumed before any new one opens. To
+// resume a session may take half a minute, and for that time a client that asks for it later would occupy a session slot.
 func (c *Controller) checkOpening(record *sessionRecord) error {
 	if c.sessions.byID[record.id] != nil {
 		return &DuplicateIDError{record.id}
@@ -77,14 +76,15 @@
 	return nil
 }
 
-// timeLeft returns the time until a request's deadline, cut to the time that a relay that is shutting down has.
+// timeLeft returns the time until a request's deadline. During a shutdown it is limited to the time until the answer
+// deadline or, once that has passed, until the end of the relay.
 func (c *Controller) timeLeft(opened *session.Session) time.Duration {
 	left := max(0, opened.Open.Timeout-(c.now-opened.ArrivedAt))
 	end := c.shutdown.answerDeadline
 	if end == 0 {
 		return left
 	}
-	if c.now >= end { // sessions that pass through keep the relay up beyond it
+	if c.now >= end { // in pass-through mode open sessions keep the relay running beyond it
 		end = c.shutdown.deadline
 	}
 	return max(0, min(left, end-c.now))
@@ -125,7 +125,7 @@
 	return session.Command{Backend: backend, Deadline: now + session.ResumeTimeout, Resume: true}
 }
 
-// SessionEvent handles an event of an open session, named by its sequence number; those of closed ones are dropped.
+// SessionEvent handles an event of the session with a sequence number; events of closed sessions are dropped.
 func (c *Controller) SessionEvent(now time.Duration, sequence uint64, event session.Event) {
 	c.deliver(now, func() {
 		if record := c.sessions.bySequence[sequence]; record != nil {
@@ -161,11 +161,11 @@
 	}
 }
 
-// loadReported passes a LOAD line on as the signal that the settings promise. The milliseconds of a late message, taken
-// for a connection's load, would raise the tracked load by orders of magnitude on the very backend that is late.
+// loadReported passes the value of a LOAD line to the balancer as the signal that the settings specify. A message delay
+// in milliseconds, read as a connection's load, would raise the tracked load of the slow backend by orders of magnitude.
 func (c *Controller) loadReported(record *sessionRecord, value float64) {
 	if !c.settings.ReportsMessageDelay {
-		c.balancer.LoadReported(c.now, record.sequence, balance.SignalConnectionLoad, value*workMillisPerSecond)
+		c.balancer.LoadReported(c.now, record.sequence, balance.SignalConnectionLoad, value*connectionLoadScale)
 		return
 	}
 	if !c.messageDelayReported {
@@ -176,8 +176,8 @@
 	c.balancer.LoadReported(c.now, record.sequence, balance.SignalMessageDelay, value)
 }
 
-// SessionClosed removes a session and settles what its driver could not report any more, because a command came too
-// late or its goroutine panicked.
+// SessionClosed removes a session and reports to the balancer what the driver could not report any more, because a
+// command arrived too late or the session's goroutine panicked.
 func (c *Controller) SessionClosed(now time.Duration, sequence uint64) {
 	c.deliver(now, func() {
 		if record := c.sessions.bySequence[sequence]; record != nil {
--- a/internal/controller/session_events_test.go
+++ b/internal/controller/session_events_test.go
@@ -14,33 +14,33 @@
 	"aspenbarrow/internal/session"
 )
 
-// Every backend but its own resets a connection that arrives mid-flow; that is no failure of the backend.
+// A connection that arrives mid-flow is reset by every backend but the one that holds it. The reset is no failure of the backend.
 func TestController_ResetOfMidFlowConnectionIsNoBackendFailure(t *testing.T) {
-	for _, mid := range []string{",mid=1", ""} {
-		t.Run(fmt.Sprintf("mid-flow %v", mid != ""), func(t *testing.T) {
+	for _, midParameter := range []string{",mid=1", ""} {
+		t.Run(fmt.Sprintf("mid-flow %v", midParameter != ""), func(t *testing.T) {
 			controller, driver := newTestController(t, testConfig())
 			const key = "0000000000000007"
-			opened := readOpenLine(t, controller, 1, "OPEN 0000000000000001 "+key+" c=chat,d=1000"+mid+"\r\n")
+			opened := readOpenLine(t, controller, 1, "OPEN 0000000000000001 "+key+" c=chat,d=1000"+midParameter+"\r\n")
 			controller.SessionOpened(time.Second, opened)
 			first := driver.lastBackend(1)
 			controller.SessionOpened(time.Second, readOpenLine(t, controller, 9, "OPEN 0000000000000009 "+key+" c=chat,d=1000\r\n"))
 			if driver.lastBackend(9) != first {
-				t.Fatal("two connections of one key are apart")
+				t.Fatal("two connections with the same key are at different backends")
 			}
 			controller.SessionEvent(time.Second, 9, session.Event{Kind: session.AttemptEnded, Result: balance.AttemptResult{ID: 9, Backend: first.ID,
 				Status: balance.StatusReset, Closed: true}})
-			do := opened.Execute(time.Second, driver.commands[1][0])
-			controller.SessionEvent(time.Second+time.Millisecond, 1, opened.AttemptDone(time.Second, do.Attempt, do.Attempt.ConnectionEnded(9, true, io.EOF, false)).Event)
-			// Another connection of that key goes where the first went, unless that backend is ejected.
+			actions := opened.Execute(time.Second, driver.commands[1][0])
+			controller.SessionEvent(time.Second+time.Millisecond, 1, opened.AttemptDone(time.Second, actions.Attempt, actions.Attempt.ConnectionEnded(9, true, io.EOF, false)).Event)
+			// Another connection with that key goes to the same backend as the first, unless that backend is ejected.
 			controller.SessionOpened(time.Second+2*time.Millisecond, readOpenLine(t, controller, 2, "OPEN 0000000000000002 "+key+" c=chat,d=1000\r\n"))
-			if (driver.lastBackend(2) == first) != (mid != "") {
-				t.Errorf("%q: the backend is ejected: %v", mid, driver.lastBackend(2) != first)
+			if (driver.lastBackend(2) == first) != (midParameter != "") {
+				t.Errorf("mid-flow parameter %q: the backend is ejected: %v", midParameter, driver.lastBackend(2) != first)
 			}
 		})
 	}
 }
 
-// loadSignalRecorder is a Decider that records load signals and whether its settings promise message delays.
+// loadSignalRecorder is a Decider that records load signals and whether its settings report message delay.
 type loadSignalRecorder struct {
 	decision.Decider
 	signals      *[]string
@@ -56,10 +56,10 @@
 	d.Decider.UpdateSettings(s)
 }
 
-// A LOAD line does not say what it measures; the settings do. A late message's milliseconds taken for a connection's load
-// would raise the tracked load of the late backend. Message delay counts as reported only once one has been: where it is
-// promised and never reported, each overloaded backend would pass for a healthy one.
-func TestController_LoadLineIsTheSignalOfTheSettings(t *testing.T) {
+// A LOAD line does not say what it measures; the settings do. A message delay in milliseconds, read as a connection's load,
+// would raise the tracked load of the slow backend. The balancer expects message delay only once one has been reported: if the
+// settings alone decided, every overloaded backend that reports none would be treated as healthy.
+func TestController_LoadLineSignalFollowsSettings(t *testing.T) {
 	for _, tc := range []struct {
 		load, delay bool
 		want        string
@@ -76,20 +76,20 @@
 			controller, driver := newTestController(t, cfg)
 			opened := readOpenLine(t, controller, 1, "OPEN 0000000000000001 0000000000000007 c=chat,d=1000\r\n")
 			controller.SessionOpened(time.Second, opened)
-			opened.AttemptDone(time.Second, opened.Execute(time.Second, driver.commands[1][0]).Attempt, nil) // its UP is written
+			opened.AttemptDone(time.Second, opened.Execute(time.Second, driver.commands[1][0]).Attempt, nil) // UP is written to the client
 			next := controller.Config()
 			next.Settings.MaxRetryAfter++
 			for _, reported := range []bool{false, true} {
 				if reported {
-					_, ev, err := opened.FromBackend([]byte("LOAD 412.5\r\n"))
-					if err != nil || ev.Kind != session.LoadReported {
-						t.Fatal(ev, err)
+					_, event, err := opened.FromBackend([]byte("LOAD 412.5\r\n"))
+					if err != nil || event.Kind != session.LoadReported {
+						t.Fatal(event, err)
 					}
-					controller.SessionEvent(time.Second, 1, ev)
+					controller.SessionEvent(time.Second, 1, event)
 				}
-				for range 2 { // before a reload and after it, which must not change it
+				for range 2 { // before and after a reload, which must not change the result
 					if want := reported && tc.delay && !tc.load; expectsDelay != want {
-						t.Errorf("reported %v: the balancer expects message delays: %v", reported, expectsDelay)
+						t.Errorf("delay reported %v: the balancer expects message delay: %v", reported, expectsDelay)
 					}
 					next.Settings.MaxRetryAfter++
 					if err := controller.Reload(time.Second, next, 256); err != nil {
@@ -104,19 +104,19 @@
 	}
 }
 
-// Backends over their capacity report no message delays, though the settings promise them. Their load reports alone show
-// the overload, and this relay's sessions there are migrated.
+// Backends over their capacity report no message delay although the settings say that backends do. Their load reports alone show
+// the overload, and this relay must migrate its sessions there.
 func TestController_OverloadedBackendsAreRelievedWithoutLoadSignals(t *testing.T) {
 	cfg := testConfig()
 	cfg.Settings.ReportsConnectionLoad, cfg.Settings.ReportsMessageDelay, cfg.Settings.HealthChecks = false, true, true
 	cfg.Settings.ReportFields = []balance.ReportField{balance.FieldLoadShare}
 	controller, driver := newTestController(t, cfg)
 	now := time.Second
-	reportOverload := func() { // every health check says that the backend has twice what it can do
+	reportOverload := func() { // every health check reports a backend at twice its capacity
 		for len(driver.healthChecks) > 0 {
-			b := driver.healthChecks[0]
+			backend := driver.healthChecks[0]
 			driver.healthChecks = driver.healthChecks[1:]
-			controller.HealthCheckDone(now, balance.HealthCheckResult{Backend: b, Load: []float32{2}, Latency: time.Millisecond})
+			controller.HealthCheckDone(now, balance.HealthCheckResult{Backend: backend, Load: []float32{2}, Latency: time.Millisecond})
 		}
 	}
 	for id := uint64(1); id <= 24; id++ {
@@ -130,8 +130,8 @@
 			now += 60 * time.Millisecond
 			controller.FireTimers(now)
 		}
-		if o := driver.commands[id]; len(o) > 0 && o[0].Backend != nil {
-			controller.SessionEvent(now, id, session.Event{Kind: session.Established, Result: balance.AttemptResult{ID: id, Backend: o[0].Backend.ID}})
+		if commands := driver.commands[id]; len(commands) > 0 && commands[0].Backend != nil {
+			controller.SessionEvent(now, id, session.Event{Kind: session.Established, Result: balance.AttemptResult{ID: id, Backend: commands[0].Backend.ID}})
 		}
 	}
 	for range 12 {
@@ -140,7 +140,7 @@
 		reportOverload()
 	}
 	if len(driver.migrated) == 0 {
-		t.Error("twelve seconds over capacity, and no session was migrated")
+		t.Error("no session is migrated although all backends are over capacity for 12 s")
 	}
 }
 
@@ -150,13 +150,13 @@
 	duplicate := readOpenLine(t, controller, 2, openLine(1))
 	controller.SessionOpened(time.Second, duplicate)
 	if commands := driver.commands[2]; len(commands) != 1 || commands[0].Answer != protocol.AnswerFailed {
-		t.Errorf("%+v", commands)
+		t.Errorf("a session with a duplicate ID gets %+v, want the failure answer", commands)
 	}
 	var refused *DuplicateIDError
 	if len(driver.clientErrors) != 1 || !errors.As(driver.clientErrors[0], &refused) || refused.ID != 1 {
-		t.Errorf("%v", driver.clientErrors)
+		t.Errorf("client errors %v, want one DuplicateIDError for ID 1", driver.clientErrors)
 	}
 	if controller.SessionCount() != 1 {
-		t.Errorf("%d sessions", controller.SessionCount())
+		t.Errorf("%d sessions, want 1", controller.SessionCount())
 	}
 }
--- a/internal/controller/sessions.go
+++ b/internal/controller/sessions.go
@@ -9,22 +9,22 @@
 
 // sessionRecord is the controller's state of one open session.
 type sessionRecord struct {
-	sequence      uint64 // the relay's number for the session
-	id            uint64 // the client's ID of its request
+	sequence      uint64 // the relay's own number for the session
+	id            uint64 // request ID in the client's OPEN line
 	class         int
 	resumed       bool                 // established before this relay's start
-	retryPolicy   *balance.RetryPolicy // nil: none of its own
+	retryPolicy   *balance.RetryPolicy // of the route that matches; nil: no route matches
 	backend       string               // name of the backend of the last attempt
 	attempts      int                  // attempts started
-	attemptsEnded int                  // attempts whose result the balancer has
-	answered      bool                 // the balancer has given the final answer, or knows that none is owed
+	attemptsEnded int                  // attempts whose result the balancer has received
+	answered      bool                 // the balancer has given the final answer, or none is needed
 }
 
 // sessionTable holds the open sessions.
 type sessionTable struct {
 	bySequence     map[uint64]*sessionRecord
 	byID           map[uint64]*sessionRecord
-	unanswered     int  // requests that are owed an answer
+	unanswered     int  // requests that await an answer
 	newSessionSeen bool // a session has opened that was not resumed
 }
 
@@ -45,13 +45,13 @@
 
 func (t *sessionTable) len() int { return len(t.bySequence) }
 
-// hasWork reports whether any request is owed an answer or any session is open.
+// hasWork reports whether any request awaits an answer or any session is open.
 func (t *sessionTable) hasWork() bool { return t.unanswered+len(t.bySequence) > 0 }
 
-// sequences returns the open sessions' numbers in the order in which they opened.
+// sequences returns the sequence numbers of the open sessions in the order in which they opened.
 func (t *sessionTable) sequences() []uint64 { return slices.Sorted(maps.Keys(t.bySequence)) }
 
-// markAnswered counts a request as no longer owed an answer.
+// markAnswered marks a request as answered; further calls for it have no effect.
 func (t *sessionTable) markAnswered(record *sessionRecord) {
 	if !record.answered {
 		record.answered = true
--- a/internal/controller/shadow.go
+++ b/internal/controller/shadow.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// shadowHost is the shadow evaluation's view of its controller.
+// shadowHost gives the shadow evaluation access to the controller's clock and timers.
 type shadowHost struct{ controller *Controller }
 
 func (h shadowHost) Now() time.Duration { return h.controller.now }
--- a/internal/controller/shadow_test.go
+++ b/internal/controller/shadow_test.go
@@ -15,24 +15,24 @@
 	"aspenbarrow/internal/shadow"
 )
 
-// shadowConfig returns a configuration with a shadow whose shape differs from the one in force as change says; nil: without
-// a shadow.
+// shadowConfig returns a configuration with a shadow evaluation whose shape is the one in force, modified by change; nil: without
+// a shadow evaluation.
 func shadowConfig(change func(*shadow.Shape)) Config {
 	cfg := configWithClasses([]string{"chat"}, []balance.Class{testClass(balance.Idempotent)}, 3)
 	cfg.Settings.PassThrough, cfg.Settings.ReportsMessageDelay = false, true
 	cfg.CachedEndpoints = []byte(strings.ReplaceAll(threeEndpoints, `"weight":1}]`, `"weight":6}]`))
-	s := cfg.Settings.Settings
-	s.Weights = balance.WeightsNominal
-	cfg.Settings.Settings = s
+	balancerSettings := cfg.Settings.Settings
+	balancerSettings.Weights = balance.WeightsNominal
+	cfg.Settings.Settings = balancerSettings
 	if change != nil {
-		cfg.Shadow = shadow.ShapeOf(&s)
+		cfg.Shadow = shadow.ShapeOf(&balancerSettings)
 		change(cfg.Shadow)
 	}
 	return cfg
 }
 
-// serveClients runs ten seconds with 400 clients, in which one backend fails attempts, one reports late messages for a while,
-// and health checks are answered. It returns all commands and migrations.
+// serveClients simulates ten seconds with 400 clients, in which one backend fails attempts, one reports late messages for a while,
+// and health checks succeed. It returns all commands and migrations.
 func serveClients(t *testing.T, cfg Config, during func(controller *Controller, at time.Duration)) (*Controller, []string) {
 	t.Helper()
 	return serveClientsLogged(t, cfg, zap.NewNop(), during)
@@ -42,7 +42,7 @@
 	t.Helper()
 	controller, driver := newLoggedController(t, cfg, log)
 	var actions []string
-	began, seen := map[uint64]bool{}, map[uint64]int{}
+	established, handled := map[uint64]bool{}, map[uint64]int{}
 	for step := 1; step <= 400; step++ {
 		now := time.Second + time.Duration(step)*25*time.Millisecond
 		controller.FireTimers(now)
@@ -52,25 +52,25 @@
 		sequence := uint64(step)
 		controller.SessionOpened(now, readOpenLine(t, controller, sequence, fmt.Sprintf("OPEN %016x %016x c=chat,d=3000\r\n", sequence, sequence*0x9e3779b97f4a7c15)))
 		for id := sequence - min(sequence-1, 40); id <= sequence; id++ {
-			for commands := driver.commands[id]; seen[id] < len(commands); commands = driver.commands[id] {
-				command := commands[seen[id]]
-				seen[id]++
+			for commands := driver.commands[id]; handled[id] < len(commands); commands = driver.commands[id] {
+				command := commands[handled[id]]
+				handled[id]++
 				if command.Backend == nil {
 					actions = append(actions, fmt.Sprintf("%d %d %q", step, id, command.Answer))
 					continue
 				}
 				actions = append(actions, fmt.Sprintf("%d %d to %s", step, id, command.Backend.Name))
-				out := balance.AttemptResult{ID: id, Attempt: controller.sessions.bySequence[id].attempts - 1, Backend: command.Backend.ID, Latency: 5 * time.Millisecond}
+				result := balance.AttemptResult{ID: id, Attempt: controller.sessions.bySequence[id].attempts - 1, Backend: command.Backend.ID, Latency: 5 * time.Millisecond}
 				if command.Backend.Name == "b" && id%3 == 0 {
-					out.Status = balance.StatusError
-					controller.SessionEvent(now, id, session.Event{Kind: session.AttemptEnded, Result: out})
+					result.Status = balance.StatusError
+					controller.SessionEvent(now, id, session.Event{Kind: session.AttemptEnded, Result: result})
 				} else {
-					began[id] = true
-					controller.SessionEvent(now, id, session.Event{Kind: session.Established, Result: out})
+					established[id] = true
+					controller.SessionEvent(now, id, session.Event{Kind: session.Established, Result: result})
 				}
 			}
 		}
-		if began[sequence] && controller.sessions.bySequence[sequence].backend == "c" && step > 200 && step < 240 {
+		if established[sequence] && controller.sessions.bySequence[sequence].backend == "c" && step > 200 && step < 240 {
 			controller.SessionEvent(now, sequence, session.Event{Kind: session.LoadReported, Load: 40})
 		}
 		for _, id := range driver.healthChecks {
@@ -79,8 +79,8 @@
 		driver.healthChecks = nil
 		for _, id := range driver.migrated {
 			actions = append(actions, fmt.Sprintf("%d %d migrates", step, id))
-			out := balance.AttemptResult{ID: id, Attempt: controller.sessions.bySequence[id].attempts - 1, Status: balance.StatusCancelled, Closed: true}
-			controller.SessionEvent(now, id, session.Event{Kind: session.AttemptEnded, Result: out})
+			result := balance.AttemptResult{ID: id, Attempt: controller.sessions.bySequence[id].attempts - 1, Status: balance.StatusCancelled, Closed: true}
+			controller.SessionEvent(now, id, session.Event{Kind: session.AttemptEnded, Result: result})
 		}
 		driver.migrated = nil
 	}
@@ -89,8 +89,8 @@
 
 func shadowDifferences(controller *Controller) (snapshot *metrics.ShadowSnapshot, sum int64) {
 	snapshot = controller.Metrics().Snapshot().Shadow
-	for _, c := range snapshot.Counts {
-		sum += c
+	for _, count := range snapshot.Counts {
+		sum += count
 	}
 	return snapshot, sum
 }
@@ -99,16 +99,16 @@
 	controller, actions := serveClients(t, shadowConfig(func(*shadow.Shape) {}), nil)
 	snapshot, sum := shadowDifferences(controller)
 	if sum != 0 || snapshot.Compared < 350 || snapshot.Failed {
-		t.Errorf("%+v", snapshot)
+		t.Errorf("same shape: %+v, want no differences in at least 350 comparisons", snapshot)
 	}
 	migrations := 0
-	for _, d := range actions {
-		if strings.HasSuffix(d, "migrates") {
+	for _, action := range actions {
+		if strings.HasSuffix(action, "migrates") {
 			migrations++
 		}
 	}
 	if migrations == 0 {
-		t.Error("no session was migrated: the run shows nothing of migrations")
+		t.Error("no session was migrated, so the run does not compare migrations")
 	}
 }
 
@@ -120,14 +120,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if _, actions := serveClients(t, shadowConfig(change), nil); !slices.Equal(actions, plain) {
-				t.Errorf("%d actions, %d without a shadow", len(actions), len(plain))
+				t.Errorf("actions differ: %d with the shadow evaluation, %d without", len(actions), len(plain))
 			}
 		})
 	}
 }
 
-// Each difference is counted under its kind, and none grows into others: after 400 clients the shadow tracks the load that is
-// actually open, backend by backend.
+// Each difference is counted by its kind and must not cause further ones: after 400 clients the shadow tracks the same load as the
+// actual side at each backend.
 func TestController_ShadowCountsDifferencesByKind(t *testing.T) {
 	controller, _ := serveClients(t, shadowConfig(func(s *shadow.Shape) { s.Weights = balance.WeightsOff }), nil)
 	snapshot, _ := shadowDifferences(controller)
@@ -141,17 +141,17 @@
 	}
 	actual, evaluated := controller.shadow.Snapshot().Backends, controller.shadow.Balancer().Snapshot().Backends
 	if len(actual) != 3 || len(evaluated) != 3 {
-		t.Fatalf("%d and %d backends", len(actual), len(evaluated))
+		t.Fatalf("%d actual backends, %d in the shadow; want 3 and 3", len(actual), len(evaluated))
 	}
-	for i, s := range actual {
-		if o := evaluated[i]; o.ID != s.ID || o.TrackedLoad != s.TrackedLoad || s.TrackedLoad == 0 {
-			t.Errorf("load at %d: %v, in the shadow %v", s.ID, s.TrackedLoad, o.TrackedLoad)
+	for i, backend := range actual {
+		if shadowBackend := evaluated[i]; shadowBackend.ID != backend.ID || shadowBackend.TrackedLoad != backend.TrackedLoad || backend.TrackedLoad == 0 {
+			t.Errorf("tracked load at backend %d: %v, in the shadow %v", backend.ID, backend.TrackedLoad, shadowBackend.TrackedLoad)
 		}
 	}
 }
 
-// The actual side checks the backend's health first; the shadow, which cannot, has started an attempt by then. When the client
-// leaves before the answer neither side counts it.
+// The actual side holds the request for a health check, while the shadow, which has none, starts an attempt at once. If the client
+// leaves before its answer, neither side may count the request any more.
 func TestController_ShadowClientThatLeavesWhileHeldIsNotCounted(t *testing.T) {
 	controller, driver := newTestController(t, shadowConfig(func(s *shadow.Shape) { s.HealthChecks, s.ReportFields = false, nil }))
 	now := 9 * time.Second
@@ -165,7 +165,7 @@
 	}
 	controller.SessionEvent(now, 1, session.Event{Kind: session.ClientLeft})
 	if pending, _ := controller.shadow.Balancer().Connections(); pending != 0 || controller.shadow.Requests() != 0 {
-		t.Errorf("the shadow has %d connections, %d requests", pending, controller.shadow.Requests())
+		t.Errorf("the shadow still counts %d connections, %d requests", pending, controller.shadow.Requests())
 	}
 }
 
@@ -179,10 +179,10 @@
 		}
 	})
 	if snapshot, _ := shadowDifferences(controller); !snapshot.Failed || !slices.Equal(actions, plain) {
-		t.Errorf("failed %v; %d actions, %d without a shadow", snapshot.Failed, len(actions), len(plain))
+		t.Errorf("evaluation failed: %v; %d actions, %d without a shadow evaluation", snapshot.Failed, len(actions), len(plain))
 	}
 	if !slices.Contains(messages, "shadow evaluation stopped after panic") {
-		t.Errorf("logged %q", messages)
+		t.Errorf("logged %q, want the end of the shadow evaluation", messages)
 	}
 }
 
--- a/internal/controller/shutdown.go
+++ b/internal/controller/shutdown.go
@@ -7,40 +7,40 @@
 	"go.uber.org/zap"
 )
 
-// The time from SIGTERM to SIGKILL is the longest client timeout, at most maxClientTimeout, and 0.7 s more. All answers
-// are given and written before that.
+// SIGKILL follows SIGTERM after the longest client timeout, at most maxClientTimeout, plus 0.7 s. All answers are given
+// and written before that.
 const (
-	// shutdownNotice is how long load balancers in front go on sending clients after SIGTERM.
+	// shutdownNotice is how long load balancers in front continue to send clients after SIGTERM.
 	shutdownNotice = 600 * time.Millisecond
 	// maxClientTimeout bounds the client timeout that a shutdown waits for.
 	maxClientTimeout = 3 * time.Second
-	// answerMargin is the time beyond the client timeout by which a request that came after SIGTERM is answered.
+	// answerMargin is the time beyond the client timeout within which a request that arrives after SIGTERM is answered.
 	answerMargin = 450 * time.Millisecond
-	// finalWriteTime is the time within which an answer or a MOVE reaches its socket.
+	// finalWriteTime is the time within which an answer or a MOVE is written to its socket.
 	finalWriteTime = 50 * time.Millisecond
-	// shutdownMigrationTime is the time within which sessions are migrated after shutdownNotice, if there is as much.
+	// shutdownMigrationTime is the time within which sessions are migrated after shutdownNotice, unless the shutdown is shorter.
 	shutdownMigrationTime = 1500 * time.Millisecond
-	// passThroughShutdownTime bounds the shutdown where packets pass through: sessions are held until the relay is
-	// stopped, so that other relays take them over unbroken.
+	// passThroughShutdownTime bounds the shutdown in pass-through mode: sessions are kept until the relay is stopped, so
+	// that other relays take them over without a break.
 	passThroughShutdownTime = 30 * time.Second
-	// shutdownPollInterval is how often the relay looks whether work is left.
+	// shutdownPollInterval is how often the relay checks whether work is left.
 	shutdownPollInterval = 20 * time.Millisecond
 )
 
-// shutdownState is how far a graceful shutdown has come.
+// shutdownState is the progress of a graceful shutdown.
 type shutdownState struct {
 	started        atomic.Bool
 	finished       bool          // new sessions are refused
-	deadline       time.Duration // by when the relay ends, whatever is left
-	answerDeadline time.Duration // by when all requests are answered; 0: no shutdown
+	deadline       time.Duration // when the relay ends, even if work is left
+	answerDeadline time.Duration // when all requests have been answered; 0: no shutdown
 }
 
 // ShuttingDown reports whether a graceful shutdown has begun. It may be called from any goroutine.
 func (c *Controller) ShuttingDown() bool { return c.shutdown.started.Load() }
 
 // Shutdown begins a graceful shutdown: new clients are served, every request is answered, and sessions are migrated.
-// Where packets pass through, other relays take sessions over unbroken once this one is stopped. Ending by itself it
-// would cut them off, and while another relay is away as well nobody would be there to take them.
+// In pass-through mode, other relays take sessions over without a break once this relay is stopped from outside. If it
+// ended by itself it would cut its sessions off, and if another relay were down as well no relay could take them over.
 func (c *Controller) Shutdown(now time.Duration) {
 	answerTime := min(c.longestClientTimeout(), maxClientTimeout) + answerMargin
 	shutdownTime := answerTime + finalWriteTime
@@ -48,7 +48,7 @@
 		shutdownTime = passThroughShutdownTime
 	}
 	c.shutdown.started.Store(true)
-	notice := shutdownNotice // a client migrated earlier might be sent right back
+	notice := shutdownNotice // a client migrated earlier might be sent back here
 	if c.replaced.Load() {
 		notice = 0 // the successor accepts all new clients
 	}
@@ -61,8 +61,8 @@
 	c.log.Info("graceful shutdown started", zap.Duration("within", shutdownTime))
 }
 
-// longestClientTimeout returns the longest client timeout of the classes in force. Retired classes do not count: SIGKILL
-// comes by the settings in force.
+// longestClientTimeout returns the longest client timeout of the classes in force. Retired classes do not count: the
+// time of SIGKILL follows from the settings in force.
 func (c *Controller) longestClientTimeout() time.Duration {
 	longest := time.Duration(0)
 	for _, class := range c.settings.Classes {
@@ -73,15 +73,15 @@
 	return longest
 }
 
-// migrateBeforeShutdown starts the migration, which leaves time to write the last MOVE before the answers are due.
+// migrateBeforeShutdown starts the migration. It ends finalWriteTime before the answer deadline, to write the last MOVE.
 func (c *Controller) migrateBeforeShutdown() {
-	by := min(c.now+shutdownMigrationTime, c.shutdown.answerDeadline-finalWriteTime)
-	c.balancer.DrainBy(c.now, max(c.now, by))
+	deadline := min(c.now+shutdownMigrationTime, c.shutdown.answerDeadline-finalWriteTime)
+	c.balancer.DrainBy(c.now, max(c.now, deadline))
 	c.setTimer(shutdownPollTimer, 0, 0)
 }
 
-// pollShutdown stops accepting once no work is left or the time is up. An answer counts as given when its session has
-// the command, so finalWriteTime is left for writing it.
+// pollShutdown stops accepting once no work is left or the deadline has passed. An answer counts as given when its
+// session has received the command, so finalWriteTime remains to write it.
 func (c *Controller) pollShutdown() {
 	if c.sessions.hasWork() && c.now < c.shutdown.deadline {
 		c.setTimer(shutdownPollTimer, 0, shutdownPollInterval)
@@ -91,7 +91,7 @@
 	c.setTimer(stopTimer, 0, finalWriteTime)
 }
 
-// finishShutdown ends the relay, unless a client has come in the meantime.
+// finishShutdown ends the relay, unless a client has arrived in the meantime and the deadline has not passed.
 func (c *Controller) finishShutdown() {
 	if c.sessions.hasWork() && c.now < c.shutdown.deadline {
 		c.setTimer(shutdownPollTimer, 0, shutdownPollInterval)
@@ -102,9 +102,9 @@
 	c.driver.Stopped()
 }
 
-// endRemainingSessions ends what would outlast this relay, since SIGKILL is near: waiting requests are answered, and
-// established sessions are migrated unless packets pass through, also one whose UP has not been reported here yet. It
-// goes by sequence number, which does not vary as a map's order does.
+// endRemainingSessions answers waiting requests and, except in pass-through mode, migrates established sessions, since
+// SIGKILL is near. That includes a session whose UP has not been reported to the controller yet. It iterates in order of
+// sequence numbers, because the iteration order of a map varies.
 func (c *Controller) endRemainingSessions() {
 	for _, sequence := range c.sessions.sequences() {
 		if !c.settings.PassThrough {
--- a/internal/controller/shutdown_test.go
+++ b/internal/controller/shutdown_test.go
@@ -11,68 +11,68 @@
 	"aspenbarrow/internal/session"
 )
 
-func TestController_ShutdownWaitsForOwedAnswers(t *testing.T) {
+func TestController_ShutdownWaitsForPendingAnswers(t *testing.T) {
 	cfg := testConfig()
 	cfg.Settings.PassThrough = false
 	controller, driver := newTestController(t, cfg)
 	opened := readOpenLine(t, controller, 1, "OPEN 0000000000000001 0000000000000002 c=chat,d=1000\r\n")
 	controller.SessionOpened(time.Second, opened)
 	controller.Shutdown(time.Second)
-	play := func(until time.Duration) {
+	fireUntil := func(until time.Duration) {
 		for at, ok := controller.NextTimer(); ok && at <= until; at, ok = controller.NextTimer() {
 			controller.FireTimers(at)
 		}
 	}
-	play(1700 * time.Millisecond)
+	fireUntil(1700 * time.Millisecond)
 	if driver.stopped != 0 {
-		t.Fatal("stopped while an answer is owed")
+		t.Fatal("stopped before a request was answered")
 	}
 	controller.SessionClosed(1700*time.Millisecond, 1)
-	play(1800 * time.Millisecond)
+	fireUntil(1800 * time.Millisecond)
 	if driver.stopped != 1 {
-		t.Errorf("stopped %d times", driver.stopped)
+		t.Errorf("stopped %d times, want 1", driver.stopped)
 	}
 }
 
-// SIGKILL comes 3.7 s after SIGTERM at the earliest, however long the client timeout is. A request at a backend that hangs
-// once went without any answer when the relay stopped at 3.5 s and its client timeout was over 3 s; so did one that came
-// after SIGTERM.
+// A request at a backend that hangs must be answered before the relay ends, 3.5 s after SIGTERM, even if its client timeout is over
+// 3 s or it arrives after SIGTERM: its attempt would outlast the relay, and the client would get no answer. SIGKILL follows 3.7 s
+// after SIGTERM at the earliest, however long the client timeout is.
 func TestController_ShutdownAnswersBeforeItsEnd(t *testing.T) {
 	for _, tc := range []struct {
 		name          string
 		clientTimeout time.Duration
 		idempotency   balance.Idempotency
 		passThrough   bool
-		arrived       time.Duration // before SIGTERM; below 0: after it
+		arrived       time.Duration // how long before SIGTERM; below 0: after it
 		want          string
 	}{
-		{"longer than there is", 4500 * time.Millisecond, balance.Idempotent, false, 10 * time.Millisecond, "BUSY 1000\r\n"},
-		{"it may have run", 4500 * time.Millisecond, balance.NonIdempotent, false, 10 * time.Millisecond, protocol.AnswerFailed},
-		{"packets pass through", 4500 * time.Millisecond, balance.Idempotent, true, 10 * time.Millisecond, "BUSY 1000\r\n"},
-		{"it came late", 4500 * time.Millisecond, balance.Idempotent, false, -400 * time.Millisecond, "BUSY 1000\r\n"},
+		{"client timeout over the shutdown time", 4500 * time.Millisecond, balance.Idempotent, false, 10 * time.Millisecond, "BUSY 1000\r\n"},
+		{"non-idempotent request", 4500 * time.Millisecond, balance.NonIdempotent, false, 10 * time.Millisecond, protocol.AnswerFailed},
+		{"pass-through mode", 4500 * time.Millisecond, balance.Idempotent, true, 10 * time.Millisecond, "BUSY 1000\r\n"},
+		{"arrival after SIGTERM", 4500 * time.Millisecond, balance.Idempotent, false, -400 * time.Millisecond, "BUSY 1000\r\n"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			controller, driver := newTestController(t, oneClassConfig(tc.clientTimeout, tc.idempotency, tc.passThrough))
-			term := 2 * time.Second
+			sigtermAt := 2 * time.Second
 			var attempt *session.Attempt
 			opened := readOpenLine(t, controller, 1, openLine(1))
-			begin := func(at time.Duration) {
+			arrive := func(at time.Duration) {
 				opened.ArrivedAt = at
 				controller.SessionOpened(at, opened)
 				attempt = opened.Execute(at, driver.commands[1][0]).Attempt
 			}
 			if tc.arrived >= 0 {
-				begin(term - tc.arrived)
-				controller.Shutdown(term)
+				arrive(sigtermAt - tc.arrived)
+				controller.Shutdown(sigtermAt)
 			} else {
-				controller.Shutdown(term)
-				begin(term - tc.arrived)
+				controller.Shutdown(sigtermAt)
+				arrive(sigtermAt - tc.arrived)
 			}
-			if by := term + 3500*time.Millisecond; tc.arrived < 0 && attempt.Deadline > by {
-				t.Errorf("the attempt may last until %v, the relay until %v", attempt.Deadline, by)
+			if end := sigtermAt + 3500*time.Millisecond; tc.arrived < 0 && attempt.Deadline > end {
+				t.Errorf("the attempt has deadline %v, the relay ends at %v", attempt.Deadline, end)
 			}
-			// The backend hangs: only the relay ends the attempt.
-			for at, ok := controller.NextTimer(); ok && at <= term+3500*time.Millisecond && len(driver.commands[1]) == 1; at, ok = controller.NextTimer() {
+			// The backend hangs, so only the relay ends the attempt.
+			for at, ok := controller.NextTimer(); ok && at <= sigtermAt+3500*time.Millisecond && len(driver.commands[1]) == 1; at, ok = controller.NextTimer() {
 				controller.FireTimers(at)
 			}
 			if tc.arrived >= 0 {
@@ -80,14 +80,14 @@
 					t.Fatalf("the attempt is not cancelled: %+v", driver.commands[1])
 				}
 			} else if driver.stopped != 0 {
-				t.Fatal("stopped while an answer is owed")
+				t.Fatal("stopped before a request was answered")
 			}
-			now := min(attempt.Deadline, term+3450*time.Millisecond)
-			fail := attempt.ConnectionEnded(0, true, session.ErrBackendDraining, true)
+			now := min(attempt.Deadline, sigtermAt+3450*time.Millisecond)
+			failure := attempt.ConnectionEnded(0, true, session.ErrBackendDraining, true)
 			if tc.arrived >= 0 {
-				fail.Abandon()
+				failure.Abandon()
 			}
-			controller.SessionEvent(now, 1, opened.AttemptDone(now, attempt, fail).Event)
+			controller.SessionEvent(now, 1, opened.AttemptDone(now, attempt, failure).Event)
 			if got := driver.commands[1][len(driver.commands[1])-1].Answer; got != tc.want {
 				t.Errorf("the answer is %q, want %q", got, tc.want)
 			}
@@ -95,7 +95,7 @@
 	}
 }
 
-// A request without any attempt, since no list names a ready backend, is answered before the end as well.
+// A request without any attempt, because no endpoint list has a ready backend, is answered before the relay ends.
 func TestController_ShutdownAnswersRequestsWithoutEndpoints(t *testing.T) {
 	cfg := oneClassConfig(8*time.Second, balance.Idempotent, true)
 	cfg.CachedEndpoints = nil
@@ -104,13 +104,14 @@
 	controller.SessionOpened(time.Second, opened)
 	controller.Shutdown(time.Second)
 	fireTimersUntil(controller, time.Second+3460*time.Millisecond)
-	if o := driver.commands[1]; len(o) != 1 || o[0].Answer == "" {
-		t.Errorf("%+v", o)
+	if commands := driver.commands[1]; len(commands) != 1 || commands[0].Answer == "" {
+		t.Errorf("commands %+v, want one answer", commands)
 	}
 }
 
-// With short client timeouts the migration has to be over before the relay's end, which follows from them: it once took 1.5 s
-// whatever the settings, and the rest was cut off without MOVE. A session established at the last moment is migrated too.
+// The time until the relay's end follows from the client timeouts. If they are short, a migration that always took 1.5 s would not
+// be complete by then, and the remaining sessions would be cut off without MOVE. A session that is established just before the end
+// is migrated as well.
 func TestController_ShutdownMigratesBeforeItsEnd(t *testing.T) {
 	controller, driver := newTestController(t, oneClassConfig(300*time.Millisecond, balance.Idempotent, false))
 	for sequence := uint64(1); sequence <= 30; sequence++ {
@@ -126,7 +127,7 @@
 		migrated[sequence] = true
 	}
 	if len(migrated) != 30 {
-		t.Errorf("%d of 30 are migrated before the end", len(migrated))
+		t.Errorf("%d of 30 sessions are migrated before the end", len(migrated))
 	}
 	opened := readOpenLine(t, controller, 99, openLine(99))
 	opened.ArrivedAt = time.Second + 715*time.Millisecond
@@ -141,7 +142,7 @@
 	fireTimersUntil(controller, time.Second+760*time.Millisecond)
 	for _, sequence := range []uint64{98, 99} {
 		if !slices.Contains(driver.migrated, sequence) {
-			t.Errorf("session %d was established at the last moment and is cut off without MOVE", sequence)
+			t.Errorf("session %d, established just before the end, is cut off without MOVE", sequence)
 		}
 	}
 	controller.SessionEvent(time.Second+760*time.Millisecond, 98, unreported.Event)
@@ -150,8 +151,8 @@
 	}
 }
 
-// A client may come between the poll that found no work and the end; and at the end itself, when the event queue is emptied:
-// a request that begins then would never be answered.
+// A client that arrives between the poll that finds no work and the end is served. One that arrives at the end itself, while the
+// event queue is emptied, is refused: a request that began then would never be answered.
 func TestController_ShutdownAnswersLateSessions(t *testing.T) {
 	controller, driver := newTestController(t, oneClassConfig(time.Second, balance.Idempotent, true))
 	controller.Shutdown(time.Second)
@@ -161,21 +162,21 @@
 	controller.SessionOpened(opened.ArrivedAt, opened)
 	fireTimersUntil(controller, time.Second+700*time.Millisecond)
 	if driver.stopped != 0 {
-		t.Fatal("stopped while an answer is owed")
+		t.Fatal("stopped before a request was answered")
 	}
 	controller.SessionEvent(time.Second+700*time.Millisecond, 1, opened.ClientClosed(false).Event)
 	controller.SessionClosed(time.Second+700*time.Millisecond, 1)
 	fireTimersUntil(controller, time.Second+900*time.Millisecond)
 	if driver.stopped != 1 {
-		t.Fatalf("stopped %d times", driver.stopped)
+		t.Fatalf("stopped %d times, want 1", driver.stopped)
 	}
 	controller.SessionOpened(time.Second+900*time.Millisecond, readOpenLine(t, controller, 2, openLine(2)))
-	if o := driver.commands[2]; len(o) != 1 || !strings.HasPrefix(o[0].Answer, "BUSY") {
-		t.Errorf("a client that comes after the end gets %+v", o)
+	if commands := driver.commands[2]; len(commands) != 1 || !strings.HasPrefix(commands[0].Answer, "BUSY") {
+		t.Errorf("a client that arrives after the end gets %+v, want BUSY", commands)
 	}
 }
 
-// A class that a reload dropped does not lengthen the shutdown: SIGKILL comes by the settings in force.
+// A class that a reload has dropped does not lengthen the shutdown: the time of SIGKILL follows from the settings in force.
 func TestController_ShutdownIgnoresRetiredClasses(t *testing.T) {
 	cfg := configWithClasses([]string{"long", "short"}, []balance.Class{testClass(balance.Idempotent), testClass(balance.Idempotent)}, 4)
 	cfg.Settings.Classes[0].ClientTimeout, cfg.Settings.Classes[1].ClientTimeout = 2800*time.Millisecond, 300*time.Millisecond
@@ -190,7 +191,7 @@
 	}
 	controller.Shutdown(time.Second)
 	fireTimersUntil(controller, time.Second+860*time.Millisecond)
-	if o := driver.commands[1]; len(o) != 2 || !o[1].Cancel || driver.stopped != 1 {
-		t.Errorf("commands %+v, stopped %d times", o, driver.stopped)
+	if commands := driver.commands[1]; len(commands) != 2 || !commands[1].Cancel || driver.stopped != 1 {
+		t.Errorf("commands %+v, stopped %d times; want a cancelled attempt, 1", commands, driver.stopped)
 	}
 }
--- a/internal/controller/start.go
+++ b/internal/controller/start.go
@@ -15,14 +15,14 @@
 	"aspenbarrow/internal/upstream"
 )
 
-// maxWaitForEndpoints is how long a relay without any endpoint list is not ready; then it accepts clients all the same.
+// maxWaitForEndpoints is how long a relay without any endpoint list is not ready; after that it is ready without one.
 const maxWaitForEndpoints = 6 * time.Second
 
-// New starts the core of a relay. A malformed cached endpoint list is logged and otherwise ignored: a relay that did not
-// start for it would cost all its clients.
+// New starts the core of a relay. What is malformed in the cached endpoint list is logged and left out: a relay that did
+// not start because of it could serve none of its clients.
 func New(now time.Duration, cfg Config, driver Driver, log *zap.Logger) (*Controller, error) {
 	cfg.Settings = resolveLoadSignal(cfg.Settings)
-	inForce := cfg.Settings // a copy: a reload replaces cfg whole
+	inForce := cfg.Settings // a copy: a reload replaces the whole configuration
 	c := &Controller{
 		config:     cfg,
 		settings:   &inForce,
@@ -58,7 +58,7 @@
 	return c, nil
 }
 
-// startBalancer starts what decides and, where the configuration asks for it, the shadow evaluation beside it.
+// startBalancer starts the Decider and, if it is configured, the shadow evaluation.
 func (c *Controller) startBalancer(now time.Duration) {
 	actions := balance.Actions(balancerActions{c})
 	var evaluator *shadow.Evaluator
@@ -81,16 +81,16 @@
 	return balance.New(now, seed, s, actions)
 }
 
-// effectiveSettings returns the settings that the balancer goes by. Message delay counts as reported only once a backend
-// has reported one: were backends merely said to report it, an overloaded backend that reports nothing would pass for
-// a healthy one, would not be health checked, and its sessions would stay late.
+// effectiveSettings returns the settings for the balancer. ReportsMessageDelay is set only once a backend has reported a
+// message delay. If it were set by the configuration alone, an overloaded backend that reports nothing would be treated as
+// healthy, would not be health checked, and its sessions would stay slow.
 func (c *Controller) effectiveSettings() balance.Settings {
 	s := c.settings.Settings
 	s.ReportsMessageDelay = s.ReportsMessageDelay && c.messageDelayReported
 	return s
 }
 
-// replaceSettings puts other settings in force, for new sessions.
+// replaceSettings replaces the settings in force, for new sessions.
 func (c *Controller) replaceSettings(s *settings.Settings, classNames []string) {
 	c.settings, c.classNames = s, classNames
 	c.metrics.SetClasses(classNames)
--- a/internal/controller/timers.go
+++ b/internal/controller/timers.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// metricsInterval is how often the gauges that only the balancer knows are published.
+// metricsInterval is how often the gauges that are read from the balancer are published.
 const metricsInterval = 200 * time.Millisecond
 
-// timerKind says what a timer is for.
+// timerKind is the purpose of a timer.
 type timerKind uint8
 
 const (
 	balancerTimer       timerKind = iota // set by the balancer
-	migrationTimer                       // shutdown: load balancers in front have noticed, sessions may be migrated
-	shutdownPollTimer                    // shutdown: look whether work is left
-	stopTimer                            // shutdown: the last answers are written
-	answerDeadlineTimer                  // shutdown: end what would outlast the relay
-	drainTimer                           // drain: load balancers in front have noticed, sessions may be migrated
-	metricsTimer                         // publish gauges, compare the shadow evaluation's availability
+	migrationTimer                       // shutdown: load balancers in front have detected it, sessions may be migrated
+	shutdownPollTimer                    // shutdown: check whether work is left
+	stopTimer                            // shutdown: the last answers have been written
+	answerDeadlineTimer                  // shutdown: answer or migrate the sessions that are left
+	drainTimer                           // drain: load balancers in front have detected it, sessions may be migrated
+	metricsTimer                         // publish gauges, compare the shadow evaluation's backend availability
 	shadowTimer                          // set by the shadow evaluation's balancer
 	membershipTimer                      // next tick of the membership protocol
 	endpointsTimer                       // the wait for the first endpoint list is over
 )
 
-// timer is one timer that is set.
+// timer is one pending timer.
 type timer struct {
 	at       time.Duration
-	sequence uint64 // orders timers of one time by when they were set
-	token    uint64 // tells timers of one kind apart
+	sequence uint64 // orders timers that are due at the same time by when they were set
+	token    uint64 // distinguishes timers of one kind
 	kind     timerKind
 }
 
@@ -48,7 +48,7 @@
 	return last
 }
 
-// timerQueue holds the timers that are set. Timers of one time fire in the order in which they were set.
+// timerQueue holds the pending timers. Those due at the same time fire in the order in which they were set.
 type timerQueue struct {
 	heap     timerHeap
 	sequence uint64 // of the timer set last
--- a/internal/upstream/backend.go
+++ b/internal/upstream/backend.go
@@ -1,5 +1,5 @@
-// Package upstream is what sessions and health checks share of a backend: its name, its address and whether it accepts
-// new work. It does not connect to backends, and it does not choose between them.
+// Package upstream is the state of a backend that sessions and health checks share: its name, its address and whether it
+// accepts new work. It does not connect to backends, and it does not choose between them.
 package upstream
 
 import (
@@ -10,7 +10,7 @@
 )
 
 // Backend is one backend of the endpoint list. The controller writes it; sessions and health checks may read it from
-// any goroutine, Listed excepted.
+// any goroutine, except Listed.
 type Backend struct {
 	ID     balance.BackendID
 	Name   string
@@ -20,16 +20,16 @@
 	closedAt atomic.Int64 // nanoseconds on the relay's clock; 0: open
 }
 
-// Address returns where the backend listens, by the last endpoint list that named an address. It panics if none has.
+// Address returns the address from the last endpoint list that contained one. It panics if none has.
 func (b *Backend) Address() string { return *b.address.Load() }
 
-// HasAddress reports whether any endpoint list has named an address yet.
+// HasAddress reports whether any endpoint list has contained an address of the backend.
 func (b *Backend) HasAddress() bool { return b.address.Load() != nil }
 
-// SetAddress replaces the address, for connections to come.
+// SetAddress replaces the address for new connections.
 func (b *Backend) SetAddress(address string) { b.address.Store(&address) }
 
-// SetState takes in the state in the endpoint list, and keeps the time from which the backend accepts no new work.
+// SetState records the state in the endpoint list, and the time from which the backend accepts no new work.
 func (b *Backend) SetState(now time.Duration, state balance.BackendState) {
 	if state == balance.StateReady {
 		b.closedAt.Store(0)
--- a/internal/upstream/backend_test.go
+++ b/internal/upstream/backend_test.go
@@ -10,12 +10,12 @@
 func TestBackend_Address(t *testing.T) {
 	var b Backend
 	if b.HasAddress() {
-		t.Error("a backend that no list has named has an address")
+		t.Error("a new backend has an address")
 	}
 	b.SetAddress("h:1")
 	b.SetAddress("h:2")
 	if !b.HasAddress() || b.Address() != "h:2" {
-		t.Errorf("address %q", b.Address())
+		t.Errorf("address %q, want \"h:2\"", b.Address())
 	}
 }
 
@@ -35,7 +35,7 @@
 	} {
 		b.SetState(step.at, step.state)
 		if got := b.ClosedAt(); got != step.want {
-			t.Errorf("closed at %v after %v at %v, want %v", got, step.state, step.at, step.want)
+			t.Errorf("ClosedAt is %v after state %v at %v, want %v", got, step.state, step.at, step.want)
 		}
 	}
 }
