--- a/balance/admission.go
+++ b/balance/admission.go
@@ -3,16 +3,16 @@
 import "time"
 
 const (
-	// nearLimit is the fraction of its concurrency limit from which a backend is short of room.
+	// nearLimit is the fraction of its concurrency limit from which a backend has little spare capacity.
 	nearLimit = 0.8
 
-	// maxGroups bounds the groups whose demand is counted.
+	// maxGroups bounds the number of groups whose demand is counted.
 	maxGroups = 1 << 14
 
-	// minGroupDemand is the decayed number of requests below which a group is forgotten.
+	// minGroupDemand is the decayed number of requests below which a group's count is deleted.
 	minGroupDemand = 0.25
 
-	// defaultRetryAfter is the retry-after time of a rejection, where the settings allow as much.
+	// defaultRetryAfter is the retry-after time of a rejection, unless Settings.MaxRetryAfter is less.
 	defaultRetryAfter = time.Second
 )
 
@@ -23,11 +23,11 @@
 
 func newQuotas(tenants int) quotas { return quotas{connections: make([]int, max(1, tenants))} }
 
-func (q *quotas) knows(tenant int) bool { return tenant >= 0 && tenant < len(q.connections) }
+func (q *quotas) hasTenant(tenant int) bool { return tenant >= 0 && tenant < len(q.connections) }
 
 func (q *quotas) add(tenant, count int) { q.connections[tenant] += count }
 
-// total is the number of connections of all tenants.
+// total returns the number of connections of all tenants.
 func (q *quotas) total() int {
 	total := 0
 	for _, count := range q.connections {
@@ -36,8 +36,8 @@
 	return total
 }
 
-// isOverQuota reports whether the tenant of a request holds its quota here while half of the backends are
-// short of room: only then does what it asks beyond its share take the room of others.
+// isOverQuota reports whether the tenant of a request has reached its quota on this relay while half of the backends
+// are near their limit. Only then do connections over the quota take capacity from other tenants.
 func (b *Balancer) isOverQuota(req *request) bool {
 	if req.Tenant >= len(b.settings.Tenants) || b.settings.OverQuotaPriority >= 1 || req.MidStream {
 		return false
@@ -49,8 +49,8 @@
 	return 2*b.countNearLimit() >= len(b.endpoints.ready)
 }
 
-// answer gives the final answer: a rejection where a retry by the client is known to be safe, else a failure.
-func (b *Balancer) answer(req *request) {
+// rejectOrFail ends a request with a rejection if a retry by the client is known to be safe, otherwise with a failure.
+func (b *Balancer) rejectOrFail(req *request) {
 	if b.isClientRetrySafe(req) {
 		b.actions.Reject(req.ID, min(b.settings.MaxRetryAfter, defaultRetryAfter))
 	} else {
@@ -59,7 +59,7 @@
 	b.finish(req)
 }
 
-// isClientRetrySafe reports whether the client may repeat the request wherever it is then sent.
+// isClientRetrySafe reports whether the client may repeat the request, whichever backend it is then sent to.
 func (b *Balancer) isClientRetrySafe(req *request) bool {
 	if !req.mayHaveExecuted {
 		return true
@@ -71,7 +71,7 @@
 	return class.Idempotency == Idempotent
 }
 
-// groupDemand counts the requests of each group, older ones with a lower weight.
+// groupDemand counts the requests of each group, with a lower weight for older ones.
 type groupDemand struct {
 	requests map[uint64]float64 // by hash key
 	total    float64
@@ -79,8 +79,8 @@
 
 func newGroupDemand() groupDemand { return groupDemand{requests: map[uint64]float64{}} }
 
-// record counts a new request. A client that comes again counts once: a group that is rejected would
-// otherwise seem to grow.
+// record counts a new request. Repeats and reconnects are not counted: otherwise the demand of a group would seem to
+// grow while its requests are rejected.
 func (g *groupDemand) record(req *request) {
 	if req.ClientRetry || req.Reconnecting {
 		return
@@ -92,11 +92,11 @@
 	g.total++
 }
 
-// share is the fraction of the recent requests that belong to a group.
+// share returns the fraction of the recent requests that belong to a group.
 func (g *groupDemand) share(key uint64) float64 { return g.requests[key] / max(1, g.total) }
 
-// decay halves the weight of what was counted so far. The total is a sum of binary fractions, hence exact
-// and the same in any order of the map.
+// decay halves the weight of the requests counted so far. The total is a sum of binary fractions, so it is exact
+// and does not depend on the iteration order of the map.
 func (g *groupDemand) decay() {
 	g.total = 0
 	for key, count := range g.requests {
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -15,14 +15,14 @@
 	maintenanceTimer uint64 = 1 << 63
 	drainTimer              = maintenanceTimer + 1
 
-	// rngStream selects the stream of the generator, apart from its seed.
+	// rngStream is the second seed value of the random generator, which selects its stream.
 	rngStream = 0x9e3779b97f4a7c15
 )
 
 // Balancer holds the decisions of one relay.
 type Balancer struct {
 	settings     Settings
-	activeRelays int // relays known to run now; 0: unknown, Settings.RelayCount counts
+	activeRelays int // number of relays running now; 0: unknown, Settings.RelayCount applies
 	actions      Actions
 	rng          *rand.Rand
 
@@ -30,7 +30,7 @@
 	held        []*request // waiting for an endpoint list or for the result of a health check
 	arrivals    arrivalRate
 	endpoints   endpointTable
-	ring        rendezvousRing
+	rendezvous  rendezvousTable
 	backups     backupSchedule
 	sticky      stickyTable
 	loads       loadTracker
@@ -44,7 +44,7 @@
 	drain       drainState
 }
 
-// New returns a Balancer that acts through the given Actions. Its random draws follow from the seed alone.
+// New returns a Balancer that acts through the given Actions. Its random draws depend on the seed alone.
 func New(now time.Duration, seed uint64, settings Settings, actions Actions) *Balancer {
 	b := &Balancer{
 		actions:     actions,
@@ -68,8 +68,8 @@
 	return b
 }
 
-// UpdateSettings replaces the settings. Requests and connections keep the class and the number of
-// attempts they were accepted with; loads and placements stay.
+// UpdateSettings replaces the settings. Requests and connections keep the class and the maximum number of
+// attempts with which they were accepted; tracked loads and placements are kept.
 func (b *Balancer) UpdateSettings(settings Settings) {
 	if !settings.RetryAfter {
 		settings.MaxRetryAfter = 0
@@ -82,8 +82,8 @@
 	b.addClasses(len(settings.Classes))
 }
 
-// SetActiveRelays replaces the number of relays in the settings by the number that run at present, this
-// one included. With 0 the number is unknown, and that of the next UpdateSettings counts again.
+// SetActiveRelays replaces the number of relays in the settings by the number that run at present, including this
+// one. 0 means that the number is unknown: the one in the next UpdateSettings applies again.
 func (b *Balancer) SetActiveRelays(relays int) {
 	b.activeRelays = max(0, relays)
 	if b.activeRelays > 0 {
@@ -97,14 +97,14 @@
 		return
 	}
 	req := b.newRequest(now, r)
-	b.retryBudget.earn(retryEarnings(req), len(b.endpoints.ready))
+	b.retryBudget.deposit(retryDeposit(req), len(b.endpoints.ready))
 	b.attempt(now, req)
 	if !req.answered {
 		b.actions.SetTimer(r.ID, max(0, req.deadline-now-b.settings.Tick))
 	}
 }
 
-// SessionAdopted records a connection that flows through this relay already.
+// SessionAdopted records an open connection that this relay already carries.
 func (b *Balancer) SessionAdopted(now time.Duration, r Request, id BackendID) {
 	if b.requests[r.ID] != nil {
 		return
@@ -126,7 +126,7 @@
 	}
 	req.established = true
 	b.ejectOnFailure(now, req.backend, StatusOK)
-	b.pacer.recordSetup(now, req, result.Latency > b.slowSetup(req), b.rng)
+	b.pacer.recordSetup(now, req, result.Latency > b.slowSetupTime(req), b.rng)
 }
 
 // AttemptEnded records the end of an attempt or of the connection it established.
@@ -137,12 +137,12 @@
 	}
 	target, status := req.backend, result.Status
 	isolated := b.isIsolatedReset(now, target, status)
-	b.limitOnFailure(now, req, status, isolated)
+	b.lowerLimitOnFailure(now, req, status, isolated)
 	if b.isFailedSetup(now, req, status) {
 		b.pacer.recordSetup(now, req, true, b.rng)
 	}
 	b.detach(req)
-	if !isolated && b.indictsBackend(req, status) {
+	if !isolated && b.isBackendFailure(req, status) {
 		b.ejectOnFailure(now, target, status)
 	}
 	req.recordExecution(status, target)
@@ -156,8 +156,8 @@
 	}
 }
 
-// DeadlineExceeded ends a request at once, whatever time it had left, since this relay is about to stop. A
-// pending attempt is cancelled; the answer follows its end.
+// DeadlineExceeded ends a request before its deadline, because this relay is about to stop. A pending attempt is
+// cancelled; the request is answered when the attempt has ended.
 func (b *Balancer) DeadlineExceeded(now time.Duration, id uint64) {
 	req := b.requests[id]
 	if req == nil || req.answered || req.established {
@@ -171,7 +171,7 @@
 	b.TimerFired(now, id)
 }
 
-// LoadReported records a load report on a pending attempt or an open connection. The value is in the
+// LoadReported records a load report received on a pending attempt or an open connection. The value is in the
 // unit of its signal.
 func (b *Balancer) LoadReported(now time.Duration, id uint64, signal LoadSignal, value float64) {
 	req := b.requests[id]
@@ -186,7 +186,7 @@
 	}
 }
 
-// HealthCheckDone records the result of a health check and sets the concurrency limit by it.
+// HealthCheckDone records the result of a health check and adapts the backend's concurrency limit to it.
 func (b *Balancer) HealthCheckDone(now time.Duration, result HealthCheckResult) {
 	target := b.endpoints.byID[result.Backend]
 	if target == nil {
@@ -194,7 +194,7 @@
 	}
 	target.health.recordCheckEnd()
 	b.health.recordZoneLatency(target.Zone, result)
-	report := b.health.read(result)
+	report := b.health.evaluate(result)
 	if report.hasUtilization {
 		b.limitByReport(now, target, &report, result.Latency)
 	}
@@ -202,9 +202,9 @@
 	b.recordUtilization(now, target, report.utilization)
 }
 
-// GossipReceived records a message of another relay. A backend that is slow there is checked at once, and
-// one late answer here is then enough: without that check one relay's mistake would halve what all relays
-// hold on the backend.
+// GossipReceived records a message from another relay. A backend that the other relay found to be slow is checked
+// at once, and one late answer then confirms it. Without that check, a mistake of one relay would halve the load
+// from all relays on the backend.
 func (b *Balancer) GossipReceived(now time.Duration, _ int, data []byte) {
 	id, ok := decodeOverloadNotice(data)
 	if !ok || b.settings.ReportsMessageDelay {
@@ -226,7 +226,7 @@
 		b.endpoints.polling.reset()
 	}
 	b.updateEndpoints(now, kind, entries)
-	b.ring.rebuild(b.endpoints.ready, b.settings.Weights)
+	b.rendezvous.rebuild(b.endpoints.ready, b.settings.Weights)
 	b.resetBackups(now)
 	b.resumeHeld(now, nil)
 }
@@ -244,21 +244,21 @@
 	}
 }
 
-// handleRequestTimer handles what may be due for a request: its deadline, the end of its backoff, the
-// hedge delay, or the end of its wait for a health check. The timeout of an attempt is not among
-// them: it is reported by AttemptEnded, no later than the deadline.
+// handleRequestTimer handles the timers of a request: its deadline, the end of its backoff, the hedge delay, and
+// the end of its wait for a health check. The timeout of an attempt is not one of them: it is reported by
+// AttemptEnded, no later than the deadline.
 func (b *Balancer) handleRequestTimer(now time.Duration, req *request) {
 	switch {
 	case req == nil || req.answered || req.established:
 	case req.backend != nil:
 		b.hedge(now, req)
 	case now+2*b.settings.Tick >= req.deadline:
-		b.answer(req)
+		b.rejectOrFail(req)
 	case req.retryAt > 0 && now >= req.retryAt:
 		req.retryAt = 0
 		b.attempt(now, req)
 	case req.awaitedCheck != nil && now >= req.checkDeadline:
-		b.recordUtilization(now, req.awaitedCheck, 1) // a silent backend counts as full
+		b.recordUtilization(now, req.awaitedCheck, 1) // a backend that does not answer counts as full
 	}
 }
 
@@ -274,8 +274,8 @@
 	}
 }
 
-// resumeHeld attempts the requests that waited for a backend's health check or, with nil, for an endpoint
-// list.
+// resumeHeld starts attempts of the requests that waited for a backend's health check or, if the backend is nil,
+// for an endpoint list.
 func (b *Balancer) resumeHeld(now time.Duration, checked *backend) {
 	held := b.held
 	b.held = nil
@@ -291,8 +291,8 @@
 	}
 }
 
-// ReplayDecision records what another program decided for a request: that it sent the attempt with this
-// index to a backend or, with sent false, gave the final answer. It causes no action.
+// ReplayDecision records the decision of another program for a request: it sent the attempt with this index to a
+// backend or, if sent is false, gave the final answer. ReplayDecision causes no action.
 func (b *Balancer) ReplayDecision(now time.Duration, r Request, attempt int, to BackendID, sent bool) {
 	req, target := b.requests[r.ID], b.endpoints.byID[to]
 	if req != nil {
@@ -308,7 +308,7 @@
 		return
 	}
 	if req == nil {
-		r.ClientRetry = true // its group's demand has counted it when it arrived
+		r.ClientRetry = true // the request was counted in the demand of its group when it arrived
 		req = b.newRequest(now, r)
 	}
 	req.replayAttempt(now, attempt, target)
--- a/balance/concurrency.go
+++ b/balance/concurrency.go
@@ -6,248 +6,252 @@
 )
 
 const (
-	// fillTarget is the part of its capacity that a backend is filled to; fillTargetByReports applies
-	// where only load reports show overload, since they are old.
+	// fillTarget is the utilization that a backend is filled to. fillTargetByReports applies if load reports
+	// alone show overload, since they lag behind.
 	fillTarget          = 0.75
 	fillTargetByReports = 0.6
 
-	// relieveAbove is the utilization from which connections are migrated.
-	relieveAbove = 0.9
+	// migrateAboveUtilization is the utilization above which connections are migrated.
+	migrateAboveUtilization = 0.9
 
-	// keepAfterOverload is the part of its load that a backend keeps after it has shown overload,
-	// keepAfterReset where resets are its first sign: reports of message delay would have lowered the
-	// limit before, so what it holds is late.
-	keepAfterOverload = 0.85
-	keepAfterReset    = 0.5
+	// overloadLimitFactor is the fraction of its tracked load that a backend keeps after it has shown overload.
+	// resetLimitFactor applies to a reset if there are no reports of message delay: those would have lowered the
+	// limit earlier, so without them messages are late already and the cut has to be deeper.
+	overloadLimitFactor = 0.85
+	resetLimitFactor    = 0.5
 
-	// keepWhenSlow is the part of its load that a backend keeps after late health checks have shown it to
-	// be slow.
-	keepWhenSlow = 0.5
+	// slowBackendLimitFactor is the fraction of its tracked load that a backend keeps once late answers to health checks
+	// have shown it to be slow.
+	slowBackendLimitFactor = 0.5
 
-	// minKeepByReport is the least part of its load that a backend keeps after a load report.
-	minKeepByReport = 0.5
+	// minReportLimitFactor is the minimum fraction of its tracked load that a backend keeps after a load report.
+	minReportLimitFactor = 0.5
 
-	// keepLostByLateness is the part of its load that a backend loses for each late-message threshold of
-	// delay, down to minKeepByLateness.
-	keepLostByLateness = 0.05
-	minKeepByLateness  = 0.5
-	minKeepByBacklog   = 0.1
+	// latenessLimitCut is the fraction of its tracked load that a backend loses for each multiple of the
+	// late-message threshold in a message's delay. It keeps at least minLatenessLimitFactor, or minBacklogLimitFactor
+	// if load reports contain the utilization and the backlog is large.
+	latenessLimitCut       = 0.05
+	minLatenessLimitFactor = 0.5
+	minBacklogLimitFactor  = 0.1
 
-	// backlogDrainTime is the time within which queued work is to be worked off.
+	// backlogDrainTime is the time within which a backend has to finish its queued work.
 	backlogDrainTime = time.Second
 
-	// minLimitCutInterval is the least time between two cuts of a limit.
+	// minLimitCutInterval is the minimum time between two cuts of a limit.
 	minLimitCutInterval = time.Second
 
-	// quietTime is the time without overload after which a limit rises.
-	quietTime = 2 * time.Second
+	// overloadRecoveryTime is the time without overload after which an overload has ended and the limit may rise again.
+	overloadRecoveryTime = 2 * time.Second
 
-	// limitGrowth is by how much a limit rises in a quiet second; cautiousLimitGrowth near the load at
-	// which the backend was overloaded, from fastRecoveryShare of it on, for cautiousTime.
-	limitGrowth         = 1.1
-	cautiousLimitGrowth = 1.02
-	fastRecoveryShare   = 0.8
-	cautiousTime        = 8 * time.Second
+	// limitGrowth is the factor by which a limit rises each second. limitGrowthNearOverload applies for nearOverloadTime
+	// after an overload, from nearOverloadFraction of the load at which the backend was overloaded.
+	limitGrowth             = 1.1
+	limitGrowthNearOverload = 1.02
+	nearOverloadFraction    = 0.8
+	nearOverloadTime        = 8 * time.Second
 
-	// limitLifetime is how long the limit of a backend without connections is kept.
+	// limitLifetime is how long after its last overload a backend without connections keeps its limit.
 	limitLifetime = 10 * time.Second
 
-	// lateMemory is how long a backend counts as late after it has shown overload.
-	lateMemory = 4 * time.Second
+	// recentOverloadTime is how long after an overload a backend counts as overloaded.
+	recentOverloadTime = 4 * time.Second
 
-	// fleetSampleDivisor: one in so many of the backends may represent the fleet.
+	// fleetSampleDivisor: one in this many of the ready backends is enough to represent the fleet.
 	fleetSampleDivisor = 10
 )
 
-// concurrencyLimit is the adaptive limit of one backend, in the unit of its tracked load.
+// concurrencyLimit is the adaptive limit of one backend, in the unit of the tracked load.
 type concurrencyLimit struct {
-	limit          float64 // highest tracked load that the backend may have; 0: no limit
-	loadAtOverload float64 // tracked load that it had when the overload began
+	limit          float64 // maximum tracked load of the backend; 0: no limit
+	loadAtOverload float64 // tracked load when the overload began
 	lastOverload   time.Duration
-	watched        bool // it is in concurrencyLimiter.watched
+	maintained     bool // the backend is in concurrencyLimiter.maintained
 }
 
-// raise raises the limit after a quiet second.
+// raise raises the limit after a second without overload.
 func (c *concurrencyLimit) raise(now time.Duration, hasReports bool) {
-	if c.limit < fastRecoveryShare*c.loadAtOverload || now-c.lastOverload > cautiousTime || hasReports {
+	if c.limit < nearOverloadFraction*c.loadAtOverload || now-c.lastOverload > nearOverloadTime || hasReports {
 		c.limit *= limitGrowth
 	} else {
-		c.limit *= cautiousLimitGrowth
+		c.limit *= limitGrowthNearOverload
 	}
 }
 
-// remove ends the limit.
+// remove removes the limit.
 func (c *concurrencyLimit) remove() { c.limit = 0 }
 
-// rescale follows a change of the unit of the load.
+// rescale adapts the limit to a change of the unit of the tracked load.
 func (c *concurrencyLimit) rescale(factor float64) {
 	c.limit *= factor
 	c.loadAtOverload *= factor
 }
 
-// concurrencyLimiter holds the backends that need upkeep of their limits.
+// concurrencyLimiter holds the backends that need periodic maintenance.
 type concurrencyLimiter struct {
-	watched []*backend // with connections of this relay, or that had a limit lately
+	maintained []*backend // with connections of this relay or with a recent overload
 }
 
-// watch adds a backend to the maintenance.
-func (c *concurrencyLimiter) watch(target *backend) {
-	if !target.concurrency.watched {
-		target.concurrency.watched = true
-		c.watched = append(c.watched, target)
+// maintain adds a backend to those that are maintained.
+func (c *concurrencyLimiter) maintain(target *backend) {
+	if !target.concurrency.maintained {
+		target.concurrency.maintained = true
+		c.maintained = append(c.maintained, target)
 	}
 }
 
-// dropIdle ends the maintenance of backends without connections whose limit is old, and removes the limit.
+// dropIdle drops the backends without connections and without a recent overload, and removes their limits.
 func (c *concurrencyLimiter) dropIdle(now time.Duration) {
-	c.watched = slices.DeleteFunc(c.watched, func(s *backend) bool {
-		s.concurrency.watched = s.connections > 0 || now-s.concurrency.lastOverload < limitLifetime
-		if !s.concurrency.watched {
-			s.concurrency.remove()
+	c.maintained = slices.DeleteFunc(c.maintained, func(target *backend) bool {
+		target.concurrency.maintained = target.connections > 0 || now-target.concurrency.lastOverload < limitLifetime
+		if !target.concurrency.maintained {
+			target.concurrency.remove()
 		}
-		return !s.concurrency.watched
+		return !target.concurrency.maintained
 	})
 }
 
-// hasRoom reports whether a backend can take a request within its limit. One that this relay has no
-// connection on always can where it is checked first.
-func (b *Balancer) hasRoom(target *backend, req *request) bool {
+// isWithinLimit reports whether a backend can accept a request within its limit. The limit does not apply to a backend
+// on which this relay has no connection if health checks are on: the backend is checked before the request is sent.
+func (b *Balancer) isWithinLimit(target *backend, req *request) bool {
 	limit := target.concurrency.limit
 	if limit == 0 {
 		return true
 	}
-	if b.settings.HealthChecks && target.connections == 0 && target.otherProcess == 0 {
+	if b.settings.HealthChecks && target.connections == 0 && target.predecessorLoad == 0 {
 		return true
 	}
-	return b.loads.sum(&target.loadSums)+b.loads.of(req) <= limit
+	return b.loads.trackedLoad(&target.loadSums)+b.loads.requestLoad(req) <= limit
 }
 
-// countNearLimit counts the backends that are short of room.
+// countNearLimit counts the backends whose tracked load is close to their limit.
 func (b *Balancer) countNearLimit() int {
 	near := 0
-	for _, s := range b.concurrency.watched {
-		if limit := s.concurrency.limit; limit > 0 && b.loads.sum(&s.loadSums) >= nearLimit*limit {
+	for _, target := range b.concurrency.maintained {
+		if limit := target.concurrency.limit; limit > 0 && b.loads.trackedLoad(&target.loadSums) >= nearLimit*limit {
 			near++
 		}
 	}
 	return near
 }
 
-// isFleetLate reports whether half of the backends that this relay has connections on were late recently,
-// if they are enough of the fleet to represent it. A single one may be at fault itself.
-func (b *Balancer) isFleetLate(now time.Duration) bool {
-	late := 0
-	for _, s := range b.concurrency.watched {
-		if s.concurrency.limit > 0 && now-s.concurrency.lastOverload < lateMemory {
-			late++
+// isFleetOverloaded reports whether at least half of the backends that this relay maintains were overloaded recently
+// and are enough to represent the fleet. A single one is not: the cause may be the backend itself.
+func (b *Balancer) isFleetOverloaded(now time.Duration) bool {
+	overloaded := 0
+	for _, target := range b.concurrency.maintained {
+		if target.concurrency.limit > 0 && now-target.concurrency.lastOverload < recentOverloadTime {
+			overloaded++
 		}
 	}
-	return late > 1 && 2*late >= len(b.concurrency.watched) && fleetSampleDivisor*late >= len(b.endpoints.ready)
+	return overloaded > 1 && 2*overloaded >= len(b.concurrency.maintained) && fleetSampleDivisor*overloaded >= len(b.endpoints.ready)
 }
 
-// limitOnFailure lowers the limit of a backend whose attempt or connection ended in a way that shows
-// overload. Without that, what it drops comes straight back.
-func (b *Balancer) limitOnFailure(now time.Duration, req *request, status Status, isolatedReset bool) {
+// lowerLimitOnFailure lowers the limit of a backend if the end of an attempt or a connection shows overload. Otherwise
+// the clients that the backend drops would be sent back to it at once.
+func (b *Balancer) lowerLimitOnFailure(now time.Duration, req *request, status Status, isolatedReset bool) {
 	switch status {
 	case StatusOverloaded:
-		b.lowerLimit(now, req.backend, keepAfterOverload)
+		b.lowerLimit(now, req.backend, overloadLimitFactor)
 	case StatusReset:
 		if !req.established || req.backend.State != StateReady || isolatedReset {
 			return
 		}
-		keep := keepAfterOverload
+		factor := overloadLimitFactor
 		if !b.settings.ReportsMessageDelay {
-			keep = keepAfterReset
+			factor = resetLimitFactor
 		}
-		b.lowerLimit(now, req.backend, keep)
+		b.lowerLimit(now, req.backend, factor)
 	}
 }
 
-// recordLateMessage lowers the limit of a backend by the delay of its messages, in milliseconds. What is
-// queued there keeps all messages late until it is worked off, so what stays has to leave room for that
-// within backlogDrainTime.
+// recordLateMessage lowers the limit of a backend after a late message, by the message's delay in milliseconds.
+// All messages stay late until the backend has finished its queued work, so the remaining load must leave enough
+// capacity to finish it within backlogDrainTime.
 func (b *Balancer) recordLateMessage(now time.Duration, target *backend, delayMillis float64) {
-	b.outliers.kind(target).late++
-	keepByLateness := max(minKeepByLateness, 1-keepLostByLateness*delayMillis/b.health.lateMessageMillis)
-	keepByBacklog := 1 - delayMillis/float64(backlogDrainTime/time.Millisecond)
-	keep := min(keepByLateness, keepByBacklog)
+	b.outliers.latenessFor(target).reports++
+	latenessFactor := max(minLatenessLimitFactor, 1-latenessLimitCut*delayMillis/b.health.lateMessageMillis)
+	backlogFactor := 1 - delayMillis/float64(backlogDrainTime/time.Millisecond)
+	factor := min(latenessFactor, backlogFactor)
 	if !b.health.reportsUtilization() {
-		// All relays see the backlog and each lowers its limit: the more relays, the less would stay.
-		b.lowerLimit(now, target, max(minKeepByLateness, keep))
+		// All relays see the same backlog and each lowers its limit, so the floor is higher here: without it,
+		// the backend would keep less load the more relays there are.
+		b.lowerLimit(now, target, max(minLatenessLimitFactor, factor))
 		return
 	}
-	// Where load reports set the limit, reports of message delay would lower it to the floor while
-	// everything is slow; one that claims room is stale or wrong.
-	if target.concurrency.limit == 0 || target.health.utilization < fillTarget || keepByBacklog < keepByLateness {
-		b.lowerLimit(now, target, max(minKeepByBacklog, keep))
+	// Load reports set the limit here, and late messages would lower it to the floor while all backends are slow.
+	// They lower it only if there is no limit yet, if the load report shows spare capacity and so is stale or
+	// wrong, or if the backlog demands it.
+	if target.concurrency.limit == 0 || target.health.utilization < fillTarget || backlogFactor < latenessFactor {
+		b.lowerLimit(now, target, max(minBacklogLimitFactor, factor))
 	}
 }
 
-// lowerLimit limits a backend to a part of its tracked load and migrates what is over.
-func (b *Balancer) lowerLimit(now time.Duration, target *backend, keep float64) {
+// lowerLimit limits a backend to a fraction of its tracked load and migrates the excess.
+func (b *Balancer) lowerLimit(now time.Duration, target *backend, factor float64) {
 	c := &target.concurrency
 	if target.connections == 0 || now-c.lastOverload < minLimitCutInterval && c.limit > 0 {
 		return
 	}
-	load := b.loads.sum(&target.loadSums)
-	if c.limit == 0 || now-c.lastOverload > quietTime {
+	load := b.loads.trackedLoad(&target.loadSums)
+	if c.limit == 0 || now-c.lastOverload > overloadRecoveryTime {
 		c.loadAtOverload = load
 	}
 	c.lastOverload = now
 	if c.limit > 0 {
 		load = min(load, c.limit)
 	}
-	c.limit = max(load, b.loads.meanConnection()) * keep
+	c.limit = max(load, b.loads.meanConnection()) * factor
 	b.migrateExcess(target, c.limit)
 }
 
 // limitByReport sets the limit of a backend by its load report.
-func (b *Balancer) limitByReport(now time.Duration, target *backend, report *loadReport, took time.Duration) {
-	relieveFrom, fillTo := b.reportThresholds()
-	if !b.settings.ReportsMessageDelay && b.isConfirmedSlow(now, target, took) {
+func (b *Balancer) limitByReport(now time.Duration, target *backend, report *loadReport, latency time.Duration) {
+	migrateAbove, fillTo := b.reportThresholds()
+	if !b.settings.ReportsMessageDelay && b.confirmSlow(now, target, latency) {
 		report.utilization = max(report.utilization, 1)
 	}
 	if report.utilization > 0 && target.connections > 0 {
-		b.applyReport(now, target, report.utilization, relieveFrom, fillTo)
+		b.applyReport(now, target, report.utilization, migrateAbove, fillTo)
 	}
 }
 
-// reportThresholds returns the utilization from which a backend is relieved, and that which it is then filled
-// to. Where load reports alone show overload both are lower, since reports are old; unless the whole fleet is
-// known to be fuller: there is nowhere to move to then, and clients would only be turned away.
-func (b *Balancer) reportThresholds() (relieveFrom, fillTo float64) {
+// reportThresholds returns the utilization above which connections are migrated off a backend, and the one that
+// its limit then aims at. Both are lower if load reports alone show overload, since reports lag behind. They are
+// not lowered while the mean utilization of the fleet is higher: the other backends have no capacity to spare then,
+// and migrated clients would be rejected.
+func (b *Balancer) reportThresholds() (migrateAbove, fillTo float64) {
 	if b.settings.ReportsMessageDelay {
-		return relieveAbove, fillTarget
+		return migrateAboveUtilization, fillTarget
 	}
-	if b.health.knowsFleet() && b.health.meanUtilization > fillTargetByReports {
-		return relieveAbove, fillTarget
+	if b.health.hasFleetMean() && b.health.meanUtilization > fillTargetByReports {
+		return migrateAboveUtilization, fillTarget
 	}
 	return fillTarget, fillTargetByReports
 }
 
-// applyReport limits a backend to what fills it to fillTo, and migrates what is over if its utilization exceeds
-// relieveFrom. Where reports of message delay show overload, they alone start a limit.
-func (b *Balancer) applyReport(now time.Duration, target *backend, utilization, relieveFrom, fillTo float64) {
-	c, full := &target.concurrency, utilization > relieveFrom
-	if c.limit == 0 && (!full || b.settings.ReportsMessageDelay) {
+// applyReport sets the limit of a backend to the load that fills it to fillTo, and migrates the excess if its
+// utilization exceeds migrateAbove. If there are reports of message delay, only those introduce a limit.
+func (b *Balancer) applyReport(now time.Duration, target *backend, utilization, migrateAbove, fillTo float64) {
+	c, exceeds := &target.concurrency, utilization > migrateAbove
+	if c.limit == 0 && (!exceeds || b.settings.ReportsMessageDelay) {
 		return
 	}
-	quiet := now-c.lastOverload >= quietTime
-	limit := b.loads.sum(&target.loadSums) * max(minKeepByReport, fillTo/utilization)
-	if c.limit == 0 || limit < c.limit || quiet {
+	recovered := now-c.lastOverload >= overloadRecoveryTime
+	limit := b.loads.trackedLoad(&target.loadSums) * max(minReportLimitFactor, fillTo/utilization)
+	if c.limit == 0 || limit < c.limit || recovered {
 		c.limit = limit
 	}
-	if full && quiet { // else the last relief may not show in the report yet
+	if exceeds && recovered { // otherwise the report may be older than the last migration
 		c.lastOverload = now
 		b.migrateExcess(target, c.limit)
 	}
 }
 
-// isConfirmedSlow reports whether late answers to health checks show that a backend works more slowly,
-// however low the load in its old report: three in a row, or one and the notice of another relay. It
-// lowers the limit then, and checks again after a first one.
-func (b *Balancer) isConfirmedSlow(now time.Duration, target *backend, took time.Duration) bool {
-	b.outliers.recordLatency(target, took, lateAnswerFactor, b.health.minLateExcess())
+// confirmSlow reports whether late answers to health checks show that a backend has become slow, whatever
+// its load report says: three in a row, or one if another relay has sent a notice. It lowers the limit of a slow
+// backend and checks a suspected one again at once.
+func (b *Balancer) confirmSlow(now time.Duration, target *backend, latency time.Duration) bool {
+	b.outliers.recordLatency(target, latency, lateAnswerFactor, b.health.minLateExcess())
 	late := target.latency.consecutiveLate
 	if late == 0 {
 		return false
@@ -257,30 +261,30 @@
 		b.checkHealth(target)
 		return false
 	}
-	b.lowerLimit(now, target, keepWhenSlow)
+	b.lowerLimit(now, target, slowBackendLimitFactor)
 	if b.settings.Gossip && late == lateAnswersToConfirm {
 		b.actions.SendGossip(allRelays, encodeOverloadNotice(target))
 	}
 	return true
 }
 
-// migrateExcess migrates connections until a backend's tracked load is within a limit. The last one is
-// drawn in proportion to what is over: of many relays with a connection or two each, none would ever be
-// over by a whole one.
+// migrateExcess migrates connections until a backend's tracked load is within a limit. An excess of less than one
+// connection migrates one with the probability excess/load: otherwise many relays with a connection or two each
+// would never migrate any.
 func (b *Balancer) migrateExcess(target *backend, limit float64) {
-	for excess := b.loads.sum(&target.loadSums) - limit; excess > 0; {
+	for excess := b.loads.trackedLoad(&target.loadSums) - limit; excess > 0; {
 		req := b.costliestConnection(target)
-		if req == nil || b.rng.Float64()*b.loads.of(req) > excess {
+		if req == nil || b.rng.Float64()*b.loads.requestLoad(req) > excess {
 			return
 		}
 		req.migrating = true
-		excess -= b.loads.of(req)
+		excess -= b.loads.requestLoad(req)
 		b.actions.Migrate(req.ID)
 	}
 }
 
-// costliestConnection returns the connection to migrate first: a heavy one, with few others of its group,
-// since a split group costs twice.
+// costliestConnection returns the connection to migrate first: one with a high load and few others of its group
+// on the backend, since the work that a group shares is done twice after it is split.
 func (b *Balancer) costliestConnection(target *backend) *request {
 	var costliest *request
 	highest := 0.0
@@ -288,7 +292,7 @@
 		if !req.established || req.migrating {
 			continue
 		}
-		if cost := b.loads.of(req) / float64(target.groupConnections[req.hashKey]); cost > highest {
+		if cost := b.loads.requestLoad(req) / float64(target.groupConnections[req.hashKey]); cost > highest {
 			costliest, highest = req, cost
 		}
 	}
@@ -298,30 +302,31 @@
 // maintainBackends does the periodic work on the backends with connections or a limit.
 func (b *Balancer) maintainBackends(now time.Duration) {
 	b.concurrency.dropIdle(now)
-	for _, s := range b.concurrency.watched {
-		if s.connections > 0 {
-			b.outliers.kind(s).seconds++
+	for _, target := range b.concurrency.maintained {
+		if target.connections > 0 {
+			b.outliers.latenessFor(target).seconds++
 		}
-		switch s.State {
+		switch target.State {
 		case StateDraining:
-			b.migrateStep(now, s, s.stateSince+backendDrainTime, maintenanceInterval)
+			b.migrateStep(now, target, target.stateSince+backendDrainTime, maintenanceInterval)
 		case StateRemoved:
-			b.migrateStep(now, s, now, maintenanceInterval)
+			b.migrateStep(now, target, now, maintenanceInterval)
 		case StateReady:
-			// Where reports of message delay show overload, a backend without a limit needs nothing.
-			if s.concurrency.limit != 0 || !b.settings.ReportsMessageDelay {
-				b.maintainLimit(now, s)
+			// With reports of message delay, a backend without a limit needs no maintenance.
+			if target.concurrency.limit != 0 || !b.settings.ReportsMessageDelay {
+				b.maintainLimit(now, target)
 			}
 		}
 	}
 }
 
-// maintainLimit raises the limit of a ready backend and checks its health.
+// maintainLimit raises the limit of a ready backend if it had no recent overload, and starts its periodic
+// health check.
 func (b *Balancer) maintainLimit(now time.Duration, target *backend) {
-	if now-target.concurrency.lastOverload >= quietTime {
+	if now-target.concurrency.lastOverload >= overloadRecoveryTime {
 		target.concurrency.raise(now, b.health.reportsUtilization())
 	}
-	if b.isDueForPeriodicCheck(target) {
+	if b.drawPeriodicCheck(target) {
 		b.checkHealth(target)
 	}
 }
--- a/balance/doc.go
+++ b/balance/doc.go
@@ -5,9 +5,10 @@
 // Events are methods on Balancer, each given the current time; decisions leave
 // through the Actions interface.
 //
-// The package does no I/O. It starts no goroutines, reads no clock and knows no
-// wire format, socket or file; randomness comes from a generator seeded by the
-// caller. The same events at the same times therefore give the same actions.
+// The package does no I/O. It starts no goroutines, reads no clock and does not
+// depend on wire formats, sockets or files; randomness comes from a generator
+// seeded by the caller. The same events at the same times therefore give the
+// same actions.
 // A Balancer is not safe for concurrent use.
 //
 // Placement follows the "power of one random choice" of Maat ("Maat: A Fair and
--- a/balance/drain.go
+++ b/balance/drain.go
@@ -6,25 +6,25 @@
 	// backendDrainTime is the time within which the connections of a draining backend are migrated.
 	backendDrainTime = 8 * time.Second
 
-	// drainStep is the time between two migrations off a relay that drains.
-	drainStep = 100 * time.Millisecond
+	// drainStepInterval is the interval at which a draining relay migrates connections.
+	drainStepInterval = 100 * time.Millisecond
 )
 
-// drainState is the draining of this relay.
+// drainState is the progress of draining this relay.
 type drainState struct {
-	deadline time.Duration // no connection may be left by then; 0: not draining
+	deadline time.Duration // time by which all connections have to be migrated; 0: not draining
 	timerSet bool
 }
 
-// DrainBy migrates all connections off this relay by a time, since it stops or is drained; 0 ends the
-// draining. New requests are served meanwhile. Where packets pass through, nothing is migrated: another
-// relay continues the connections.
+// DrainBy migrates all connections off this relay by a deadline, because it stops or is drained; 0 ends the
+// draining. New requests are still served. Nothing is migrated with Settings.PassThrough: another relay takes
+// over the connections.
 func (b *Balancer) DrainBy(_, deadline time.Duration) {
 	if b.settings.PassThrough {
 		return
 	}
 	if deadline > 0 && b.drain.deadline > 0 {
-		deadline = min(deadline, b.drain.deadline) // stopping a relay that drains does not prolong it
+		deadline = min(deadline, b.drain.deadline) // stopping a draining relay does not extend the deadline
 	}
 	b.drain.deadline = deadline
 	if deadline > 0 && !b.drain.timerSet {
@@ -33,20 +33,20 @@
 	}
 }
 
-// runDrainStep migrates the connections due by now off this relay.
+// runDrainStep migrates the connections of one drain step off this relay and sets the timer for the next step.
 func (b *Balancer) runDrainStep(now time.Duration) {
 	b.drain.timerSet = b.drain.deadline > 0
 	if !b.drain.timerSet {
 		return
 	}
-	for _, s := range b.concurrency.watched {
-		b.migrateStep(now, s, b.drain.deadline, drainStep)
+	for _, target := range b.concurrency.maintained {
+		b.migrateStep(now, target, b.drain.deadline, drainStepInterval)
 	}
-	b.actions.SetTimer(drainTimer, drainStep)
+	b.actions.SetTimer(drainTimer, drainStepInterval)
 }
 
-// migrateStep migrates a backend's connections by a deadline in equal parts, one in each step.
+// migrateStep migrates one step's part of a backend's load, so that equal steps migrate all of it by the deadline.
 func (b *Balancer) migrateStep(now time.Duration, target *backend, deadline, step time.Duration) {
-	part := float64(step) / float64(max(step, deadline-now))
-	b.migrateExcess(target, b.loads.sum(&target.loadSums)*(1-part))
+	fraction := float64(step) / float64(max(step, deadline-now))
+	b.migrateExcess(target, b.loads.trackedLoad(&target.loadSums)*(1-fraction))
 }
--- a/balance/endpoints.go
+++ b/balance/endpoints.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// removedLifetime is how long a backend is kept after it has left the list.
+	// removedLifetime is how long the record of a backend is kept after it has been removed from the endpoint list.
 	removedLifetime = 10 * time.Minute
 
-	// minPollBackoff is the least time before the list is asked for again.
+	// minPollBackoff is the minimum backoff between two requests for the endpoint list.
 	minPollBackoff = time.Second
 )
 
@@ -25,7 +25,7 @@
 
 func newEndpointTable() endpointTable { return endpointTable{byID: map[BackendID]*backend{}} }
 
-// recordStateChange records that a backend enters another state.
+// recordStateChange records when a backend leaves its present state.
 func (t *endpointTable) recordStateChange(now time.Duration, target *backend) {
 	target.stateSince = now
 	if target.State == StateReady {
@@ -33,32 +33,33 @@
 	}
 }
 
-// hasLostWithin reports whether a ready backend ceased to be ready within the time before now.
-func (t *endpointTable) hasLostWithin(now, window time.Duration) bool {
+// lostBackendWithin reports whether a ready backend ceased to be ready within the given time before now.
+func (t *endpointTable) lostBackendWithin(now, window time.Duration) bool {
 	return t.lastLoss != 0 && now-t.lastLoss < window
 }
 
-// removeUnlisted marks the backends that a whole list does not name as removed.
+// removeUnlisted marks the backends that are not in a full list as removed.
 func (t *endpointTable) removeUnlisted(now time.Duration, entries []Backend) {
 	listed := make(map[BackendID]bool, len(entries))
 	for i := range entries {
 		listed[entries[i].ID] = true
 	}
-	for _, s := range t.byID {
-		if !listed[s.ID] && s.State != StateRemoved {
-			t.recordStateChange(now, s)
-			s.State = StateRemoved
+	for _, target := range t.byID {
+		if !listed[target.ID] && target.State != StateRemoved {
+			t.recordStateChange(now, target)
+			target.State = StateRemoved
 		}
 	}
 }
 
-// collectReady rebuilds the sorted list of ready backends and forgets those removed long ago.
+// collectReady rebuilds the sorted list of ready backends and deletes backends that were removed more than
+// removedLifetime ago.
 func (t *endpointTable) collectReady(now time.Duration) {
 	t.ready = t.ready[:0]
-	for id, s := range t.byID {
-		if s.State == StateReady {
-			t.ready = append(t.ready, s)
-		} else if s.State == StateRemoved && s.connections == 0 && now-s.stateSince > removedLifetime {
+	for id, target := range t.byID {
+		if target.State == StateReady {
+			t.ready = append(t.ready, target)
+		} else if target.State == StateRemoved && target.connections == 0 && now-target.stateSince > removedLifetime {
 			delete(t.byID, id)
 		}
 	}
@@ -76,8 +77,8 @@
 	b.endpoints.collectReady(now)
 }
 
-// updateEndpoint applies one entry of the list. A restarted process does not inherit the
-// ejection and the limits of the one before.
+// updateEndpoint applies one entry of the endpoint list. The ejection and the limit of a backend do not apply to it
+// any more once it has been restarted.
 func (b *Balancer) updateEndpoint(now time.Duration, entry Backend) *backend {
 	target := b.endpoints.byID[entry.ID]
 	if target == nil {
@@ -87,7 +88,7 @@
 	restarted := entry.ReadyAt != target.ReadyAt || target.State == StateDraining
 	if entry.State == StateReady && restarted {
 		offset := time.Duration(b.rng.Float64() * float64(b.settings.OverloadWindow))
-		target.forgetHistory(now, offset)
+		target.resetHistory(now, offset)
 	}
 	if entry.State != target.State {
 		b.endpoints.recordStateChange(now, target)
@@ -96,7 +97,7 @@
 	return target
 }
 
-// newBackend returns a backend of which nothing is known but its ID.
+// newBackend returns a backend of which only the ID is known.
 func newBackend(now time.Duration, id BackendID, classes int) *backend {
 	target := &backend{
 		rendezvousSlot:   newRendezvousSlot(id),
@@ -108,22 +109,23 @@
 	return target
 }
 
-// forgetHistory forgets what was observed of the process before. The slow start begins after the offset.
-func (s *backend) forgetHistory(now, offset time.Duration) {
-	s.ejection.lift()
-	s.concurrency.remove()
-	s.latency.forget()
-	s.health.expire(now)
-	s.slowStart.reset(now, offset)
+// resetHistory discards the observations of the backend's previous process. The first slow start window begins
+// after the offset.
+func (target *backend) resetHistory(now, offset time.Duration) {
+	target.ejection.remove()
+	target.concurrency.remove()
+	target.latency.discard()
+	target.health.expire(now)
+	target.slowStart.reset(now, offset)
 }
 
-// endpointPolling says when to ask for the endpoint list again.
+// endpointPolling schedules the next request for the endpoint list.
 type endpointPolling struct {
-	retryAt time.Duration // 0: no need
+	retryAt time.Duration // 0: none is scheduled
 	backoff time.Duration
 }
 
-// scheduleRetry sets the time of the next poll after a failed one: exponential backoff up to half of the
+// scheduleRetry sets the time of the next poll after a failed one: exponential backoff of up to half of the
 // poll interval, with jitter.
 func (p *endpointPolling) scheduleRetry(now, pollInterval time.Duration, rng *rand.Rand) {
 	p.backoff = min(max(minPollBackoff, 2*p.backoff), max(minPollBackoff, pollInterval/2))
@@ -136,8 +138,8 @@
 // isDue reports whether it is time to poll.
 func (p *endpointPolling) isDue(now time.Duration) bool { return p.retryAt > 0 && now >= p.retryAt }
 
-// requestEndpoints subscribes to the endpoint list. A request that is never answered is repeated after the
-// poll interval.
+// requestEndpoints subscribes to the endpoint list. The request is repeated after the poll interval if it has no
+// answer by then.
 func (b *Balancer) requestEndpoints(now time.Duration) {
 	b.actions.WatchEndpoints(true)
 	b.endpoints.polling.retryAt = now + max(minPollBackoff, b.settings.PollInterval)
--- a/balance/events.go
+++ b/balance/events.go
@@ -21,49 +21,49 @@
 	Load    []float32     // load report, in the order of Settings.ReportFields
 }
 
-// EndpointUpdateKind says what an update of the endpoint list holds.
+// EndpointUpdateKind tells what an update of the endpoint list contains.
 type EndpointUpdateKind uint8
 
 // The kinds of update.
 const (
 	UpdateDelta  EndpointUpdateKind = iota // the changed entries
 	UpdateFull                             // all entries
-	UpdateCached                           // all entries as last known before a restart; may be stale
+	UpdateCached                           // all entries, as cached before a restart; may be stale
 	UpdateFailed                           // no entries: the list could not be read
 )
 
-// LoadSignal says what a load report on a connection measures.
+// LoadSignal tells what a load report on a connection measures.
 type LoadSignal uint8
 
 // The signals.
 const (
-	SignalConnectionLoad LoadSignal = 1 // load of the connection now, in microseconds of work a second
-	SignalMessageDelay   LoadSignal = 2 // time that a message takes at the backend now, in milliseconds
+	SignalConnectionLoad LoadSignal = 1 // current load of the connection, in microseconds of work a second
+	SignalMessageDelay   LoadSignal = 2 // current delay of a message at the backend, in milliseconds
 )
 
 // Actions carries out the decisions of a Balancer.
 type Actions interface {
-	// Send starts an attempt of a request at a backend; it ends within the timeout.
+	// Send starts an attempt of a request at a backend. The attempt ends within the timeout.
 	Send(id uint64, to BackendID, timeout time.Duration)
-	// Reject answers a request with a rejection, to be retried no sooner than retryAfter.
+	// Reject answers a request with a rejection. The client may retry it after retryAfter.
 	Reject(id uint64, retryAfter time.Duration)
 	// Fail answers a request with a failure: repeating it may not be safe.
 	Fail(id uint64)
 	// Cancel ends a pending attempt.
 	Cancel(id uint64, attempt int)
-	// CheckHealth starts a health check; its outcome comes back by HealthCheckDone.
+	// CheckHealth starts a health check; its outcome is reported through HealthCheckDone.
 	CheckHealth(to BackendID)
-	// ReleaseHealthCheck gives up the connection kept for the health checks of a backend.
+	// ReleaseHealthCheck closes the idle connection for the health checks of a backend.
 	ReleaseHealthCheck(to BackendID)
 	// Migrate asks the client of an established connection to reconnect elsewhere.
 	Migrate(id uint64)
 	// SendGossip sends a message to another relay; a negative peer means all.
 	SendGossip(peer int, data []byte)
-	// SetTimer has TimerFired called with the token once the time has passed.
+	// SetTimer schedules a call of TimerFired with the token after the duration.
 	SetTimer(token uint64, d time.Duration)
 	// WatchEndpoints subscribes to the endpoint list or ends the subscription.
 	WatchEndpoints(on bool)
-	// FetchEndpoints asks for the whole endpoint list once.
+	// FetchEndpoints requests the full endpoint list once.
 	FetchEndpoints()
 	// Log writes a line to the relay's log.
 	Log(text string)
--- a/balance/fake_test.go
+++ b/balance/fake_test.go
@@ -26,59 +26,63 @@
 // action is one call of Actions.
 type action struct {
 	kind    actionKind
-	id      uint64
+	id      uint64 // of the request, or token of the timer
 	to      BackendID
-	delay   time.Duration
-	attempt int
+	delay   time.Duration // timeout, retry-after time or delay of the timer
+	attempt int           // index of the attempt, or the peer that a message goes to
 }
 
-// recorder keeps the actions for a test to read.
+// recorder implements Actions by recording every call.
 type recorder struct{ actions []action }
 
-func (r *recorder) Send(id uint64, to BackendID, t time.Duration) {
-	r.actions = append(r.actions, action{kind: actionSend, id: id, to: to, delay: t})
+func (rec *recorder) Send(id uint64, to BackendID, timeout time.Duration) {
+	rec.actions = append(rec.actions, action{kind: actionSend, id: id, to: to, delay: timeout})
 }
 
-func (r *recorder) Reject(id uint64, t time.Duration) {
-	r.actions = append(r.actions, action{kind: actionReject, id: id, delay: t})
+func (rec *recorder) Reject(id uint64, retryAfter time.Duration) {
+	rec.actions = append(rec.actions, action{kind: actionReject, id: id, delay: retryAfter})
 }
 
-func (r *recorder) Fail(id uint64) { r.actions = append(r.actions, action{kind: actionFail, id: id}) }
+func (rec *recorder) Fail(id uint64) {
+	rec.actions = append(rec.actions, action{kind: actionFail, id: id})
+}
 
-func (r *recorder) Cancel(id uint64, n int) {
-	r.actions = append(r.actions, action{kind: actionCancel, id: id, attempt: n})
+func (rec *recorder) Cancel(id uint64, attempt int) {
+	rec.actions = append(rec.actions, action{kind: actionCancel, id: id, attempt: attempt})
 }
 
-func (r *recorder) CheckHealth(to BackendID) {
-	r.actions = append(r.actions, action{kind: actionCheckHealth, to: to})
+func (rec *recorder) CheckHealth(to BackendID) {
+	rec.actions = append(rec.actions, action{kind: actionCheckHealth, to: to})
 }
 
-func (r *recorder) ReleaseHealthCheck(to BackendID) {
-	r.actions = append(r.actions, action{kind: actionReleaseHealthCheck, to: to})
+func (rec *recorder) ReleaseHealthCheck(to BackendID) {
+	rec.actions = append(rec.actions, action{kind: actionReleaseHealthCheck, to: to})
 }
 
-func (r *recorder) Migrate(id uint64) {
-	r.actions = append(r.actions, action{kind: actionMigrate, id: id})
+func (rec *recorder) Migrate(id uint64) {
+	rec.actions = append(rec.actions, action{kind: actionMigrate, id: id})
 }
 
-func (r *recorder) SendGossip(peer int, data []byte) {
-	r.actions = append(r.actions, action{kind: actionGossip, attempt: peer})
+func (rec *recorder) SendGossip(peer int, data []byte) {
+	rec.actions = append(rec.actions, action{kind: actionGossip, attempt: peer})
 }
 
-func (r *recorder) SetTimer(token uint64, d time.Duration) {
-	r.actions = append(r.actions, action{kind: actionTimer, id: token, delay: d})
+func (rec *recorder) SetTimer(token uint64, delay time.Duration) {
+	rec.actions = append(rec.actions, action{kind: actionTimer, id: token, delay: delay})
 }
 
-func (r *recorder) WatchEndpoints(bool) { r.actions = append(r.actions, action{kind: actionWatch}) }
+func (rec *recorder) WatchEndpoints(bool) {
+	rec.actions = append(rec.actions, action{kind: actionWatch})
+}
 
-func (r *recorder) FetchEndpoints() { r.actions = append(r.actions, action{kind: actionFetch}) }
+func (rec *recorder) FetchEndpoints() { rec.actions = append(rec.actions, action{kind: actionFetch}) }
 
-func (r *recorder) Log(string) {}
+func (rec *recorder) Log(string) {}
 
 // take returns the recorded actions of one kind.
-func (r *recorder) take(kind actionKind) []action {
+func (rec *recorder) take(kind actionKind) []action {
 	var got []action
-	for _, a := range r.actions {
+	for _, a := range rec.actions {
 		if a.kind == kind {
 			got = append(got, a)
 		}
@@ -86,7 +90,7 @@
 	return got
 }
 
-func (r *recorder) clear() { r.actions = nil }
+func (rec *recorder) clear() { rec.actions = nil }
 
 const (
 	ms  = time.Millisecond
@@ -121,126 +125,127 @@
 }
 
 // newTestBalancer returns a Balancer with n ready backends.
-func newTestBalancer(t *testing.T, s Settings, n int) (*Balancer, *recorder) {
+func newTestBalancer(t *testing.T, settings Settings, n int) (*Balancer, *recorder) {
 	t.Helper()
-	r := &recorder{}
-	b := New(sec, 1, s, r)
-	b.EndpointsUpdated(sec, UpdateCached, readyBackends(n))
-	r.clear()
-	return b, r
+	rec := &recorder{}
+	balancer := New(sec, 1, settings, rec)
+	balancer.EndpointsUpdated(sec, UpdateCached, readyBackends(n))
+	rec.clear()
+	return balancer, rec
 }
 
-// mustSend has a request arrive and returns the backend it is sent to.
-func mustSend(t *testing.T, b *Balancer, r *recorder, now time.Duration, q Request) BackendID {
+// mustSend passes a new request to the Balancer and returns the backend that it is sent to.
+func mustSend(t *testing.T, balancer *Balancer, rec *recorder, now time.Duration, req Request) BackendID {
 	t.Helper()
-	r.clear()
-	if q.TimeLeft == 0 {
-		q.TimeLeft = 2 * sec
+	rec.clear()
+	if req.TimeLeft == 0 {
+		req.TimeLeft = 2 * sec
 	}
-	b.RequestArrived(now, q)
-	got := r.take(actionSend)
-	if len(got) != 1 || got[0].id != q.ID {
-		t.Fatalf("request %d: sends %v", q.ID, got)
+	balancer.RequestArrived(now, req)
+	got := rec.take(actionSend)
+	if len(got) != 1 || got[0].id != req.ID {
+		t.Fatalf("request %d: attempts %v, want exactly one, of this request", req.ID, got)
 	}
 	return got[0].to
 }
 
-// openGroupConnections opens n connections of one group, with IDs from the given one on, and returns the
-// backend of the last one.
-func openGroupConnections(t *testing.T, b *Balancer, r *recorder, from, n uint64, group uint64) BackendID {
+// openGroupConnections opens n connections of one group, with consecutive IDs from firstID on, and returns
+// the backend of the last one.
+func openGroupConnections(t *testing.T, balancer *Balancer, rec *recorder, firstID, n uint64, group uint64) BackendID {
 	t.Helper()
 	var to BackendID
-	for id := from; id < from+n; id++ {
-		to = mustSend(t, b, r, sec, Request{ID: id, Key: id, Group: group})
-		b.AttemptSucceeded(sec, AttemptResult{ID: id})
+	for id := firstID; id < firstID+n; id++ {
+		to = mustSend(t, balancer, rec, sec, Request{ID: id, Key: id, Group: group})
+		balancer.AttemptSucceeded(sec, AttemptResult{ID: id})
 	}
 	return to
 }
 
-// manyRelaySettings are the settings of one of many relays whose backends answer health checks.
+// manyRelaySettings returns the settings of one of many relays whose backends answer health checks.
 func manyRelaySettings() Settings {
-	s := defaultSettings()
-	s.Groups, s.HealthChecks, s.ReportFields, s.RelayCount = true, true, []ReportField{FieldLoadShare}, 400
-	return s
+	settings := defaultSettings()
+	settings.Groups, settings.HealthChecks, settings.ReportFields, settings.RelayCount = true, true, []ReportField{FieldLoadShare}, 400
+	return settings
 }
 
-// newUncheckedBalancer returns one of many relays, with n backends it knows nothing of.
+// newUncheckedBalancer returns the Balancer of one of many relays, with n backends that it has not checked yet.
 func newUncheckedBalancer(t *testing.T, n int) (*Balancer, *recorder) {
 	t.Helper()
 	return newTestBalancer(t, manyRelaySettings(), n)
 }
 
-// openConnections opens n connections with keys of their own and returns their number by backend.
-func openConnections(t *testing.T, b *Balancer, r *recorder, n int) map[BackendID]int {
+// openConnections opens n connections with different keys and returns the number of connections by backend.
+func openConnections(t *testing.T, balancer *Balancer, rec *recorder, n int) map[BackendID]int {
 	t.Helper()
-	at := map[BackendID]int{}
+	counts := map[BackendID]int{}
 	for id := uint64(1); id <= uint64(n); id++ {
-		to := mustSend(t, b, r, sec, Request{ID: id, Key: id})
-		b.AttemptSucceeded(sec, AttemptResult{ID: id, Backend: to})
-		at[to]++
+		to := mustSend(t, balancer, rec, sec, Request{ID: id, Key: id})
+		balancer.AttemptSucceeded(sec, AttemptResult{ID: id, Backend: to})
+		counts[to]++
 	}
-	return at
+	return counts
 }
 
-// settingsWithoutMessageDelay are the settings of a relay that knows loads by health checks and nothing of
-// message delays.
+// settingsWithoutMessageDelay returns the settings of a relay that gets load reports by health checks and no
+// reports of message delay.
 func settingsWithoutMessageDelay() Settings {
-	s := defaultSettings()
-	s.ReportsMessageDelay, s.HealthChecks, s.ReportFields = false, true, []ReportField{FieldLoadShare}
-	return s
+	settings := defaultSettings()
+	settings.ReportsMessageDelay, settings.HealthChecks, settings.ReportFields = false, true, []ReportField{FieldLoadShare}
+	return settings
 }
 
 // connectAfterReport opens n connections on the only backend after it has reported a load.
-func connectAfterReport(b *Balancer, n int, load float32) {
-	b.HealthCheckDone(sec, HealthCheckResult{Backend: 1, Load: []float32{load}})
+func connectAfterReport(balancer *Balancer, n int, load float32) {
+	balancer.HealthCheckDone(sec, HealthCheckResult{Backend: 1, Load: []float32{load}})
 	for id := uint64(1); id <= uint64(n); id++ {
-		b.RequestArrived(sec, Request{ID: id, Key: id, TimeLeft: 2 * sec})
-		b.AttemptSucceeded(sec, AttemptResult{ID: id, Backend: 1})
+		balancer.RequestArrived(sec, Request{ID: id, Key: id, TimeLeft: 2 * sec})
+		balancer.AttemptSucceeded(sec, AttemptResult{ID: id, Backend: 1})
 	}
 }
 
 // endAttempt ends the only attempt of a request.
-func endAttempt(b *Balancer, now time.Duration, id uint64, at BackendID, st Status) {
-	b.AttemptEnded(now, AttemptResult{ID: id, Backend: at, Status: st})
+func endAttempt(balancer *Balancer, now time.Duration, id uint64, to BackendID, status Status) {
+	balancer.AttemptEnded(now, AttemptResult{ID: id, Backend: to, Status: status})
 }
 
-// newReportingBalancer returns one of 200 relays with n backends that report their load in health checks.
+// newReportingBalancer returns the Balancer of one of 200 relays, with n backends that report their load in
+// health checks.
 func newReportingBalancer(t *testing.T, n int, seed int, change func(*Settings)) (*Balancer, *recorder) {
 	t.Helper()
-	s := defaultSettings()
-	s.RelayCount, s.HealthChecks, s.ReportFields = 200, true, []ReportField{FieldLoadShare}
+	settings := defaultSettings()
+	settings.RelayCount, settings.HealthChecks, settings.ReportFields = 200, true, []ReportField{FieldLoadShare}
 	if change != nil {
-		change(&s)
+		change(&settings)
 	}
-	b, r := newTestBalancer(t, s, n)
-	b.rng = rand.New(rand.NewPCG(uint64(seed), 1))
-	for range minFleetReports { // how full the fleet is
+	balancer, rec := newTestBalancer(t, settings, n)
+	balancer.rng = rand.New(rand.NewPCG(uint64(seed), 1))
+	for range minFleetReports { // enough for the mean utilization of the fleet
 		for id := BackendID(1); id <= BackendID(n); id++ {
-			b.HealthCheckDone(sec, HealthCheckResult{Backend: id, Latency: ms, Load: []float32{0.6}})
+			balancer.HealthCheckDone(sec, HealthCheckResult{Backend: id, Latency: ms, Load: []float32{0.6}})
 		}
 	}
-	return b, r
+	return balancer, rec
 }
 
-// sendAfterChecks has a request arrive, answers each health check with the true load and returns the backend
-// it is sent to and the number of checks.
-func sendAfterChecks(t *testing.T, b *Balancer, r *recorder, now time.Duration, q Request, load func(BackendID) float64) (BackendID, int) {
+// sendAfterChecks passes a new request to the Balancer and answers each health check with the backend's true
+// load. It returns the backend that the request is sent to and the number of checks.
+func sendAfterChecks(t *testing.T, balancer *Balancer, rec *recorder, now time.Duration, req Request, trueLoad func(BackendID) float64) (BackendID, int) {
 	t.Helper()
-	r.clear()
-	q.TimeLeft = 2 * sec
-	b.RequestArrived(now, q)
+	rec.clear()
+	req.TimeLeft = 2 * sec
+	balancer.RequestArrived(now, req)
 	checks := 0
 	for range 10 {
-		if got := r.take(actionSend); len(got) > 0 {
+		if got := rec.take(actionSend); len(got) > 0 {
 			return got[0].to, checks
 		}
-		pending := r.take(actionCheckHealth)
-		r.clear()
+		pending := rec.take(actionCheckHealth)
+		rec.clear()
 		for _, p := range pending {
 			checks++
-			b.HealthCheckDone(now+ms, HealthCheckResult{Backend: p.to, Latency: ms, Load: []float32{float32(load(p.to))}})
+			balancer.HealthCheckDone(now+ms, HealthCheckResult{Backend: p.to, Latency: ms, Load: []float32{float32(trueLoad(p.to))}})
 		}
 	}
-	t.Fatalf("request %d was not sent", q.ID)
+	t.Fatalf("request %d was not sent", req.ID)
 	return 0, 0
 }
--- a/balance/gossip_test.go
+++ b/balance/gossip_test.go
@@ -5,48 +5,48 @@
 	"time"
 )
 
-// The overload notice of another relay has a backend checked, and one late answer is then enough to migrate
-// connections.
+// The overload notice of another relay causes a health check of the backend, and one late answer is then enough
+// to migrate connections.
 func TestGossip_OverloadNoticeIsConfirmedByOneLateCheck(t *testing.T) {
-	s := settingsWithoutMessageDelay()
-	s.Gossip = true
-	relay := func() (*Balancer, *recorder) {
-		b, r := newTestBalancer(t, s, 2)
+	settings := settingsWithoutMessageDelay()
+	settings.Gossip = true
+	newRelay := func() (*Balancer, *recorder) {
+		balancer, rec := newTestBalancer(t, settings, 2)
 		for range minLatencySamples + 1 {
 			for id := BackendID(1); id <= 2; id++ {
-				b.HealthCheckDone(sec, HealthCheckResult{Backend: id, Latency: ms, Load: []float32{0.3}})
+				balancer.HealthCheckDone(sec, HealthCheckResult{Backend: id, Latency: ms, Load: []float32{0.3}})
 			}
 		}
-		openConnections(t, b, r, 12)
-		r.clear()
-		return b, r
+		openConnections(t, balancer, rec, 12)
+		rec.clear()
+		return balancer, rec
 	}
-	b, r := relay()
+	balancer, rec := newRelay()
 	for i := range 3 {
-		b.HealthCheckDone(4*sec+time.Duration(i)*ms, HealthCheckResult{Backend: 1, Latency: 2 * ms, Load: []float32{0.3}})
+		balancer.HealthCheckDone(4*sec+time.Duration(i)*ms, HealthCheckResult{Backend: 1, Latency: 2 * ms, Load: []float32{0.3}})
 	}
-	if n := len(r.take(actionGossip)); n != 1 {
-		t.Fatalf("%d messages to the other relays", n)
+	if n := len(rec.take(actionGossip)); n != 1 {
+		t.Fatalf("%d messages to other relays, want 1", n)
 	}
-	other, seen := relay()
-	for _, junk := range [][]byte{nil, {1}, make([]byte, 8), make([]byte, 256)} {
-		other.GossipReceived(4*sec, 1, junk)
+	other, otherRec := newRelay()
+	for _, invalid := range [][]byte{nil, {1}, make([]byte, 8), make([]byte, 256)} {
+		other.GossipReceived(4*sec, 1, invalid)
 	}
-	if n := len(seen.take(actionMigrate)); n != 0 {
-		t.Errorf("%d migrated by an invalid message", n)
+	if n := len(otherRec.take(actionMigrate)); n != 0 {
+		t.Errorf("an invalid message migrates %d connections", n)
 	}
-	other.GossipReceived(4*sec, 1, encodeOverloadNotice(b.endpoints.byID[1]))
-	if n := len(seen.take(actionMigrate)); n != 0 || !other.endpoints.byID[1].health.checkPending {
-		t.Errorf("by the notice alone %d connections are migrated; health check pending: %v", n, other.endpoints.byID[1].health.checkPending)
+	other.GossipReceived(4*sec, 1, encodeOverloadNotice(balancer.endpoints.byID[1]))
+	if n := len(otherRec.take(actionMigrate)); n != 0 || !other.endpoints.byID[1].health.checkPending {
+		t.Errorf("the notice alone migrates %d connections; health check pending: %v", n, other.endpoints.byID[1].health.checkPending)
 	}
 	other.HealthCheckDone(4*sec+2*ms, HealthCheckResult{Backend: 1, Latency: 2 * ms, Load: []float32{0.3}})
-	if n := len(seen.take(actionMigrate)); n == 0 {
-		t.Error("the other relay migrates nothing")
+	if n := len(otherRec.take(actionMigrate)); n == 0 {
+		t.Error("the other relay migrates no connection after a late answer")
 	}
-	third, calm := relay()
-	third.GossipReceived(4*sec, 1, encodeOverloadNotice(b.endpoints.byID[1]))
+	third, thirdRec := newRelay()
+	third.GossipReceived(4*sec, 1, encodeOverloadNotice(balancer.endpoints.byID[1]))
 	third.HealthCheckDone(4*sec+ms, HealthCheckResult{Backend: 1, Latency: ms, Load: []float32{0.3}})
-	if n := len(calm.take(actionMigrate)); n != 0 {
-		t.Errorf("the mistake of one relay migrates %d connections at another", n)
+	if n := len(thirdRec.take(actionMigrate)); n != 0 {
+		t.Errorf("a wrong notice of one relay migrates %d connections at another", n)
 	}
 }
--- a/balance/healthcheck.go
+++ b/balance/healthcheck.go
@@ -7,98 +7,98 @@
 )
 
 const (
-	// reportLifetime is how long a load report counts.
+	// reportLifetime is how long a load report is valid.
 	reportLifetime = 2 * time.Second
 
-	// fullPause is how long a backend without connections of this relay is passed by after it has reported
-	// to be full.
-	fullPause = 2 * time.Second
+	// fullBackendPause is how long a backend without connections of this relay gets no request after a health check
+	// has shown it to be full.
+	fullBackendPause = 2 * time.Second
 
 	// maxChecksPerRequest bounds the health checks that a request waits for.
-	maxChecksPerRequest = 2 * groupSpread
+	maxChecksPerRequest = 2 * maxGroupSpread
 
-	// connectionsPerCheck is how many connections on a backend are worth one health check a second: one
-	// from each of many relays would cost too much.
+	// connectionsPerCheck is the number of connections on a backend from which this relay checks it every second.
+	// With fewer it checks less often: one check a second from each of many relays would cost too much.
 	connectionsPerCheck = 4.0
 
-	// lateAnswerFactor is the multiple of its usual latency from which an answer is late.
+	// lateAnswerFactor is the multiple of a backend's latency baseline from which an answer is late.
 	lateAnswerFactor = 1.3
 
-	// lateExcessDivisor: a late answer exceeds the usual by the late-message threshold over this at least.
+	// lateExcessDivisor: a late answer exceeds the baseline by at least the late-message threshold divided by this.
 	lateExcessDivisor = 64
 
-	// minFleetReports is how many load reports are needed to know how full the fleet is.
+	// minFleetReports is the number of load reports from which the mean utilization represents the fleet.
 	minFleetReports = 16
 
-	// meanUtilizationSamples is the weight of the mean utilization over past reports.
+	// meanUtilizationSamples is the weight of past load reports in the mean utilization, in samples.
 	meanUtilizationSamples = 8
 
-	// maxReportedUtilization bounds what one report adds to the mean.
+	// maxReportedUtilization bounds the influence of one report on the mean utilization.
 	maxReportedUtilization = 2
 
-	// lateMessageDivisor: a message is late from the message latency objective over this.
+	// lateMessageDivisor: a message is late if it takes more than its latency objective divided by this.
 	lateMessageDivisor = 3
 
-	// reconnectWindow is how long the clients of a lost backend come back.
+	// reconnectWindow is how long after the loss of a backend its clients reconnect.
 	reconnectWindow = 10 * time.Second
 
-	// minUtilization bounds the mean utilization below, where it is divided by.
+	// minUtilization is the lower bound of the mean utilization where it is a divisor.
 	minUtilization = 0.1
 
-	// roomShareFactor is how many times this relay's part the room of a backend counts: of so many relays
-	// one checks it while a report is old.
-	roomShareFactor = 8
+	// spareCapacityFactor multiplies this relay's share of a backend's spare capacity, since only one in this many
+	// relays checks the backend while a load report is outdated.
+	spareCapacityFactor = 8
 )
 
-// backendHealth is what the health checks of one backend have shown.
+// backendHealth holds the results of the health checks of one backend.
 type backendHealth struct {
 	checkPending    bool
-	lastResult      time.Duration // when a check last ended or was given up
+	lastResultAt    time.Duration // when a check last ended or timed out
 	hasUtilization  bool          // by the last result
 	utilization     float64       // load over capacity, by the last result
 	errorsPerSecond float64       // by the last result
-	sentSince       int           // requests sent from here since the last result
+	sentSinceResult int           // requests that this relay has sent since the last result
 }
 
 // hasFreshUtilization reports whether there is a recent load report with the utilization.
 func (h *backendHealth) hasFreshUtilization(now time.Duration) bool {
-	return h.hasUtilization && now-h.lastResult < reportLifetime
+	return h.hasUtilization && now-h.lastResultAt < reportLifetime
 }
 
 // recordSend counts a request sent since the last result.
-func (h *backendHealth) recordSend() { h.sentSince++ }
+func (h *backendHealth) recordSend() { h.sentSinceResult++ }
 
 // recordCheckEnd records that no health check is pending any more.
 func (h *backendHealth) recordCheckEnd() { h.checkPending = false }
 
-// recordReport records what a health check has shown besides the utilization.
+// recordReport records the result of a health check except the utilization.
 func (h *backendHealth) recordReport(report *loadReport) {
 	h.hasUtilization = report.hasUtilization
 	h.errorsPerSecond = report.errorsPerSecond
 }
 
-// recordUtilization records how full the backend counts as from now on.
+// recordUtilization records the utilization that is assumed for the backend from now on.
 func (h *backendHealth) recordUtilization(now time.Duration, utilization float64) {
-	h.lastResult, h.utilization, h.sentSince = now, utilization, 0
+	h.lastResultAt, h.utilization, h.sentSinceResult = now, utilization, 0
 }
 
-// expire makes the last result count as old.
-func (h *backendHealth) expire(now time.Duration) { h.lastResult = now - reportLifetime }
+// expire marks the last result as outdated.
+func (h *backendHealth) expire(now time.Duration) { h.lastResultAt = now - reportLifetime }
 
-// loadReport is what a health check has shown.
+// loadReport is the evaluated result of a health check.
 type loadReport struct {
 	hasUtilization  bool
 	utilization     float64 // load over capacity; without a report 1 for a late answer or none, else 0
 	errorsPerSecond float64
 }
 
-// healthChecker reads health checks and keeps what they show of the fleet.
+// healthChecker evaluates health checks and keeps statistics of the fleet.
 type healthChecker struct {
 	utilizationField  int                   // index in a load report; negative: not reported
 	errorsField       int                   // index in a load report; negative: not reported
 	meanUtilization   float64               // over recent reports; 1 without any
-	reports           int                   // reports of a utilization
-	zoneLatency       map[int]time.Duration // latency of quick answers, by zone
+	reports           int                   // number of reports with a utilization
+	zoneLatency       map[int]time.Duration // usual latency of quick answers, by zone
 	lateMessageMillis float64               // delay from which a message is late, in milliseconds
 }
 
@@ -111,8 +111,9 @@
 	}
 }
 
-// setLateMessageThreshold derives it from the strictest class. Without an objective for messages that for
-// establishing a connection counts: with none at all every answer would be late and every backend full.
+// setLateMessageThreshold derives the late-message threshold from the class with the strictest objective. A class
+// without an objective for messages counts with its objective for connections: with an objective of 0, every answer
+// would be late and every backend would count as full.
 func (h *healthChecker) setLateMessageThreshold(classes []Class) {
 	h.lateMessageMillis = math.Inf(1)
 	for _, class := range classes {
@@ -126,7 +127,7 @@
 	}
 }
 
-// minLateExcess is by how much a late answer to a health check has to exceed the usual at least.
+// minLateExcess returns by how much a late answer to a health check exceeds the latency baseline at least.
 func (h *healthChecker) minLateExcess() time.Duration {
 	return time.Duration(h.lateMessageMillis*float64(time.Millisecond)) / lateExcessDivisor
 }
@@ -134,11 +135,11 @@
 // reportsUtilization reports whether load reports contain the utilization.
 func (h *healthChecker) reportsUtilization() bool { return h.utilizationField >= 0 }
 
-// knowsFleet reports whether enough reports were read to know how full the fleet is.
-func (h *healthChecker) knowsFleet() bool { return h.reports >= minFleetReports }
+// hasFleetMean reports whether there were enough load reports for the mean utilization to represent the fleet.
+func (h *healthChecker) hasFleetMean() bool { return h.reports >= minFleetReports }
 
-// read reads the result of a health check, and takes its utilization into the mean.
-func (h *healthChecker) read(result HealthCheckResult) loadReport {
+// evaluate evaluates the result of a health check and adds its utilization to the mean.
+func (h *healthChecker) evaluate(result HealthCheckResult) loadReport {
 	report := loadReport{errorsPerSecond: h.errorsPerSecond(result)}
 	ok := result.Status == StatusOK
 	switch {
@@ -156,7 +157,7 @@
 	return report
 }
 
-// errorsPerSecond is the error rate in the result of a health check, 0 without any.
+// errorsPerSecond returns the error rate in the result of a health check, or 0 if there is none.
 func (h *healthChecker) errorsPerSecond(result HealthCheckResult) float64 {
 	if result.Status != StatusOK || h.errorsField < 0 || h.errorsField >= len(result.Load) {
 		return 0
@@ -164,20 +165,20 @@
 	return positiveFinite(float64(result.Load[h.errorsField]))
 }
 
-// recordZoneLatency records the latency of an answer from a zone. A quick answer shows the network's
-// latency, a late one may be due to the backend and counts less.
+// recordZoneLatency records the latency of an answer from a zone. A quick answer shows the latency of the network;
+// a late one has a lower weight, since the backend may be the cause.
 func (h *healthChecker) recordZoneLatency(zone int, result HealthCheckResult) {
 	if result.Status != StatusOK {
 		return
 	}
 	usual := h.zoneLatency[zone]
-	switch took := max(result.Latency, 1); {
+	switch latency := max(result.Latency, 1); {
 	case usual == 0:
-		usual = took
-	case took < usual:
-		usual += (took - usual) / 4
+		usual = latency
+	case latency < usual:
+		usual += (latency - usual) / 4
 	default:
-		usual += min(took-usual, usual) / 32
+		usual += min(latency-usual, usual) / 32
 	}
 	h.zoneLatency[zone] = usual
 }
@@ -190,27 +191,28 @@
 	}
 }
 
-// isDueForPeriodicCheck draws whether a watched backend is checked in this second, in proportion to the
-// connections there.
-func (b *Balancer) isDueForPeriodicCheck(target *backend) bool {
+// drawPeriodicCheck draws whether a backend is checked in this second. The probability is proportional to the
+// number of connections on it.
+func (b *Balancer) drawPeriodicCheck(target *backend) bool {
 	if !b.settings.HealthChecks || !b.health.reportsUtilization() {
 		return false
 	}
 	return b.rng.Float64()*connectionsPerCheck < float64(target.connections)
 }
 
-// needsHealthCheck reports whether a backend is to be checked before it gets a request. Reports on this
-// relay's connections show only that messages are late; a load report shows what a backend holds of all
-// relays.
+// needsHealthCheck reports whether a backend has to be checked before it gets a request. That applies to a backend
+// with connections of this relay as well if load reports contain the utilization: reports on those connections show
+// only that messages are late, a load report shows the load from all relays.
 func (b *Balancer) needsHealthCheck(now time.Duration, target *backend) bool {
-	if !b.settings.HealthChecks || now-target.health.lastResult < reportLifetime {
+	if !b.settings.HealthChecks || now-target.health.lastResultAt < reportLifetime {
 		return false
 	}
 	return target.connections == 0 || b.health.reportsUtilization()
 }
 
-// awaitHealthCheck holds a request until its backend has been checked, where that is needed and there is
-// time. With many relays each has connections on few backends, and the others may be full unseen.
+// awaitHealthCheck holds a request until its backend has been checked, if that is needed and enough time is left,
+// and reports whether it did. With many relays, each has connections on few backends only, and cannot see whether
+// the other backends are full.
 func (b *Balancer) awaitHealthCheck(now time.Duration, target *backend, req *request) bool {
 	if !b.needsHealthCheck(now, target) || req.MidStream || req.checks == maxChecksPerRequest {
 		return false
@@ -227,35 +229,36 @@
 	return true
 }
 
-// healthCheckTimeout is how long a request waits for a health check: a quarter of its latency objective,
-// so that the rest is left for the connection, and at least twice the latency of the backend's zone.
+// healthCheckTimeout returns how long a request waits for a health check: a quarter of its latency objective, which
+// leaves the rest for the connection, and at least twice the latency of the backend's zone.
 func (b *Balancer) healthCheckTimeout(req *request, target *backend) time.Duration {
 	zoneLatency := min(b.health.zoneLatency[target.Zone], b.settings.DialTimeout)
 	return max(b.latencyObjective(req)/4, 2*zoneLatency)
 }
 
-// recordUtilization records how full a backend has reported to be, and resumes the requests that waited
-// for it. A full one without connections of this relay is passed by for a while: no report on a connection
-// shows when it has room again.
+// recordUtilization records the utilization of a backend after a health check and resumes the requests that waited
+// for the check. A full backend without connections of this relay gets no request for fullBackendPause, since no report on
+// a connection would show when it has spare capacity again.
 func (b *Balancer) recordUtilization(now time.Duration, target *backend, utilization float64) {
 	target.health.recordUtilization(now, utilization)
-	if target.connections == 0 && (utilization >= fillTarget || b.leavesRoomToOthers(now, target, utilization)) {
-		target.ejection.passBy(now + fullPause)
+	if target.connections == 0 && (utilization >= fillTarget || b.leavesCapacityToOthers(now, target, utilization)) {
+		target.ejection.suspend(now + fullBackendPause)
 	}
 	b.resumeHeld(now, target)
 }
 
-// leavesRoomToOthers draws whether reconnecting clients pass a backend by though it has room. After a
-// backend is lost the clients of all relays return together and read of the same room in an old report:
-// each relay fills its part, by chance below a connection. Its own connections on a usual backend show how
-// many fill one.
-func (b *Balancer) leavesRoomToOthers(now time.Duration, target *backend, utilization float64) bool {
-	if !b.endpoints.hasLostWithin(now, reconnectWindow) || !b.hasReconnectingClientFor(target) {
+// leavesCapacityToOthers draws whether this relay leaves the spare capacity of a backend to the other relays. After the
+// loss of a backend, its clients reconnect through all relays at once, and all relays see the same spare capacity
+// in an outdated load report. The probability that a relay uses the backend is therefore its own share of that
+// capacity, in connections. How many connections of this relay fill a backend follows from their mean number on a
+// backend and the mean utilization.
+func (b *Balancer) leavesCapacityToOthers(now time.Duration, target *backend, utilization float64) bool {
+	if !b.endpoints.lostBackendWithin(now, reconnectWindow) || !b.hasReconnectingClientFor(target) {
 		return false
 	}
-	connectionsEach := max(1, float64(b.loads.total.connections)) / float64(max(1, len(b.endpoints.ready)))
-	toFill := connectionsEach / max(b.health.meanUtilization, minUtilization)
-	return b.rng.Float64() > roomShareFactor*(fillTarget-utilization)*toFill
+	connectionsPerBackend := max(1, float64(b.loads.total.connections)) / float64(max(1, len(b.endpoints.ready)))
+	connectionsToFill := connectionsPerBackend / max(b.health.meanUtilization, minUtilization)
+	return b.rng.Float64() > spareCapacityFactor*(fillTarget-utilization)*connectionsToFill
 }
 
 // hasReconnectingClientFor reports whether a reconnecting client waits for the health check of a backend.
--- a/balance/inspect.go
+++ b/balance/inspect.go
@@ -27,10 +27,10 @@
 // by tenant disagree. It may be called at any time between two events.
 func (b *Balancer) CheckInvariants() error {
 	counts := &InvariantError{Total: b.loads.total.connections, ByTenant: b.quotas.total()}
-	for _, s := range b.endpoints.byID {
-		counts.ByBackend += s.connections
-		counts.Listed += len(s.openRequests)
-		for _, count := range s.groupConnections {
+	for _, target := range b.endpoints.byID {
+		counts.ByBackend += target.connections
+		counts.Listed += len(target.openRequests)
+		for _, count := range target.groupConnections {
 			counts.ByGroup += count
 		}
 	}
@@ -41,19 +41,19 @@
 }
 
 // Connections returns the number of pending and open connections, and the sum of the backends' counts,
-// which has to equal it.
+// which must be equal.
 func (b *Balancer) Connections() (all, byBackend int) {
-	for _, s := range b.endpoints.byID {
-		byBackend += s.connections
+	for _, target := range b.endpoints.byID {
+		byBackend += target.connections
 	}
 	return b.loads.total.connections, byBackend
 }
 
-// CountUnavailable returns how many backends the endpoint list holds, and how many of them get no new
-// request now: draining, ejected or at their limit.
+// CountUnavailable returns how many backends are in the endpoint list, and how many of them get no new request
+// now because they are draining, ejected or at their limit.
 func (b *Balancer) CountUnavailable(now time.Duration) (listed, unavailable int) {
-	for id, s := range b.endpoints.byID {
-		if s.State == StateRemoved {
+	for id, target := range b.endpoints.byID {
+		if target.State == StateRemoved {
 			continue
 		}
 		listed++
@@ -74,5 +74,5 @@
 		return true
 	}
 	limit := target.concurrency.limit
-	return limit > 0 && target.connections > 0 && b.loads.sum(&target.loadSums) >= limit
+	return limit > 0 && target.connections > 0 && b.loads.trackedLoad(&target.loadSums) >= limit
 }
--- a/balance/load.go
+++ b/balance/load.go
@@ -5,18 +5,19 @@
 	"slices"
 )
 
-// maxLoadSamples is the weight of the mean load of a class over past reports, from which on it has settled.
+// maxLoadSamples is the weight of past reports in the mean load of a class, in samples. A mean of that many
+// samples counts as settled.
 const maxLoadSamples = 100
 
-// loadSums is what the tracked load T is summed up from, of one backend or of all.
+// loadSums holds the parts of the tracked load T of one backend or of all.
 type loadSums struct {
-	otherProcess float64 // T of another process of this relay, while there are two
-	reported     float64 // sum of the reported or expected loads
-	unreported   []int   // connections without a load, by class
-	connections  int
+	predecessorLoad float64 // T of the relay's predecessor process while both run
+	reported        float64 // sum of the reported or expected loads
+	unreported      []int   // number of connections without a reported or expected load, by class
+	connections     int
 }
 
-// add counts a request, with a count of -1 for one that ends.
+// add adds a request, or removes it if the count is -1.
 func (l *loadSums) add(req *request, count int) {
 	l.connections += count
 	if req.load > 0 {
@@ -24,12 +25,12 @@
 	} else {
 		l.unreported[req.Class] += count
 	}
-	if l.connections == 0 { // drop rounding errors
+	if l.connections == 0 { // remove accumulated rounding errors
 		l.reported = 0
 	}
 }
 
-// addClasses makes room for more classes.
+// addClasses appends counts for more classes.
 func (l *loadSums) addClasses(count int) { l.unreported = append(l.unreported, make([]int, count)...) }
 
 // loadTracker measures the tracked load T of the paper: the load of this relay's connections on a backend.
@@ -44,95 +45,95 @@
 	return loadTracker{classLoads: []float64{1}, classSamples: []float64{0}}
 }
 
-// missingClasses is how many classes there are beyond those known.
-func (t *loadTracker) missingClasses(classes int) int { return max(0, classes-t.allClasses()) }
+// missingClasses returns by how many the given number of classes exceeds the number tracked.
+func (t *loadTracker) missingClasses(classes int) int { return max(0, classes-t.allClassesIndex()) }
 
-// addClasses makes room for more classes; the mean of all classes stays last.
+// addClasses adds entries for more classes; the mean of all classes stays last.
 func (t *loadTracker) addClasses(count int) {
-	last := t.allClasses()
+	last := t.allClassesIndex()
 	t.classLoads = slices.Insert(t.classLoads, last, make([]float64, count)...)
 	t.classSamples = slices.Insert(t.classSamples, last, make([]float64, count)...)
 	t.total.addClasses(count)
 }
 
-// allClasses is the index of the mean of all classes.
-func (t *loadTracker) allClasses() int { return len(t.classLoads) - 1 }
+// allClassesIndex returns the index of the mean of all classes.
+func (t *loadTracker) allClassesIndex() int { return len(t.classLoads) - 1 }
 
-// sum is the tracked load T.
-func (t *loadTracker) sum(sums *loadSums) float64 {
-	load := sums.reported + sums.otherProcess
+// trackedLoad returns the tracked load T of a backend or of all backends.
+func (t *loadTracker) trackedLoad(sums *loadSums) float64 {
+	load := sums.reported + sums.predecessorLoad
 	for class, count := range sums.unreported {
 		if count > 0 {
-			load += float64(count) * t.ofClass(class)
+			load += float64(count) * t.classLoad(class)
 		}
 	}
 	return load
 }
 
-// of is what one request adds to the tracked load.
-func (t *loadTracker) of(req *request) float64 {
+// requestLoad returns the load that one request adds to the tracked load.
+func (t *loadTracker) requestLoad(req *request) float64 {
 	if req.load > 0 {
 		return req.load
 	}
-	return t.ofClass(req.Class)
+	return t.classLoad(req.Class)
 }
 
-// ofClass is the usual load of a connection of a class: the mean of its reports, else of all, else 1.
-func (t *loadTracker) ofClass(class int) float64 {
+// classLoad returns the mean reported load of a class's connections. Without a report it is the mean of all classes,
+// and 1 if no class has a report.
+func (t *loadTracker) classLoad(class int) float64 {
 	if t.classSamples[class] == 0 {
-		class = t.allClasses()
+		class = t.allClassesIndex()
 	}
 	return t.classLoads[class]
 }
 
-// meanConnection is the mean load of this relay's connections.
+// meanConnection returns the mean load of this relay's connections.
 func (t *loadTracker) meanConnection() float64 {
 	if t.total.connections == 0 {
-		return t.ofClass(0)
+		return t.classLoad(0)
 	}
-	return t.sum(&t.total) / float64(t.total.connections)
+	return t.trackedLoad(&t.total) / float64(t.total.connections)
 }
 
 // hasSettled reports whether the mean load of a class no longer changes much.
 func (t *loadTracker) hasSettled(class int) bool { return t.classSamples[class] >= maxLoadSamples }
 
-// learn takes a reported load into the means of its class and of all classes.
-func (t *loadTracker) learn(class int, load float64) {
-	for _, i := range [2]int{class, t.allClasses()} {
+// addSample adds a reported load to the means of its class and of all classes.
+func (t *loadTracker) addSample(class int, load float64) {
+	for _, i := range [2]int{class, t.allClassesIndex()} {
 		t.classSamples[i] = min(t.classSamples[i]+1, maxLoadSamples)
 		t.classLoads[i] += (load - t.classLoads[i]) / t.classSamples[i]
 	}
 }
 
-// addClasses makes room for classes that the settings have added.
+// addClasses adds the classes that are new in the settings to the tracked loads.
 func (b *Balancer) addClasses(classes int) {
 	missing := b.loads.missingClasses(classes)
 	if missing == 0 {
 		return
 	}
 	b.loads.addClasses(missing)
-	for _, s := range b.endpoints.byID {
-		s.addClasses(missing)
+	for _, target := range b.endpoints.byID {
+		target.addClasses(missing)
 	}
 }
 
-// recordConnectionLoad records the present load of a connection, and with it what connections of its class
-// usually load.
+// recordConnectionLoad records the present load of a connection, and adds it to the mean load of its class.
 func (b *Balancer) recordConnectionLoad(req *request, load float64) {
-	if req.load > 0 { // a change of its own load, and so of T
+	if req.load > 0 { // the connection's load has changed, so T changes and the limits stay
 		b.setLoad(req, load)
 	}
-	learn := func() {
+	record := func() {
 		if req.load != load {
 			b.setLoad(req, load)
 		}
-		b.loads.learn(req.Class, load)
+		b.loads.addSample(req.Class, load)
 	}
 	if b.loads.hasSettled(req.Class) {
-		learn()
+		record()
 		return
 	}
-	b.rescaleLimits(learn)
+	b.rescaleLimits(record)
 }
 
 // setLoad sets the load of a request.
@@ -143,19 +144,19 @@
 	b.attach(req, target)
 }
 
-// rescaleLimits makes a change to the unit of T, and has the limits follow it. The first loads reported
-// change T by orders of magnitude though nothing has come or gone: limits in the old unit would relieve
-// all backends at once.
+// rescaleLimits applies a change to the unit of T and converts the limits to the new unit. The first reported
+// loads change T by orders of magnitude with the same connections: limits in the old unit would migrate
+// connections off all backends at once.
 func (b *Balancer) rescaleLimits(change func()) {
-	watched := b.concurrency.watched
-	before := make([]float64, len(watched))
-	for i, s := range watched {
-		before[i] = b.loads.sum(&s.loadSums)
+	maintained := b.concurrency.maintained
+	before := make([]float64, len(maintained))
+	for i, target := range maintained {
+		before[i] = b.loads.trackedLoad(&target.loadSums)
 	}
 	change()
 	for i, load := range before {
-		if s := watched[i]; load > 0 {
-			s.concurrency.rescale(b.loads.sum(&s.loadSums) / load)
+		if target := maintained[i]; load > 0 {
+			target.concurrency.rescale(b.loads.trackedLoad(&target.loadSums) / load)
 		}
 	}
 }
--- a/balance/outlier.go
+++ b/balance/outlier.go
@@ -6,51 +6,52 @@
 )
 
 const (
-	// minEjection and maxEjection bound how long a backend is ejected; the time doubles with each failure
-	// in a row.
+	// minEjection and maxEjection bound the length of an ejection, which doubles with each consecutive failure.
 	minEjection = time.Second
 	maxEjection = 16 * time.Second
 
-	// ejectedFleetDivisor: at most one in so many of the backends may be ejected. Trouble of more has a
-	// common cause, and ejecting them would leave nothing.
+	// ejectedFleetDivisor limits ejection to one third of the ready backends. If more of them fail, they share
+	// a cause, and ejecting them all would leave no backend.
 	ejectedFleetDivisor = 3
 
-	// isolatedResetWindow is the time without another reset after which one counts as the network's.
+	// isolatedResetWindow is the time that must have passed since a backend's previous reset for the next one
+	// to count as a network fault.
 	isolatedResetWindow = time.Second
 
-	// minLatencySamples is how many answers a latency baseline has to rest on. Over a long distance two answers
-	// differ by a third by chance alone.
+	// minLatencySamples is the number of answers that a latency baseline needs before an answer can count as late.
+	// Over a long distance, two answers differ by a third by chance alone.
 	minLatencySamples = 4
 
-	// scatterAllowance is the multiple of the usual scatter that an answer has to be late by.
-	scatterAllowance = 3
+	// lateExcessFactor is the multiple of the mean excess by which a late answer exceeds the baseline.
+	lateExcessFactor = 3
 
-	// maxScatterSamples is the weight of the mean scatter over past answers.
-	maxScatterSamples = 64
+	// maxExcessSamples is the weight of past answers in the mean excess, in samples.
+	maxExcessSamples = 64
 
-	// lateAnswersToConfirm is how many late answers in a row show that a backend is slow: one or two are
-	// chance.
+	// lateAnswersToConfirm is the number of consecutive late answers that show a backend to be slow. One or two
+	// occur by chance.
 	lateAnswersToConfirm = 3
 
-	// bypassFactor is the chance to pass a backend by over the lateness of its kind.
+	// bypassFactor times the lateness of a backend's kind is the probability that a reconnecting client
+	// bypasses the backend.
 	bypassFactor = 4
 
-	// maxBypasses is how many backends a request passes by where those it goes to are checked first;
-	// maxBypassesUnchecked where they are not.
+	// maxBypasses bounds the backends that a request bypasses if backends are health checked before they get
+	// a request, maxBypassesUnchecked if they are not.
 	maxBypasses          = 2
 	maxBypassesUnchecked = 3
 
-	// attemptsPerError: a backend that reports more than one error in so many attempts is passed by.
+	// attemptsPerError is the number of attempts per reported error below which a backend is bypassed.
 	attemptsPerError = 20
 
-	// latenessPrior is the time in seconds with connections that the lateness of a kind is diluted by: the
-	// first few seconds say little.
-	latenessPrior = 5
+	// latenessPriorSeconds is added to the seconds that the lateness of a kind is divided by, since a rate over the
+	// first few seconds is unreliable.
+	latenessPriorSeconds = 5
 )
 
 // ejection is the outlier ejection of one backend.
 type ejection struct {
-	until     time.Duration // no new request before
+	until     time.Duration // no new request is sent before this time
 	duration  time.Duration // of the last ejection; 0: an attempt has succeeded since
 	lastReset time.Duration // when it last reset a connection; 0: never
 }
@@ -58,50 +59,50 @@
 // isActive reports whether the backend gets no new request now.
 func (e *ejection) isActive(now time.Duration) bool { return e.until > now }
 
-// passBy keeps new requests away until a time, without counting as an ejection.
-func (e *ejection) passBy(until time.Duration) { e.until = until }
+// suspend keeps new requests off the backend until a time. It does not count as an ejection.
+func (e *ejection) suspend(until time.Duration) { e.until = until }
 
-// recordSuccess makes the next ejection a short one.
+// recordSuccess resets the length of the next ejection to the minimum.
 func (e *ejection) recordSuccess() { e.duration = 0 }
 
-// lift ends the ejection and forgets the ones before.
-func (e *ejection) lift() { e.until, e.duration = 0, 0 }
+// remove ends the ejection and resets the length of the next one.
+func (e *ejection) remove() { e.until, e.duration = 0, 0 }
 
-// latencyBaseline is what is usual of one backend's health check latency.
+// latencyBaseline is the usual latency of the health checks of one backend.
 type latencyBaseline struct {
-	baseline        time.Duration // of its quicker answers; 0: none yet
+	baseline        time.Duration // follows the quick answers; 0: none yet
 	samples         int
 	consecutiveLate int
-	gossipedAt      time.Duration // when another relay last reported it slow
+	gossipedAt      time.Duration // when another relay last reported the backend as slow
 }
 
 // isEstablished reports whether enough answers were seen to recognize late ones.
 func (l *latencyBaseline) isEstablished() bool { return l.samples > minLatencySamples }
 
-// forget forgets what was usual.
-func (l *latencyBaseline) forget() { l.baseline, l.samples = 0, 0 }
+// discard discards the baseline.
+func (l *latencyBaseline) discard() { l.baseline, l.samples = 0, 0 }
 
-// kindLateness counts how often backends of one kind were late while this relay had connections there.
+// kindLateness counts reports of late messages from backends of one kind (machine type).
 type kindLateness struct {
-	late    float64 // seconds with late messages
-	seconds float64 // of so many
+	reports float64 // reports of late messages
+	seconds float64 // seconds in which this relay had connections, summed over the backends of the kind
 }
 
-// share is the fraction of seconds with late messages.
-func (k *kindLateness) share() float64 { return k.late / (latenessPrior + k.seconds) }
+// share is the number of late-message reports per second with connections on a backend of the kind.
+func (k *kindLateness) share() float64 { return k.reports / (latenessPriorSeconds + k.seconds) }
 
-// outlierDetector finds backends that do worse than the others.
+// outlierDetector finds backends that perform worse than the others.
 type outlierDetector struct {
-	ejected        []*backend
-	kinds          map[int]*kindLateness // by Backend.Kind
-	latencyScatter time.Duration         // by how much answers usually exceed their backend's baseline
-	scatterSamples int                   // number of answers that the scatter rests on, up to maxScatterSamples
+	ejected       []*backend
+	kinds         map[int]*kindLateness // by Backend.Kind
+	meanExcess    time.Duration         // mean of how far answers exceed the baseline of their backend
+	excessSamples int                   // number of answers in that mean, up to maxExcessSamples
 }
 
 func newOutlierDetector() outlierDetector { return outlierDetector{kinds: map[int]*kindLateness{}} }
 
-// kind returns the lateness of a backend's kind.
-func (o *outlierDetector) kind(target *backend) *kindLateness {
+// latenessFor returns the lateness of a backend's kind.
+func (o *outlierDetector) latenessFor(target *backend) *kindLateness {
 	lateness := o.kinds[target.Kind]
 	if lateness == nil {
 		lateness = &kindLateness{}
@@ -110,7 +111,7 @@
 	return lateness
 }
 
-// eject ejects a backend for twice as long as the last time, unless too many are ejected.
+// eject ejects a backend for twice as long as the last time, unless too many backends are ejected already.
 func (o *outlierDetector) eject(now time.Duration, target *backend, ready int) {
 	o.ejected = slices.DeleteFunc(o.ejected, func(e *backend) bool { return !e.ejection.isActive(now) })
 	if target.ejection.isActive(now) || ejectedFleetDivisor*(len(o.ejected)+1) > ready {
@@ -121,69 +122,70 @@
 	o.ejected = append(o.ejected, target)
 }
 
-// recordLatency counts the late answers of a backend in a row: those that take lateFactor times the
-// baseline, and longer by minExcess and by more than answers scatter here. What stays late becomes usual,
-// slowly.
-func (o *outlierDetector) recordLatency(target *backend, took time.Duration, lateFactor float64, minExcess time.Duration) {
+// recordLatency counts the consecutive late answers of a backend and updates its baseline. An answer is late
+// if it takes at least lateFactor times the baseline and exceeds it by minExcess and by a multiple of the mean
+// excess. The baseline rises slowly, so latency that stays high becomes usual in the end.
+func (o *outlierDetector) recordLatency(target *backend, latency time.Duration, lateFactor float64, minExcess time.Duration) {
 	l := &target.latency
 	if l.baseline == 0 {
-		l.baseline = max(took, 1)
+		l.baseline = max(latency, 1)
 	}
-	excess := max(0, took-l.baseline)
+	excess := max(0, latency-l.baseline)
 	l.samples++
-	if o.isLate(l, took, excess, lateFactor, minExcess) {
+	if o.isLate(l, latency, excess, lateFactor, minExcess) {
 		l.consecutiveLate++
 	} else {
 		l.consecutiveLate = 0
 	}
-	// The first answer is what others are compared with, and late ones are due to their backend.
+	// The first answer sets the baseline and has no excess. The second and third late answers in a row are left
+	// out as well, since they point to a slow backend rather than to usual variation.
 	if l.samples > 1 && (l.consecutiveLate <= 1 || l.consecutiveLate > lateAnswersToConfirm) {
-		o.scatterSamples = min(o.scatterSamples+1, maxScatterSamples)
-		o.latencyScatter += (min(excess, 4*max(o.latencyScatter, minExcess)) - o.latencyScatter) / time.Duration(o.scatterSamples)
+		o.excessSamples = min(o.excessSamples+1, maxExcessSamples)
+		o.meanExcess += (min(excess, 4*max(o.meanExcess, minExcess)) - o.meanExcess) / time.Duration(o.excessSamples)
 	}
-	if took < l.baseline {
-		l.baseline += (took - l.baseline) / 4
+	if latency < l.baseline {
+		l.baseline += (latency - l.baseline) / 4
 	} else {
-		l.baseline += (min(took, 2*l.baseline) - l.baseline) / 64
+		l.baseline += (min(latency, 2*l.baseline) - l.baseline) / 64
 	}
 }
 
-// isLate reports whether an answer that exceeds the baseline by so much is late.
+// isLate reports whether an answer is late against the baseline and the mean excess.
 func (o *outlierDetector) isLate(
-	l *latencyBaseline, took, excess time.Duration, lateFactor float64, minExcess time.Duration,
+	l *latencyBaseline, latency, excess time.Duration, lateFactor float64, minExcess time.Duration,
 ) bool {
 	if !l.isEstablished() {
 		return false
 	}
-	if float64(took) < lateFactor*float64(l.baseline) {
+	if float64(latency) < lateFactor*float64(l.baseline) {
 		return false
 	}
-	return excess >= max(minExcess, scatterAllowance*o.latencyScatter)
+	return excess >= max(minExcess, lateExcessFactor*o.meanExcess)
 }
 
-// recordReset records a reset and reports whether it is isolated: none came shortly before. A backend in
-// trouble resets one connection after the other.
+// recordReset records a reset and reports whether it is isolated: the backend reset no other connection shortly
+// before. An overloaded or failing backend resets one connection after the other.
 func (e *ejection) recordReset(now time.Duration) bool {
 	isolated := e.lastReset == 0 || now-e.lastReset > isolatedResetWindow
 	e.lastReset = now
 	return isolated
 }
 
-// isIsolatedReset reports whether the end of an attempt is a reset that may be the network's. Taken for
-// trouble, each would move half of what a healthy backend holds.
+// isIsolatedReset reports whether an attempt was ended by a reset that may be a network fault. If a single reset
+// counted as overload, it would migrate half of the connections of a healthy backend.
 func (b *Balancer) isIsolatedReset(now time.Duration, target *backend, status Status) bool {
 	return status == StatusReset && !b.settings.ReportsMessageDelay && target.ejection.recordReset(now)
 }
 
-// indictsBackend reports whether the end of an attempt may show that its backend is failing. The end of an
-// established connection does so only by a reset, and where no report of message delay shows trouble
+// isBackendFailure reports whether the end of an attempt may be a failure of its backend. For an established
+// connection only a reset is, and only if there are no reports of message delay, which show a failing backend
 // earlier.
-func (b *Balancer) indictsBackend(req *request, status Status) bool {
+func (b *Balancer) isBackendFailure(req *request, status Status) bool {
 	return !req.established || status == StatusReset && !b.settings.ReportsMessageDelay
 }
 
-// ejectOnFailure ejects a backend whose attempt has failed. Its quick failures would lower its load and
-// attract requests, and one failure may be all that each of many relays sees.
+// ejectOnFailure ejects a backend after a failed attempt. A single failure is enough: quick failures lower the
+// load of a backend and so attract requests, and each of many relays may see only one of them.
 func (b *Balancer) ejectOnFailure(now time.Duration, target *backend, status Status) {
 	switch status {
 	case StatusOK:
@@ -194,18 +196,18 @@
 	}
 }
 
-// bypass reports whether a request passes a backend by that could accept it. A reconnecting client does so
-// the likelier, the more often backends of that kind were late: each relay in turn, with no connection
-// there, would send it back to the backend it left.
+// bypass reports whether a request bypasses a backend that could accept it, and records that. For a reconnecting
+// client, the probability rises with the lateness of the backend's kind: a relay without connections on the
+// backend that the client has left sees it as empty and would send the client back.
 func (b *Balancer) bypass(now time.Duration, target *backend, req *request) bool {
-	chance, limit := bypassFactor*b.outliers.kind(target).share(), maxBypasses
+	chance, limit := bypassFactor*b.outliers.latenessFor(target).share(), maxBypasses
 	if !b.settings.HealthChecks {
 		chance, limit = 2*chance, maxBypassesUnchecked
 	}
 	if req.MidStream || req.bypassCount >= limit {
 		return false
 	}
-	if !b.avoidsErrors(now, target, req) && !b.avoidsKind(target, req, chance) {
+	if !b.avoidsErrors(now, target, req) && !b.avoidsLateKind(target, req, chance) {
 		return false
 	}
 	req.bypassed[req.bypassCount] = target
@@ -215,19 +217,19 @@
 
 func (r *request) hasBypassed(target *backend) bool { return slices.Contains(r.bypassed[:], target) }
 
-// avoidsKind draws whether a reconnecting client avoids a backend that this relay has no connection on.
-func (b *Balancer) avoidsKind(target *backend, req *request, chance float64) bool {
+// avoidsLateKind draws whether a reconnecting client avoids a backend on which this relay has no connection.
+func (b *Balancer) avoidsLateKind(target *backend, req *request, chance float64) bool {
 	return req.Reconnecting && target.connections == 0 && b.rng.Float64() < chance
 }
 
-// avoidsErrors reports whether a request that must not execute twice avoids a backend that reports errors
-// on more than a few of the attempts made there. Each of many relays would otherwise lose such a request
-// to find out.
+// avoidsErrors reports whether a request that is not idempotent avoids a backend because its load report shows
+// errors on more than one in attemptsPerError of the attempts there. Otherwise each of many relays would lose such
+// a request before it ejects the backend.
 func (b *Balancer) avoidsErrors(now time.Duration, target *backend, req *request) bool {
 	if b.settings.Classes[req.Class].Idempotency == Idempotent {
 		return false
 	}
-	interval := max(b.pacer.usualInterval, b.settings.Tick)
+	interval := max(b.pacer.meanInterval, b.settings.Tick)
 	attemptsPerSecond := float64(b.settings.RelayCount) / interval.Seconds() / float64(len(b.endpoints.ready))
 	return target.health.hasFreshUtilization(now) && target.health.errorsPerSecond > attemptsPerSecond/attemptsPerError
 }
--- a/balance/placement.go
+++ b/balance/placement.go
@@ -6,29 +6,29 @@
 )
 
 const (
-	// backupLifetime is how long a backup is kept; B and F of the paper are cleared this often (section
+	// backupLifetime is how long a backup is kept; B and F of the paper are cleared at this interval (section
 	// III-C).
 	backupLifetime = 10 * time.Second
 
-	// imbalanceConnections is the imbalance threshold Δ in usual connections of this relay.
+	// imbalanceConnections is the imbalance threshold Δ in connections of this relay's mean load.
 	imbalanceConnections = 4.0
 
-	// reportedImbalanceConnections is Δ in usual connections of any relay, where load reports show what all
-	// relays hold on a backend.
+	// reportedImbalanceConnections is Δ in connections of the fleet's mean load. It applies if load reports show
+	// the load from all relays.
 	reportedImbalanceConnections = 1.25
 
-	// checkBackupAbove is the fraction of the mean utilization from which a primary has its unknown backup
-	// checked.
+	// checkBackupAbove is the fraction of the mean utilization above which the load of a primary causes a health
+	// check of a backup without a fresh load report.
 	checkBackupAbove = 0.9
 
-	// groupSpread bounds the backends that a group may use to the first ones of its rendezvous order.
-	groupSpread = 3
+	// maxGroupSpread is the number of backends that a group may use, from the start of its rendezvous order.
+	maxGroupSpread = 3
 
-	// groupFleetDivisor: a group may use one in so many of the backends while there is room.
+	// groupFleetDivisor: a group may use one in this many of the ready backends while the fleet has spare capacity.
 	groupFleetDivisor = 16
 )
 
-// backupSchedule says when the backups were cleared.
+// backupSchedule holds when the backups were last cleared.
 type backupSchedule struct {
 	lastReset time.Duration
 }
@@ -36,7 +36,7 @@
 // isDue reports whether the backups have to be cleared again.
 func (s *backupSchedule) isDue(now time.Duration) bool { return now-s.lastReset >= backupLifetime }
 
-// choosePlacement returns the backend for a request, or nil if none may take it. It applies the power of one
+// choosePlacement returns the backend for a request, or nil if none can accept it. It applies the power of one
 // random choice (Maat, section III, Algorithm 1): the primary keeps the request unless its load exceeds that
 // of the backup by the imbalance threshold.
 func (b *Balancer) choosePlacement(now time.Duration, req *request) *backend {
@@ -55,33 +55,33 @@
 	if !b.exceedsImbalanceThreshold(now, primary, backup, req) {
 		return primary
 	}
-	backupIsWarming := backup == warming // and then known to accept the request
+	backupIsWarming := backup == warming // it can accept the request, as findWarmingBackend has checked
 	if !backupIsWarming && !b.canAccept(now, backup, req) {
 		return primary
 	}
 	req.randomBackup = backup
-	if b.needsHealthCheck(now, backup) { // only its answer decides: nothing is recorded before
+	if b.needsHealthCheck(now, backup) { // the placement is decided, and recorded, after the check
 		return backup
 	}
 	if !backupIsWarming {
 		primary.backup, backup.isBackup = backup, true
 	}
-	b.sticky.remember(now, req.flowKey, backup)
+	b.sticky.store(now, req.flowKey, backup)
 	return backup
 }
 
-// choosePrimary returns the first backend in the rendezvous order of the request's key, which all relays
-// share, or the one that it overflows to.
+// choosePrimary returns the first backend in the rendezvous order of the request's key, which is the same on all
+// relays, or the backend that the request overflows to.
 func (b *Balancer) choosePrimary(now time.Duration, req *request) *backend {
-	primary := b.ring.first(req.hashKey, func(*backend) bool { return true })
+	primary := b.rendezvous.first(req.hashKey, func(*backend) bool { return true })
 	if primary == nil || b.canAccept(now, primary, req) {
 		return primary
 	}
 	return b.chooseOverflow(now, req)
 }
 
-// boundBackend returns the backend that a stateful request has to follow its flow to, or nil. Packets of an
-// open connection would be reset elsewhere, and a split group costs its shared work twice.
+// boundBackend returns the backend to which a stateful request has to follow its flow, or nil. Any other backend
+// would reset packets of an open connection, and the work that a group shares is done twice after it is split.
 func (b *Balancer) boundBackend(now time.Duration, req *request, primary *backend) *backend {
 	if !req.isFirstMidStreamAttempt() && !req.grouped {
 		return nil
@@ -95,8 +95,8 @@
 	return nil
 }
 
-// canFollow reports whether a request may go where its flow was sent. A backend that holds the connection
-// already carries its load, cold or not.
+// canFollow reports whether a request may go to the backend that its flow was sent to. If that backend has the
+// connection already, it carries the load already as well, and slow start does not apply.
 func (b *Balancer) canFollow(now time.Duration, recorded *backend, req *request) bool {
 	if req.isFirstMidStreamAttempt() && recorded.State == StateReady {
 		return true
@@ -105,46 +105,48 @@
 }
 
 // chooseBackup returns the backup that the primary is compared with: a warming backend, the primary's backup
-// or a random one. It returns nil where the random one is the primary or another's backup.
+// or a random one. It returns nil if the random one is the primary or the backup of another backend.
 func (b *Balancer) chooseBackup(primary, warming *backend, req *request) *backend {
 	if known := cmp.Or(warming, primary.backup); known != nil {
 		return known
 	}
 	ready := b.endpoints.ready
-	drawn := ready[b.rng.IntN(len(ready))]
-	backup := cmp.Or(req.randomBackup, drawn)
+	randomBackend := ready[b.rng.IntN(len(ready))]
+	backup := cmp.Or(req.randomBackup, randomBackend)
 	if backup.isBackup || backup == primary {
 		return nil
 	}
 	return backup
 }
 
-// exceedsImbalanceThreshold reports whether the load T of the primary exceeds that of the backup by Δ. Where
-// load reports show it, T is what all relays hold: with many relays, the connections of one say little.
+// exceedsImbalanceThreshold reports whether the load T of the primary exceeds that of the backup by Δ. T is the load
+// from all relays if load reports show it: with many relays, the connections of one relay are a poor estimate.
 func (b *Balancer) exceedsImbalanceThreshold(now time.Duration, primary, backup *backend, req *request) bool {
 	checkFirst := b.needsHealthCheck(now, backup)
 	if !b.canCompareReports(now, primary, backup, checkFirst, req) {
 		return b.relativeLoad(primary)-b.relativeLoad(backup) >= b.imbalanceThreshold()
 	}
-	// fleetRate is the arrivals at one backend from all relays for each arrival at this relay.
+	// fleetRate is the number of arrivals at one backend from all relays for each arrival at this relay.
 	fleetRate := float64(b.settings.RelayCount) / float64(len(b.endpoints.ready))
-	perConnection := b.health.meanUtilization / (max(1, float64(b.loads.total.connections)-req.recentArrivals) * fleetRate)
-	lead := primary.health.utilization + float64(primary.health.sentSince)*perConnection
+	utilizationPerConnection := b.health.meanUtilization / (max(1, float64(b.loads.total.connections)-req.recentArrivals) * fleetRate)
+	// excess is the utilization of the primary, less that of the backup once it is known.
+	excess := primary.health.utilization + float64(primary.health.sentSinceResult)*utilizationPerConnection
 	if checkFirst {
-		return lead > checkBackupAbove*b.health.meanUtilization
+		return excess > checkBackupAbove*b.health.meanUtilization
 	}
-	lead -= backup.health.utilization + float64(backup.health.sentSince)*perConnection
-	exceeds := lead > reportedImbalanceConnections*perConnection
-	// All relays read the same report until the next one: each fills its part of the gap, by chance.
-	return exceeds && b.rng.Float64()*(1+req.recentArrivals*fleetRate) < lead/perConnection
+	excess -= backup.health.utilization + float64(backup.health.sentSinceResult)*utilizationPerConnection
+	exceeds := excess > reportedImbalanceConnections*utilizationPerConnection
+	// All relays use the same report until the next one, so each draws whether the request is in its share of
+	// the gap.
+	return exceeds && b.rng.Float64()*(1+req.recentArrivals*fleetRate) < excess/utilizationPerConnection
 }
 
-// canCompareReports reports whether load reports can be compared instead of this relay's own connections.
+// canCompareReports reports whether load reports can be compared instead of the load from this relay alone.
 func (b *Balancer) canCompareReports(now time.Duration, primary, backup *backend, checkFirst bool, req *request) bool {
-	if req.grouped { // a report is no reason to split a group
+	if req.grouped { // groups are not split because of a load report
 		return false
 	}
-	if !b.health.knowsFleet() {
+	if !b.health.hasFleetMean() {
 		return false
 	}
 	if !primary.health.hasFreshUtilization(now) {
@@ -155,17 +157,16 @@
 
 // imbalanceThreshold is Δ, relative to a backend of mean size.
 func (b *Balancer) imbalanceThreshold() float64 {
-	return imbalanceConnections * b.loads.meanConnection() / b.ring.meanSize
+	return imbalanceConnections * b.loads.meanConnection() / b.rendezvous.meanSize
 }
 
 // relativeLoad is T relative to the backend's size.
 func (b *Balancer) relativeLoad(target *backend) float64 {
-	return b.loads.sum(&target.loadSums) / target.size
+	return b.loads.trackedLoad(&target.loadSums) / target.size
 }
 
-// chooseOverflow returns the backend for a request that its primary cannot accept: one that holds
-// connections of its group, a warming one, or the next in rendezvous order. It returns nil where its group
-// may not spread further.
+// chooseOverflow returns the backend for a request that its primary cannot accept: one with connections of its
+// group, a warming one, or the next in rendezvous order. It returns nil if its group may not spread further.
 func (b *Balancer) chooseOverflow(now time.Duration, req *request) *backend {
 	if holder := b.findGroupHolder(now, req); holder != nil {
 		return holder
@@ -173,7 +174,7 @@
 	if warming := b.findWarmingBackend(now, req); warming != nil {
 		return warming
 	}
-	next := b.ring.first(req.hashKey, func(s *backend) bool { return b.canAccept(now, s, req) })
+	next := b.rendezvous.first(req.hashKey, func(target *backend) bool { return b.canAccept(now, target, req) })
 	if next == nil || !req.grouped {
 		return next
 	}
@@ -183,23 +184,25 @@
 	return next
 }
 
-// findGroupHolder returns the first backend that holds connections of the request's group and can accept it.
+// findGroupHolder returns the first backend that has connections of the request's group and can accept it.
 func (b *Balancer) findGroupHolder(now time.Duration, req *request) *backend {
 	if !req.grouped {
 		return nil
 	}
-	return b.ring.first(req.hashKey, func(s *backend) bool {
-		return s.groupConnections[req.hashKey] > 0 && b.canAccept(now, s, req)
+	return b.rendezvous.first(req.hashKey, func(target *backend) bool {
+		return target.groupConnections[req.hashKey] > 0 && b.canAccept(now, target, req)
 	})
 }
 
-// mayGroupSpreadTo reports whether a group may use a backend this far down its rendezvous order. In overload,
-// groups that scatter connection by connection cost more than they bring.
+// mayGroupSpreadTo reports whether a group may use a backend at this place in its rendezvous order. In overload,
+// spreading a group connection by connection costs more capacity than it gains.
 func (b *Balancer) mayGroupSpreadTo(now time.Duration, next *backend, req *request) bool {
 	ahead := b.countWarmAhead(now, next, req.hashKey)
-	limit := groupSpread
-	if !b.health.reportsUtilization() { // no report shows idle backends: half its share of the fleet
-		if ahead > 0 && b.isFleetLate(now) {
+	limit := maxGroupSpread
+	// Without reports of the utilization, idle backends are unknown. The part of the fleet that a group may use is
+	// then half of the group's share of the requests.
+	if !b.health.reportsUtilization() {
+		if ahead > 0 && b.isFleetOverloaded(now) {
 			return false
 		}
 		limit = max(limit, int(b.groups.share(req.hashKey)*float64(len(b.endpoints.ready))/2))
@@ -207,37 +210,37 @@
 	if ahead < limit {
 		return true
 	}
-	// A large fleet that has room serves a group better spread out than waiting. Where reports of message
-	// delay do not cut limits, a small fleet may be used whole as well.
+	// In a large fleet with spare capacity, spreading a group is better than rejecting its requests. Without
+	// reports of message delay, which cut limits, a group may also use the whole of a small fleet.
 	if b.settings.ReportsMessageDelay && ahead >= len(b.endpoints.ready)/groupFleetDivisor {
 		return false
 	}
 	return b.health.meanUtilization <= fillTarget
 }
 
-// countWarmAhead counts the warm backends before one in the rendezvous order of a key.
+// countWarmAhead counts the warm backends that come before a backend in the rendezvous order of a key.
 func (b *Balancer) countWarmAhead(now time.Duration, target *backend, key uint64) int {
 	ahead := 0
 	score, _ := target.scoreAbove(key, 0)
-	for i, slot := range b.ring.slots {
-		if _, ok := slot.scoreAbove(key, score); ok && b.slowStartShare(now, b.ring.backends[i]) >= 1 {
+	for i, slot := range b.rendezvous.slots {
+		if _, ok := slot.scoreAbove(key, score); ok && b.slowStartShare(now, b.rendezvous.backends[i]) >= 1 {
 			ahead++
 		}
 	}
 	return ahead
 }
 
-// findWarmingBackend returns a backend in slow start that this relay may send one more request now. Few
-// relays may at a time, and few keys have their primary there: without it, cold backends stay empty while
-// others are full.
+// findWarmingBackend returns a backend in slow start to which this relay may send one more request now. Few relays
+// have a token at a time and few keys have their primary there, so without this search cold backends would stay
+// empty while others are full.
 func (b *Balancer) findWarmingBackend(now time.Duration, req *request) *backend {
-	return b.ring.first(req.hashKey, func(s *backend) bool {
-		return b.slowStartShare(now, s) < 1 && b.isEligible(now, s, req) && b.hasSlowStartToken(now, s)
+	return b.rendezvous.first(req.hashKey, func(target *backend) bool {
+		return b.slowStartShare(now, target) < 1 && b.isEligible(now, target, req) && b.hasSlowStartToken(now, target)
 	})
 }
 
-// canAccept reports whether a backend can take a request, slow start included. Slow start holds mid-stream
-// too: when a relay dies, all its connections arrive at once.
+// canAccept reports whether a backend can accept a request, slow start included. Slow start applies to mid-stream
+// requests as well: when a relay dies, all of its connections arrive at once.
 func (b *Balancer) canAccept(now time.Duration, target *backend, req *request) bool {
 	return b.isEligible(now, target, req) && b.slowStartAccepts(now, target, req)
 }
@@ -253,17 +256,17 @@
 	if req.hasTried(target) {
 		return false
 	}
-	if req.isFirstMidStreamAttempt() { // the backend carries the connection already
+	if req.isFirstMidStreamAttempt() { // the backend has the connection already
 		return true
 	}
-	return !target.ejection.isActive(now) && b.hasRoom(target, req) && !req.hasBypassed(target)
+	return !target.ejection.isActive(now) && b.isWithinLimit(target, req) && !req.hasBypassed(target)
 }
 
-// resetBackups clears the backups and their flags, and halves the weight of the groups' past demand.
+// resetBackups clears the backups and their flags, and halves the weight of the past demand of groups.
 func (b *Balancer) resetBackups(now time.Duration) {
 	b.backups.lastReset = now
-	for _, s := range b.endpoints.ready {
-		s.backup, s.isBackup = nil, false
+	for _, target := range b.endpoints.ready {
+		target.backup, target.isBackup = nil, false
 	}
 	b.groups.decay()
 }
--- a/balance/placement_test.go
+++ b/balance/placement_test.go
@@ -5,173 +5,174 @@
 	"time"
 )
 
-// While the fleet is short of room, groups scattered over all backends cost more than they bring: a group
-// overflows to the first backends of its order and is then rejected.
+// While the fleet is short of room, a group overflows only to the first backends in its rendezvous order;
+// further requests are rejected. Groups scattered over all backends would cost more than they bring.
 func TestPlacement_OverflowKeepsGroupTogether(t *testing.T) {
-	s := defaultSettings()
-	s.Groups, s.ReportFields = true, []ReportField{FieldLoadShare}
-	b, r := newTestBalancer(t, s, 12)
-	seen := map[BackendID]bool{}
+	settings := defaultSettings()
+	settings.Groups, settings.ReportFields = true, []ReportField{FieldLoadShare}
+	balancer, rec := newTestBalancer(t, settings, 12)
+	used := map[BackendID]bool{}
 	rejected := 0
 	for id := uint64(1); id <= 60; id++ {
-		r.clear()
-		b.RequestArrived(2*sec, Request{ID: id, Key: id, Group: 7, TimeLeft: sec})
-		for _, a := range r.take(actionSend) {
-			seen[a.to] = true
-			b.AttemptSucceeded(2*sec, AttemptResult{ID: id})
-			b.endpoints.byID[a.to].concurrency.limit = 3
+		rec.clear()
+		balancer.RequestArrived(2*sec, Request{ID: id, Key: id, Group: 7, TimeLeft: sec})
+		for _, a := range rec.take(actionSend) {
+			used[a.to] = true
+			balancer.AttemptSucceeded(2*sec, AttemptResult{ID: id})
+			balancer.endpoints.byID[a.to].concurrency.limit = 3
 		}
-		rejected += len(r.take(actionReject))
+		rejected += len(rec.take(actionReject))
 	}
-	if len(seen) != groupSpread || rejected == 0 {
-		t.Errorf("the group is on %d backends, %d rejected", len(seen), rejected)
+	if len(used) != maxGroupSpread || rejected == 0 {
+		t.Errorf("the group uses %d backends, %d requests rejected", len(used), rejected)
 	}
 }
 
-// A large group whose few backends are full waits while a large fleet has room; while the fleet is short
-// of room, scattering the group costs more than it brings.
+// A large group whose first backends are full spreads further in a large fleet that has room, instead of
+// waiting. While the fleet is short of room, scattering the group costs more than it brings.
 func TestPlacement_GroupSpreadsFurtherOnlyInLargeFleetWithRoom(t *testing.T) {
 	cases := []struct {
 		backends     int
 		utilization  float64
-		messageDelay bool // message delay is reported
-		want         int  // backends of the order that are tried
+		messageDelay bool // message delays are reported
+		want         int  // backends that the group may use
 	}{{12, 0.5, true, 3}, {12, 1, true, 3}, {96, 0.5, true, 6}, {96, 1, true, 3},
-		{4, 0.5, false, 4}, {4, 1, false, 3}} // without reports of message delay even a small fleet is used whole while it has room
+		{4, 0.5, false, 4}, {4, 1, false, 3}} // without reports of message delay, a group may use all of a small fleet that has room
 	for _, c := range cases {
-		s := defaultSettings()
-		s.ReportsMessageDelay, s.ReportFields = c.messageDelay, []ReportField{FieldLoadShare}
-		b, _ := newTestBalancer(t, s, c.backends)
-		b.settings.Groups, b.health.meanUtilization = true, c.utilization
-		q := b.newRequest(sec, Request{ID: 1, Group: 7, TimeLeft: 2 * sec})
-		n := 0
-		for s := b.choosePlacement(sec, q); s != nil; s = b.choosePlacement(sec, q) {
-			s.ejection.until, n = 60*sec, n+1
+		settings := defaultSettings()
+		settings.ReportsMessageDelay, settings.ReportFields = c.messageDelay, []ReportField{FieldLoadShare}
+		balancer, _ := newTestBalancer(t, settings, c.backends)
+		balancer.settings.Groups, balancer.health.meanUtilization = true, c.utilization
+		req := balancer.newRequest(sec, Request{ID: 1, Group: 7, TimeLeft: 2 * sec})
+		used := 0
+		for target := balancer.choosePlacement(sec, req); target != nil; target = balancer.choosePlacement(sec, req) {
+			target.ejection.until, used = 60*sec, used+1
 		}
-		if n != c.want {
-			t.Errorf("%d backends, %.1f full: a group went to %d, want %d", c.backends, c.utilization, n, c.want)
+		if used != c.want {
+			t.Errorf("%d backends, utilization %.1f: the group may use %d of them, want %d", c.backends, c.utilization, used, c.want)
 		}
 	}
 }
 
-// Groups that spread while nearly all backends were late cost each of them three connections' worth, and
-// nothing was served in time. Without load reports only this relay's own backends show that, if they are
-// enough of the fleet.
+// While nearly all backends are late, a group stays on its primary: each further backend of a group bears the
+// cost of three more connections, and nothing is served in time. Without load reports, only the backends that
+// this relay has connections on show the lateness, if they are enough of the fleet.
 func TestPlacement_GroupStaysOnPrimaryWhileFleetIsLate(t *testing.T) {
 	for _, c := range []struct {
 		late           bool
 		backends       int
 		staysOnPrimary bool
 	}{{false, 12, false}, {true, 12, true}, {true, 200, false}} {
-		s := defaultSettings()
-		s.Groups = true
-		b, r := newTestBalancer(t, s, c.backends)
+		settings := defaultSettings()
+		settings.Groups = true
+		balancer, rec := newTestBalancer(t, settings, c.backends)
 		for id := uint64(1); id <= 8; id++ {
-			mustSend(t, b, r, sec, Request{ID: id, Key: id, Group: 100 + id})
-			b.AttemptSucceeded(sec, AttemptResult{ID: id})
+			mustSend(t, balancer, rec, sec, Request{ID: id, Key: id, Group: 100 + id})
+			balancer.AttemptSucceeded(sec, AttemptResult{ID: id})
 		}
 		for id := uint64(1); c.late && id <= 8; id++ {
-			b.LoadReported(2*sec, id, SignalMessageDelay, 60)
+			balancer.LoadReported(2*sec, id, SignalMessageDelay, 60)
 		}
-		r.clear()
-		q := Request{ID: 99, Key: 99, Group: 99, TimeLeft: 2 * sec}
-		b.ring.first(mixBits(q.Group), func(*backend) bool { return true }).ejection.until = 60 * sec
-		b.RequestArrived(3*sec, q)
-		if got := len(r.take(actionSend)) == 0; got != c.staysOnPrimary {
-			t.Errorf("%+v: the group stayed on its primary: %v", c, got)
+		rec.clear()
+		req := Request{ID: 99, Key: 99, Group: 99, TimeLeft: 2 * sec}
+		balancer.rendezvous.first(mixBits(req.Group), func(*backend) bool { return true }).ejection.until = 60 * sec
+		balancer.RequestArrived(3*sec, req)
+		if stayed := len(rec.take(actionSend)) == 0; stayed != c.staysOnPrimary {
+			t.Errorf("%+v: the group stayed on its primary: %v", c, stayed)
 		}
 	}
 }
 
-// A group with half of all requests filled its three backends, and its clients were rejected beside two
-// hundred idle ones. Clients that come again do not make it larger.
+// The number of backends that a group may use grows with its share of the requests. With three at most, a
+// group with half of all requests fills them, and its clients are rejected while two hundred other backends
+// are idle. Reconnecting clients do not add to the share.
 func TestPlacement_LargeGroupUsesItsShareOfBackends(t *testing.T) {
-	went := func(of int) (n int) { // of how many requests one is the group's
-		s := defaultSettings()
-		s.Groups = true
-		b, _ := newTestBalancer(t, s, 40)
+	countUsable := func(every int) (usable int) { // one in so many requests belongs to the group
+		settings := defaultSettings()
+		settings.Groups = true
+		balancer, _ := newTestBalancer(t, settings, 40)
 		for id := uint64(1); id <= 60; id++ {
 			group := uint64(7)
-			if int(id)%of != 0 {
+			if int(id)%every != 0 {
 				group = 100 + id
 			}
-			b.newRequest(sec, Request{ID: id, Group: group, TimeLeft: sec})
+			balancer.newRequest(sec, Request{ID: id, Group: group, TimeLeft: sec})
 		}
 		for id := uint64(100); id < 200; id++ {
-			b.newRequest(sec, Request{ID: id, Group: 7, TimeLeft: sec, Reconnecting: true})
+			balancer.newRequest(sec, Request{ID: id, Group: 7, TimeLeft: sec, Reconnecting: true})
 		}
-		q := b.newRequest(sec, Request{ID: 999, Group: 7, TimeLeft: sec})
-		for s := b.choosePlacement(sec, q); s != nil; s = b.choosePlacement(sec, q) {
-			s.ejection.until, n = 60*sec, n+1
+		req := balancer.newRequest(sec, Request{ID: 999, Group: 7, TimeLeft: sec})
+		for target := balancer.choosePlacement(sec, req); target != nil; target = balancer.choosePlacement(sec, req) {
+			target.ejection.until, usable = 60*sec, usable+1
 		}
-		return n
+		return usable
 	}
-	if all, half, few := went(1), went(2), went(30); all != 20 || half < 9 || half > 11 || few != groupSpread {
-		t.Errorf("of 40 backends all requests go to %d, half of them to %d, a thirtieth to %d", all, half, few)
+	if all, half, few := countUsable(1), countUsable(2), countUsable(30); all != 20 || half < 9 || half > 11 || few != maxGroupSpread {
+		t.Errorf("of 40 backends a group may use %d with all requests, %d with half of them, %d with a thirtieth", all, half, few)
 	}
 }
 
-// With many relays, T of one is a connection or none. Where backends report what they hold, a primary
-// whose load exceeds that of its random backup is passed by; without that report the same backends get
-// what hashing gives them.
+// With many relays, the tracked load T of one relay on a backend is a connection or none. Where backends report
+// their utilization, a request goes to the random backup if the primary reports a higher load; without that
+// report, requests stay where hashing places them.
 func TestPlacement_ReportedLoadDivertsFromPrimary(t *testing.T) {
-	heavy := func(id BackendID) float64 { return 0.4 + 0.3*float64(id%2) } // odd ones 0.7, even ones 0.4
+	utilization := func(id BackendID) float64 { return 0.4 + 0.3*float64(id%2) } // 0.7 for odd IDs, 0.4 for even ones
 	for _, tc := range []struct {
 		name        string
 		change      func(*Settings)
-		least, most int // of 400 requests at the heavy half
+		least, most int // of 400 requests, sent to the half at 0.7
 	}{
-		{"reported", nil, 60, 140}, // half of what has its primary there draws a light backup
-		{"no reported utilization", func(s *Settings) { s.ReportFields = []ReportField{FieldQueue} }, 180, 220},
-		{"a group is not split", func(s *Settings) { s.Groups = true }, 180, 220},
+		{"reported", nil, 60, 140}, // half of the requests with their primary there draw a backup at 0.4
+		{"no reported utilization", func(settings *Settings) { settings.ReportFields = []ReportField{FieldQueue} }, 180, 220},
+		{"a group is not split", func(settings *Settings) { settings.Groups = true }, 180, 220},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			got := 0
+			loaded := 0
 			for i := range 400 {
-				b, r := newReportingBalancer(t, 20, i, tc.change)
-				q := Request{ID: 1, Key: uint64(i)*7919 + 1, Group: uint64(i + 1)}
-				b.arrivals.recent, b.arrivals.last = 0.2, 4*sec // two thirds of a request a second and backend from all relays
-				if to, _ := sendAfterChecks(t, b, r, 4*sec, q, heavy); to%2 == 1 {
-					got++
+				balancer, rec := newReportingBalancer(t, 20, i, tc.change)
+				req := Request{ID: 1, Key: uint64(i)*7919 + 1, Group: uint64(i + 1)}
+				balancer.arrivals.recent, balancer.arrivals.last = 0.2, 4*sec // two thirds of a request a second and backend from all relays
+				if to, _ := sendAfterChecks(t, balancer, rec, 4*sec, req, utilization); to%2 == 1 {
+					loaded++
 				}
 			}
-			if got < tc.least || got > tc.most {
-				t.Errorf("%d of 400 at the heavy half", got)
+			if loaded < tc.least || loaded > tc.most {
+				t.Errorf("%d of 400 requests were sent to the half at 0.7", loaded)
 			}
 		})
 	}
 }
 
-// What this relay has sent since the report counts in full: by a report of one moment alone it would send
-// everything to the lightest backend.
+// Requests that this relay has sent since the last report count in full. By the report alone, the relay would
+// send everything to the backend with the lowest load until the next report.
 func TestPlacement_CountsRequestsSentSinceReport(t *testing.T) {
-	b, r := newReportingBalancer(t, 2, 1, nil)
-	light := func(id BackendID) float64 { return 0.6 - 0.1*float64(id%2) } // both known from here on
+	balancer, rec := newReportingBalancer(t, 2, 1, nil)
+	utilization := func(id BackendID) float64 { return 0.6 - 0.1*float64(id%2) } // a report stays fresh for all 60 requests
 	got := map[BackendID]int{}
 	for id := uint64(1); id <= 60; id++ {
-		to, _ := sendAfterChecks(t, b, r, 4*sec+time.Duration(id)*ms, Request{ID: id, Key: id * 7919}, light)
+		to, _ := sendAfterChecks(t, balancer, rec, 4*sec+time.Duration(id)*ms, Request{ID: id, Key: id * 7919}, utilization)
 		got[to]++
 	}
 	if got[1] < 25 || got[1] > 50 {
-		t.Errorf("the light one of two got %d of 60", got[1])
+		t.Errorf("the backend with the lower load got %d of 60 requests", got[1])
 	}
 }
 
-// In a rush all relays read the same report: each diverts by chance, so that together they fill the
-// imbalance and no more.
+// In a rush all relays read the same report. Each diverts requests to the backup with a probability such that
+// all relays together even out the imbalance and do no more.
 func TestPlacement_RelaysShareImbalanceInRush(t *testing.T) {
-	diverted := func(rush float64) (n int) {
+	countDiverted := func(recentArrivals float64) (n int) {
 		for i := range 300 {
-			b, r := newReportingBalancer(t, 20, i, nil)
-			b.arrivals.recent, b.arrivals.last = rush, 4*sec
-			to, _ := sendAfterChecks(t, b, r, 4*sec, Request{ID: 1, Key: uint64(i)*7919 + 1}, func(id BackendID) float64 { return 0.55 + 0.1*float64(id%2) })
+			balancer, rec := newReportingBalancer(t, 20, i, nil)
+			balancer.arrivals.recent, balancer.arrivals.last = recentArrivals, 4*sec
+			to, _ := sendAfterChecks(t, balancer, rec, 4*sec, Request{ID: 1, Key: uint64(i)*7919 + 1}, func(id BackendID) float64 { return 0.55 + 0.1*float64(id%2) })
 			if to%2 == 0 {
 				n++
 			}
 		}
 		return n - 150
 	}
-	if calm, rush := diverted(0.1), diverted(20); calm < 50 || rush > calm/3 {
-		t.Errorf("%d diverted at a calm pace, %d in a rush", calm, rush)
+	if calm, rush := countDiverted(0.1), countDiverted(20); calm < 50 || rush > calm/3 {
+		t.Errorf("%d diverted with few arrivals, %d in a rush", calm, rush)
 	}
 }
--- a/balance/random_test.go
+++ b/balance/random_test.go
@@ -11,7 +11,8 @@
 	"time"
 )
 
-// ruleChecker follows every request by the actions and events, and checks the rules with its own bookkeeping.
+// ruleChecker implements Actions. It tracks every request by the actions and events, and checks the rules against
+// its own records.
 type ruleChecker struct {
 	t             *testing.T
 	settings      Settings
@@ -57,15 +58,15 @@
 	case target.State != StateReady:
 		c.t.Fatalf("request %d sent to backend %d in state %d", id, to, target.State)
 	case req.attempts >= c.settings.MaxAttempts:
-		c.t.Fatalf("request %d: attempt %d", id, req.attempts+1)
+		c.t.Fatalf("request %d: attempt %d exceeds the maximum", id, req.attempts+1)
 	case c.now+timeout > req.deadline:
-		c.t.Fatalf("request %d: timeout past its deadline", id)
+		c.t.Fatalf("request %d: the timeout ends after the deadline", id)
 	}
 	c.checkRepeat(req, target)
 	req.backend, req.pending, req.attempts, req.sentAt = to, true, req.attempts+1, c.now
 }
 
-// checkRepeat checks that an attempt cannot execute a second time what must execute once.
+// checkRepeat checks that an attempt cannot execute a request twice that must execute only once.
 func (c *ruleChecker) checkRepeat(req *trackedRequest, target Backend) {
 	class := c.settings.Classes[req.Class]
 	if !req.mayHaveExecuted || class.Idempotency == Idempotent {
@@ -73,7 +74,7 @@
 	}
 	inScope := class.DedupScope == ScopeAll || class.DedupScope == ScopeZone && target.Zone == req.executedBackend.Zone ||
 		class.DedupScope == ScopeCell && target.Cell == req.executedBackend.Cell
-	arrives := c.now + c.settings.DialTimeout // it is sent once its connection is established
+	arrives := c.now + c.settings.DialTimeout // the request is sent once the connection is established
 	if class.Idempotency == NonIdempotent || !inScope || arrives-req.executedAt > class.DedupWindow {
 		c.t.Fatalf("request %d of class %d may execute twice", req.ID, req.Class)
 	}
@@ -104,7 +105,7 @@
 	c.recordAnswer(id, false)
 }
 
-func (c *ruleChecker) Cancel(id uint64, n int) { c.logf("cancel %d %d", id, n) }
+func (c *ruleChecker) Cancel(id uint64, attempt int) { c.logf("cancel %d %d", id, attempt) }
 
 func (c *ruleChecker) CheckHealth(to BackendID) {
 	c.logf("check health %d", to)
@@ -122,8 +123,8 @@
 
 func (c *ruleChecker) SendGossip(int, []byte) {}
 
-func (c *ruleChecker) SetTimer(token uint64, d time.Duration) {
-	c.timers = append(c.timers, scheduledTimer{token, c.now + d})
+func (c *ruleChecker) SetTimer(token uint64, delay time.Duration) {
+	c.timers = append(c.timers, scheduledTimer{token, c.now + delay})
 }
 
 func (c *ruleChecker) WatchEndpoints(bool) { c.logf("watch endpoints") }
@@ -143,16 +144,16 @@
 	ids      []uint64 // of the requests so far
 }
 
-// playRandomEvents feeds random events, legal and not, and returns the actions.
+// playRandomEvents feeds random events, valid and invalid, to a Balancer and returns its actions.
 func playRandomEvents(t *testing.T, seed uint64) []string {
 	rng := rand.New(rand.NewPCG(seed, 7))
-	s := defaultSettings()
-	s.Groups, s.PassThrough, s.HealthChecks = rng.IntN(2) == 0, true, true
-	s.ReportFields = []ReportField{FieldLoadShare}
-	s.PollEndpoints = rng.IntN(2) == 0
-	s.Tenants = []Tenant{{ConnectionQuota: 10}, {ConnectionQuota: 10}}
-	checker := &ruleChecker{t: t, settings: s, now: sec, backends: map[BackendID]Backend{}, requests: map[uint64]*trackedRequest{}}
-	e := &randomEvents{ruleChecker: checker, rng: rng, balancer: New(checker.now, seed, s, checker)}
+	settings := defaultSettings()
+	settings.Groups, settings.PassThrough, settings.HealthChecks = rng.IntN(2) == 0, true, true
+	settings.ReportFields = []ReportField{FieldLoadShare}
+	settings.PollEndpoints = rng.IntN(2) == 0
+	settings.Tenants = []Tenant{{ConnectionQuota: 10}, {ConnectionQuota: 10}}
+	checker := &ruleChecker{t: t, settings: settings, now: sec, backends: map[BackendID]Backend{}, requests: map[uint64]*trackedRequest{}}
+	e := &randomEvents{ruleChecker: checker, rng: rng, balancer: New(checker.now, seed, settings, checker)}
 	e.updateEndpoints(UpdateCached, readyBackends(5))
 	for range 4000 {
 		e.now += time.Duration(rng.IntN(5)) * ms
@@ -168,7 +169,7 @@
 
 // playOne feeds one random event.
 func (e *randomEvents) playOne() {
-	b, rng := e.balancer, e.rng
+	balancer, rng := e.balancer, e.rng
 	id := uint64(rng.IntN(len(e.ids)+5) + 1)
 	req := e.requests[id]
 	switch rng.IntN(12) {
@@ -177,7 +178,7 @@
 	case 4, 5, 6:
 		if req != nil && req.pending && !req.established && !req.answered {
 			req.established = true
-			b.AttemptSucceeded(e.now, AttemptResult{ID: id, Attempt: req.attempts - 1, Backend: req.backend})
+			balancer.AttemptSucceeded(e.now, AttemptResult{ID: id, Attempt: req.attempts - 1, Backend: req.backend})
 		}
 	case 7:
 		if req != nil && req.pending {
@@ -186,32 +187,32 @@
 	case 8:
 		e.updateRandomEndpoints()
 	case 9:
-		b.LoadReported(e.now, id, LoadSignal(rng.IntN(4)), e.randomLoad())
+		balancer.LoadReported(e.now, id, LoadSignal(rng.IntN(4)), e.randomLoad())
 	case 10:
 		if req != nil && !req.answered && !req.established {
 			req.answered = true
-			b.ClientClosed(e.now, id)
+			balancer.ClientClosed(e.now, id)
 		}
 	case 11:
 		if len(e.pendingChecks) > 0 {
-			b.HealthCheckDone(e.now, HealthCheckResult{Backend: e.pendingChecks[0], Load: []float32{float32(e.randomLoad())}})
+			balancer.HealthCheckDone(e.now, HealthCheckResult{Backend: e.pendingChecks[0], Load: []float32{float32(e.randomLoad())}})
 			e.pendingChecks = e.pendingChecks[1:]
 		}
-		b.AttemptEnded(e.now, AttemptResult{ID: uint64(rng.IntN(9)) << 40, Status: StatusError}) // of an unknown request
+		balancer.AttemptEnded(e.now, AttemptResult{ID: uint64(rng.IntN(9)) << 40, Status: StatusError}) // of an unknown request
 	}
 }
 
 func (e *randomEvents) randomLoad() float64 { return randomLoads[e.rng.IntN(len(randomLoads))] }
 
-// arrive has a new request arrive.
+// arrive passes a new request to the Balancer.
 func (e *randomEvents) arrive() {
 	id := uint64(len(e.ids) + 1)
 	e.ids = append(e.ids, id)
-	r := Request{ID: id, Class: e.rng.IntN(len(e.settings.Classes)), Key: uint64(e.rng.IntN(6)), Group: uint64(e.rng.IntN(4)),
+	req := Request{ID: id, Class: e.rng.IntN(len(e.settings.Classes)), Key: uint64(e.rng.IntN(6)), Group: uint64(e.rng.IntN(4)),
 		Tenant: e.rng.IntN(4), TimeLeft: time.Duration(e.rng.IntN(2000)) * ms, ExpectedLoad: e.randomLoad(),
 		MidStream: e.rng.IntN(5) == 0}
-	e.requests[id] = &trackedRequest{Request: r, deadline: e.now + r.TimeLeft}
-	e.balancer.RequestArrived(e.now, r)
+	e.requests[id] = &trackedRequest{Request: req, deadline: e.now + req.TimeLeft}
+	e.balancer.RequestArrived(e.now, req)
 }
 
 // endAttempt ends the pending attempt or the open connection of a request.
@@ -275,12 +276,12 @@
 	return entry
 }
 
-// fireDueTimers fires the timers that are due: in the first batch after their time.
+// fireDueTimers fires the timers whose time has come.
 func (e *randomEvents) fireDueTimers() {
 	for i := 0; i < len(e.timers); {
-		if due := e.timers[i]; due.at <= e.now {
+		if timer := e.timers[i]; timer.at <= e.now {
 			e.timers = append(e.timers[:i], e.timers[i+1:]...)
-			e.balancer.TimerFired(e.now, due.token)
+			e.balancer.TimerFired(e.now, timer.token)
 		} else {
 			i++
 		}
@@ -308,19 +309,19 @@
 
 // checkLoads checks that the tracked loads are valid and the lists of open requests complete.
 func (e *randomEvents) checkLoads() {
-	b := e.balancer
+	balancer := e.balancer
 	placed := map[*backend]int{}
-	for _, req := range b.requests {
+	for _, req := range balancer.requests {
 		placed[req.backend]++
 	}
-	for _, s := range b.endpoints.byID {
-		if load := b.loads.sum(&s.loadSums); math.IsNaN(load) || load < 0 || len(s.openRequests) != placed[s] {
-			e.t.Fatalf("backend %d: T %v, %d connections of %d", s.ID, load, len(s.openRequests), placed[s])
+	for _, target := range balancer.endpoints.byID {
+		if load := balancer.loads.trackedLoad(&target.loadSums); math.IsNaN(load) || load < 0 || len(target.openRequests) != placed[target] {
+			e.t.Fatalf("backend %d: T %v, list of %d connections where %d are placed", target.ID, load, len(target.openRequests), placed[target])
 		}
 	}
 }
 
-// The rules hold under random events, legal and not.
+// The rules hold under random events, valid and invalid.
 func TestBalancer_RulesHoldUnderRandomEvents(t *testing.T) {
 	for seed := uint64(1); seed <= 40; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { playRandomEvents(t, seed) })
@@ -329,7 +330,7 @@
 
 // The same events and seed give the same actions.
 func TestBalancer_IsDeterministic(t *testing.T) {
-	if one, two := playRandomEvents(t, 5), playRandomEvents(t, 5); !reflect.DeepEqual(one, two) {
-		t.Error("the same events led to other actions")
+	if first, second := playRandomEvents(t, 5), playRandomEvents(t, 5); !reflect.DeepEqual(first, second) {
+		t.Error("the same events and seed gave different actions")
 	}
 }
--- a/balance/request.go
+++ b/balance/request.go
@@ -6,46 +6,46 @@
 )
 
 const (
-	// maxTriedBackends bounds the backends remembered as tried by a request.
+	// maxTriedBackends bounds the number of backends recorded as tried by a request.
 	maxTriedBackends = 4
 
-	// arrivalWindow is the time in which the weight of a past request falls to 1/e.
+	// arrivalWindow is the time in which the weight of an earlier request falls to 1/e.
 	arrivalWindow = time.Second
 )
 
 // request is a request from its arrival until its last attempt has ended.
 type request struct {
 	Request
-	hashKey  uint64 // its primary backend is hashed from this
-	flowKey  uint64 // its sticky override is stored under this
-	grouped  bool   // hashKey is that of its group
+	hashKey  uint64 // the rendezvous order of the backends is computed from this key
+	flowKey  uint64 // the sticky override is stored under this key
+	grouped  bool   // hashKey is the key of the request's group
 	deadline time.Duration
-	answered bool // the final answer is out, or the client has left
+	answered bool // the final answer has been sent, or the client has left
 
-	maxAttempts int // by the settings it was accepted with
+	maxAttempts int // from the settings in force when the request arrived
 	attempts    int
 	tried       [maxTriedBackends]*backend
 	backend     *backend      // of the pending attempt or the open connection; nil: neither
 	index       int           // in backend.openRequests
-	sentAt      time.Duration // start of the last attempt or of the health check it waits for
+	sentAt      time.Duration // start of the last attempt or of the health check that the request waits for
 	established bool
 	migrating   bool    // the client has been asked to reconnect
 	load        float64 // reported load in microseconds of work a second; 0: unknown
 
-	randomBackup   *backend // drawn at the first placement
-	recentArrivals float64  // requests of this relay in the second before it
+	randomBackup   *backend // backup that a placement has chosen; the next placement uses it as the random one
+	recentArrivals float64  // decayed number of earlier requests at this relay, about those of the last arrivalWindow
 
-	bypassed    [maxBypassesUnchecked]*backend // passed by though they could accept the request
+	bypassed    [maxBypassesUnchecked]*backend // backends not used although they could accept the request
 	bypassCount int
 
-	awaitedCheck  *backend // its health check has to end first
+	awaitedCheck  *backend // backend whose health check has to end before the next attempt
 	checkDeadline time.Duration
-	checks        int // health checks waited for
+	checks        int // number of health checks that the request has waited for
 
-	retryAt time.Duration // end of its backoff; 0: none
-	hedging bool          // the first attempt was cancelled for another
+	retryAt time.Duration // end of the backoff; 0: none
+	hedging bool          // the first attempt was cancelled to try another backend
 
-	// The first attempt that may have executed, which limits where a repeat may go.
+	// The first attempt that may have executed. It limits the backends that a repeat may go to.
 	mayHaveExecuted bool
 	executedAt      time.Duration
 	executedBackend *backend
@@ -59,7 +59,7 @@
 	if r.Class < 0 || r.Class >= len(b.settings.Classes) {
 		r.Class = 0
 	}
-	if !b.quotas.knows(r.Tenant) {
+	if !b.quotas.hasTenant(r.Tenant) {
 		r.Tenant = 0
 	}
 	if r.RetryPolicy == nil {
@@ -86,8 +86,8 @@
 	return req
 }
 
-// assignKeys sets the keys that a request is placed by. The group is hashed where there is one, since every
-// backend that holds any connection of a group pays for the work they share.
+// assignKeys sets the keys by which a request is placed. The group, if there is one, is hashed instead of the client,
+// since each backend with a connection of a group does the work that the group shares.
 func (b *Balancer) assignKeys(req *request) {
 	req.hashKey = mixBits(req.Key)
 	switch {
@@ -100,7 +100,7 @@
 	if req.grouped {
 		return
 	}
-	// The index of a class may change by a reload or in the next process; the hash of its name does not.
+	// The index of a class may change by a reload or in the successor process; the hash of its name does not.
 	class := b.settings.Classes[req.Class].NameHash
 	if class == 0 {
 		class = uint64(req.Class)
@@ -108,8 +108,8 @@
 	req.flowKey = mixBits(req.hashKey ^ class)
 }
 
-// isFirstMidStreamAttempt reports whether the request carries packets of an open connection that have not
-// been sent anywhere yet.
+// isFirstMidStreamAttempt reports whether the request carries packets of an open connection and has not been
+// attempted yet.
 func (r *request) isFirstMidStreamAttempt() bool { return r.MidStream && r.attempts == 0 }
 
 // recordAttempt records an attempt that starts now.
@@ -133,7 +133,7 @@
 	}
 }
 
-// latencyObjective is the time within which the connection should be established.
+// latencyObjective returns the time within which the connection of a request should be established.
 func (b *Balancer) latencyObjective(req *request) time.Duration {
 	return b.settings.Classes[req.Class].LatencyObjective
 }
@@ -147,8 +147,9 @@
 	return req
 }
 
-// attempt starts the next attempt of a request, or holds it until there is a ready backend or its backend's
-// health has been checked. It rejects a request that nothing has room for.
+// attempt starts the next attempt of a request, or holds the request until there is a ready backend or until its
+// backend has been checked. It answers the request if no backend can accept it, if its tenant is over its quota,
+// or if the pacing allows no attempt now.
 func (b *Balancer) attempt(now time.Duration, req *request) {
 	if len(b.endpoints.ready) == 0 {
 		b.held = append(b.held, req)
@@ -159,7 +160,7 @@
 		target = b.choosePlacement(now, req)
 	}
 	if target == nil || b.isOverQuota(req) || b.pacer.mustWait(now) && !req.MidStream {
-		b.answer(req)
+		b.rejectOrFail(req)
 		return
 	}
 	if b.awaitHealthCheck(now, target, req) {
@@ -177,8 +178,8 @@
 	if b.slowStartShare(now, target) < 1 {
 		target.slowStart.spend()
 	}
-	// An attempt has all the time left unless its policy says less: while connections are slow to establish
-	// everywhere, attempts cut short are repeated and keep them slow.
+	// Without a timeout in the policy an attempt may use all the time left: if connections are slow to establish at
+	// all backends, shorter attempts would be repeated and keep them slow.
 	timeout := req.deadline - now
 	if limit := req.RetryPolicy.AttemptTimeout; limit > 0 {
 		timeout = min(timeout, limit)
@@ -189,7 +190,7 @@
 	b.actions.Send(req.ID, target.ID, timeout)
 }
 
-// finish ends the request for its client; a pending attempt is still reported.
+// finish marks the request as answered. It is deleted once it has no attempt or connection.
 func (b *Balancer) finish(req *request) {
 	req.answered = true
 	if req.backend == nil {
@@ -197,11 +198,11 @@
 	}
 }
 
-// attach counts a request among those of its backend.
+// attach adds a request to its backend and to the counts of connections and load.
 func (b *Balancer) attach(req *request, target *backend) {
 	req.backend, req.index = target, len(target.openRequests)
 	target.openRequests = append(target.openRequests, req)
-	b.concurrency.watch(target)
+	b.concurrency.maintain(target)
 	target.groupConnections[req.hashKey]++
 	b.quotas.add(req.Tenant, 1)
 	target.add(req, 1)
@@ -226,13 +227,13 @@
 	b.loads.total.add(req, -1)
 }
 
-// arrivalRate counts requests, older ones with an exponentially falling weight.
+// arrivalRate counts requests, with an exponentially falling weight for older ones.
 type arrivalRate struct {
 	recent float64
 	last   time.Duration // when the last request arrived
 }
 
-// record counts a request and returns what was counted before it.
+// record counts a request and returns the decayed count before it.
 func (a *arrivalRate) record(now time.Duration) float64 {
 	a.recent *= math.Exp(-(now - a.last).Seconds() / arrivalWindow.Seconds())
 	before := a.recent
--- a/balance/settings.go
+++ b/balance/settings.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Idempotency says what repeating a request does.
+// Idempotency tells whether a request may safely be repeated.
 type Idempotency uint8
 
 // The kinds of idempotency.
 const (
-	Idempotent        Idempotency = iota // a repeat does no harm
+	Idempotent        Idempotency = iota // a repeat is harmless
 	IdempotentWithKey                    // repeats are discarded within Class.DedupScope and Class.DedupWindow
 	NonIdempotent                        // a repeat may execute twice
 )
 
-// DedupScope is the set of backends that discards repeats of a request with an idempotency key.
+// DedupScope is the set of backends that discard repeats of a request with an idempotency key.
 type DedupScope uint8
 
 // The deduplication scopes.
@@ -30,13 +30,13 @@
 	Idempotency             Idempotency
 	DedupScope              DedupScope
 	DedupWindow             time.Duration // how long repeats are discarded
-	PriorityWeight          float64       // value of a request in units of the usual one
+	PriorityWeight          float64       // value of a request; 1: that of a normal one
 	NameHash                uint64        // the same for all classes of one name, whatever their index; 0: unknown
-	Retired                 bool          // removed from the settings; only requests accepted before still have it
+	Retired                 bool          // removed from the settings; only requests accepted before that still use it
 }
 
-// RetryPolicy says how long a request may take and how often it is attempted. It never
-// changes once a request has it. A zero field leaves the value to the Settings.
+// RetryPolicy tells how long a request may take and how often it is attempted. It must not be
+// changed while a request uses it. A zero field means the value of the Settings.
 type RetryPolicy struct {
 	ConnectTimeout time.Duration // for a connection to be established; 0: Settings.DialTimeout
 	AttemptTimeout time.Duration // for one attempt, connecting included; 0: all the time left
@@ -44,8 +44,8 @@
 	MaxAttempts    int           // 0: Settings.MaxAttempts, which is never exceeded
 	BaseBackoff    time.Duration // before the second attempt; doubles with each further one, with jitter
 	MaxBackoff     time.Duration // upper bound of the backoff; 0: none
-	RetryBudget    float64       // retries that a request adds to the relay's budget; 0: the default share
-	HedgeDelay     time.Duration // silence after which the first attempt is replaced by another; 0: never
+	RetryBudget    float64       // retries that a request adds to the relay's budget; 0: the default
+	HedgeDelay     time.Duration // time without an answer after which another attempt replaces the first; 0: never
 }
 
 // Tenant is one customer of the service.
@@ -55,7 +55,7 @@
 	ConnectionQuota   float64 // open connections within its share, over all relays; 0: no quota
 }
 
-// WeightMode says what Backend.Weight means.
+// WeightMode tells what Backend.Weight means.
 type WeightMode uint8
 
 // The meanings of a weight.
@@ -63,7 +63,7 @@
 	WeightsOff WeightMode = iota
 	WeightsNominal
 	WeightsRough
-	WeightsLive // varies with the load, so it is no size to hash by
+	WeightsLive // varies with the load, so it is not used as the size of a backend
 )
 
 // ReportField identifies one value of a load report.
@@ -80,13 +80,13 @@
 	FieldBacklog                 // seconds of queued work
 )
 
-// Costs are the operator's prices of side effects, as fractions of the goal.
+// Costs are the operator's weights of side effects, as fractions of the goal.
 type Costs struct {
 	CrossZone, Waste, HealthCheck, Migration, Gossip, List, LateFailure float64
 }
 
-// Settings configure a Balancer, at its start or by a reload. The index of a class stays its
-// own: a changed class is appended as a new one.
+// Settings configure a Balancer, at its start or by a reload. The index of a class is never reused
+// for another one: a changed class is appended as a new one.
 type Settings struct {
 	RelayIndex, RelayCount int           // index of this relay, and the number of relays
 	Zone                   int           // zone of this relay
@@ -94,27 +94,27 @@
 
 	Classes           []Class
 	Tenants           []Tenant
-	OverQuotaPriority float64 // value of a request over its tenant's quota, 1: as any other
+	OverQuotaPriority float64 // value of a request over its tenant's quota; 1: as any other
 
 	Groups                bool          // connections of a group share work on a backend
-	PassThrough           bool          // packets pass through, so connections may arrive mid-stream
+	PassThrough           bool          // the relay forwards packets, so connections may arrive mid-stream
 	ReportsConnectionLoad bool          // load reports on a connection contain its load
 	ReportsMessageDelay   bool          // load reports on a connection contain the delay of messages
 	ParkTime              time.Duration // how long a client waits before it reconnects
 
-	HealthChecks, Gossip, Cancellation, RetryAfter bool // what the deployment allows
+	HealthChecks, Gossip, Cancellation, RetryAfter bool // features that the deployment allows
 
-	MaxAttempts   int           // attempts of a request, the first included
+	MaxAttempts   int           // attempts of a request, including the first
 	MaxRetryAfter time.Duration // upper bound of the retry-after time of a rejection
 	DialTimeout   time.Duration // for a connection to be established
 
-	PollEndpoints bool          // the endpoint list answers only when asked
-	PollInterval  time.Duration // how long to wait for an answer of the endpoint list
+	PollEndpoints bool          // the endpoint list is sent only on request
+	PollInterval  time.Duration // how long to wait for the answer to a request for the endpoint list
 
 	AnswerSlack      time.Duration // how long after its deadline a request may still be answered
-	DrainGrace       time.Duration // how long a draining backend goes on serving
+	DrainGrace       time.Duration // how long a draining backend continues to serve
 	SlowStartFloor   float64       // fraction of its capacity that a backend has when it starts
-	SlowStartWindow  time.Duration // from its start until a backend has its full capacity
+	SlowStartWindow  time.Duration // time from its start until a backend has its full capacity
 	OverloadMultiple float64       // a cold backend is overloaded by this multiple of its capacity ...
 	OverloadWindow   time.Duration // ... arriving within this time
 
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -7,22 +7,23 @@
 )
 
 const (
-	// idleFleetConnections is how many connections on each backend all relays without any count as
-	// together. One each would make the sum grow with the number of relays.
+	// idleFleetConnections is the number of connections on each backend that all relays together assume if they
+	// have none. If each relay assumed one, the sum would grow with the number of relays.
 	idleFleetConnections = 8.0
 
-	// maxSlowStartTokens is more than any cold backend is ever sent at once.
+	// maxSlowStartTokens bounds the tokens that a snapshot may hold. It is more than any cold backend ever gets in
+	// one window.
 	maxSlowStartTokens = 1 << 10
 )
 
-// slowStartTokens limits what this relay sends a cold backend within one window.
+// slowStartTokens limits the requests that this relay sends to a cold backend within one window.
 type slowStartTokens struct {
 	tokens   float64       // requests that may still be sent
 	refillAt time.Duration // end of the window
 }
 
-// reset empties the tokens of a backend that has started. The first window begins at a random moment, so
-// that those of many relays do not coincide.
+// reset removes the tokens of a backend that has started. The first window begins after a random offset, so
+// that the windows of many relays do not coincide.
 func (t *slowStartTokens) reset(now, offset time.Duration) {
 	t.tokens, t.refillAt = 0, now+offset
 }
@@ -33,10 +34,10 @@
 	t.refillAt = now + window - (now-t.refillAt)%window
 }
 
-// spend takes a token for a request.
+// spend uses one token for a request.
 func (t *slowStartTokens) spend() { t.tokens-- }
 
-// slowStartShare is the fraction of its capacity that a backend certainly has: it rises from
+// slowStartShare returns the fraction of its capacity that a backend is assumed to have: it rises from
 // SlowStartFloor to 1 over SlowStartWindow.
 func (b *Balancer) slowStartShare(now time.Duration, target *backend) float64 {
 	age, window := now-target.ReadyAt, b.settings.SlowStartWindow
@@ -47,8 +48,8 @@
 	return floor + (1-floor)*max(0, float64(age)/float64(window))
 }
 
-// slowStartAccepts reports whether a backend in slow start accepts a request: a rising share of its keys,
-// within this relay's tokens.
+// slowStartAccepts reports whether slow start allows a request on a backend. A cold backend accepts a rising share
+// of its keys, within this relay's tokens.
 func (b *Balancer) slowStartAccepts(now time.Duration, target *backend, req *request) bool {
 	share := b.slowStartShare(now, target)
 	if share >= 1 {
@@ -59,34 +60,35 @@
 }
 
 // hasSlowStartToken reports whether a cold backend may get one more request from this relay in the present
-// window. Unused tokens lapse: in a rush, what all relays had saved would arrive at once.
+// window. Unused tokens expire: in a burst, the tokens saved by all relays would otherwise be spent at once.
 func (b *Balancer) hasSlowStartToken(now time.Duration, target *backend) bool {
 	if now >= target.slowStart.refillAt {
 		window := max(1, b.settings.OverloadWindow)
-		// The fraction of a token is drawn, so that the sum over many relays comes out.
+		// A fraction of a token is rounded at random, so that the sum over many relays is right on average.
 		tokens := math.Floor(b.slowStartRate(now, target)*window.Seconds() + b.rng.Float64())
 		target.slowStart.refill(now, window, tokens)
 	}
 	return target.slowStart.tokens >= 1
 }
 
-// slowStartRate is how many requests a second this relay may send a cold backend: half of what would
-// overload it, judged by what this relay has on warm backends of its size, spread over the slow start.
+// slowStartRate returns how many requests a second this relay may send to a cold backend: half of what would
+// overload it. The capacity of the backend is estimated from this relay's connections on warm backends, by size,
+// and spread over the slow start window.
 func (b *Balancer) slowStartRate(now time.Duration, target *backend) float64 {
-	connections, size := b.warmFleet(now)
+	connections, size := b.sumWarmBackends(now)
 	idle := idleFleetConnections / float64(b.settings.RelayCount) * float64(len(b.endpoints.ready))
 	connections = max(connections, min(1, idle))
 	utilization := max(b.health.meanUtilization, fillTargetByReports)
-	toFill := connections / utilization / cmp.Or(size, float64(len(b.endpoints.ready))) * target.size
-	return b.settings.OverloadMultiple / 2 * toFill * b.slowStartShare(now, target) / b.settings.SlowStartWindow.Seconds()
+	connectionsToFill := connections / utilization / cmp.Or(size, float64(len(b.endpoints.ready))) * target.size
+	return b.settings.OverloadMultiple / 2 * connectionsToFill * b.slowStartShare(now, target) / b.settings.SlowStartWindow.Seconds()
 }
 
-// warmFleet sums up this relay's connections on the warm backends, and their sizes.
-func (b *Balancer) warmFleet(now time.Duration) (connections, size float64) {
-	for _, s := range b.endpoints.ready {
-		if b.slowStartShare(now, s) >= 1 {
-			connections += float64(s.connections)
-			size += s.size
+// sumWarmBackends returns the number of this relay's connections on all warm backends, and the sum of their sizes.
+func (b *Balancer) sumWarmBackends(now time.Duration) (connections, size float64) {
+	for _, target := range b.endpoints.ready {
+		if b.slowStartShare(now, target) >= 1 {
+			connections += float64(target.connections)
+			size += target.size
 		}
 	}
 	return connections, size
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -7,27 +7,27 @@
 	"time"
 )
 
-// countColdSends runs many relays that learn of a start together, each with more of the new
-// backend's keys than it can take, and counts what the backend is sent at once.
-func countColdSends(t *testing.T, relays int, at time.Duration) int {
+// countColdSends runs many relays that see a backend start at the same time, each with more requests for it
+// than it can take. It returns the number of requests sent to it at its start and again after the given time.
+func countColdSends(t *testing.T, relays int, after time.Duration) int {
 	t.Helper()
 	n := 0
 	for relay := range relays {
-		r := &recorder{}
-		b := New(sec, uint64(relay), defaultSettings(), r)
-		b.EndpointsUpdated(sec, UpdateCached, readyBackends(4))
+		rec := &recorder{}
+		balancer := New(sec, uint64(relay), defaultSettings(), rec)
+		balancer.EndpointsUpdated(sec, UpdateCached, readyBackends(4))
 		for id := uint64(1); id <= 40; id++ {
-			mustSend(t, b, r, sec, Request{ID: id, Key: id})
-			b.AttemptSucceeded(sec, AttemptResult{ID: id})
+			mustSend(t, balancer, rec, sec, Request{ID: id, Key: id})
+			balancer.AttemptSucceeded(sec, AttemptResult{ID: id})
 		}
-		b.EndpointsUpdated(20*sec, UpdateDelta, []Backend{{ID: 9, State: StateReady, Weight: 1, ReadyAt: 20 * sec}})
+		balancer.EndpointsUpdated(20*sec, UpdateDelta, []Backend{{ID: 9, State: StateReady, Weight: 1, ReadyAt: 20 * sec}})
 		for id := uint64(100); id < 160; id++ {
-			if mustSend(t, b, r, 20*sec, Request{ID: id, Key: id}) == 9 {
+			if mustSend(t, balancer, rec, 20*sec, Request{ID: id, Key: id}) == 9 {
 				n++
 			}
 		}
 		for id := uint64(1000); id < 1060; id++ {
-			if mustSend(t, b, r, 20*sec+at, Request{ID: id, Key: id}) == 9 {
+			if mustSend(t, balancer, rec, 20*sec+after, Request{ID: id, Key: id}) == 9 {
 				n++
 			}
 		}
@@ -35,131 +35,132 @@
 	return n
 }
 
-// Many relays learn of a start in the same second; one connection from each at once would overload the
-// backend.
+// Many relays see a backend start in the same second. One connection from each at once would overload it.
 func TestSlowStart_ManyRelaysDoNotOverload(t *testing.T) {
 	if n := countColdSends(t, 18, 100*ms); n > 4 {
-		t.Errorf("18 relays sent a backend %d connections in its first tenth of a second", n)
+		t.Errorf("18 relays sent a backend %d connections in its first 100 ms", n)
 	}
 	if n := countColdSends(t, 18, 3*sec); n == 0 {
-		t.Error("a cold backend is never filled")
+		t.Error("18 relays sent a cold backend no connection in 3 s")
 	}
 }
 
-// After most relays were killed at once, the restarted ones have no connections to judge a cold backend
-// by. If each of them sent it nothing, nobody would fill it.
+// After most relays were killed at once, the restarted ones have no connections to estimate the capacity of a
+// cold backend by. If they sent it nothing, it would stay empty.
 func TestSlowStart_RelaysWithoutConnectionsFillColdBackend(t *testing.T) {
 	n := 0
 	for relay := range 240 {
-		r := &recorder{}
-		s := defaultSettings()
-		s.RelayCount = 240
-		b := New(sec, uint64(relay), s, r)
+		rec := &recorder{}
+		settings := defaultSettings()
+		settings.RelayCount = 240
+		balancer := New(sec, uint64(relay), settings, rec)
 		list := readyBackends(10)
 		list[0].ReadyAt = sec
-		b.EndpointsUpdated(sec, UpdateCached, list)
-		for i := uint64(1); i <= 40; i++ { // short ones: none is open when the next comes
+		balancer.EndpointsUpdated(sec, UpdateCached, list)
+		for i := uint64(1); i <= 40; i++ { // short connections: none is open when the next request arrives
 			id := uint64(relay)*100 + i
 			now := sec + time.Duration(i)*200*ms
-			if mustSend(t, b, r, now, Request{ID: id, Key: id}) == 1 {
+			if mustSend(t, balancer, rec, now, Request{ID: id, Key: id}) == 1 {
 				n++
 			}
-			b.AttemptEnded(now, AttemptResult{ID: id, Status: StatusOK, Closed: true})
+			balancer.AttemptEnded(now, AttemptResult{ID: id, Status: StatusOK, Closed: true})
 		}
 	}
-	if n < 4 || n > 24 { // 240 relays' one connection each on 10 backends
-		t.Errorf("240 relays gave a cold backend %d connections over its slow start", n)
+	if n < 4 || n > 24 { // 24: one connection of each of 240 relays, on 10 backends
+		t.Errorf("240 relays sent a cold backend %d connections over its slow start", n)
 	}
 }
 
-// coldFleet is many relays with ten warm backends and one that has just started. The relays exchange nothing.
+// coldFleet describes many relays with ten warm backends and one that has just started. The relays exchange no
+// messages.
 type coldFleet struct {
-	relays         int
-	callsPerWindow float64       // calls that the backend may get in a window when it has just started
-	rushAfter      time.Duration // after the start; from then on each relay has more for it than it can take
-	restartHalf    bool          // half of the relays restart a second before the rush
-	uneven         bool          // one relay has a third of the connections
-	idle           bool          // connections are few: most relays hold none
-	midStream      bool          // the requests of the rush are mid-stream: other relays have died
-	minFilled      float64       // this part of what fills a backend is to come over its slow start
+	relays            int
+	requestsPerWindow float64       // requests that the backend may get in a window when it has just started
+	rushAfter         time.Duration // from this time after the start, each relay has more requests for it than it can take
+	restartHalf       bool          // half of the relays restart a second before the rush
+	uneven            bool          // one relay has a third of the connections
+	idle              bool          // connections are few: most relays have none
+	midStream         bool          // the requests of the rush are mid-stream: other relays have died
+	minFilled         float64       // least fraction of its capacity that the backend gets over its slow start
 }
 
 const (
-	warmBackends = 10 // warm ones, and one that starts
+	warmBackends = 10 // besides the one that starts
 	coldStart    = 20 * sec
 )
 
-// simulate returns when calls reached the cold backend, and how many connections fill one.
-func (f coldFleet) simulate(t *testing.T, seed uint64) (at []time.Duration, set Settings, fills float64) {
+// simulate returns the times of the requests sent to the cold backend, the settings, and the number of
+// connections that a backend has capacity for.
+func (f coldFleet) simulate(t *testing.T, seed uint64) (sentAt []time.Duration, settings Settings, capacity float64) {
 	t.Helper()
-	set = defaultSettings()
-	set.RelayCount, set.PassThrough, set.ReportsConnectionLoad, set.ReportsMessageDelay = f.relays, true, false, false
-	set.SlowStartFloor, set.SlowStartWindow, set.OverloadMultiple, set.OverloadWindow = 0.3, 8*sec, 2.5, 3*sec
-	fills = f.callsPerWindow / (set.OverloadMultiple * set.SlowStartFloor * set.OverloadWindow.Seconds() / set.SlowStartWindow.Seconds())
-	conns := 0.6 * fills * warmBackends
+	settings = defaultSettings()
+	settings.RelayCount, settings.PassThrough, settings.ReportsConnectionLoad, settings.ReportsMessageDelay = f.relays, true, false, false
+	settings.SlowStartFloor, settings.SlowStartWindow, settings.OverloadMultiple, settings.OverloadWindow = 0.3, 8*sec, 2.5, 3*sec
+	capacity = f.requestsPerWindow / (settings.OverloadMultiple * settings.SlowStartFloor * settings.OverloadWindow.Seconds() / settings.SlowStartWindow.Seconds())
+	conns := 0.6 * capacity * warmBackends
 	if f.idle {
 		conns = math.Min(conns, 0.3*float64(f.relays))
 	}
 	rng := rand.New(rand.NewPCG(seed, 5))
-	var keys []uint64
-	check := New(sec, 1, set, &recorder{})
-	check.EndpointsUpdated(sec, UpdateCached, append(readyBackends(warmBackends), Backend{ID: 99, State: StateReady, Weight: 1}))
-	for len(keys) < 400 {
-		if key := rng.Uint64(); check.ring.first(mixBits(key), func(*backend) bool { return true }).ID == 99 {
-			keys = append(keys, key)
+	var coldKeys []uint64
+	reference := New(sec, 1, settings, &recorder{})
+	reference.EndpointsUpdated(sec, UpdateCached, append(readyBackends(warmBackends), Backend{ID: 99, State: StateReady, Weight: 1}))
+	for len(coldKeys) < 400 {
+		if key := rng.Uint64(); reference.rendezvous.first(mixBits(key), func(*backend) bool { return true }).ID == 99 {
+			coldKeys = append(coldKeys, key)
 		}
 	}
-	type relay struct {
-		b     *Balancer
-		r     *recorder
-		conns int
+	type simulatedRelay struct {
+		balancer *Balancer
+		rec      *recorder
+		conns    int
 	}
 	id := uint64(0)
 	start := coldStart
 	cold := Backend{ID: 99, State: StateReady, Weight: 1, ReadyAt: start}
-	begin := func(x *relay, now time.Duration, listed bool) {
-		x.r = &recorder{}
-		x.b = New(now, rng.Uint64(), set, x.r)
+	startRelay := func(relay *simulatedRelay, now time.Duration, coldListed bool) {
+		relay.rec = &recorder{}
+		relay.balancer = New(now, rng.Uint64(), settings, relay.rec)
 		list := readyBackends(warmBackends)
-		if listed {
+		if coldListed {
 			list = append(list, cold)
 		}
-		x.b.EndpointsUpdated(now, UpdateCached, list)
+		relay.balancer.EndpointsUpdated(now, UpdateCached, list)
 	}
-	relays := make([]*relay, f.relays)
+	relays := make([]*simulatedRelay, f.relays)
 	for i := range relays {
-		x := &relay{}
-		relays[i] = x
-		begin(x, sec, false)
-		part := conns / float64(f.relays)
+		relay := &simulatedRelay{}
+		relays[i] = relay
+		startRelay(relay, sec, false)
+		share := conns / float64(f.relays)
 		if f.uneven {
-			part = conns * 2 / 3 / float64(f.relays-1)
+			share = conns * 2 / 3 / float64(f.relays-1)
 			if i == 0 {
-				part = conns / 3
+				share = conns / 3
 			}
 		}
-		x.conns = int(part)
-		if rng.Float64() < part-float64(x.conns) {
-			x.conns++
+		relay.conns = int(share)
+		if rng.Float64() < share-float64(relay.conns) {
+			relay.conns++
 		}
-		for range x.conns {
+		for range relay.conns {
 			id++
-			mustSend(t, x.b, x.r, sec, Request{ID: id, Key: rng.Uint64()})
-			x.b.AttemptSucceeded(sec, AttemptResult{ID: id})
+			mustSend(t, relay.balancer, relay.rec, sec, Request{ID: id, Key: rng.Uint64()})
+			relay.balancer.AttemptSucceeded(sec, AttemptResult{ID: id})
 		}
 	}
-	for _, x := range relays {
-		x.b.EndpointsUpdated(start, UpdateDelta, []Backend{cold})
+	for _, relay := range relays {
+		relay.balancer.EndpointsUpdated(start, UpdateDelta, []Backend{cold})
 	}
-	for now := start; now < start+set.SlowStartWindow; now += 100 * ms {
+	for now := start; now < start+settings.SlowStartWindow; now += 100 * ms {
 		if f.restartHalf && now == start+f.rushAfter-sec {
-			for i, x := range relays {
+			for i, relay := range relays {
 				if i%2 == 1 {
-					begin(x, now, true)
+					startRelay(relay, now, true)
 				}
 			}
 		}
-		for _, x := range relays {
+		for _, relay := range relays {
 			n := 0
 			if now >= start+f.rushAfter {
 				n = 2
@@ -168,59 +169,60 @@
 			}
 			for range n {
 				id++
-				x.r.clear()
-				x.b.RequestArrived(now, Request{ID: id, Key: keys[rng.IntN(len(keys))], TimeLeft: 2 * sec, MidStream: f.midStream && now >= start+f.rushAfter})
-				if got := x.r.take(actionSend); len(got) == 1 {
+				relay.rec.clear()
+				relay.balancer.RequestArrived(now, Request{ID: id, Key: coldKeys[rng.IntN(len(coldKeys))], TimeLeft: 2 * sec, MidStream: f.midStream && now >= start+f.rushAfter})
+				if got := relay.rec.take(actionSend); len(got) == 1 {
 					if got[0].to == 99 {
-						at = append(at, now)
+						sentAt = append(sentAt, now)
 					}
-					x.b.AttemptEnded(now, AttemptResult{ID: id, Status: StatusCancelled, Closed: true})
+					relay.balancer.AttemptEnded(now, AttemptResult{ID: id, Status: StatusCancelled, Closed: true})
 				}
 			}
 		}
 	}
-	return at, set, fills
+	return sentAt, settings, capacity
 }
 
-// The sum of what all relays send a cold backend is within its ramp. Beyond the N calls allowed only 2 x
-// root of N + 2 are chance, however many relays there are and whatever they hold; and the room is used.
+// The requests that all relays together send a cold backend stay within its slow start, however many relays
+// there are and whatever connections they have. Beyond the N requests allowed in a window, only 2 x root of
+// N + 2 are put down to chance. The room that slow start leaves is used.
 func TestSlowStart_RampHoldsAcrossRelays(t *testing.T) {
 	for name, c := range map[string]coldFleet{
-		"a rush right after its start":             {rushAfter: 500 * ms, minFilled: 0.15},
-		"a rush in the middle":                     {rushAfter: 4 * sec, minFilled: 0.15},
-		"a rush near the end":                      {rushAfter: 6500 * ms, minFilled: 0.15},
-		"half of the relays restarted":             {rushAfter: 4 * sec, restartHalf: true, minFilled: 0.08},
-		"one relay with a third of all":            {rushAfter: 4 * sec, uneven: true, minFilled: 0.15},
-		"most relays without connections":          {rushAfter: 4 * sec, idle: true},
-		"most without connections, half restarted": {rushAfter: 6500 * ms, idle: true, restartHalf: true},
-		"mid-stream":                               {rushAfter: 4 * sec, midStream: true, minFilled: 0.15},
+		"a rush right after its start":              {rushAfter: 500 * ms, minFilled: 0.15},
+		"a rush in the middle":                      {rushAfter: 4 * sec, minFilled: 0.15},
+		"a rush near the end":                       {rushAfter: 6500 * ms, minFilled: 0.15},
+		"half of the relays restarted":              {rushAfter: 4 * sec, restartHalf: true, minFilled: 0.08},
+		"one relay with a third of the connections": {rushAfter: 4 * sec, uneven: true, minFilled: 0.15},
+		"most relays without connections":           {rushAfter: 4 * sec, idle: true},
+		"most without connections, half restarted":  {rushAfter: 6500 * ms, idle: true, restartHalf: true},
+		"mid-stream": {rushAfter: 4 * sec, midStream: true, minFilled: 0.15},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for _, relays := range []int{20, 30, 200, 350} {
-				for _, n := range []float64{5, 20, 100} {
-					c.relays, c.callsPerWindow = relays, n
-					used := 0.0
+				for _, budget := range []float64{5, 20, 100} {
+					c.relays, c.requestsPerWindow = relays, budget
+					filled := 0.0
 					for seed := range uint64(3) {
-						at, set, fills := c.simulate(t, seed)
-						used += float64(len(at)) / fills / 3
-						for i, from := range at {
-							calls := 0
-							for _, to := range at[i:] {
-								if to-from <= set.OverloadWindow {
-									calls++
+						sentAt, settings, capacity := c.simulate(t, seed)
+						filled += float64(len(sentAt)) / capacity / 3
+						for i, from := range sentAt {
+							requests := 0
+							for _, to := range sentAt[i:] {
+								if to-from <= settings.OverloadWindow {
+									requests++
 								}
 							}
-							age := float64(from-coldStart) / float64(set.SlowStartWindow)
-							most := set.OverloadMultiple * (set.SlowStartFloor + (1-set.SlowStartFloor)*age) * fills * set.OverloadWindow.Seconds() / set.SlowStartWindow.Seconds()
-							if float64(calls) > most+2*math.Sqrt(most)+2 {
-								t.Fatalf("%d relays, budget %v at the start, seed %d: %d calls in a window where %.1f are allowed",
-									relays, n, seed, calls, most)
+							age := float64(from-coldStart) / float64(settings.SlowStartWindow)
+							allowed := settings.OverloadMultiple * (settings.SlowStartFloor + (1-settings.SlowStartFloor)*age) * capacity * settings.OverloadWindow.Seconds() / settings.SlowStartWindow.Seconds()
+							if float64(requests) > allowed+2*math.Sqrt(allowed)+2 {
+								t.Fatalf("%d relays, budget %v at the start, seed %d: %d requests in a window where %.1f are allowed",
+									relays, budget, seed, requests, allowed)
 							}
 						}
 					}
-					if used < c.minFilled {
-						t.Errorf("%d relays, budget %v: %.2f of what fills a backend came over its slow start", relays, n, used)
+					if filled < c.minFilled {
+						t.Errorf("%d relays, budget %v: the backend got %.2f of its capacity over its slow start", relays, budget, filled)
 					}
 				}
 			}
@@ -228,129 +230,130 @@
 	}
 }
 
-// A mid-stream connection that is known to be open at a cold backend goes there, tokens or not: any other
-// would reset it. An unknown one takes a token or goes to the next backend of its order.
+// A mid-stream connection with a sticky override to a cold backend goes there even without a token: any other
+// backend would reset it. One without an override takes a token or goes to the next backend in its rendezvous
+// order.
 func TestSlowStart_MidStreamFollowsStickyOverride(t *testing.T) {
-	for _, known := range []bool{true, false} {
-		s := defaultSettings()
-		s.PassThrough = true
-		b, r := newTestBalancer(t, s, 4)
+	for _, overridden := range []bool{true, false} {
+		settings := defaultSettings()
+		settings.PassThrough = true
+		balancer, rec := newTestBalancer(t, settings, 4)
 		cold := Backend{ID: 9, State: StateReady, Weight: 1, ReadyAt: 20 * sec}
-		b.EndpointsUpdated(20*sec, UpdateDelta, []Backend{cold})
+		balancer.EndpointsUpdated(20*sec, UpdateDelta, []Backend{cold})
 		sends := 0
 		for id := uint64(1); id <= 40; id++ {
-			q := Request{ID: id, Key: id, MidStream: true, TimeLeft: 2 * sec}
-			c := b.newRequest(20*sec, q)
-			delete(b.requests, id)
-			if known {
-				b.sticky.remember(20*sec, c.flowKey, b.endpoints.byID[9])
+			req := Request{ID: id, Key: id, MidStream: true, TimeLeft: 2 * sec}
+			created := balancer.newRequest(20*sec, req)
+			delete(balancer.requests, id)
+			if overridden {
+				balancer.sticky.store(20*sec, created.flowKey, balancer.endpoints.byID[9])
 			}
-			if mustSend(t, b, r, 20*sec, q) == 9 {
+			if mustSend(t, balancer, rec, 20*sec, req) == 9 {
 				sends++
 			}
 		}
-		if known && sends != 40 || !known && sends > 1 {
-			t.Errorf("known %v: %d of 40 went to the cold backend", known, sends)
+		if overridden && sends != 40 || !overridden && sends > 1 {
+			t.Errorf("sticky override %v: %d of 40 went to the cold backend", overridden, sends)
 		}
 	}
 }
 
-// Most backends are replaced at once: those that are left report to be full, and the new ones are cold.
-// Few keys have their primary there, and few relays hold a token for one at a time. Whichever does sends
-// it any key that finds its primary full; the tokens still hold.
+// Most backends are replaced at once: those that are left report that they are full, and the new ones are cold.
+// Few keys have their primary on a cold backend, and few relays have a token for one at a time. A relay with a
+// token sends the cold backend any request whose primary is full; the tokens still limit the sum.
 func TestSlowStart_WarmingBackendTakesOverflow(t *testing.T) {
 	const warm, cold = 10, 6
 	for _, relays := range []int{30, 300} {
 		for _, groups := range []bool{false, true} {
 			rng := rand.New(rand.NewPCG(uint64(relays), 7))
-			set := defaultSettings()
-			set.RelayCount, set.HealthChecks, set.ReportFields, set.Groups = relays, true, []ReportField{FieldLoadShare}, groups
-			set.SlowStartFloor, set.SlowStartWindow, set.OverloadMultiple, set.OverloadWindow, set.ReportsMessageDelay = 0.3, 8*sec, 2.5, 3*sec, false
-			const fills = 40.0 // connections fill a backend
-			type relay struct {
-				b *Balancer
-				r *recorder
+			settings := defaultSettings()
+			settings.RelayCount, settings.HealthChecks, settings.ReportFields, settings.Groups = relays, true, []ReportField{FieldLoadShare}, groups
+			settings.SlowStartFloor, settings.SlowStartWindow, settings.OverloadMultiple, settings.OverloadWindow, settings.ReportsMessageDelay = 0.3, 8*sec, 2.5, 3*sec, false
+			const capacity = 40.0 // connections that fill a backend
+			type simulatedRelay struct {
+				balancer *Balancer
+				rec      *recorder
 			}
-			all := make([]relay, relays)
+			all := make([]simulatedRelay, relays)
 			id := uint64(0)
-			starts := readyBackends(warm)
+			list := readyBackends(warm)
 			for i := range cold {
-				starts = append(starts, Backend{ID: BackendID(100 + i), State: StateReady, Weight: 1, ReadyAt: coldStart})
+				list = append(list, Backend{ID: BackendID(100 + i), State: StateReady, Weight: 1, ReadyAt: coldStart})
 			}
 			for i := range all {
-				x := relay{r: &recorder{}}
-				x.b = New(sec, rng.Uint64(), set, x.r)
-				x.b.EndpointsUpdated(sec, UpdateCached, readyBackends(warm))
-				for s := range minFleetReports {
-					x.b.HealthCheckDone(sec, HealthCheckResult{Backend: BackendID(1 + s%warm), Latency: ms, Load: []float32{0.5}})
+				relay := simulatedRelay{rec: &recorder{}}
+				relay.balancer = New(sec, rng.Uint64(), settings, relay.rec)
+				relay.balancer.EndpointsUpdated(sec, UpdateCached, readyBackends(warm))
+				for report := range minFleetReports {
+					relay.balancer.HealthCheckDone(sec, HealthCheckResult{Backend: BackendID(1 + report%warm), Latency: ms, Load: []float32{0.5}})
 				}
-				for range int(fills*warm/float64(relays) + rng.Float64()) {
+				for range int(capacity*warm/float64(relays) + rng.Float64()) {
 					id++
-					mustSend(t, x.b, x.r, sec, Request{ID: id, Key: rng.Uint64(), Group: id})
-					x.b.AttemptSucceeded(sec, AttemptResult{ID: id})
+					mustSend(t, relay.balancer, relay.rec, sec, Request{ID: id, Key: rng.Uint64(), Group: id})
+					relay.balancer.AttemptSucceeded(sec, AttemptResult{ID: id})
 				}
-				x.b.EndpointsUpdated(coldStart, UpdateDelta, starts[warm:])
-				all[i] = x
+				relay.balancer.EndpointsUpdated(coldStart, UpdateDelta, list[warm:])
+				all[i] = relay
 			}
-			got := map[BackendID][]time.Duration{}
-			for now := coldStart; now < coldStart+set.SlowStartWindow; now += 100 * ms {
-				for _, x := range all {
+			sentAt := map[BackendID][]time.Duration{}
+			for now := coldStart; now < coldStart+settings.SlowStartWindow; now += 100 * ms {
+				for _, relay := range all {
 					if rng.IntN(15) != 0 {
 						continue
 					}
 					id++
-					x.r.clear()
-					x.b.RequestArrived(now, Request{ID: id, Key: rng.Uint64(), Group: id, TimeLeft: 2 * sec, Reconnecting: true})
+					relay.rec.clear()
+					relay.balancer.RequestArrived(now, Request{ID: id, Key: rng.Uint64(), Group: id, TimeLeft: 2 * sec, Reconnecting: true})
 					for range 10 {
-						did := x.r.take(actionCheckHealth)
-						x.r.clear()
-						for _, p := range did {
+						pending := relay.rec.take(actionCheckHealth)
+						relay.rec.clear()
+						for _, p := range pending {
 							load := float32(1.1)
 							if p.to >= 100 {
 								load = 0.1
 							}
-							x.b.HealthCheckDone(now+ms, HealthCheckResult{Backend: p.to, Latency: ms, Load: []float32{load}})
+							relay.balancer.HealthCheckDone(now+ms, HealthCheckResult{Backend: p.to, Latency: ms, Load: []float32{load}})
 						}
-						if to := x.r.take(actionSend); len(to) == 1 {
-							got[to[0].to] = append(got[to[0].to], now)
-							x.b.AttemptEnded(now+ms, AttemptResult{ID: id, Status: StatusCancelled, Closed: true})
+						if to := relay.rec.take(actionSend); len(to) == 1 {
+							sentAt[to[0].to] = append(sentAt[to[0].to], now)
+							relay.balancer.AttemptEnded(now+ms, AttemptResult{ID: id, Status: StatusCancelled, Closed: true})
 							break
 						}
 					}
 				}
 			}
-			used := 0
-			for s := BackendID(100); s < 100+cold; s++ {
-				used += len(got[s])
-				for i, from := range got[s] {
-					calls := 0
-					for _, to := range got[s][i:] {
-						if to-from <= set.OverloadWindow {
-							calls++
+			total := 0
+			for coldID := BackendID(100); coldID < 100+cold; coldID++ {
+				total += len(sentAt[coldID])
+				for i, from := range sentAt[coldID] {
+					requests := 0
+					for _, to := range sentAt[coldID][i:] {
+						if to-from <= settings.OverloadWindow {
+							requests++
 						}
 					}
-					age := float64(from-coldStart) / float64(set.SlowStartWindow)
-					most := set.OverloadMultiple * (set.SlowStartFloor + (1-set.SlowStartFloor)*age) * fills * set.OverloadWindow.Seconds() / set.SlowStartWindow.Seconds()
-					if float64(calls) > most+2*math.Sqrt(most)+2 {
-						t.Fatalf("%d relays: %d calls in a window where %.1f are allowed", relays, calls, most)
+					age := float64(from-coldStart) / float64(settings.SlowStartWindow)
+					allowed := settings.OverloadMultiple * (settings.SlowStartFloor + (1-settings.SlowStartFloor)*age) * capacity * settings.OverloadWindow.Seconds() / settings.SlowStartWindow.Seconds()
+					if float64(requests) > allowed+2*math.Sqrt(allowed)+2 {
+						t.Fatalf("%d relays: %d requests in a window where %.1f are allowed", relays, requests, allowed)
 					}
 				}
 			}
-			part := float64(used) / cold / fills
-			t.Logf("%d relays, groups %v: each cold backend got %.2f of what fills it over its slow start", relays, groups, part)
-			if part < 0.28 {
+			filled := float64(total) / cold / capacity
+			t.Logf("%d relays, groups %v: each cold backend got %.2f of its capacity over its slow start", relays, groups, filled)
+			if filled < 0.28 {
 				t.Error("cold backends stay empty while the others are full")
 			}
 		}
 	}
 }
 
-// All backends have started lately, as after a power cut: no warm one shows what fills a backend, and the
-// connections that idle relays count as are those of each backend, not of the whole fleet.
+// All backends have just started, as after a power cut, and no warm one shows how many connections fill a
+// backend. The connections that relays without any count as are per backend, not for the whole fleet.
 func TestSlowStart_AllBackendsColdAreNotOverloaded(t *testing.T) {
-	const relays, backends, fills = 300, 20, 20.0
-	set := defaultSettings()
-	set.RelayCount, set.SlowStartFloor, set.SlowStartWindow, set.OverloadMultiple, set.OverloadWindow = relays, 0.3, 8*sec, 2.5, 3*sec
+	const relays, backends, capacity = 300, 20, 20.0
+	settings := defaultSettings()
+	settings.RelayCount, settings.SlowStartFloor, settings.SlowStartWindow, settings.OverloadMultiple, settings.OverloadWindow = relays, 0.3, 8*sec, 2.5, 3*sec
 	rng := rand.New(rand.NewPCG(9, 9))
 	list := readyBackends(backends)
 	for i := range list {
@@ -358,27 +361,27 @@
 	}
 	got, id := map[BackendID]int{}, uint64(0)
 	for range relays {
-		r := &recorder{}
-		b := New(coldStart, rng.Uint64(), set, r)
-		b.EndpointsUpdated(coldStart, UpdateCached, list)
-		for now := coldStart; now < coldStart+set.OverloadWindow; now += 100 * ms {
+		rec := &recorder{}
+		balancer := New(coldStart, rng.Uint64(), settings, rec)
+		balancer.EndpointsUpdated(coldStart, UpdateCached, list)
+		for now := coldStart; now < coldStart+settings.OverloadWindow; now += 100 * ms {
 			id++
-			r.clear()
-			b.RequestArrived(now, Request{ID: id, Key: rng.Uint64(), TimeLeft: 2 * sec})
-			if to := r.take(actionSend); len(to) == 1 {
+			rec.clear()
+			balancer.RequestArrived(now, Request{ID: id, Key: rng.Uint64(), TimeLeft: 2 * sec})
+			if to := rec.take(actionSend); len(to) == 1 {
 				got[to[0].to]++
-				b.AttemptEnded(now, AttemptResult{ID: id, Status: StatusCancelled, Closed: true})
+				balancer.AttemptEnded(now, AttemptResult{ID: id, Status: StatusCancelled, Closed: true})
 			}
 		}
 	}
-	most := set.OverloadMultiple * set.SlowStartFloor * fills * set.OverloadWindow.Seconds() / set.SlowStartWindow.Seconds()
+	allowed := settings.OverloadMultiple * settings.SlowStartFloor * capacity * settings.OverloadWindow.Seconds() / settings.SlowStartWindow.Seconds()
 	total := 0
-	for s, n := range got {
-		if total += n; float64(n) > most+2*math.Sqrt(most)+2 {
-			t.Errorf("backend %d got %d calls in its first span, %.1f are allowed", s, n, most)
+	for backendID, n := range got {
+		if total += n; float64(n) > allowed+2*math.Sqrt(allowed)+2 {
+			t.Errorf("backend %d got %d requests in its first window, %.1f are allowed", backendID, n, allowed)
 		}
 	}
 	if total == 0 {
-		t.Error("nobody is served while all backends are cold")
+		t.Error("no request is served while all backends are cold")
 	}
 }
