--- a/balance/snapshot.go
+++ b/balance/snapshot.go
@@ -9,19 +9,19 @@
 	// maxSnapshotOverrides bounds the sticky overrides in a snapshot; the newest are kept.
 	maxSnapshotOverrides = 1 << 12
 
-	// maxSnapshotLatency bounds the latency baseline that a snapshot may hold.
+	// maxSnapshotLatency bounds the latency baseline restored from a snapshot.
 	maxSnapshotLatency = time.Minute
 )
 
-// Snapshot is the state that one process of a relay passes on to the next in a hot restart. It holds what
-// the next one needs so as not to send to ejected backends, to fill cold ones a second time, or to lose
-// the flows placed so far. Times are on the clock of the relay.
+// Snapshot is the state that a process passes to its successor in a hot restart. It keeps the successor from
+// sending requests to ejected backends, from using the slow start tokens of a cold backend a second time, and from
+// placing known flows elsewhere. Times are on the clock of the relay.
 type Snapshot struct {
 	Backends           []BackendSnapshot  `json:"Servers"`
 	StickyOverrides    []StickyOverride   `json:"Diverted"`
 	ClassLoads         []float64          `json:"Usual"` // mean load of a connection by class; last: of all classes
 	ClassLoadSamples   []float64          `json:"Seen"`  // number of reports behind ClassLoads
-	KindLateness       map[int][2]float64 `json:"Kinds"` // by Backend.Kind: seconds with late messages, and seconds in all
+	KindLateness       map[int][2]float64 `json:"Kinds"` // by Backend.Kind: reports of late messages, seconds with connections
 	MeanUtilization    float64            `json:"Crowd"`
 	UtilizationReports int                `json:"Tells"`
 	LastBackendLoss    time.Duration      `json:"Lost"`
@@ -34,24 +34,24 @@
 	EjectionTime     time.Duration `json:"Bench"` // length of the last ejection
 	LastOverload     time.Duration `json:"Hot"`
 	LastHealthCheck  time.Duration `json:"Heard"`
-	SlowStartRefill  time.Duration `json:"Filled"` // end of the present slow start window
+	SlowStartRefill  time.Duration `json:"Filled"` // end of the current slow start window
 	ConcurrencyLimit float64       `json:"Limit"`  // in the unit of TrackedLoad; 0: none
 	SlowStartTokens  float64       `json:"Budget"` // requests that may still be sent in the window
 	Utilization      float64       `json:"Full"`   // last reported load over capacity
-	TrackedLoad      float64       `json:"Held"`   // T of the process that made the snapshot
+	TrackedLoad      float64       `json:"Held"`   // T in the process that made the snapshot
 	LatencyBaseline  time.Duration `json:"Pace"`   // usual latency of a health check
 	LatencySamples   int           `json:"Paces"`  // number of health checks behind LatencyBaseline
 }
 
-// StickyOverride says where a flow was sent that did not go to its primary.
+// StickyOverride records the backend that a flow was sent to instead of its primary.
 type StickyOverride struct {
 	Flow    uint64        `json:"Flow"`
 	Backend BackendID     `json:"To"`
 	At      time.Duration `json:"At"`
 }
 
-// Snapshot returns the state to pass on. Its slices of class loads are the Balancer's own and valid until
-// the next event.
+// Snapshot returns the state for the successor. Its slices of class loads are shared with the Balancer and valid
+// until the next event.
 func (b *Balancer) Snapshot() Snapshot {
 	snapshot := Snapshot{
 		StickyOverrides:    b.sticky.newest(maxSnapshotOverrides),
@@ -62,11 +62,11 @@
 		UtilizationReports: b.health.reports,
 		LastBackendLoss:    b.endpoints.lastLoss,
 	}
-	for _, s := range b.endpoints.ready {
-		snapshot.Backends = append(snapshot.Backends, b.snapshotBackend(s))
+	for _, target := range b.endpoints.ready {
+		snapshot.Backends = append(snapshot.Backends, b.snapshotBackend(target))
 	}
 	for kind, lateness := range b.outliers.kinds {
-		snapshot.KindLateness[kind] = [2]float64{lateness.late, lateness.seconds}
+		snapshot.KindLateness[kind] = [2]float64{lateness.reports, lateness.seconds}
 	}
 	return snapshot
 }
@@ -77,39 +77,39 @@
 		EjectedUntil:     target.ejection.until,
 		EjectionTime:     target.ejection.duration,
 		LastOverload:     target.concurrency.lastOverload,
-		LastHealthCheck:  target.health.lastResult,
+		LastHealthCheck:  target.health.lastResultAt,
 		SlowStartRefill:  target.slowStart.refillAt,
 		ConcurrencyLimit: target.concurrency.limit,
 		SlowStartTokens:  target.slowStart.tokens,
 		Utilization:      target.health.utilization,
-		TrackedLoad:      b.loads.sum(&target.loadSums),
+		TrackedLoad:      b.loads.trackedLoad(&target.loadSums),
 		LatencyBaseline:  target.latency.baseline,
 		LatencySamples:   target.latency.samples,
 	}
 }
 
-// UpdateOtherProcess records what the relay's former process sees while both run: its tracked load counts
-// as this relay's own, and overload there since is overload here. Without it, the clients that one process
-// moves off a backend would be sent right back by the other. An empty Snapshot ends it.
+// UpdateOtherProcess records the state of the relay's predecessor process while both run: the predecessor's tracked
+// load is added to this process's own, and its later ejections and overloads are adopted. Otherwise one process would
+// send the clients that the other migrates off a backend back to it. An empty Snapshot ends this.
 func (b *Balancer) UpdateOtherProcess(now time.Duration, snapshot Snapshot) {
-	for _, s := range b.endpoints.byID {
-		s.otherProcess = 0
+	for _, target := range b.endpoints.byID {
+		target.predecessorLoad = 0
 	}
 	for _, other := range snapshot.Backends {
-		s := b.endpoints.byID[other.ID]
-		if s == nil {
+		target := b.endpoints.byID[other.ID]
+		if target == nil {
 			continue
 		}
-		s.otherProcess = positiveFinite(other.TrackedLoad)
-		s.ejection.until = max(s.ejection.until, min(other.EjectedUntil, now+maxEjection))
-		if s.concurrency.adopt(now, &other) {
-			b.concurrency.watch(s)
+		target.predecessorLoad = positiveFinite(other.TrackedLoad)
+		target.ejection.until = max(target.ejection.until, min(other.EjectedUntil, now+maxEjection))
+		if target.concurrency.adopt(now, &other) {
+			b.concurrency.maintain(target)
 		}
 	}
 }
 
-// adopt takes over the limit of another process if that has seen an overload since, and reports whether it
-// did.
+// adopt takes over the limit of another process if that process has recorded a later overload, and reports whether
+// it did.
 func (c *concurrencyLimit) adopt(now time.Duration, other *BackendSnapshot) bool {
 	if other.LastOverload <= c.lastOverload || positiveFinite(other.ConcurrencyLimit) <= 0 {
 		return false
@@ -118,8 +118,8 @@
 	return true
 }
 
-// Restore takes over the state of a former process. What cannot be true is left out: values that are not
-// numbers, times further ahead than any that a Balancer sets, and backends that no list has named.
+// Restore takes over the state of the predecessor. It leaves out or bounds invalid values: those that are not finite
+// numbers, times further in the future than any that a Balancer sets, and backends that were in no endpoint list.
 func (b *Balancer) Restore(now time.Duration, snapshot Snapshot) {
 	for i := range snapshot.Backends {
 		b.restoreBackend(now, &snapshot.Backends[i])
@@ -146,8 +146,8 @@
 	target.slowStart.restore(now+b.settings.OverloadWindow, saved)
 	target.latency.restore(saved)
 	target.concurrency.restore(now, saved)
-	if target.concurrency.limit > 0 { // the maintenance removes it in time
-		b.concurrency.watch(target)
+	if target.concurrency.limit > 0 { // the periodic maintenance removes it after limitLifetime
+		b.concurrency.maintain(target)
 	}
 }
 
@@ -160,7 +160,7 @@
 }
 
 func (h *backendHealth) restore(now time.Duration, saved *BackendSnapshot) {
-	h.lastResult = clampToPast(now, saved.LastHealthCheck)
+	h.lastResultAt = clampToPast(now, saved.LastHealthCheck)
 	h.utilization = positiveFinite(saved.Utilization)
 }
 
@@ -179,7 +179,7 @@
 	c.limit = positiveFinite(saved.ConcurrencyLimit)
 }
 
-// restore takes over the class loads of a former process with the same number of classes.
+// restore takes over the class loads of the predecessor if it has the same number of classes.
 func (t *loadTracker) restore(loads, samples []float64) {
 	if len(loads) != len(t.classLoads) || len(samples) != len(t.classSamples) {
 		return
@@ -191,7 +191,7 @@
 	}
 }
 
-// restoreKinds takes over the lateness of kinds, as pairs of late seconds and seconds in all.
+// restoreKinds takes over the lateness of kinds, as pairs of late-message reports and seconds with connections.
 func (o *outlierDetector) restoreKinds(kinds map[int][2]float64) {
 	for kind, saved := range kinds {
 		late, seconds := saved[0], saved[1]
@@ -208,8 +208,8 @@
 	}
 }
 
-// clamp bounds a time to between 0 and a limit.
+// clamp bounds a time to the range from 0 to a limit.
 func clamp(t, limit time.Duration) time.Duration { return max(0, min(t, limit)) }
 
-// clampToPast bounds a time to between 0 and now.
+// clampToPast bounds a time to the range from 0 to now.
 func clampToPast(now, t time.Duration) time.Duration { return clamp(t, now) }
--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -1,9 +1,9 @@
 // Package baseline provides simple policies that experiments compare package balance with: random choice,
-// hashing alone, least connections, and an oracle that knows the true load of every backend and so marks an
+// hashing alone, least connections, and an oracle that is given the true load of every backend and so marks an
 // upper bound.
 //
-// The policies limit attempts, do not repeat a request that may have had an effect, and avoid draining
-// backends. They have no admission control, health checks or slow start and are for the test systems only.
+// The policies limit attempts, repeat no request that may have executed unless it is idempotent, and avoid
+// draining backends. They have no admission control, health checks or slow start and are for the test systems only.
 package baseline
 
 import (
@@ -27,10 +27,10 @@
 // randomStream keeps the policies' random numbers apart from those that package balance draws from the same seed.
 const randomStream = 0xba5e
 
-// maxRetryAfter bounds how long a rejected client is told to wait.
+// maxRetryAfter is the upper bound of the retry-after time of a rejection.
 const maxRetryAfter = time.Second
 
-// Names returns the names that Lookup takes.
+// Names returns the names that Lookup accepts.
 func Names() []string { return []string{random, hash, leastConnections, oracle} }
 
 // NewFunc creates a policy for one relay.
@@ -60,7 +60,7 @@
 	}
 }
 
-// rankFunc rates a backend for a request; the least is chosen.
+// rankFunc returns the rank of a backend for a request. The policy sends the request to the lowest-ranked backend.
 type rankFunc func(r *request, id balance.BackendID) float64
 
 func (p *policy) ranking(name string, loadOf func(balance.BackendID) float64) rankFunc {
@@ -71,12 +71,12 @@
 		return func(r *request, id balance.BackendID) float64 { return float64(mix(r.Key^uint64(id)) >> 11) } // the 53 bits that a float64 holds
 	case leastConnections:
 		return func(_ *request, id balance.BackendID) float64 {
-			return float64(p.connections[id]) + p.rng.Float64()/2 // under one connection: ties are broken at random
+			return float64(p.connections[id]) + p.rng.Float64()/2 // less than one connection, so that only ties are broken at random
 		}
 	case oracle:
 		return func(_ *request, id balance.BackendID) float64 { return loadOf(id) }
 	}
-	panic("there is no policy " + name)
+	panic("unknown policy " + name)
 }
 
 // mix is the finalizer of SplitMix64.
@@ -100,14 +100,14 @@
 	mayHaveExecuted bool
 }
 
-// policy is a decision.Decider that sends each request to the ready backend of least rank.
+// policy is a decision.Decider that sends each request to the ready backend of lowest rank.
 type policy struct {
 	settings    balance.Settings
 	actions     balance.Actions
 	rng         *rand.Rand
 	rank        rankFunc
 	requests    map[uint64]*request
-	order       []uint64            // ids of requests, in order of arrival
+	order       []uint64            // IDs of requests, in order of arrival
 	ready       []balance.BackendID // sorted
 	states      map[balance.BackendID]balance.BackendState
 	connections map[balance.BackendID]int
@@ -132,7 +132,7 @@
 
 // attempt sends the request to the best backend that it has not tried, or answers it if it may not be sent again.
 func (p *policy) attempt(now time.Duration, r *request) {
-	best, ok := p.best(r) // ranks before any check: policies draw random numbers
+	best, ok := p.best(r) // before the checks, since ranking draws random numbers
 	if !ok || len(r.tried) >= p.settings.MaxAttempts || r.deadline-now <= 2*p.settings.Tick {
 		p.answer(r)
 		return
@@ -143,21 +143,22 @@
 	p.actions.Send(r.ID, best, r.deadline-now)
 }
 
-// best returns the ready backend of least rank among those that the request has not tried.
+// best returns the ready backend of lowest rank among those that the request has not tried.
 func (p *policy) best(r *request) (best balance.BackendID, ok bool) {
-	least := 0.0
+	lowest := 0.0
 	for _, id := range p.ready {
 		if slices.Contains(r.tried, id) {
 			continue
 		}
-		if rank := p.rank(r, id); !ok || rank < least {
-			best, least, ok = id, rank, true
+		if rank := p.rank(r, id); !ok || rank < lowest {
+			best, lowest, ok = id, rank, true
 		}
 	}
 	return best, ok
 }
 
-// answer gives the final answer: an error if the request may have had an effect that must not be repeated.
+// answer gives the final answer: a failure if the request may have executed and must not be repeated, else a
+// rejection.
 func (p *policy) answer(r *request) {
 	if p.mustNotRepeat(r) {
 		p.actions.Fail(r.ID)
@@ -216,7 +217,7 @@
 	}
 }
 
-// EndpointsUpdated implements decision.Decider. Sessions at backends that are not ready any more migrate.
+// EndpointsUpdated implements decision.Decider. It migrates the sessions on backends that are no longer ready.
 func (p *policy) EndpointsUpdated(_ time.Duration, kind balance.EndpointUpdateKind, backends []balance.Backend) {
 	if kind == balance.UpdateFailed {
 		p.actions.WatchEndpoints(true)
@@ -234,7 +235,7 @@
 			p.ready = append(p.ready, id)
 		}
 	}
-	slices.SortFunc(p.ready, cmp.Compare[balance.BackendID]) // the map's order must not show
+	slices.SortFunc(p.ready, cmp.Compare[balance.BackendID]) // map iteration order must not affect the decisions
 	p.migrate(func(r *request) bool { return p.states[r.backend] != balance.StateReady })
 }
 
@@ -280,7 +281,7 @@
 	return byRequest, byBackend
 }
 
-// LoadReported implements decision.Decider; the policies know no load but what they count.
+// LoadReported implements decision.Decider; the policies use no load reports.
 func (p *policy) LoadReported(time.Duration, uint64, balance.LoadSignal, float64) {}
 
 // TimerFired implements decision.Decider; the policies set no timers.
@@ -295,10 +296,10 @@
 // UpdateSettings implements decision.Decider.
 func (p *policy) UpdateSettings(settings balance.Settings) { p.settings = settings }
 
-// SetActiveRelays implements decision.Decider; the policies decide for one relay alone.
+// SetActiveRelays implements decision.Decider; the policies do not use the number of relays.
 func (p *policy) SetActiveRelays(int) {}
 
 // CountUnavailable implements decision.Decider.
-func (p *policy) CountUnavailable(time.Duration) (listed, avoided int) {
+func (p *policy) CountUnavailable(time.Duration) (listed, unavailable int) {
 	return len(p.states), len(p.states) - len(p.ready)
 }
--- a/internal/baseline/baseline_test.go
+++ b/internal/baseline/baseline_test.go
@@ -22,42 +22,42 @@
 func (r *recorder) Fail(uint64)                                          { r.failed++ }
 func (r *recorder) Migrate(id uint64)                                    { r.migrated = append(r.migrated, id) }
 
-func start(name string, loadOf func(balance.BackendID) float64) (decision.Decider, *recorder) {
-	h := &recorder{}
-	s := balance.Settings{MaxAttempts: 3, Tick: time.Millisecond, Classes: []balance.Class{{Idempotency: balance.Idempotent}, {Idempotency: balance.NonIdempotent}}}
-	p := Lookup(name, loadOf)(0, 1, s, h)
+func newPolicy(name string, loadOf func(balance.BackendID) float64) (decision.Decider, *recorder) {
+	rec := &recorder{}
+	settings := balance.Settings{MaxAttempts: 3, Tick: time.Millisecond, Classes: []balance.Class{{Idempotency: balance.Idempotent}, {Idempotency: balance.NonIdempotent}}}
+	p := Lookup(name, loadOf)(0, 1, settings, rec)
 	p.EndpointsUpdated(0, balance.UpdateFull, []balance.Backend{{ID: 1, State: balance.StateReady}, {ID: 2, State: balance.StateReady},
 		{ID: 3, State: balance.StateReady}, {ID: 4, State: balance.StateDraining}})
-	return p, h
+	return p, rec
 }
 
 func TestPolicies_ChooseByTheirRank(t *testing.T) {
 	loads := map[balance.BackendID]float64{1: 0.9, 2: 0.1, 3: 0.5, 4: 0}
 	for _, name := range Names() {
-		p, h := start(name, func(id balance.BackendID) float64 { return loads[id] })
-		count := map[balance.BackendID]int{}
+		p, rec := newPolicy(name, func(id balance.BackendID) float64 { return loads[id] })
+		sent := map[balance.BackendID]int{}
 		for id := uint64(1); id <= 30; id++ {
 			p.RequestArrived(0, balance.Request{ID: id, Key: 7, TimeLeft: time.Second})
 			p.AttemptSucceeded(0, balance.AttemptResult{ID: id})
-			count[h.sent[id-1]]++
+			sent[rec.sent[id-1]]++
 		}
-		ok := count[4] == 0
+		ok := sent[4] == 0
 		switch name {
 		case "hash":
-			ok = ok && len(count) == 1
+			ok = ok && len(sent) == 1
 		case "oracle":
-			ok = ok && count[2] == 30
+			ok = ok && sent[2] == 30
 		case "least":
-			ok = ok && count[1] == 10 && count[2] == 10 && count[3] == 10
+			ok = ok && sent[1] == 10 && sent[2] == 10 && sent[3] == 10
 		case "random":
-			ok = ok && len(count) == 3
+			ok = ok && len(sent) == 3
 		}
-		if all, by := p.Connections(); !ok || all != 30 || by != 30 {
-			t.Errorf("%s: %v, %d connections, %d by server", name, count, all, by)
+		if all, byBackend := p.Connections(); !ok || all != 30 || byBackend != 30 {
+			t.Errorf("%s: sent %v, %d connections, %d by backend", name, sent, all, byBackend)
 		}
-		p.EndpointsUpdated(0, balance.UpdateDelta, []balance.Backend{{ID: h.sent[0], State: balance.StateDraining}})
-		if len(h.migrated) != count[h.sent[0]] {
-			t.Errorf("%s: %d moved off a draining server with %d", name, len(h.migrated), count[h.sent[0]])
+		p.EndpointsUpdated(0, balance.UpdateDelta, []balance.Backend{{ID: rec.sent[0], State: balance.StateDraining}})
+		if len(rec.migrated) != sent[rec.sent[0]] {
+			t.Errorf("%s: %d migrated off a draining backend with %d connections", name, len(rec.migrated), sent[rec.sent[0]])
 		}
 	}
 }
@@ -65,16 +65,16 @@
 func TestPolicies_LimitAttemptsAndRepeats(t *testing.T) {
 	for _, name := range Names() {
 		for class, want := range map[int][3]int{0: {3, 1, 0}, 1: {1, 0, 1}} { // sent, rejected, failed
-			p, h := start(name, func(balance.BackendID) float64 { return 0 })
+			p, rec := newPolicy(name, func(balance.BackendID) float64 { return 0 })
 			p.RequestArrived(0, balance.Request{ID: 1, Class: class, TimeLeft: time.Second})
-			for n := 0; n < len(h.sent); n++ {
+			for n := 0; n < len(rec.sent); n++ {
 				p.AttemptEnded(0, balance.AttemptResult{ID: 1, Attempt: n, Status: balance.StatusError})
 			}
-			if got := [3]int{len(h.sent), h.rejected, h.failed}; got != want {
-				t.Errorf("%s, class %d: %v, want %v", name, class, got, want)
+			if got := [3]int{len(rec.sent), rec.rejected, rec.failed}; got != want {
+				t.Errorf("%s, class %d: %v sent, rejected and failed, want %v", name, class, got, want)
 			}
-			if all, by := p.Connections(); all != 0 || by != 0 {
-				t.Errorf("%s: %d and %d connections are left", name, all, by)
+			if all, byBackend := p.Connections(); all != 0 || byBackend != 0 {
+				t.Errorf("%s: %d connections are left, %d by backend", name, all, byBackend)
 			}
 		}
 	}
