--- a/cmd/aspenbarrow/admin.go
+++ b/cmd/aspenbarrow/admin.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// adminTimeout limits the connection to an admin endpoint and, separately, its answer.
+// adminTimeout limits the time to connect to an admin endpoint and, separately, the time until its answer is complete.
 const adminTimeout = 5 * time.Second
 
 // Lines of the admin protocol that frame an answer.
@@ -39,7 +39,8 @@
 	return lines, nil
 }
 
-// readAdminAnswer returns the lines of an answer and whether it came to its end. A FAILURE is an adminFailure.
+// readAdminAnswer returns the lines of an answer and whether the answer is complete. A FAILURE line is returned as an
+// adminFailure error.
 func readAdminAnswer(input io.Reader) (lines []string, complete bool, err error) {
 	scanner := bufio.NewScanner(input)
 	for scanner.Scan() {
@@ -72,7 +73,7 @@
 	return record
 }
 
-// duration returns a field that holds a number of the given unit, 0 if it holds none.
+// duration returns the value of a field that holds a number in the given unit, 0 if the field is missing or no number.
 func (r adminRecord) duration(name, unit string) time.Duration {
 	duration, _ := time.ParseDuration(r[name] + unit)
 	return duration
--- a/cmd/aspenbarrow/backends_test.go
+++ b/cmd/aspenbarrow/backends_test.go
@@ -51,8 +51,8 @@
 	return process, discovery, endpoints
 }
 
-// startWithRawBackend starts a relay in front of a backend that accepts every session and then leaves the connection
-// to serve.
+// startWithRawBackend starts a relay in front of a backend that accepts every session and then calls serve with its
+// connection.
 func startWithRawBackend(t *testing.T, serve func(connection net.Conn, reader *bufio.Reader)) *relayProcess {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -102,12 +102,12 @@
 	return endpoints
 }
 
-// peersJSON returns n peers as the configuration writes them.
+// peersJSON returns the key "peers" of the configuration with n addresses.
 func peersJSON(n int) string {
-	var list []string
+	var addresses []string
 	for i := range n {
-		list = append(list, fmt.Sprintf("127.1.%d.%d:9", i/250, 1+i%250))
+		addresses = append(addresses, fmt.Sprintf("127.1.%d.%d:9", i/250, 1+i%250))
 	}
-	text, _ := json.Marshal(list)
+	text, _ := json.Marshal(addresses)
 	return `"peers":` + string(text)
 }
--- a/cmd/aspenbarrow/client_test.go
+++ b/cmd/aspenbarrow/client_test.go
@@ -22,26 +22,26 @@
 // dial opens a client connection and sends nothing.
 func (process *relayProcess) dial() *client {
 	process.t.Helper()
-	c, err := net.Dial("tcp", process.address)
+	connection, err := net.Dial("tcp", process.address)
 	if err != nil {
 		process.t.Fatal(err)
 	}
-	process.t.Cleanup(func() { _ = c.Close() })
-	_ = c.SetDeadline(time.Now().Add(testTimeout))
-	return &client{process.t, c.(*net.TCPConn), bufio.NewReader(c)}
+	process.t.Cleanup(func() { _ = connection.Close() })
+	_ = connection.SetDeadline(time.Now().Add(testTimeout))
+	return &client{process.t, connection.(*net.TCPConn), bufio.NewReader(connection)}
 }
 
 // send writes lines.
 func (c *client) send(lines ...string) {
 	c.t.Helper()
-	for _, l := range lines {
-		if _, err := io.WriteString(c, l+"\r\n"); err != nil {
+	for _, line := range lines {
+		if _, err := io.WriteString(c, line+"\r\n"); err != nil {
 			c.t.Fatal(err)
 		}
 	}
 }
 
-// expect reads one line and fails the test if it is another one.
+// expect reads one line and fails the test if it differs from the given one.
 func (c *client) expect(want string) {
 	c.t.Helper()
 	got, err := c.reader.ReadString('\n')
@@ -72,28 +72,28 @@
 func (c *client) expectClosed() {
 	c.t.Helper()
 	if rest, err := io.ReadAll(c.reader); err != nil || len(rest) != 0 {
-		c.t.Fatalf("%q and %v before the end", rest, err)
+		c.t.Fatalf("got %q and %v, want a close without further data", rest, err)
 	}
 }
 
 // lastRequestID is the id of the last OPEN line.
 var lastRequestID = uint64(0x9b1f03aa5c7e0000)
 
-// openRequest returns an OPEN line with a new id and the given text at its end.
+// openRequest returns an OPEN line with a new id and the given text appended.
 func openRequest(fields string) string {
 	lastRequestID++
 	return fmt.Sprintf("OPEN %016x 7f3a9c21e0b4d655 c=chat,d=2000,g=5c0f6e1a2b3d4c59%s", lastRequestID, fields)
 }
 
-// expectRejected fails the test unless the client gets an error or the end of its connection in time.
+// expectRejected fails the test unless the client gets ERR, BUSY or the end of its connection within the given time.
 func expectRejected(t *testing.T, c *client, within time.Duration) {
 	t.Helper()
 	_ = c.SetReadDeadline(time.Now().Add(within))
 	got, err := c.reader.ReadString('\n')
-	if ne := net.Error(nil); errors.As(err, &ne) && ne.Timeout() {
+	if netErr := net.Error(nil); errors.As(err, &netErr) && netErr.Timeout() {
 		t.Errorf("neither an answer nor a close after %v", within)
 	} else if err == nil && got != "ERR\r\n" && !strings.HasPrefix(got, "BUSY") {
-		t.Errorf("got %q", got)
+		t.Errorf("got %q, want ERR, BUSY or a close", got)
 	}
 }
 
@@ -130,12 +130,12 @@
 // openConnection opens one connection, sends OPEN and counts the outcome.
 func (load *connectionLoad) openConnection(address string, id int) {
 	answer, err := "", error(nil)
-	c, err := net.Dial("tcp", address)
+	connection, err := net.Dial("tcp", address)
 	if err == nil {
-		defer c.Close()
-		_ = c.SetDeadline(time.Now().Add(testTimeout))
-		fmt.Fprintf(c, "OPEN %016x %016x c=chat,d=1500\r\n", id+1, id)
-		answer, err = bufio.NewReader(c).ReadString('\n')
+		defer connection.Close()
+		_ = connection.SetDeadline(time.Now().Add(testTimeout))
+		fmt.Fprintf(connection, "OPEN %016x %016x c=chat,d=1500\r\n", id+1, id)
+		answer, err = bufio.NewReader(connection).ReadString('\n')
 	}
 	load.mu.Lock()
 	defer load.mu.Unlock()
@@ -165,8 +165,8 @@
 // waitForAccepted waits until n more connections have been answered with UP.
 func (load *connectionLoad) waitForAccepted(t *testing.T, n int) {
 	t.Helper()
-	was := load.acceptedCount()
-	waitFor(t, "more connections are accepted", func() bool { return load.acceptedCount() >= was+n })
+	before := load.acceptedCount()
+	waitFor(t, fmt.Sprintf("%d more connections are accepted", n), func() bool { return load.acceptedCount() >= before+n })
 }
 
 // stopAndCheck stops the clients and fails the test if any connection was refused or rejected.
--- a/cmd/aspenbarrow/codec_test.go
+++ b/cmd/aspenbarrow/codec_test.go
@@ -37,27 +37,27 @@
 // TestCodec_Golden compares the output of each read-only command with golden files: the example, the schema,
 // settings, routes and problems.
 func TestCodec_Golden(t *testing.T) {
-	for _, v := range []string{"PROXY_NAME", "PROXY_LISTEN", "PROXY_DISCOVERY", "PROXY_MANAGEMENT", "PROXY_CONFIG"} {
-		t.Setenv(v, "")
+	for _, variable := range []string{"PROXY_NAME", "PROXY_LISTEN", "PROXY_DISCOVERY", "PROXY_MANAGEMENT", "PROXY_CONFIG"} {
+		t.Setenv(variable, "")
 	}
 	dir := writeGoldenInputs(t)
-	type printed struct{ name, text string }
-	var files []printed
+	type goldenFile struct{ name, text string }
+	var files []goldenFile
 	t.Run("commands", func(t *testing.T) {
 		t.Chdir(dir)
 		run := func(args ...string) string {
 			stdout, stderr, err := runCommand(t, args...)
 			var usage usageError
-			s := stdout
+			text := stdout
 			if stderr != "" {
-				s += "(on standard error)\n" + stderr
+				text += "(on standard error)\n" + stderr
 			}
 			if err != nil {
-				s += fmt.Sprintf("(ends with, bad usage %v)\n%v\n", errors.As(err, &usage), err)
+				text += fmt.Sprintf("(ends with, bad usage %v)\n%v\n", errors.As(err, &usage), err)
 			}
-			return s
+			return text
 		}
-		for _, x := range []struct {
+		for _, command := range []struct {
 			name string
 			args string
 		}{
@@ -65,9 +65,9 @@
 			{"show.txt", "config show --config every.toml"}, {"show.json", "config show --json --config every.toml"},
 			{"show-example.txt", "config show --config example.toml"},
 		} {
-			files = append(files, printed{x.name, run(strings.Fields(x.args)...)})
+			files = append(files, goldenFile{command.name, run(strings.Fields(command.args)...)})
 		}
-		var all strings.Builder
+		var transcript strings.Builder
 		for _, args := range []string{"check every.toml example.toml sound.json", "check every.toml bad.toml torn.toml torn.json", "check --json bad.toml torn.json",
 			"check --json every.toml", "check", "check none.toml", "config show --config bad.toml", "config show --config sound.json", "config show",
 			"serve", "serve --config bad.toml", "nothing", "--no-flag", "routes explain --config every.toml --class status-watch",
@@ -76,7 +76,7 @@
 			"routes explain --config every.toml --class image-submit", "routes explain --config example.toml --class status-watch",
 			"routes explain --json --config sound.json --class c", "routes explain --config every.toml --class sig-fetsh", "routes explain --config every.toml",
 			"routes explain --config every.toml --class sig-fetch --protocol http", "routes explain --config every.toml --class sig-fetch --group 7"} {
-			fmt.Fprintf(&all, "$ aspenbarrow %s\n%s", args, run(strings.Fields(args)...))
+			fmt.Fprintf(&transcript, "$ aspenbarrow %s\n%s", args, run(strings.Fields(args)...))
 		}
 		t.Setenv("PROXY_NAME", "n9")
 		t.Setenv("PROXY_LISTEN", "127.0.0.1:59")
@@ -84,49 +84,49 @@
 		t.Setenv("PROXY_CONFIG", "example.toml")
 		for line := range strings.Lines(run("config", "show")) {
 			if strings.Contains(line, "environment") {
-				all.WriteString(line)
+				transcript.WriteString(line)
 			}
 		}
-		files = append(files, printed{"commands.txt", all.String()})
+		files = append(files, goldenFile{"commands.txt", transcript.String()})
 	})
-	for _, f := range files {
-		golden.Compare(t, f.name, f.text)
+	for _, file := range files {
+		golden.Compare(t, file.name, file.text)
 	}
 }
 
 // TestCodec_GoldenIsReadAgain checks that the golden example is a valid configuration and the golden JSON is valid.
 func TestCodec_GoldenIsReadAgain(t *testing.T) {
-	none := func(string) string { return "" }
-	if _, err := config.Load(filepath.Join("testdata", "example.toml"), none, false); err != nil {
+	noEnvironment := func(string) string { return "" }
+	if _, err := config.Load(filepath.Join("testdata", "example.toml"), noEnvironment, false); err != nil {
 		t.Error(err)
 	}
 	for _, name := range []string{"schema.json", "show.json"} {
 		text, err := os.ReadFile(filepath.Join("testdata", name))
 		if err != nil || !json.Valid(text) {
-			t.Errorf("%s is no JSON: %v", name, err)
+			t.Errorf("%s is not valid JSON: %v", name, err)
 		}
 	}
 }
 
-// TestCodec_GoldenSites checks that the site files of the test bench are rejected as relay configurations, for the
-// same number of problems.
+// TestCodec_GoldenSites checks that the site files of the test bench are rejected as relay configurations, with
+// the number of problems and the first problem of the golden file.
 func TestCodec_GoldenSites(t *testing.T) {
 	paths, err := filepath.Glob("../../deploy/sites/*.toml")
 	if err != nil || len(paths) == 0 {
-		t.Fatal(paths, err)
+		t.Fatalf("no site files in ../../deploy/sites: %v", err)
 	}
-	var out strings.Builder
-	for _, p := range paths {
-		text, err := os.ReadFile(p)
+	var summary strings.Builder
+	for _, path := range paths {
+		text, err := os.ReadFile(path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, err = config.Parse(filepath.Base(p), text, func(string) string { return "" }, false)
+		_, err = config.Parse(filepath.Base(path), text, func(string) string { return "" }, false)
 		var problems config.Problems
 		if !errors.As(err, &problems) {
-			t.Fatalf("%s: %v", p, err)
+			t.Fatalf("%s: got error %v, want config.Problems", path, err)
 		}
-		fmt.Fprintf(&out, "%d faults, the first: %v\n", len(problems), problems[0])
+		fmt.Fprintf(&summary, "%d faults, the first: %v\n", len(problems), problems[0])
 	}
-	golden.Compare(t, "sites.txt", out.String())
+	golden.Compare(t, "sites.txt", summary.String())
 }
--- a/cmd/aspenbarrow/command_check.go
+++ b/cmd/aspenbarrow/command_check.go
@@ -15,13 +15,13 @@
 	var asJSON bool
 	command := &cobra.Command{
 		Use:   "check FILE...",
-		Short: "Say all that is wrong with files",
+		Short: "Validate configuration files and report every problem",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(command *cobra.Command, paths []string) error {
 			return checkFiles(command, paths, asJSON)
 		},
 	}
-	command.Flags().BoolVar(&asJSON, "json", false, "the faults as JSON on standard output")
+	command.Flags().BoolVar(&asJSON, "json", false, "print the problems as JSON to standard output")
 	return command
 }
 
--- a/cmd/aspenbarrow/command_config.go
+++ b/cmd/aspenbarrow/command_config.go
@@ -12,14 +12,14 @@
 
 // newConfigCommand returns the commands about the configuration file.
 func newConfigCommand() *cobra.Command {
-	return newGroupCommand("config", "The configuration: an example, what is in force, a schema",
+	return newGroupCommand("config", "Show the configuration in force, its keys, an example and a schema",
 		newConfigExampleCommand(), newConfigSchemaCommand(), newConfigKeysCommand(), newConfigShowCommand())
 }
 
 func newConfigExampleCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "example",
-		Short: "A whole file with a comment for each key",
+		Short: "Print a complete example file with a comment for each key",
 		Args:  cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
 			_, err := io.WriteString(command.OutOrStdout(), config.ExampleTOML())
@@ -31,7 +31,7 @@
 func newConfigSchemaCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "schema",
-		Short: "A JSON Schema of the file",
+		Short: "Print a JSON Schema of the configuration file",
 		Args:  cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
 			schema, err := config.JSONSchema()
@@ -47,7 +47,7 @@
 func newConfigKeysCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "keys",
-		Short: "All keys as a table in Markdown, for docs/configuration.md",
+		Short: "Print all keys as a Markdown table, for docs/configuration.md",
 		Args:  cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
 			_, err := io.WriteString(command.OutOrStdout(), config.MarkdownKeys())
@@ -61,14 +61,14 @@
 	var asJSON bool
 	command := &cobra.Command{
 		Use:   "show",
-		Short: "What is in force, and where each value came from",
+		Short: "Print each setting in force and the source of its value",
 		Args:  cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
 			return showConfig(command.OutOrStdout(), path, asJSON)
 		},
 	}
 	addConfigFlag(command, &path)
-	command.Flags().BoolVar(&asJSON, "json", false, "as JSON")
+	command.Flags().BoolVar(&asJSON, "json", false, "print the settings as JSON")
 	return command
 }
 
--- a/cmd/aspenbarrow/command_members.go
+++ b/cmd/aspenbarrow/command_members.go
@@ -18,21 +18,21 @@
 	var asJSON bool
 	command := &cobra.Command{
 		Use:   "members",
-		Short: "Ask a running relay who of its fleet is there",
+		Short: "List the members of the fleet that a running relay reports",
 		Args:  cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
 			if address == "" {
-				return usageError{errMembersWithoutTarget}
+				return usageError{errMembersWithoutAddress}
 			}
 			return showMembers(command.OutOrStdout(), address, asJSON)
 		},
 	}
-	command.Flags().StringVar(&address, "at", "", "the relay's second address")
-	command.Flags().BoolVar(&asJSON, "json", false, "as JSON")
+	command.Flags().StringVar(&address, "at", "", "address of the relay's admin endpoint")
+	command.Flags().BoolVar(&asJSON, "json", false, "print the members as JSON")
 	return command
 }
 
-// showMembers prints the members that the relay with the given admin address knows.
+// showMembers prints the members that the admin endpoint at the given address reports.
 func showMembers(output io.Writer, address string, asJSON bool) error {
 	lines, err := callAdmin(address, "MEMBERS")
 	if err != nil {
@@ -53,7 +53,7 @@
 
 // printMembers writes a summary and a table with a row for each member.
 func printMembers(output io.Writer, summary adminRecord, members []adminRecord) error {
-	fmt.Fprintf(output, "%s of %s relays are there; own health %s (0 is best)\n",
+	fmt.Fprintf(output, "%s of %s relays are active; own health %s (0 is best)\n",
 		summary["here"], summary["of"], summary["own_health"])
 	table := tabwriter.NewWriter(output, 0, 0, tablePadding, ' ', 0)
 	fmt.Fprintln(table, "relay\tname\tstate\tfor\tby\tround trip\thealth\t")
@@ -65,12 +65,12 @@
 
 // printMember writes one row of the table.
 func printMember(table io.Writer, member adminRecord) {
-	inState := member.duration("since_ms", "ms").Round(time.Second)
+	timeInState := member.duration("since_ms", "ms").Round(time.Second)
 	roundTrip := member.duration("round_trip_us", "us")
 	note := ""
 	if member["twice"] == "true" {
-		note = "two processes speak under this name"
+		note = "two processes send under this name"
 	}
-	fmt.Fprintf(table, "%s\t%s\t%s\t%v\t%s\t%v\t%s\t%s\n", member["member"], member["name"], member["state"], inState,
+	fmt.Fprintf(table, "%s\t%s\t%s\t%v\t%s\t%v\t%s\t%s\n", member["member"], member["name"], member["state"], timeInState,
 		member["by"], roundTrip, member["health"], note)
 }
--- a/cmd/aspenbarrow/command_members_test.go
+++ b/cmd/aspenbarrow/command_members_test.go
@@ -9,7 +9,7 @@
 )
 
 // startAdminServer starts an admin endpoint that gives the same answer to each command and returns its address.
-func startAdminServer(t *testing.T, text string) string {
+func startAdminServer(t *testing.T, answer string) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -18,13 +18,13 @@
 	t.Cleanup(func() { _ = listener.Close() })
 	go func() {
 		for {
-			c, err := listener.Accept()
+			connection, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			_, _ = c.Read(make([]byte, 64))
-			_, _ = io.WriteString(c, text)
-			_ = c.Close()
+			_, _ = connection.Read(make([]byte, 64))
+			_, _ = io.WriteString(connection, answer)
+			_ = connection.Close()
 		}
 	}()
 	return listener.Addr().String()
@@ -38,30 +38,30 @@
 		args          []string
 		want, failure string
 	}{
-		{"table", complete, nil, "1 of 2 relays are there", ""},
-		{"duplicate name", complete, nil, "two processes speak under this name", ""},
+		{"table", complete, nil, "1 of 2 relays are active", ""},
+		{"duplicate name", complete, nil, "two processes send under this name", ""},
 		{"json", complete, []string{"--json"}, `"state": "dead"`, ""},
 		{"failure", "FAILURE nobody finds out who is there\n", nil, "", "nobody finds out"},
-		{"truncated", complete[:60], nil, "", "cut short"},
-		{"empty", "SUCCESS\nEOT\n", nil, "", "empty answer"},
+		{"truncated", complete[:60], nil, "", "answer to MEMBERS truncated"},
+		{"empty", "SUCCESS\nEOT\n", nil, "", "empty answer to MEMBERS"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			var out bytes.Buffer
+			var output bytes.Buffer
 			root := newRootCommand()
-			root.SetOut(&out)
+			root.SetOut(&output)
 			root.SetArgs(append([]string{"members", "--at", startAdminServer(t, tc.answer)}, tc.args...))
 			err := root.Execute()
 			if tc.failure != "" && (err == nil || !strings.Contains(err.Error(), tc.failure)) || tc.failure == "" && err != nil {
-				t.Errorf("%v", err)
+				t.Errorf("error %v, want %q", err, tc.failure)
 			}
-			if !strings.Contains(out.String(), tc.want) {
-				t.Errorf("%q lacks %q", out.String(), tc.want)
+			if !strings.Contains(output.String(), tc.want) {
+				t.Errorf("output %q does not contain %q", output.String(), tc.want)
 			}
 		})
 	}
 	root := newRootCommand()
 	root.SetArgs([]string{"members"})
 	if err := root.Execute(); err == nil || !strings.Contains(err.Error(), "--at") {
-		t.Errorf("without an address: %v", err)
+		t.Errorf("without --at: error %v, want one that names the flag", err)
 	}
 }
--- a/cmd/aspenbarrow/command_routes.go
+++ b/cmd/aspenbarrow/command_routes.go
@@ -11,7 +11,7 @@
 
 // newRoutesCommand returns the commands about the route table.
 func newRoutesCommand() *cobra.Command {
-	return newGroupCommand("routes", "The routes of requests", newRoutesExplainCommand())
+	return newGroupCommand("routes", "Inspect the route table", newRoutesExplainCommand())
 }
 
 func newRoutesExplainCommand() *cobra.Command {
@@ -20,7 +20,7 @@
 	var asJSON bool
 	command := &cobra.Command{
 		Use:   "explain",
-		Short: "Which route takes a request, and its timing",
+		Short: "Show the route that matches a request, and its retry policy",
 		Args:  cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
 			return explainRoute(command.OutOrStdout(), path, request, asJSON)
@@ -28,12 +28,12 @@
 	}
 	addConfigFlag(command, &path)
 	flags := command.Flags()
-	flags.StringVar(&request.Class, "class", "", "the request's class")
-	flags.StringVar(&request.Tenant, "tenant", "", "its tenant")
-	flags.StringVar(&request.Group, "group", "", "its group, 16 hexadecimal digits")
-	flags.StringVar(&request.Key, "key", "", "its key, 16 hexadecimal digits")
-	flags.StringVar(&request.Protocol, "protocol", "line", "line or amqp")
-	flags.BoolVar(&asJSON, "json", false, "as JSON")
+	flags.StringVar(&request.Class, "class", "", "class of the request")
+	flags.StringVar(&request.Tenant, "tenant", "", "tenant of the request")
+	flags.StringVar(&request.Group, "group", "", "group of the request, 16 hexadecimal digits")
+	flags.StringVar(&request.Key, "key", "", "key of the request, 16 hexadecimal digits")
+	flags.StringVar(&request.Protocol, "protocol", "line", "protocol of the request, line or amqp")
+	flags.BoolVar(&asJSON, "json", false, "print the route as JSON")
 	return command
 }
 
--- a/cmd/aspenbarrow/command_serve.go
+++ b/cmd/aspenbarrow/command_serve.go
@@ -30,11 +30,11 @@
 	var path string
 	command := &cobra.Command{
 		Use:   "serve",
-		Short: "Serve by a file",
+		Short: "Serve with a configuration file",
 		Args:  cobra.NoArgs,
 		RunE:  func(*cobra.Command, []string) error { return serveFromFlag(path) },
 	}
-	command.Flags().StringVar(&path, "config", "", "the file")
+	command.Flags().StringVar(&path, "config", "", "configuration file")
 	return command
 }
 
@@ -55,7 +55,7 @@
 func serveFromEnvironment() error {
 	path := os.Getenv(configVariable)
 	if path == "" {
-		return errNoConfigurationFile
+		return errConfigVariableUnset
 	}
 	return serve(path)
 }
--- a/cmd/aspenbarrow/command_version.go
+++ b/cmd/aspenbarrow/command_version.go
@@ -14,7 +14,7 @@
 func newVersionCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "version",
-		Short: "What this program was built from",
+		Short: "Print the program's version, revision and Go version",
 		Args:  cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
 			build, ok := debug.ReadBuildInfo()
--- a/cmd/aspenbarrow/commands.go
+++ b/cmd/aspenbarrow/commands.go
@@ -19,7 +19,7 @@
 	command := &cobra.Command{
 		Use:           "aspenbarrow",
 		Short:         "A balancer for long-lived connections",
-		Long:          "Alone it serves by the file that PROXY_CONFIG names: the platform's JSON, or TOML if its name ends in .toml.",
+		Long:          "Without a subcommand the program serves with the file that PROXY_CONFIG names: the platform's JSON, or TOML if its name ends in .toml.",
 		Args:          cobra.NoArgs,
 		SilenceUsage:  true,
 		SilenceErrors: true,
@@ -61,7 +61,7 @@
 
 // addConfigFlag adds the flag of commands that read a configuration without serving it.
 func addConfigFlag(command *cobra.Command, path *string) {
-	command.Flags().StringVar(path, "config", "", "the file; else what PROXY_CONFIG names")
+	command.Flags().StringVar(path, "config", "", "configuration file; by default the file that PROXY_CONFIG names")
 }
 
 // loadConfig reads a configuration for a command that only inspects it. An empty path means the file that
@@ -71,7 +71,7 @@
 		path = os.Getenv(configVariable)
 	}
 	if path == "" {
-		return config.Config{}, usageError{errNoConfigToShow}
+		return config.Config{}, usageError{errNoConfigFile}
 	}
 	loaded, err := config.Load(path, os.Getenv, false)
 	if err != nil {
--- a/cmd/aspenbarrow/descriptors_test.go
+++ b/cmd/aspenbarrow/descriptors_test.go
@@ -12,7 +12,7 @@
 	"aspenbarrow/internal/fake"
 )
 
-// silentDiscovery is a discovery service that accepts calls and does not answer them until it resumes.
+// silentDiscovery is a discovery service that accepts calls and does not answer them until it is resumed.
 type silentDiscovery struct {
 	t        *testing.T
 	address  string
@@ -46,70 +46,70 @@
 
 // TestServe_IdleClientsAtDescriptorLimitWhileDiscoveryIsDown fills the descriptors with idle clients while discovery
 // is down and other clients send requests; the system enforces the limit on the process. Every complete OPEN is
-// answered, the list of a resumed discovery service is in force within 6 s, no accept fails, and SIGTERM and a reload
+// answered, the list of the resumed discovery service is in force within 6 s, no accept fails, and SIGTERM and a reload
 // with a smaller limit work as usual.
 func TestServe_IdleClientsAtDescriptorLimitWhileDiscoveryIsDown(t *testing.T) {
-	ids := 0
+	lastID := 0
 	for _, limit := range []int{64, 256, 1024} {
-		for _, known := range []bool{false, true} {
-			t.Run(fmt.Sprintf("%d descriptors, cached list %v", limit, known), func(t *testing.T) {
-				testDescriptorLimitWhileDiscoveryIsDown(t, limit, known, &ids)
+		for _, hasCachedList := range []bool{false, true} {
+			t.Run(fmt.Sprintf("%d descriptors, cached list %v", limit, hasCachedList), func(t *testing.T) {
+				testDescriptorLimitWhileDiscoveryIsDown(t, limit, hasCachedList, &lastID)
 			})
 		}
 	}
 }
 
-// testDescriptorLimitWhileDiscoveryIsDown is the test at one descriptor limit, with or without a cached list of
-// backends. Request ids continue from ids.
-func testDescriptorLimitWhileDiscoveryIsDown(t *testing.T, limit int, known bool, ids *int) {
+// testDescriptorLimitWhileDiscoveryIsDown runs the test at one descriptor limit, with or without a cached endpoint
+// list. lastID is the last request id used.
+func testDescriptorLimitWhileDiscoveryIsDown(t *testing.T, limit int, hasCachedList bool, lastID *int) {
 	cached, listed := &fake.Backend{}, &fake.Backend{}
-	unused, endpoints := startBackends(t, cached, listed)
-	unused.Close()
+	unusedDiscovery, endpoints := startBackends(t, cached, listed)
+	unusedDiscovery.Close()
 	discovery := newSilentDiscovery(t)
 	options := processOptions{discovery: discovery.address, sockets: limit, memoryMB: 64}
-	if known { // it names one backend; discovery will name the other
+	if hasCachedList { // it lists one backend, the discovery service the other
 		options.knownEndpoints = endpoints[:1]
 	}
-	crowd := crowdedProcess{relayProcess: startProcess(t, options), t: t, limit: limit, lastID: ids}
-	if err := unix.Prlimit(crowd.cmd.Process.Pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: uint64(limit), Max: uint64(limit)}, nil); err != nil {
+	process := saturatedProcess{relayProcess: startProcess(t, options), t: t, limit: limit, lastID: lastID}
+	if err := unix.Prlimit(process.cmd.Process.Pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: uint64(limit), Max: uint64(limit)}, nil); err != nil {
 		t.Fatal(err)
 	}
-	crowd.dialIdle(3 * limit)
-	var asked []*client
+	process.dialIdle(3 * limit)
+	var waiting []*client
 	for range limit {
-		asked = append(asked, crowd.dialOpen())
+		waiting = append(waiting, process.dialOpen())
 	}
-	crowd.dialIdle(limit)
-	crowd.checkDescriptors()
-	resumed := time.Now()
+	process.dialIdle(limit)
+	process.checkDescriptors()
+	resumedAt := time.Now()
 	discovery.resume(endpoints[1])
-	if known {
-		crowd.openUntilBackendReached(listed, resumed)
+	if hasCachedList {
+		process.openUntilBackendReached(listed, resumedAt)
 	}
-	crowd.checkAllAnswered(asked)
-	if took := time.Since(resumed); took > 6*time.Second {
-		t.Errorf("the resumed discovery service took effect after %v", took)
+	process.checkAllAnswered(waiting)
+	if took := time.Since(resumedAt); took > 6*time.Second {
+		t.Errorf("the list of the resumed discovery service took effect after %v, want 6 s at most", took)
 	}
-	crowd.checkDescriptors()
+	process.checkDescriptors()
 	options.sockets = limit / 2
-	crowd.reloadConfig(options)
-	crowd.waitForLog(logReloaded, 1)
-	crowd.dialIdle(limit)
-	crowd.checkAnswered(crowd.dialOpen(), "with half of the limit")
-	if err := crowd.cmd.Process.Signal(unix.SIGTERM); err != nil {
+	process.reloadConfig(options)
+	process.waitForLog(logReloaded, 1)
+	process.dialIdle(limit)
+	process.checkAnswered(process.dialOpen(), "with half of the limit")
+	if err := process.cmd.Process.Signal(unix.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	crowd.checkAnswered(crowd.dialOpen(), "after SIGTERM")
-	if err := crowd.waitForExit(); err != nil {
-		t.Errorf("ended with %v", err)
+	process.checkAnswered(process.dialOpen(), "after SIGTERM")
+	if err := process.waitForExit(); err != nil {
+		t.Errorf("exit: %v", err)
 	}
-	if strings.Contains(crowd.log.String(), `"msg":"accept failed"`) || strings.Contains(crowd.log.String(), "too many open files") {
-		t.Error("descriptors ran out")
+	if strings.Contains(process.log.String(), `"msg":"accept failed"`) || strings.Contains(process.log.String(), "too many open files") {
+		t.Error("the log reports that accept failed or descriptors ran out")
 	}
 }
 
-// crowdedProcess is a relay whose descriptors are filled by its clients.
-type crowdedProcess struct {
+// saturatedProcess is a relay whose clients use up its descriptors.
+type saturatedProcess struct {
 	*relayProcess
 	t      *testing.T
 	limit  int
@@ -117,71 +117,71 @@
 }
 
 // dialIdle opens n connections that send nothing.
-func (crowd crowdedProcess) dialIdle(n int) {
+func (process saturatedProcess) dialIdle(n int) {
 	for range n {
-		crowd.dial()
+		process.dial()
 	}
 }
 
 // dialOpen opens a connection and sends a complete OPEN line.
-func (crowd crowdedProcess) dialOpen() *client {
-	*crowd.lastID++
-	c := crowd.dial()
-	c.send(fmt.Sprintf("OPEN %016x %016x c=chat,d=20000", 1<<20+*crowd.lastID, *crowd.lastID))
+func (process saturatedProcess) dialOpen() *client {
+	*process.lastID++
+	c := process.dial()
+	c.send(fmt.Sprintf("OPEN %016x %016x c=chat,d=20000", 1<<20+*process.lastID, *process.lastID))
 	return c
 }
 
 // checkDescriptors fails the test if the process has more descriptors than its limit.
-func (crowd crowdedProcess) checkDescriptors() {
-	crowd.t.Helper()
-	if n := crowd.descriptorCount(); n > crowd.limit {
-		crowd.t.Errorf("%d descriptors of %d", n, crowd.limit)
+func (process saturatedProcess) checkDescriptors() {
+	process.t.Helper()
+	if n := process.descriptorCount(); n > process.limit {
+		process.t.Errorf("%d descriptors are open, the limit is %d", n, process.limit)
 	}
 }
 
-// openUntilBackendReached sends requests, each of which must be answered, until one reaches the backend that
-// discovery has listed since the given time.
-func (crowd crowdedProcess) openUntilBackendReached(backend *fake.Backend, told time.Time) {
-	crowd.t.Helper()
+// openUntilBackendReached sends requests, each of which must be answered, until one reaches the backend that discovery
+// lists since the given time.
+func (process saturatedProcess) openUntilBackendReached(backend *fake.Backend, resumedAt time.Time) {
+	process.t.Helper()
 	for len(backend.OpenLines()) == 0 {
-		c := crowd.dialOpen()
-		if got, err := c.reader.ReadString('\n'); err != nil {
-			crowd.t.Fatalf("a request has no answer: %q, %v", got, err)
+		connection := process.dialOpen()
+		if got, err := connection.reader.ReadString('\n'); err != nil {
+			process.t.Fatalf("instead of an answer to OPEN: %q, %v", got, err)
 		}
-		_ = c.Close()
-		if time.Since(told) > testTimeout {
-			crowd.t.Fatal("the resumed discovery service has no effect")
+		_ = connection.Close()
+		if time.Since(resumedAt) > testTimeout {
+			process.t.Fatalf("no request reaches the backend of the resumed discovery service within %v", testTimeout)
 		}
 	}
 }
 
 // checkAllAnswered fails the test unless every client gets UP or BUSY, and at least one in eight UP.
-func (crowd crowdedProcess) checkAllAnswered(asked []*client) {
-	crowd.t.Helper()
+func (process saturatedProcess) checkAllAnswered(waiting []*client) {
+	process.t.Helper()
 	accepted, rejected := 0, 0
-	for i, c := range asked {
+	for i, c := range waiting {
 		got, err := c.reader.ReadString('\n')
 		switch {
 		case err != nil:
-			crowd.t.Fatalf("OPEN %d of %d has no answer: %q, %v", i, crowd.limit, got, err)
+			process.t.Fatalf("instead of the answer to OPEN %d of %d: %q, %v", i, process.limit, got, err)
 		case strings.HasPrefix(got, "UP"):
 			accepted++
 		case strings.HasPrefix(got, "BUSY"):
 			rejected++
 		default:
-			crowd.t.Errorf("got %q", got)
+			process.t.Errorf("got %q, want UP or BUSY", got)
 		}
 	}
-	if accepted < crowd.limit/8 || accepted+rejected != crowd.limit {
-		crowd.t.Errorf("%d up, %d busy of %d", accepted, rejected, crowd.limit)
+	if accepted < process.limit/8 || accepted+rejected != process.limit {
+		process.t.Errorf("%d clients got UP and %d BUSY of %d, want at least one in eight UP", accepted, rejected, process.limit)
 	}
 }
 
 // checkAnswered fails the test unless the client gets UP or BUSY.
-func (crowd crowdedProcess) checkAnswered(c *client, when string) {
-	crowd.t.Helper()
+func (process saturatedProcess) checkAnswered(c *client, when string) {
+	process.t.Helper()
 	if got, err := c.reader.ReadString('\n'); err != nil || !strings.HasPrefix(got, "UP") && !strings.HasPrefix(got, "BUSY") {
-		crowd.t.Errorf("%s: got %q, %v", when, got, err)
+		process.t.Errorf("%s: got %q and %v, want UP or BUSY", when, got, err)
 	}
 }
 
@@ -194,17 +194,17 @@
 		got, err := c.reader.ReadString('\n')
 		switch {
 		case err != nil:
-			t.Fatalf("after %d up and %d busy: %v", accepted, rejected, err)
+			t.Fatalf("no answer to OPEN after %d UP and %d BUSY: %v", accepted, rejected, err)
 		case strings.HasPrefix(got, "UP"):
 			accepted++
 		case got == "BUSY 1000\r\n":
 			rejected++
 		default:
-			t.Fatalf("got %q", got)
+			t.Fatalf("got %q, want UP or BUSY 1000", got)
 		}
 	}
 	if accepted < 10 || rejected < 10 {
-		t.Errorf("%d up, %d busy", accepted, rejected)
+		t.Errorf("%d clients got UP and %d BUSY, want at least 10 of each", accepted, rejected)
 	}
 	c := process.dial()
 	c.send("PING")
--- a/cmd/aspenbarrow/discovery_test.go
+++ b/cmd/aspenbarrow/discovery_test.go
@@ -32,7 +32,7 @@
 	for deadline := time.Now().Add(testTimeout); len(moved.OpenLines()) == 0; {
 		process.openSession(openRequest(""))
 		if time.Now().After(deadline) {
-			t.Fatal("the new address is not used")
+			t.Fatalf("no session at the new address of the backend within %v", testTimeout)
 		}
 	}
 }
--- a/cmd/aspenbarrow/errors.go
+++ b/cmd/aspenbarrow/errors.go
@@ -7,12 +7,12 @@
 
 // Errors of the command line and of the environment.
 var (
-	errNoConfigurationFile  = errors.New("configuration: PROXY_CONFIG names no file")
-	errServeWithoutConfig   = errors.New("serve wants --config FILE")
-	errNoConfigToShow       = errors.New("--config FILE is missing, and PROXY_CONFIG names none")
-	errNoEffectiveSettings  = errors.New("the platform's JSON has no keys of its own to show; give a TOML file")
-	errMembersWithoutTarget = errors.New("members wants --at ADDRESS, a relay's second address")
-	errNoBuildInfo          = errors.New("the program does not know what it was built from")
+	errConfigVariableUnset   = errors.New("configuration: PROXY_CONFIG is not set, expected the path of a configuration file")
+	errServeWithoutConfig    = errors.New("serve requires --config FILE")
+	errNoConfigFile          = errors.New("no configuration file: give --config FILE or set PROXY_CONFIG")
+	errNoEffectiveSettings   = errors.New("the configuration file is the platform's JSON; config show requires a TOML file")
+	errMembersWithoutAddress = errors.New("members requires --at ADDRESS, the address of a relay's admin endpoint")
+	errNoBuildInfo           = errors.New("the program was built without build information")
 )
 
 // usageError marks an error of the command line or of a configuration file. The program exits with exitUsage on it.
@@ -33,7 +33,7 @@
 
 // Error returns the counts.
 func (e invalidFilesError) Error() string {
-	return fmt.Sprintf("%d of %d files are unsound, %d faults", e.Invalid, e.Checked, e.Problems)
+	return fmt.Sprintf("%d of %d files are invalid, %d problems in total", e.Invalid, e.Checked, e.Problems)
 }
 
 // adminFailure is the reason that an admin endpoint gave for a FAILURE.
@@ -42,7 +42,7 @@
 // Error returns the reason as the endpoint gave it.
 func (e adminFailure) Error() string { return string(e) }
 
-// truncatedAnswerError means that an admin endpoint closed the connection before the end of its answer.
+// truncatedAnswerError means that the answer of an admin endpoint could not be read to its end.
 type truncatedAnswerError struct {
 	Address string
 	Command string
@@ -50,11 +50,13 @@
 
 // Error names the endpoint and the command.
 func (e truncatedAnswerError) Error() string {
-	return fmt.Sprintf("%s: the answer to %s was cut short", e.Address, e.Command)
+	return fmt.Sprintf("%s: answer to %s truncated: the final line EOT is missing", e.Address, e.Command)
 }
 
-// emptyAnswerError means that an admin endpoint answered with success and no records.
+// emptyAnswerError means that an admin endpoint answered MEMBERS with success and no records.
 type emptyAnswerError struct{ Address string }
 
 // Error names the endpoint.
-func (e emptyAnswerError) Error() string { return e.Address + ": an empty answer" }
+func (e emptyAnswerError) Error() string {
+	return e.Address + ": empty answer to MEMBERS, expected a summary and a line for each member"
+}
--- a/cmd/aspenbarrow/harness_test.go
+++ b/cmd/aspenbarrow/harness_test.go
@@ -23,7 +23,7 @@
 	"aspenbarrow/internal/fake"
 )
 
-// TestMain runs the program itself where startProcess has started this test binary for that, and the tests otherwise.
+// TestMain runs the program instead of the tests if launchProcess has started this test binary as a relay process.
 func TestMain(m *testing.M) {
 	if os.Getenv("ASPENBARROW_TEST_RUN") != "" {
 		main()
@@ -32,7 +32,7 @@
 	os.Exit(m.Run())
 }
 
-// testTimeout is far above the duration of any single step of the tests.
+// testTimeout limits each step of a test. It is far above the duration of any of them.
 const testTimeout = 15 * time.Second
 
 // Log messages of the program that tests wait for or count.
@@ -42,11 +42,11 @@
 	logCachedListMalformed   = "cached endpoint list is malformed"
 	logShutdownStarted       = `"msg":"graceful shutdown started"`
 	logRestored              = "state restored from predecessor process"
-	logSuccessorEnded        = "successor process exited, accepting connections again"
+	logSuccessorExited       = "successor process exited, accepting connections again"
 	logHotRestartUnavailable = "hot restart socket unavailable"
 )
 
-// settingsTemplate is the platform's settings, with MODE for the mode of the family.
+// settingsTemplate holds the settings in the platform's JSON, with MODE as a placeholder for the mode of the family.
 const settingsTemplate = `{"azs": ["east"], "kinds": ["k"], "n-instances": 1, "me": 0, "tick-ms": 4,
 "classes": [{"name": "chat", "effect": "read_like", "on-time-ms": 500, "give-up-ms": 2000},
  {"name": "order", "effect": "non_idempotent", "on-time-ms": 500, "give-up-ms": 2000}],
@@ -85,7 +85,7 @@
 	return log.buffer.String()
 }
 
-// processOptions says how to configure and start a relay. The zero value of a field means its default.
+// processOptions configures a relay process and its start. The zero value of a field means its default.
 type processOptions struct {
 	discovery      string          // address of the discovery service
 	mode           string          // mode of the settings; default "proxy"
@@ -93,7 +93,7 @@
 	memoryMB       int             // memory limit in megabytes; default 192
 	knownEndpoints []fake.Endpoint // cached endpoint list
 	replaceText    [2]string       // text of the configuration to replace, and its replacement
-	extraKeys      map[string]any  // further keys of the configuration, which override the usual ones
+	extraKeys      map[string]any  // further keys of the configuration, which override those of writeConfig
 	environment    []string        // further environment variables
 	executable     string          // path of another build of the program; default the test binary
 }
@@ -110,19 +110,19 @@
 func startProcess(t *testing.T, options processOptions) *relayProcess {
 	t.Helper()
 	process := launchProcess(t, options)
-	served := regexp.MustCompile(`"msg":"serving".*"address":"([^"]+)"`)
+	servingPattern := regexp.MustCompile(`"msg":"serving".*"address":"([^"]+)"`)
 	for deadline := time.Now().Add(testTimeout); ; {
-		if m := served.FindStringSubmatch(process.log.String()); m != nil {
-			process.address = m[1]
+		if match := servingPattern.FindStringSubmatch(process.log.String()); match != nil {
+			process.address = match[1]
 			return process
 		}
 		select {
 		case err := <-process.exited:
-			t.Fatalf("the program ended at its start: %v\n%s", err, process.log)
+			t.Fatalf("the relay exited before it served: %v\n%s", err, process.log)
 		case <-time.After(5 * time.Millisecond):
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("the program does not serve\n%s", process.log)
+			t.Fatalf("the relay does not serve after %v\n%s", testTimeout, process.log)
 		}
 	}
 }
@@ -143,7 +143,7 @@
 	}
 	if options.replaceText[0] != "" {
 		if !bytes.Contains(text, []byte(options.replaceText[0])) {
-			t.Fatalf("%s is not in the configuration", options.replaceText[0])
+			t.Fatalf("text to replace is missing in the configuration: %s", options.replaceText[0])
 		}
 		text = bytes.Replace(text, []byte(options.replaceText[0]), []byte(options.replaceText[1]), 1)
 	}
@@ -196,9 +196,9 @@
 }
 
 // signal sends a signal to the process.
-func (process *relayProcess) signal(s os.Signal) {
+func (process *relayProcess) signal(sig os.Signal) {
 	process.t.Helper()
-	if err := process.cmd.Process.Signal(s); err != nil {
+	if err := process.cmd.Process.Signal(sig); err != nil {
 		process.t.Fatal(err)
 	}
 }
@@ -212,11 +212,11 @@
 }
 
 // waitFor polls a condition until it holds.
-func waitFor(t *testing.T, what string, ok func() bool) {
+func waitFor(t *testing.T, condition string, holds func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(testTimeout); !ok(); {
+	for deadline := time.Now().Add(testTimeout); !holds(); {
 		if time.Now().After(deadline) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("condition not met within %v: %s", testTimeout, condition)
 		}
 		<-time.After(time.Millisecond)
 	}
@@ -229,7 +229,7 @@
 	case err := <-process.exited:
 		return err
 	case <-time.After(testTimeout):
-		process.t.Fatal("the program does not end")
+		process.t.Fatalf("the process has not exited after %v", testTimeout)
 		return nil
 	}
 }
@@ -237,11 +237,11 @@
 // descriptorCount returns the number of open file descriptors of the process.
 func (process *relayProcess) descriptorCount() int {
 	process.t.Helper()
-	fds, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", process.cmd.Process.Pid))
+	descriptors, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", process.cmd.Process.Pid))
 	if err != nil {
 		process.t.Fatal(err)
 	}
-	return len(fds)
+	return len(descriptors)
 }
 
 // residentMB returns the resident memory of the process in megabytes.
@@ -251,15 +251,15 @@
 	if err != nil {
 		process.t.Fatal(err)
 	}
-	m := regexp.MustCompile(`VmRSS:\s+(\d+) kB`).FindSubmatch(text)
-	if m == nil {
-		process.t.Fatal("no VmRSS")
+	match := regexp.MustCompile(`VmRSS:\s+(\d+) kB`).FindSubmatch(text)
+	if match == nil {
+		process.t.Fatalf("VmRSS is missing in the process status: %s", text)
 	}
-	kb, err := strconv.Atoi(string(m[1]))
+	residentKB, err := strconv.Atoi(string(match[1]))
 	if err != nil {
 		process.t.Fatal(err)
 	}
-	return kb / 1024
+	return residentKB / 1024
 }
 
 // callAdmin sends a command to the admin endpoint and returns the answer, empty if there is none.
@@ -277,7 +277,7 @@
 	return string(answer)
 }
 
-// isReady reports whether the admin endpoint says that the relay is ready.
+// isReady reports whether the admin endpoint reports the relay ready.
 func (process *relayProcess) isReady() bool {
 	return strings.HasPrefix(process.callAdmin("READY"), "SUCCESS")
 }
@@ -286,7 +286,7 @@
 func (process *relayProcess) expectAdminSuccess(command string) {
 	process.t.Helper()
 	if answer := process.callAdmin(command); !strings.HasPrefix(answer, "SUCCESS") {
-		process.t.Fatalf("answer %q to %s", answer, command)
+		process.t.Fatalf("answer %q to %s, want SUCCESS", answer, command)
 	}
 }
 
@@ -297,17 +297,17 @@
 func (process *relayProcess) waitUntilReady(since time.Time) time.Duration {
 	process.t.Helper()
 	for {
-		if c, err := net.Dial("tcp", process.address); err == nil {
-			_ = c.SetDeadline(time.Now().Add(testTimeout))
-			_, _ = fmt.Fprint(c, "PING\r\n")
-			line, _ := bufio.NewReader(c).ReadString('\n')
-			_ = c.Close()
+		if connection, err := net.Dial("tcp", process.address); err == nil {
+			_ = connection.SetDeadline(time.Now().Add(testTimeout))
+			_, _ = fmt.Fprint(connection, "PING\r\n")
+			line, _ := bufio.NewReader(connection).ReadString('\n')
+			_ = connection.Close()
 			if line == "PONG\r\n" {
 				return time.Since(since)
 			}
 		}
 		if time.Since(since) > testTimeout {
-			process.t.Fatalf("never ready\n%s", process.log)
+			process.t.Fatalf("the relay does not answer PING with PONG after %v\n%s", testTimeout, process.log)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
--- a/cmd/aspenbarrow/hotrestart_test.go
+++ b/cmd/aspenbarrow/hotrestart_test.go
@@ -40,7 +40,7 @@
 func (sequence *restartSequence) startNext() *relayProcess {
 	sequence.t.Helper()
 	successor := startProcess(sequence.t, sequence.options)
-	waitFor(sequence.t, "the next process is ready", successor.isReady)
+	waitFor(sequence.t, "the successor is ready", successor.isReady)
 	return successor
 }
 
@@ -56,7 +56,7 @@
 		load.waitForAccepted(t, 100)
 		predecessor.signal(syscall.SIGTERM)
 		if err := predecessor.waitForExit(); err != nil {
-			t.Fatalf("the predecessor: %v", err)
+			t.Fatalf("exit of the predecessor: %v", err)
 		}
 		load.waitForAccepted(t, 100)
 		predecessor = successor
@@ -66,7 +66,7 @@
 	predecessor.waitForLog(logRestored, 1)
 }
 
-// TestHotRestart_FailedSuccessorLeavesPredecessorServing ends successors in order and by SIGKILL: the predecessor
+// TestHotRestart_FailedSuccessorLeavesPredecessorServing ends successors by SIGTERM and by SIGKILL: the predecessor
 // accepts connections again.
 func TestHotRestart_FailedSuccessorLeavesPredecessorServing(t *testing.T) {
 	sequence := newRestartSequence(t, processOptions{})
@@ -80,26 +80,26 @@
 		if err := successor.waitForExit(); err != nil {
 			t.Fatal(err)
 		}
-		predecessor.waitForLog(logSuccessorEnded, i+1)
+		predecessor.waitForLog(logSuccessorExited, i+1)
 		load.waitForAccepted(t, 50)
 	}
 	load.stopAndCheck(t)
 	successor := sequence.startNext()
 	successor.signal(syscall.SIGKILL)
 	_ = successor.waitForExit()
-	predecessor.waitForLog(logSuccessorEnded, 4)
+	predecessor.waitForLog(logSuccessorExited, 4)
 	predecessor.openSession(openRequest("")).send("ping")
 }
 
-// TestHotRestart_SuccessorFailsDuringPredecessorShutdown ends the successor while the predecessor shuts down. Nobody
-// accepts the connections of that moment, and the listen queue is reset when the predecessor closes it. The
-// predecessor accepts connections again until it exits.
+// TestHotRestart_SuccessorFailsDuringPredecessorShutdown ends the successor while the predecessor shuts down. Then no
+// process accepts connections, and those in the listen queue would be reset when the predecessor closes its listener:
+// the predecessor has to accept connections again until it exits.
 func TestHotRestart_SuccessorFailsDuringPredecessorShutdown(t *testing.T) {
-	for _, s := range []syscall.Signal{syscall.SIGKILL, syscall.SIGTERM} {
-		hold := make(chan struct{})
+	for _, sig := range []syscall.Signal{syscall.SIGKILL, syscall.SIGTERM} {
+		release := make(chan struct{})
 		backend := &fake.Backend{Answer: func(open string) []string {
 			if strings.Contains(open, "held=1") {
-				<-hold
+				<-release
 			}
 			return []string{"UP it"}
 		}}
@@ -107,24 +107,24 @@
 		predecessor := sequence.startNext()
 		pending := predecessor.dial()
 		pending.send(openRequest(",held=1"))
-		waitFor(t, "it is sent", func() bool { return len(backend.OpenLines()) == 1 })
+		waitFor(t, "the pending request reaches the backend", func() bool { return len(backend.OpenLines()) == 1 })
 		successor := sequence.startNext()
 		predecessor.signal(syscall.SIGTERM) // it stays until the pending request is answered
 		predecessor.waitForLog(logShutdownStarted, 1)
-		successor.signal(s)
-		if err := successor.waitForExit(); (err == nil) != (s == syscall.SIGTERM) {
+		successor.signal(sig)
+		if err := successor.waitForExit(); (err == nil) != (sig == syscall.SIGTERM) {
 			t.Fatal(err)
 		}
-		predecessor.waitForLog(logSuccessorEnded, 1)
-		c := predecessor.dial()
-		c.send(openRequest(""))
-		c.expect("UP it")
-		close(hold)
+		predecessor.waitForLog(logSuccessorExited, 1)
+		session := predecessor.dial()
+		session.send(openRequest(""))
+		session.expect("UP it")
+		close(release)
 		pending.expect("UP it")
-		for _, c := range []*client{c, pending} {
-			c.expect("MOVE")
-			c.expectClosed()
-			_ = c.Close()
+		for _, session := range []*client{session, pending} {
+			session.expect("MOVE")
+			session.expectClosed()
+			_ = session.Close()
 		}
 		if err := predecessor.waitForExit(); err != nil {
 			t.Error(err)
@@ -132,15 +132,15 @@
 	}
 }
 
-// TestHotRestart_IgnoresStaleFiles starts a relay in a directory with files of a killed process: there is nothing to
-// take over.
+// TestHotRestart_IgnoresStaleFiles starts a relay in a directory with files of a killed process: it serves and restores
+// no state.
 func TestHotRestart_IgnoresStaleFiles(t *testing.T) {
 	sequence := newRestartSequence(t, processOptions{})
 	predecessor := sequence.startNext()
 	predecessor.signal(syscall.SIGKILL)
 	_ = predecessor.waitForExit()
-	if left, _ := filepath.Glob(filepath.Join(sequence.directory, "*")); len(left) == 0 {
-		t.Fatal("no files of the killed process")
+	if files, _ := filepath.Glob(filepath.Join(sequence.directory, "*")); len(files) == 0 {
+		t.Fatalf("the killed process left no files in %s", sequence.directory)
 	}
 	successor := sequence.startNext()
 	successor.openSession(openRequest(""))
@@ -163,8 +163,8 @@
 	waitFor(t, "the successor is ready again", successor.isReady)
 }
 
-// TestHotRestart_SharesAddressWithoutSocketDirectory checks that a relay without a directory for its socket serves
-// all the same, and that its successor shares the address.
+// TestHotRestart_SharesAddressWithoutSocketDirectory checks that a relay serves even if the directory for its hot
+// restart socket is missing, and that its successor shares the address.
 func TestHotRestart_SharesAddressWithoutSocketDirectory(t *testing.T) {
 	sequence := newRestartSequence(t, processOptions{})
 	sequence.options.environment = append(sequence.options.environment, "TMPDIR="+filepath.Join(sequence.directory, "missing"))
--- a/cmd/aspenbarrow/input_test.go
+++ b/cmd/aspenbarrow/input_test.go
@@ -21,12 +21,12 @@
 func TestServe_AnswersMalformedInputOnce(t *testing.T) {
 	process, _, _ := startWithBackends(t, processOptions{}, &fake.Backend{})
 	first := openRequest("")
-	held := process.openSession(first)
+	session := process.openSession(first)
 	for name, line := range map[string]string{
 		"no protocol":                 "GET / HTTP/1.1",
 		"unknown class":               strings.Replace(openRequest(""), "chat", "cat", 1),
-		"bad number":                  strings.Replace(openRequest(""), "d=2000", "d=2s", 1),
-		"bad id":                      "OPEN xyz 7f3a9c21e0b4d655 c=chat,d=2000",
+		"timeout with a unit":         strings.Replace(openRequest(""), "d=2000", "d=2s", 1),
+		"id not hexadecimal":          "OPEN xyz 7f3a9c21e0b4d655 c=chat,d=2000",
 		"no timeout":                  strings.Replace(openRequest(""), ",d=2000", "", 1),
 		"overlong line":               strings.Repeat("x", 5000),
 		"duplicate id":                first,
@@ -50,37 +50,37 @@
 	c := process.dial()
 	c.send("PING")
 	c.expect("PONG")
-	held.send("still")
-	held.expect("echo still")
+	session.send("still")
+	session.expect("echo still")
 	if n := strings.Count(process.log.String(), `"msg":"protocol error from client"`); n < 15 {
-		t.Errorf("%d of 15 logged", n)
+		t.Errorf("%d protocol errors logged, want at least 15", n)
 	}
 }
 
 func TestServe_IdleConnectionsDoNotBlockClients(t *testing.T) {
 	process, _, _ := startWithBackends(t, processOptions{sockets: 256, memoryMB: 32}, &fake.Backend{})
-	held := process.openSession(openRequest(""))
-	var crowd []*client
+	session := process.openSession(openRequest(""))
+	var idle []*client
 	for range 300 {
-		crowd = append(crowd, process.dial())
+		idle = append(idle, process.dial())
 	}
 	for range 10 {
-		asked := time.Now()
+		start := time.Now()
 		process.openSession(openRequest(""))
-		if took := time.Since(asked); took > 1500*time.Millisecond {
-			t.Errorf("a valid request waited for %v", took)
+		if took := time.Since(start); took > 1500*time.Millisecond {
+			t.Errorf("a valid request was answered after %v, want 1.5 s at most", took)
 		}
 	}
-	for _, c := range crowd {
+	for _, c := range idle {
 		expectRejected(t, c, 3*time.Second)
 	}
-	held.send("still")
-	held.expect("echo still")
+	session.send("still")
+	session.expect("echo still")
 }
 
 func TestServe_ClosesConnectionsWithUnboundedInput(t *testing.T) {
 	process, _, _ := startWithBackends(t, processOptions{sockets: 256, memoryMB: 32}, &fake.Backend{})
-	held := process.openSession(openRequest(""))
+	session := process.openSession(openRequest(""))
 	for _, input := range []string{strings.Repeat("k", 64<<10), strings.Repeat("PING\r\n", 8<<10),
 		strings.Repeat("frob 1\r\n", 8<<10), "OPEN " + strings.Repeat("\x00\xff", 32<<10)} {
 		for range 4 { // up to 60 MB each
@@ -99,16 +99,16 @@
 			}
 			expectRejected(t, c, 3*time.Second)
 		}
-		held.send("still")
-		held.expect("echo still")
+		session.send("still")
+		session.expect("echo still")
 	}
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", process.cmd.Process.Pid))
 	if err != nil {
-		t.Skip("no /proc here")
+		t.Skipf("peak memory not checked: %v", err)
 	}
-	m := regexp.MustCompile(`VmHWM:\s+(\d+) kB`).FindSubmatch(status)
-	if peakKB, _ := strconv.Atoi(string(m[1])); !raceEnabled && peakKB > 32<<10 {
-		t.Errorf("the relay held %d KiB", peakKB)
+	match := regexp.MustCompile(`VmHWM:\s+(\d+) kB`).FindSubmatch(status)
+	if peakKB, _ := strconv.Atoi(string(match[1])); !raceEnabled && peakKB > 32<<10 {
+		t.Errorf("peak memory of the relay is %d KiB, want %d at most", peakKB, 32<<10)
 	}
 }
 
@@ -121,18 +121,18 @@
 		_ = raw.Control(func(fd uintptr) { err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 1) })
 		return err
 	}}
-	conn, err := dialer.Dial("tcp", process.address)
+	connection, err := dialer.Dial("tcp", process.address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer conn.Close()
-	c := &client{t, conn.(*net.TCPConn), bufio.NewReader(conn)}
+	defer connection.Close()
+	c := &client{t, connection.(*net.TCPConn), bufio.NewReader(connection)}
 	_ = c.SetDeadline(time.Now().Add(testTimeout))
 	_ = c.SetWriteDeadline(time.Now().Add(300 * time.Millisecond)) // less than the time for which the relay waits
 	for err == nil {
 		_, err = io.WriteString(c, strings.Repeat("PING\r\n", 1<<10))
 	}
-	if ne := net.Error(nil); !errors.As(err, &ne) || !ne.Timeout() {
+	if netErr := net.Error(nil); !errors.As(err, &netErr) || !netErr.Timeout() {
 		t.Errorf("closed with %v before the answers could arrive, instead of a write timeout", err)
 	}
 	for range 16 {
@@ -154,10 +154,10 @@
 	c = process.dial()
 	c.send(openRequest(""))
 	waitFor(t, "the request reaches the backend", func() bool { return len(backend.OpenLines()) > 0 })
-	asked := time.Now()
+	start := time.Now()
 	c.send("more")
 	c.expect("ERR")
-	if took := time.Since(asked); took > time.Second {
+	if took := time.Since(start); took > time.Second {
 		t.Errorf("rejected after %v", took)
 	}
 	c.expectClosed()
@@ -195,22 +195,22 @@
 					return
 				default:
 				}
-				c, err := net.Dial("tcp", process.address)
+				connection, err := net.Dial("tcp", process.address)
 				if err != nil {
 					continue
 				}
-				_ = c.SetDeadline(time.Now().Add(testTimeout))
-				_, _ = io.WriteString(c, []string{"frob\r\n", "OPEN 1 2 c=cat,d=1\r\n", "OPEN \x00"}[i%3])
-				_, _ = io.ReadAll(c)
-				_ = c.Close()
+				_ = connection.SetDeadline(time.Now().Add(testTimeout))
+				_, _ = io.WriteString(connection, []string{"frob\r\n", "OPEN 1 2 c=cat,d=1\r\n", "OPEN \x00"}[i%3])
+				_, _ = io.ReadAll(connection)
+				_ = connection.Close()
 			}
 		}()
 	}
 	for range 20 {
-		asked := time.Now()
+		start := time.Now()
 		process.openSession(openRequest(""))
-		if took := time.Since(asked); took > 1500*time.Millisecond {
-			t.Errorf("a valid request waited for %v", took)
+		if took := time.Since(start); took > 1500*time.Millisecond {
+			t.Errorf("a valid request was answered after %v, want 1.5 s at most", took)
 		}
 	}
 	close(stop)
@@ -221,14 +221,14 @@
 	backend := &fake.Backend{}
 	process, _, _ := startWithBackends(t, processOptions{}, backend)
 	line := openRequest("")
-	held := process.openSession(line)
+	session := process.openSession(line)
 	for range 3 {
 		c := process.dial()
 		c.send(strings.Replace(line, "7f3a9c21e0b4d655", "00000000e0b4d655", 1))
 		c.expect("ERR")
 		c.expectClosed()
-		held.send("still")
-		held.expect("echo still")
+		session.send("still")
+		session.expect("echo still")
 	}
 	if n := len(backend.OpenLines()); n != 1 {
 		t.Errorf("%d requests reached the backend", n)
--- a/cmd/aspenbarrow/log_keys_test.go
+++ b/cmd/aspenbarrow/log_keys_test.go
@@ -17,86 +17,86 @@
 )
 
 // stringLiteral returns the value of a string literal, or * for any other expression.
-func stringLiteral(e ast.Expr) string {
-	if l, ok := e.(*ast.BasicLit); ok && l.Kind == token.STRING {
-		if s, err := strconv.Unquote(l.Value); err == nil {
-			return s
+func stringLiteral(expression ast.Expr) string {
+	if literal, ok := expression.(*ast.BasicLit); ok && literal.Kind == token.STRING {
+		if value, err := strconv.Unquote(literal.Value); err == nil {
+			return value
 		}
 	}
 	return "*"
 }
 
 // calledMethod returns the name of a called method and the last name of its receiver.
-func calledMethod(c *ast.CallExpr) (on, name string) {
-	s, ok := c.Fun.(*ast.SelectorExpr)
+func calledMethod(call *ast.CallExpr) (receiver, name string) {
+	selector, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok {
 		return "", ""
 	}
-	switch x := s.X.(type) {
+	switch operand := selector.X.(type) {
 	case *ast.Ident:
-		on = x.Name
+		receiver = operand.Name
 	case *ast.SelectorExpr:
-		on = x.Sel.Name
+		receiver = operand.Sel.Name
 	}
-	return on, s.Sel.Name
+	return receiver, selector.Sel.Name
 }
 
 // zapFieldKey returns the key of the zap field that a call makes; ok reports whether it makes one.
-func zapFieldKey(e ast.Expr) (key string, ok bool) {
-	c, isCall := e.(*ast.CallExpr)
+func zapFieldKey(expression ast.Expr) (key string, ok bool) {
+	call, isCall := expression.(*ast.CallExpr)
 	if !isCall {
 		return "", false
 	}
-	on, name := calledMethod(c)
+	receiver, name := calledMethod(call)
 	switch {
-	case on != "zap" || slices.Contains([]string{"New", "NewNop", "NewProductionEncoderConfig"}, name):
+	case receiver != "zap" || slices.Contains([]string{"New", "NewNop", "NewProductionEncoderConfig"}, name):
 		return "", false
 	case name == "Error":
 		return "error", true
-	case len(c.Args) == 0:
+	case len(call.Args) == 0:
 		return "*", true
 	}
-	return stringLiteral(c.Args[0]), true
+	return stringLiteral(call.Args[0]), true
 }
 
-// logCalls lists the log calls of a file: level, message and keys. Fields made outside of a log call have a line of
-// their own.
-func logCalls(f *ast.File) (lines []string) {
-	inside := map[ast.Expr]bool{}
-	ast.Inspect(f, func(n ast.Node) bool {
-		c, ok := n.(*ast.CallExpr)
+// logCalls returns a line with level, message and keys for each log call of a file, and one for each field that is made
+// outside of a log call.
+func logCalls(file *ast.File) (lines []string) {
+	logged := map[ast.Expr]bool{}
+	ast.Inspect(file, func(node ast.Node) bool {
+		call, ok := node.(*ast.CallExpr)
 		if !ok {
 			return true
 		}
-		on, level := calledMethod(c)
-		message, fields := "", c.Args
+		receiver, level := calledMethod(call)
+		message, fields := "", call.Args
 		switch {
-		case on == "zap" || len(c.Args) == 0:
+		case receiver == "zap" || len(call.Args) == 0:
 			return true
 		case slices.Contains([]string{"Debug", "Info", "Warn", "Error", "DPanic", "Panic", "Fatal"}, level):
-			message, fields = stringLiteral(c.Args[0]), c.Args[1:]
-			if !strings.HasPrefix(strings.ToLower(on), "log") && !slices.ContainsFunc(fields, func(e ast.Expr) bool { _, ok := zapFieldKey(e); return ok }) {
+			message, fields = stringLiteral(call.Args[0]), call.Args[1:]
+			if !strings.HasPrefix(strings.ToLower(receiver), "log") && !slices.ContainsFunc(fields, func(expression ast.Expr) bool { _, ok := zapFieldKey(expression); return ok }) {
 				return true
 			}
-		case level == "With" && slices.ContainsFunc(fields, func(e ast.Expr) bool { _, ok := zapFieldKey(e); return ok }):
+		case level == "With" && slices.ContainsFunc(fields, func(expression ast.Expr) bool { _, ok := zapFieldKey(expression); return ok }):
 		default:
 			return true
 		}
 		var keys []string
-		for _, e := range fields {
-			key, ok := zapFieldKey(e)
+		for _, expression := range fields {
+			key, ok := zapFieldKey(expression)
 			if !ok {
 				key = "*"
 			}
-			inside[e] = true
+			logged[expression] = true
 			keys = append(keys, key)
 		}
 		lines = append(lines, strings.ToLower(level)+"\t"+message+"\t"+strings.Join(keys, ","))
 		return true
 	})
-	ast.Inspect(f, func(n ast.Node) bool {
-		if e, ok := n.(ast.Expr); ok && !inside[e] {
-			if key, ok := zapFieldKey(e); ok {
+	ast.Inspect(file, func(node ast.Node) bool {
+		if expression, ok := node.(ast.Expr); ok && !logged[expression] {
+			if key, ok := zapFieldKey(expression); ok {
 				lines = append(lines, "field\t\t"+key)
 			}
 		}
@@ -116,12 +116,12 @@
 		root = filepath.Join(root, "..")
 	}
 	var lines []string
-	err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
+	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil {
 			return err
 		}
-		if d.IsDir() {
-			if name := d.Name(); path != root && (name == "testdata" || strings.HasPrefix(name, ".")) {
+		if entry.IsDir() {
+			if name := entry.Name(); path != root && (name == "testdata" || strings.HasPrefix(name, ".")) {
 				return filepath.SkipDir
 			}
 			return nil
@@ -129,9 +129,9 @@
 		if !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 			return nil
 		}
-		f, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
+		file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
 		if err == nil {
-			lines = append(lines, logCalls(f)...)
+			lines = append(lines, logCalls(file)...)
 		}
 		return err
 	})
@@ -150,17 +150,17 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(got, want) {
-		old := strings.Split(strings.TrimSuffix(string(want), "\n"), "\n")
-		for _, l := range lines {
-			if i := slices.Index(old, l); i >= 0 {
-				old = slices.Delete(old, i, i+1)
+		missing := strings.Split(strings.TrimSuffix(string(want), "\n"), "\n")
+		for _, line := range lines {
+			if i := slices.Index(missing, line); i >= 0 {
+				missing = slices.Delete(missing, i, i+1)
 			} else {
-				t.Errorf("new: %q", l)
+				t.Errorf("log call missing in %s: %q", name, line)
 			}
 		}
-		for _, l := range old {
-			t.Errorf("gone: %q", l)
+		for _, line := range missing {
+			t.Errorf("log call missing in the source: %q", line)
 		}
-		t.Errorf("%s is not what the source logs", name)
+		t.Errorf("%s differs from the log calls in the source", name)
 	}
 }
--- a/cmd/aspenbarrow/logger.go
+++ b/cmd/aspenbarrow/logger.go
@@ -14,14 +14,15 @@
 // debugVariable is the environment variable that sets the log level to debug if it is not empty.
 const debugVariable = "ASPENBARROW_DEBUG"
 
-// Sampling of log entries: within each interval the first ones of a kind are logged, then every n-th.
+// Sampling of log entries: of those with the same level and message, the first ones of each interval are logged, then
+// every n-th.
 const (
 	logSamplingInterval = time.Second
 	logSamplingFirst    = 20
 	logSamplingEvery    = 100
 )
 
-// verbose makes a build that logs at debug level: -ldflags '-X main.verbose=1'.
+// verbose is set at link time, -ldflags '-X main.verbose=1', for a build that logs at debug level.
 var verbose string
 
 // newLogger returns a logger that writes JSON lines to standard error. It samples them, so that a burst of errors
--- a/cmd/aspenbarrow/race_on_test.go
+++ b/cmd/aspenbarrow/race_on_test.go
@@ -2,4 +2,4 @@
 
 package main
 
-const raceEnabled = true // which costs memory
+const raceEnabled = true // the race detector raises memory use, so tests do not check memory limits
--- a/cmd/aspenbarrow/reload_test.go
+++ b/cmd/aspenbarrow/reload_test.go
@@ -14,25 +14,25 @@
 // one is cancelled and the complete list comes from the new one, although its version is lower and the environment
 // still names the old address.
 func TestReload_SwitchesDiscoveryAddressImmediately(t *testing.T) {
-	before, after := &fake.Backend{}, &fake.Backend{}
-	old, endpoints := startBackends(t, before, after)
-	old.SetVersion(1000)
-	old.SetEndpoints(endpoints[0])
-	fresh := startDiscovery(t, endpoints[1])
-	process := startProcess(t, processOptions{discovery: old.Addr(), knownEndpoints: endpoints[:1], environment: []string{"PROXY_DISCOVERY=" + old.Addr()}})
-	held := process.openSession(openRequest(""))
-	waitFor(t, "the old discovery address is watched", func() bool { return old.WaitingCalls() > 0 })
-	asked := time.Now()
-	process.reloadConfig(processOptions{discovery: fresh.Addr(), knownEndpoints: endpoints[:1]})
-	held.expect("MOVE") // its backend is not in the new list
-	if took := time.Since(asked); took > 3*time.Second {
-		t.Errorf("the new list was taken after %v", took)
+	oldBackend, newBackend := &fake.Backend{}, &fake.Backend{}
+	oldDiscovery, endpoints := startBackends(t, oldBackend, newBackend)
+	oldDiscovery.SetVersion(1000)
+	oldDiscovery.SetEndpoints(endpoints[0])
+	newDiscovery := startDiscovery(t, endpoints[1])
+	process := startProcess(t, processOptions{discovery: oldDiscovery.Addr(), knownEndpoints: endpoints[:1], environment: []string{"PROXY_DISCOVERY=" + oldDiscovery.Addr()}})
+	session := process.openSession(openRequest(""))
+	waitFor(t, "the old discovery address is watched", func() bool { return oldDiscovery.WaitingCalls() > 0 })
+	start := time.Now()
+	process.reloadConfig(processOptions{discovery: newDiscovery.Addr(), knownEndpoints: endpoints[:1]})
+	session.expect("MOVE") // its backend is not in the new list
+	if took := time.Since(start); took > 3*time.Second {
+		t.Errorf("the list of the new address took effect after %v, want 3 s at most", took)
 	}
 	process.openSession(openRequest(""))
-	if len(after.OpenLines()) != 1 || len(before.OpenLines()) != 1 {
-		t.Errorf("%d opens at the old backend, %d at the new", len(before.OpenLines()), len(after.OpenLines()))
+	if len(newBackend.OpenLines()) != 1 || len(oldBackend.OpenLines()) != 1 {
+		t.Errorf("%d sessions at the old backend, %d at the new one, want 1 each", len(oldBackend.OpenLines()), len(newBackend.OpenLines()))
 	}
-	if n := old.WaitingCalls(); n != 0 {
+	if n := oldDiscovery.WaitingCalls(); n != 0 {
 		t.Errorf("%d calls are still pending at the old discovery address", n)
 	}
 }
@@ -41,9 +41,9 @@
 	backend := &fake.Backend{}
 	process, discovery, endpoints := startWithBackends(t, processOptions{}, backend)
 	other := startDiscovery(t, endpoints...)
-	var held []*client
+	var sessions []*client
 	for range 10 {
-		held = append(held, process.openSession(openRequest("")))
+		sessions = append(sessions, process.openSession(openRequest("")))
 	}
 	for i := range 6 {
 		address := []string{other.Addr(), discovery.Addr()}[i%2]
@@ -51,18 +51,18 @@
 			address = "127.0.0.1:9"
 		}
 		process.reloadConfig(processOptions{discovery: address, knownEndpoints: endpoints})
-		for _, c := range held {
+		for _, c := range sessions {
 			c.send("still " + strconv.Itoa(i))
 			c.expect("echo still " + strconv.Itoa(i))
 		}
-		held = append(held, process.openSession(openRequest("")))
+		sessions = append(sessions, process.openSession(openRequest("")))
 		process.waitForLog(logReloaded, i+1)
 	}
 	if err := process.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	process.reloadConfig(processOptions{discovery: discovery.Addr(), knownEndpoints: endpoints}) // during the shutdown, too
-	for _, c := range held {
+	process.reloadConfig(processOptions{discovery: discovery.Addr(), knownEndpoints: endpoints}) // a reload works during the shutdown, too
+	for _, c := range sessions {
 		c.expect("MOVE")
 	}
 	if err := process.waitForExit(); err != nil {
--- a/cmd/aspenbarrow/session_load_test.go
+++ b/cmd/aspenbarrow/session_load_test.go
@@ -31,7 +31,7 @@
 type sessionCounts struct {
 	up         int // connections answered with UP
 	lines      int // lines answered
-	moved      int // connections that got MOVE
+	migrated   int // connections that got MOVE
 	repeated   int // lines sent again on the client's next connection, since MOVE came before their answer
 	refused    int // connections that could not be opened
 	unanswered int // connections whose OPEN had another answer than UP
@@ -70,17 +70,17 @@
 }
 
 // count updates the counts.
-func (load *sessionLoad) count(what func(c *sessionCounts)) {
+func (load *sessionLoad) count(update func(c *sessionCounts)) {
 	load.mu.Lock()
 	defer load.mu.Unlock()
-	what(&load.sessionCounts)
+	update(&load.sessionCounts)
 }
 
 // countFailure updates the counts and keeps the first error.
-func (load *sessionLoad) countFailure(what func(c *sessionCounts), err error) {
+func (load *sessionLoad) countFailure(update func(c *sessionCounts), err error) {
 	load.mu.Lock()
 	defer load.mu.Unlock()
-	what(&load.sessionCounts)
+	update(&load.sessionCounts)
 	if load.firstError == nil {
 		load.firstError = err
 	}
@@ -101,13 +101,13 @@
 	return load.ids
 }
 
-// waitForMore waits until so many more connections have been answered with UP and so many more lines answered.
+// waitForMore waits until the given numbers of further connections answered with UP and of further lines are reached.
 func (load *sessionLoad) waitForMore(t *testing.T, up, lines int) {
 	t.Helper()
-	was := load.counts()
+	before := load.counts()
 	waitFor(t, fmt.Sprintf("%d more connections and %d more lines", up, lines), func() bool {
 		now := load.counts()
-		return now.up >= was.up+up && now.lines >= was.lines+lines
+		return now.up >= before.up+up && now.lines >= before.lines+lines
 	})
 }
 
@@ -125,20 +125,20 @@
 	pending  bool // whether the next line was sent on an earlier connection
 }
 
-// runSession opens a connection, exchanges so many lines, or lines until MOVE if the number is negative, and closes
-// it.
+// runSession opens a connection, exchanges the given number of lines, or lines until MOVE if it is negative, and closes
+// the connection.
 func (c *loadClient) runSession(pace *time.Ticker, lines int) {
 	load, id, class := c.load, c.load.nextID(), []string{"chat", "order"}[c.number%2]
-	conn, err := net.Dial("tcp", load.address)
+	connection, err := net.Dial("tcp", load.address)
 	if err != nil {
 		load.countFailure(func(n *sessionCounts) { n.refused++ }, err)
 		return
 	}
-	defer conn.Close()
-	_ = conn.SetDeadline(time.Now().Add(testTimeout))
-	in := bufio.NewReader(conn)
-	fmt.Fprintf(conn, "OPEN %016x %016x c=%s,d=2000\r\n", id, c.number, class)
-	switch answer, err := in.ReadString('\n'); {
+	defer connection.Close()
+	_ = connection.SetDeadline(time.Now().Add(testTimeout))
+	reader := bufio.NewReader(connection)
+	fmt.Fprintf(connection, "OPEN %016x %016x c=%s,d=2000\r\n", id, c.number, class)
+	switch answer, err := reader.ReadString('\n'); {
 	case err != nil:
 		load.countFailure(func(n *sessionCounts) { n.lost++ }, fmt.Errorf("instead of an answer to OPEN: %w", err))
 		return
@@ -148,33 +148,33 @@
 	}
 	load.count(func(n *sessionCounts) { n.up++ })
 	for n := 0; n != lines && !load.stopped(pace); n++ {
-		moved, err := c.exchangeLine(conn, in)
+		migrated, err := c.exchangeLine(connection, reader)
 		switch {
-		case moved:
-			load.count(func(n *sessionCounts) { n.moved++ })
-			c.close(conn, in)
+		case migrated:
+			load.count(func(n *sessionCounts) { n.migrated++ })
+			c.close(connection, reader)
 			return
 		case err != nil:
 			load.countFailure(func(n *sessionCounts) { n.lost++ }, err)
 			return
 		}
 	}
-	c.close(conn, in)
+	c.close(connection, reader)
 }
 
 // exchangeLine sends the next line and reads its answer, or MOVE instead of it.
-func (c *loadClient) exchangeLine(conn net.Conn, in *bufio.Reader) (moved bool, err error) {
+func (c *loadClient) exchangeLine(connection net.Conn, reader *bufio.Reader) (migrated bool, err error) {
 	load, text := c.load, fmt.Sprintf("client %d line %d", c.number, c.answered)
 	if c.pending {
 		load.count(func(n *sessionCounts) { n.repeated++ })
 	}
 	c.pending = true
-	_ = conn.SetDeadline(time.Now().Add(testTimeout))
-	_, err = io.WriteString(conn, text+"\r\n") // after a failure, data received before it is still read
-	answer, heard := in.ReadString('\n')
+	_ = connection.SetDeadline(time.Now().Add(testTimeout))
+	_, err = io.WriteString(connection, text+"\r\n") // an error does not discard data received before it, so the answer is read in any case
+	answer, readErr := reader.ReadString('\n')
 	switch {
-	case heard != nil:
-		return false, fmt.Errorf("instead of the answer to %q: %w", text, errors.Join(err, heard))
+	case readErr != nil:
+		return false, fmt.Errorf("instead of the answer to %q: %w", text, errors.Join(err, readErr))
 	case answer == "MOVE\r\n":
 		return true, nil
 	case answer != "echo "+text+"\r\n":
@@ -186,56 +186,57 @@
 }
 
 // close closes the sending side and expects the relay to end the connection.
-func (c *loadClient) close(conn net.Conn, in *bufio.Reader) {
+func (c *loadClient) close(connection net.Conn, reader *bufio.Reader) {
 	load := c.load
-	if err := conn.(*net.TCPConn).CloseWrite(); err != nil && !errors.Is(err, syscall.ENOTCONN) { // the relay may have closed first
+	if err := connection.(*net.TCPConn).CloseWrite(); err != nil && !errors.Is(err, syscall.ENOTCONN) { // the relay may have closed first
 		load.countFailure(func(n *sessionCounts) { n.lost++ }, err)
 		return
 	}
-	rest, err := io.ReadAll(in)
+	rest, err := io.ReadAll(reader)
 	if err != nil {
-		load.countFailure(func(n *sessionCounts) { n.lost++ }, fmt.Errorf("instead of the end: %w", err))
+		load.countFailure(func(n *sessionCounts) { n.lost++ }, fmt.Errorf("instead of a close by the relay: %w", err))
 		return
 	}
 	if text := string(rest); text != "" && text != "MOVE\r\n" {
-		load.countFailure(func(n *sessionCounts) { n.wrong++ }, fmt.Errorf("%q before the end", text))
+		load.countFailure(func(n *sessionCounts) { n.wrong++ }, fmt.Errorf("%q before the relay closed the connection", text))
 	}
 }
 
 // countAttempts counts the attempts that reached backends, by class and request.
 func countAttempts(backends []*fake.Backend) map[string]map[string]int {
-	seen := map[string]map[string]int{"chat": {}, "order": {}}
-	form := regexp.MustCompile(`^OPEN (\w+) \w+ c=(\w+),`)
+	attempts := map[string]map[string]int{"chat": {}, "order": {}}
+	pattern := regexp.MustCompile(`^OPEN (\w+) \w+ c=(\w+),`)
 	for _, backend := range backends {
 		for _, line := range backend.OpenLines() {
-			if m := form.FindStringSubmatch(line); m != nil {
-				seen[m[2]][m[1]]++
+			if match := pattern.FindStringSubmatch(line); match != nil {
+				attempts[match[2]][match[1]]++
 			}
 		}
 	}
-	return seen
+	return attempts
 }
 
-// check logs the counts and fails the test on any failure or on attempts that differ from the answers.
-func (load *sessionLoad) check(t *testing.T, seen map[string]map[string]int) {
+// check logs the counts. It fails the test on any failure, on a repeated non-idempotent request and if the number of
+// requests at the backends differs from that of the answers.
+func (load *sessionLoad) check(t *testing.T, attempts map[string]map[string]int) {
 	t.Helper()
-	c := load.counts()
-	t.Logf("%d connections up, %d lines answered, %d connections moved, %d lines repeated after a move, %d attempts for %d requests that may be repeated; %d lost, %d refused, %d not answered UP, %d answered wrongly",
-		c.up, c.lines, c.moved, c.repeated, total(seen["chat"]), len(seen["chat"]), c.lost, c.refused, c.unanswered, c.wrong)
-	if c.lost+c.refused+c.unanswered+c.wrong > 0 {
-		t.Errorf("the first that failed: %v", load.firstError)
+	counts := load.counts()
+	t.Logf("%d connections up, %d lines answered, %d connections migrated, %d lines repeated after a migration, %d attempts for %d idempotent requests; %d lost, %d refused, %d not answered with UP, %d wrong lines",
+		counts.up, counts.lines, counts.migrated, counts.repeated, total(attempts["chat"]), len(attempts["chat"]), counts.lost, counts.refused, counts.unanswered, counts.wrong)
+	if counts.lost+counts.refused+counts.unanswered+counts.wrong > 0 {
+		t.Errorf("first failure: %v", load.firstError)
 	}
-	for id, n := range seen["order"] {
+	for id, n := range attempts["order"] {
 		if n != 1 {
-			t.Errorf("request %s, which may not be repeated, came to backends %d times", id, n)
+			t.Errorf("non-idempotent request %s reached backends %d times, want once", id, n)
 		}
 	}
-	if got := len(seen["chat"]) + len(seen["order"]); got != c.up {
-		t.Errorf("backends have seen %d requests, %d were answered UP", got, c.up)
+	if got := len(attempts["chat"]) + len(attempts["order"]); got != counts.up {
+		t.Errorf("%d requests reached backends, %d were answered with UP", got, counts.up)
 	}
 }
 
-// total adds up counts.
+// total returns the sum of counts.
 func total(counts map[string]int) (sum int) {
 	for _, n := range counts {
 		sum += n
--- a/cmd/aspenbarrow/session_test.go
+++ b/cmd/aspenbarrow/session_test.go
@@ -30,25 +30,25 @@
 	c.expectClosed()
 	got := backend.OpenLines()
 	if len(got) != 1 {
-		t.Fatalf("the backend saw %q", got)
+		t.Fatalf("the backend received %q, want one OPEN line", got)
 	}
-	m := regexp.MustCompile(`,d=(\d+),`).FindStringSubmatch(got[0])
-	if m == nil {
-		t.Fatalf("no d in %q", got[0])
+	match := regexp.MustCompile(`,d=(\d+),`).FindStringSubmatch(got[0])
+	if match == nil {
+		t.Fatalf("field d is missing in %q", got[0])
 	}
-	if left, _ := strconv.Atoi(m[1]); left < 1000 || left > 2000 {
-		t.Errorf("%d ms left of 2000", left)
+	if timeoutMS, _ := strconv.Atoi(match[1]); timeoutMS < 1000 || timeoutMS > 2000 {
+		t.Errorf("the backend received a timeout of %d ms, want 1000 to 2000", timeoutMS)
 	}
-	if strings.Replace(got[0], m[0], ",d=2000,", 1) != line {
-		t.Errorf("the backend saw %q of %q", got[0], line)
+	if strings.Replace(got[0], match[0], ",d=2000,", 1) != line {
+		t.Errorf("the backend received %q, the client sent %q", got[0], line)
 	}
 }
 
 func TestServe_PropagatesCloseAndReset(t *testing.T) {
-	seen := make(chan error, 2)
+	readErrors := make(chan error, 2)
 	process := startWithRawBackend(t, func(c net.Conn, reader *bufio.Reader) {
 		_, err := reader.ReadString('\n')
-		seen <- err
+		readErrors <- err
 	})
 	for _, reset := range []bool{false, true} {
 		c := process.openRawSession()
@@ -57,22 +57,22 @@
 		}
 		_ = c.Close()
 		select {
-		case err := <-seen:
+		case err := <-readErrors:
 			if reset == errors.Is(err, io.EOF) {
-				t.Errorf("client reset %v, the backend saw %v", reset, err)
+				t.Errorf("client reset %v: read error %v at the backend", reset, err)
 			}
 		case <-time.After(testTimeout):
-			t.Fatal("the backend's connection stays open")
+			t.Fatalf("the connection to the backend is still open after %v", testTimeout)
 		}
 	}
 }
 
-func TestServe_MovesClientOfStalledBackend(t *testing.T) {
+func TestServe_MigratesClientOfStalledBackend(t *testing.T) {
 	done := make(chan struct{})
 	defer close(done)
 	process := startWithRawBackend(t, func(c net.Conn, reader *bufio.Reader) { <-done })
 	c := process.openRawSession()
-	go func() { // until the connection ends
+	go func() { // writes until the connection is closed
 		for line := strings.Repeat("x", 4000) + "\r\n"; ; {
 			if _, err := io.WriteString(c, line); err != nil {
 				return
@@ -99,18 +99,18 @@
 	slow.send("flood")
 	c := process.openRawSession()
 	for i := range 100 {
-		asked := time.Now()
+		start := time.Now()
 		c.send(strconv.Itoa(i))
 		c.expect(strconv.Itoa(i))
-		if took := time.Since(asked); took > time.Second {
-			t.Fatalf("a line took %v", took)
+		if took := time.Since(start); took > time.Second {
+			t.Fatalf("a line was answered after %v, want 1 s at most", took)
 		}
 	}
 	n := 0
-	for range 20000 { // the delayed lines are complete
-		l, err := slow.reader.ReadString('\n')
-		if err != nil || len(l) != 1002 {
-			t.Fatalf("%d bytes and %v after %d lines", len(l), err, n)
+	for range 20000 { // all delayed lines arrive whole
+		line, err := slow.reader.ReadString('\n')
+		if err != nil || len(line) != 1002 {
+			t.Fatalf("%d bytes and %v after %d lines", len(line), err, n)
 		}
 		n++
 	}
@@ -141,21 +141,21 @@
 		process.openSession(strings.Replace(openRequest(""), "7f3a9c21e0b4d655", fmt.Sprintf("%016x", lastRequestID*7919), 1))
 	}
 	if n := len(first.OpenLines()); n != before {
-		t.Errorf("%d connections to a draining backend", n-before)
+		t.Errorf("%d new connections to the draining backend", n-before)
 	}
 }
 
-func TestServe_MovesClientOfUnresponsiveBackend(t *testing.T) {
+func TestServe_MigratesClientOfUnresponsiveBackend(t *testing.T) {
 	backend := &fake.Backend{}
 	process, _, _ := startWithBackends(t, processOptions{}, backend)
 	c := process.openSession(openRequest(""))
 	backend.StopResponding()
-	asked := time.Now()
+	start := time.Now()
 	c.send("anyone?")
 	c.expect("MOVE")
 	c.expectClosed()
-	if took := time.Since(asked); took > 6*time.Second {
-		t.Errorf("moved after %v", took)
+	if took := time.Since(start); took > 6*time.Second {
+		t.Errorf("migrated after %v, want 6 s at most", took)
 	}
 }
 
@@ -167,13 +167,13 @@
 		line := openRequest(",at=s-" + strconv.Itoa(i%2))
 		process.openSession(line)
 		if len(want.OpenLines()) != before+1 {
-			t.Errorf("%q went elsewhere", line)
+			t.Errorf("%q did not reach the backend that it names", line)
 		}
 	}
 }
 
-// TestServe_ResetCausedByClientDoesNotEjectBackend has a backend reset sessions on input that it cannot parse: that
-// is no failure of the backend, and other sessions on it continue.
+// TestServe_ResetCausedByClientDoesNotEjectBackend has a backend reset sessions on input that it cannot parse: the
+// relay does not count that as a failure of the backend, and other sessions on it continue.
 func TestServe_ResetCausedByClientDoesNotEjectBackend(t *testing.T) {
 	process := startWithRawBackend(t, func(c net.Conn, reader *bufio.Reader) {
 		for {
@@ -196,7 +196,7 @@
 		c := process.openRawSession()
 		c.send("junk")
 		if _, err := c.reader.ReadString('\n'); err == nil {
-			t.Fatal("the connection goes on")
+			t.Fatal("the connection is open after the reset by the backend")
 		}
 		for range 20 {
 			for _, other := range others {
--- a/cmd/aspenbarrow/shutdown_test.go
+++ b/cmd/aspenbarrow/shutdown_test.go
@@ -9,7 +9,7 @@
 	"aspenbarrow/internal/fake"
 )
 
-func TestShutdown_AnswersPendingRequestsAndMovesSessions(t *testing.T) {
+func TestShutdown_AnswersPendingRequestsAndMigratesSessions(t *testing.T) {
 	backend := &fake.Backend{Answer: func(open string) []string {
 		if strings.Contains(open, "slow=1") {
 			<-time.After(700 * time.Millisecond)
@@ -29,7 +29,7 @@
 	if err := process.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	late := process.dial() // the platform sends new clients for a while
+	late := process.dial() // the platform still sends new clients for a while after SIGTERM
 	late.send(openRequest(""))
 	late.expect("UP it")
 	pending.expect("UP it")
@@ -45,54 +45,54 @@
 // TestShutdown_RepeatedSignalsDoNotInterrupt sends SIGTERM and SIGHUP during a graceful shutdown: sessions are
 // migrated and pending requests answered as after the first signal.
 func TestShutdown_RepeatedSignalsDoNotInterrupt(t *testing.T) {
-	hold := make(chan struct{})
+	release := make(chan struct{})
 	backend := &fake.Backend{Answer: func(open string) []string {
 		if strings.Contains(open, "held=1") {
-			<-hold
+			<-release
 		}
 		return []string{"UP it"}
 	}}
 	process, _, _ := startWithBackends(t, processOptions{}, backend)
-	c := process.dial()
-	c.send(openRequest(""))
-	c.expect("UP it")
+	session := process.dial()
+	session.send(openRequest(""))
+	session.expect("UP it")
 	pending := process.dial()
 	pending.send(openRequest(",held=1"))
-	waitFor(t, "the request is sent", func() bool { return len(backend.OpenLines()) == 2 })
-	for _, s := range []syscall.Signal{syscall.SIGTERM, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM} {
-		if err := process.cmd.Process.Signal(s); err != nil {
+	waitFor(t, "both requests reach the backend", func() bool { return len(backend.OpenLines()) == 2 })
+	for _, sig := range []syscall.Signal{syscall.SIGTERM, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM} {
+		if err := process.cmd.Process.Signal(sig); err != nil {
 			t.Fatal(err)
 		}
 	}
 	process.waitForLog(logReloaded, 1)
 	process.waitForLog(logShutdownStarted, 1)
-	close(hold)
+	close(release)
 	pending.expect("UP it")
-	for _, c := range []*client{c, pending} {
-		c.expect("MOVE")
-		c.expectClosed()
+	for _, session := range []*client{session, pending} {
+		session.expect("MOVE")
+		session.expectClosed()
 	}
 	if err := process.waitForExit(); err != nil {
 		t.Errorf("exit: %v", err)
 	}
 	if n := strings.Count(process.log.String(), logShutdownStarted); n != 1 {
-		t.Errorf("%d graceful shutdowns started", n)
+		t.Errorf("%d graceful shutdowns started, want 1", n)
 	}
 }
 
 // TestShutdown_KeepsPassThroughSessionsUntilClosed checks that a relay in pass-through mode keeps its sessions after
-// SIGTERM.
+// SIGTERM until the clients close them.
 func TestShutdown_KeepsPassThroughSessionsUntilClosed(t *testing.T) {
 	process, _, _ := startWithBackends(t, processOptions{mode: "pass"}, &fake.Backend{})
-	c := process.openSession(openRequest(""))
+	session := process.openSession(openRequest(""))
 	if err := process.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	for told := time.Now(); time.Since(told) < 4*time.Second; {
-		c.send("still")
-		c.expect("echo still")
+	for start := time.Now(); time.Since(start) < 4*time.Second; {
+		session.send("still")
+		session.expect("echo still")
 	}
-	_ = c.Close()
+	_ = session.Close()
 	if err := process.waitForExit(); err != nil {
 		t.Errorf("exit: %v", err)
 	}
--- a/cmd/aspenbarrow/start_test.go
+++ b/cmd/aspenbarrow/start_test.go
@@ -23,11 +23,11 @@
 // several states of discovery and of the cached list: nine in ten are ready in time, so no start waits for the
 // network.
 func TestStart_RestartedRelaysBecomeReadyInTime(t *testing.T) {
-	silent, err := net.Listen("tcp", "127.0.0.1:0") // accepts connections and does not answer
+	silentListener, err := net.Listen("tcp", "127.0.0.1:0") // accepts connections and does not answer
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = silent.Close() })
+	t.Cleanup(func() { _ = silentListener.Close() })
 	running := startDiscovery(t, unreachableEndpoints(1000)...)
 	const defaultPeers = `"peers":["127.0.0.1:9"]`
 	for _, tc := range []struct {
@@ -35,20 +35,20 @@
 		discovery string
 		known     []fake.Endpoint
 		replace   [2]string
-		sessions  int // from before the start, which reconnect at once
+		sessions  int // sessions from before the start, whose clients reconnect at once
 	}{
-		{"discovery down, an old list", "127.0.0.1:9", unreachableEndpoints(1000), [2]string{defaultPeers, peersJSON(1000)}, 0},
-		{"discovery silent, an old list", silent.Addr().String(), unreachableEndpoints(1000), [2]string{defaultPeers, peersJSON(1000)}, 0},
-		{"discovery silent, no list", silent.Addr().String(), nil, [2]string{defaultPeers, peersJSON(1000)}, 0},
-		{"discovery down, no list", "127.0.0.1:9", nil, [2]string{defaultPeers, peersJSON(1000)}, 0},
-		{"discovery down, a malformed list", "127.0.0.1:9", unreachableEndpoints(1), [2]string{`"full":true`, `"full":"yes"`}, 0},
-		{"discovery up, a malformed list", running.Addr(), unreachableEndpoints(1000), [2]string{`"full":true`, `"full":"yes"`}, 0},
-		{"discovery up, no list", running.Addr(), nil, [2]string{defaultPeers, peersJSON(1000)}, 0},
-		{"sessions from before the start", "127.0.0.1:9", unreachableEndpoints(1000), [2]string{defaultPeers, peersJSON(1000)}, 40},
+		{"discovery down, cached list", "127.0.0.1:9", unreachableEndpoints(1000), [2]string{defaultPeers, peersJSON(1000)}, 0},
+		{"discovery silent, cached list", silentListener.Addr().String(), unreachableEndpoints(1000), [2]string{defaultPeers, peersJSON(1000)}, 0},
+		{"discovery silent, no cached list", silentListener.Addr().String(), nil, [2]string{defaultPeers, peersJSON(1000)}, 0},
+		{"discovery down, no cached list", "127.0.0.1:9", nil, [2]string{defaultPeers, peersJSON(1000)}, 0},
+		{"discovery down, malformed cached list", "127.0.0.1:9", unreachableEndpoints(1), [2]string{`"full":true`, `"full":"yes"`}, 0},
+		{"discovery up, malformed cached list", running.Addr(), unreachableEndpoints(1000), [2]string{`"full":true`, `"full":"yes"`}, 0},
+		{"discovery up, no cached list", running.Addr(), nil, [2]string{defaultPeers, peersJSON(1000)}, 0},
+		{"reconnecting sessions", "127.0.0.1:9", unreachableEndpoints(1000), [2]string{defaultPeers, peersJSON(1000)}, 40},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			began, relays := time.Now(), make([]*relayProcess, 3)
+			start, relays := time.Now(), make([]*relayProcess, 3)
 			for i := range relays {
 				relays[i] = startProcess(t, processOptions{discovery: tc.discovery, knownEndpoints: tc.known, replaceText: tc.replace, memoryMB: 32, sockets: 256})
 			}
@@ -58,7 +58,7 @@
 					c := process.dial()
 					c.send(fmt.Sprintf("OPEN %016x %016x c=chat,d=2000,at=s-%08x", i+1, i+1, i))
 				}
-				took := process.waitUntilReady(began)
+				took := process.waitUntilReady(start)
 				if took > readyTimeout {
 					late++
 				}
@@ -94,11 +94,11 @@
 }
 
 // changingDiscovery is a discovery service that publishes a complete list with each version, one endpoint shorter
-// than the version before.
+// than that of the version before.
 type changingDiscovery struct {
 	*httptest.Server
 	version atomic.Int64
-	watches chan int64 // versions that callers have when they begin to wait for the next one
+	watches chan int64 // for each call that waits, the version that the caller has
 }
 
 // newChangingDiscovery starts a discovery service at version 2.
@@ -126,7 +126,7 @@
 	_, _ = w.Write(fake.EncodeList(int(version), unreachableEndpoints(2000-int(version))))
 }
 
-// publish changes the list and waits until a caller has it.
+// publish changes the list and waits until a caller has received it.
 func (discovery *changingDiscovery) publish(t *testing.T) {
 	t.Helper()
 	published := discovery.version.Add(1)
@@ -137,7 +137,7 @@
 				return
 			}
 		case <-time.After(testTimeout):
-			t.Fatal("no caller waits with the published list")
+			t.Fatalf("no caller has received version %d within %v", published, testTimeout)
 		}
 	}
 }
@@ -145,32 +145,32 @@
 // checkIdleFootprint fails the test if a relay without clients holds more than 32 MB or 64 descriptors.
 func (process *relayProcess) checkIdleFootprint(when string) {
 	process.t.Helper()
-	process.t.Logf("%s: %d MB", when, process.residentMB())
+	process.t.Logf("%s: %d MB resident", when, process.residentMB())
 	if mb := process.residentMB(); mb > 32 && !raceEnabled {
-		process.t.Errorf("%s: %d MB of 32", when, mb)
+		process.t.Errorf("%s: %d MB resident, want 32 at most", when, mb)
 	}
 	if count := process.descriptorCount(); count > 64 {
-		process.t.Errorf("%s: %d descriptors without a client", when, count)
+		process.t.Errorf("%s: %d descriptors without a client, want 64 at most", when, count)
 	}
 }
 
 func TestServe_RejectsInvalidConfigurationBeforeListening(t *testing.T) {
-	for name, r := range map[string][2]string{
+	for name, replaceText := range map[string][2]string{
 		"not JSON":           {`"seed"`, `seed`},
-		"bad seed":           {`8c1f30d27a5be964`, `xyz`},
-		"no deadline":        {`"give-up-ms":2000`, `"gives-up-ms":2000`},
-		"no aim":             {`"on-time-ms":500`, `"on-time-ms":0`},
+		"seed not hex":       {`8c1f30d27a5be964`, `xyz`},
+		"no give-up time":    {`"give-up-ms":2000`, `"gives-up-ms":2000`},
+		"on-time is zero":    {`"on-time-ms":500`, `"on-time-ms":0`},
 		"attempts below one": {`"try-limit":4`, `"try-limit":-4`},
 		"no classes":         {`"classes":[`, `"no-classes":[`},
 		"negative limit":     {`"memory_mb":192`, `"memory_mb":-1`},
 		"no listen address":  {`127.0.0.1:0","m`, `","m`},
-		"bad listen address": {`"listen":"127.0.0.1:0"`, `"listen":"nowhere"`},
+		"listen lacks port":  {`"listen":"127.0.0.1:0"`, `"listen":"nowhere"`},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if name == "no listen address" {
-				r = [2]string{`"listen":"127.0.0.1:0"`, `"listen":""`}
+				replaceText = [2]string{`"listen":"127.0.0.1:0"`, `"listen":""`}
 			}
-			process := launchProcess(t, processOptions{discovery: "127.0.0.1:9", replaceText: r})
+			process := launchProcess(t, processOptions{discovery: "127.0.0.1:9", replaceText: replaceText})
 			err := process.waitForExit()
 			if exit := (*exec.ExitError)(nil); !errors.As(err, &exit) || exit.ExitCode() != 1 {
 				t.Errorf("exit: %v", err)
--- a/cmd/aspenbarrow/versions_test.go
+++ b/cmd/aspenbarrow/versions_test.go
@@ -16,7 +16,7 @@
 )
 
 // otherExecutableVariable is the environment variable that names another build of the program, such as that of the
-// previous release. Without it the program under test takes both roles.
+// previous release. Without it the program under test is both the older and the newer build.
 const otherExecutableVariable = "ASPENBARROW_OTHER_PROGRAM"
 
 // otherExecutable returns the path of the other build, empty for the program under test.
@@ -41,17 +41,17 @@
 )
 
 // waitForSuccession waits until a successor's admin endpoint reports ready, or drained if its predecessor was, and
-// checks that the log says that it restored a list of so many backends.
+// checks that according to its log it restored the given number of backends.
 func (process *relayProcess) waitForSuccession(drained bool, backends int) {
 	process.t.Helper()
 	want := "SUCCESS"
 	if drained {
 		want = "FAILURE drained"
 	}
-	waitFor(process.t, "the successor says "+want, func() bool { return strings.HasPrefix(process.callAdmin("READY"), want) })
-	m := restoredPattern.FindAllStringSubmatch(process.log.String(), -1)
-	if len(m) != 1 || m[0][1] != strconv.Itoa(backends) || m[0][2] != strconv.FormatBool(drained) {
-		process.t.Fatalf("taken over is %q, wanted are %d backends and drained %v\n%s", m, backends, drained, process.log)
+	waitFor(process.t, "the successor answers READY with "+want, func() bool { return strings.HasPrefix(process.callAdmin("READY"), want) })
+	matches := restoredPattern.FindAllStringSubmatch(process.log.String(), -1)
+	if len(matches) != 1 || matches[0][1] != strconv.Itoa(backends) || matches[0][2] != strconv.FormatBool(drained) {
+		process.t.Fatalf("log entries of the restored state: %q, want one with %d backends and drained %v\n%s", matches, backends, drained, process.log)
 	}
 }
 
@@ -61,8 +61,8 @@
 // dispatchCount returns the number of attempts that a process has dispatched, -1 if it does not answer.
 func (process *relayProcess) dispatchCount() int {
 	process.t.Helper()
-	if m := dispatchesPattern.FindStringSubmatch(process.callAdmin("STATS")); m != nil {
-		if n, err := strconv.Atoi(m[1]); err == nil {
+	if match := dispatchesPattern.FindStringSubmatch(process.callAdmin("STATS")); match != nil {
+		if n, err := strconv.Atoi(match[1]); err == nil {
 			return n
 		}
 	}
@@ -72,33 +72,33 @@
 // memberPattern finds a member in the answer to MEMBERS.
 var memberPattern = regexp.MustCompile(`(?m)^member=(\d+) name=\S+ state=(\w+) .*incarnation=(\d+) `)
 
-// memberView is the state of a member as a relay sees it.
+// memberView is the state of a member as a relay reports it.
 type memberView struct {
 	state       string
 	incarnation uint64
 }
 
-// members returns the members that a process knows, by their numbers.
+// members returns the members that a process reports, by their numbers.
 func (process *relayProcess) members() map[int]memberView {
-	out := map[int]memberView{}
-	for _, m := range memberPattern.FindAllStringSubmatch(process.callAdmin("MEMBERS"), -1) {
-		number, _ := strconv.Atoi(m[1])
-		incarnation, _ := strconv.ParseUint(m[3], 10, 64)
-		out[number] = memberView{m[2], incarnation}
+	views := map[int]memberView{}
+	for _, match := range memberPattern.FindAllStringSubmatch(process.callAdmin("MEMBERS"), -1) {
+		number, _ := strconv.Atoi(match[1])
+		incarnation, _ := strconv.ParseUint(match[3], 10, 64)
+		views[number] = memberView{match[2], incarnation}
 	}
-	return out
+	return views
 }
 
 // peerAddresses returns free datagram addresses for n relays of a fleet.
 func peerAddresses(t *testing.T, n int) (addresses []string) {
 	t.Helper()
 	for i := range n { // a distinct IP address for each, so that no other program takes the port in between
-		c, err := net.ListenPacket("udp4", fmt.Sprintf("127.77.0.%d:0", i+1))
+		connection, err := net.ListenPacket("udp4", fmt.Sprintf("127.77.0.%d:0", i+1))
 		if err != nil {
 			t.Fatal(err)
 		}
-		addresses = append(addresses, c.LocalAddr().String())
-		_ = c.Close()
+		addresses = append(addresses, connection.LocalAddr().String())
+		_ = connection.Close()
 	}
 	return addresses
 }
@@ -128,8 +128,8 @@
 			case <-ticker.C:
 			}
 			for _, process := range relays {
-				if m, ok := process.members()[0]; ok {
-					answers[m.state]++
+				if view, ok := process.members()[0]; ok {
+					answers[view.state]++
 				} else {
 					answers["no answer"]++
 				}
@@ -148,7 +148,7 @@
 func (process *relayProcess) waitForConvergence(observers []*relayProcess) uint64 {
 	process.t.Helper()
 	var own uint64
-	waitFor(process.t, "the relay and its observers have one view", func() bool {
+	waitFor(process.t, "the relay and its observers report all members alive and the same incarnation", func() bool {
 		own = process.members()[0].incarnation
 		for _, observed := range append([]*relayProcess{process}, observers...) {
 			view := observed.members()
@@ -166,10 +166,10 @@
 	return own
 }
 
-// TestUpgrade_BetweenVersions hot restarts processes of two builds into each other by turns under a steady load: no
-// connection is refused or broken, each request is answered once, and each successor has its list of backends from
-// its predecessor alone and is drained if the predecessor was. Observers of either build see the relay as a member
-// all the time.
+// TestUpgrade_BetweenVersions alternates between two builds in a series of hot restarts under a steady load: no
+// connection is refused or broken, each request is answered once, and each successor gets its endpoint list only from
+// its predecessor and is drained if the predecessor was. Observers of either build report the relay as a member
+// throughout.
 func TestUpgrade_BetweenVersions(t *testing.T) {
 	const restarts = 6
 	executables := []string{otherExecutable(t), ""}
@@ -214,12 +214,13 @@
 	upgrade.current = upgrade.sequence.startNext()
 	upgrade.incarnation = upgrade.current.waitForConvergence(upgrade.observers)
 	upgrade.load = &sessionLoad{address: upgrade.current.address}
-	// From here on the predecessor is the only source of the list of backends.
+	// From here on the predecessor is the only source of the endpoint list.
 	upgrade.sequence.options.knownEndpoints, upgrade.sequence.options.discovery = nil, closedAddress(t)
 	return upgrade
 }
 
-// restart replaces the current process by one of the given build, drained or not, and checks the handover.
+// restart replaces the current process by one of the given build, after DRAIN if drained is true, and checks the
+// handover.
 func (upgrade *versionUpgrade) restart(number int, executable string, drained bool) {
 	t := upgrade.t
 	t.Helper()
@@ -234,16 +235,16 @@
 	upgrade.waitForTakeover(predecessor, successor)
 	predecessor.signal(syscall.SIGTERM)
 	if err := predecessor.waitForExit(); err != nil {
-		t.Fatalf("restart %d: the predecessor: %v", number, err)
+		t.Fatalf("restart %d: exit of the predecessor: %v", number, err)
 	}
 	if n := len(handedOverPattern.FindAllString(predecessor.log.String(), -1)); n != 1 {
-		t.Errorf("restart %d: the predecessor has logged %d times that it handed over", number, n)
+		t.Errorf("restart %d: the predecessor has logged %d handovers, want 1", number, n)
 	}
 	upgrade.load.waitForMore(t, 50, 20)
 	if drained {
 		successor.waitForSuccession(true, len(upgrade.backends))
 		successor.expectAdminSuccess("UNDRAIN")
-		waitFor(t, "the successor takes clients again", successor.isReady)
+		waitFor(t, "the successor is ready after UNDRAIN", successor.isReady)
 	}
 	for _, process := range []*relayProcess{predecessor, successor} {
 		if line := failedHandoverPattern.FindString(process.log.String()); line != "" {
@@ -257,7 +258,7 @@
 // waitForTakeover waits until, with both processes running, only the successor dispatches new requests.
 func (upgrade *versionUpgrade) waitForTakeover(predecessor, successor *relayProcess) {
 	upgrade.t.Helper()
-	waitFor(upgrade.t, "while both run the successor takes all who come", func() bool {
+	waitFor(upgrade.t, "only the successor dispatches new requests", func() bool {
 		predecessorBefore, successorBefore := predecessor.dispatchCount(), successor.dispatchCount()
 		upgrade.load.waitForMore(upgrade.t, 50, 20)
 		return predecessorBefore >= 0 && predecessor.dispatchCount() == predecessorBefore &&
@@ -265,8 +266,8 @@
 	})
 }
 
-// checkIncarnation waits until the observers agree on the current process and checks that its incarnation is a later
-// one than its predecessor's.
+// checkIncarnation waits until the observers agree on the incarnation of the current process and checks that it is
+// higher than its predecessor's.
 func (upgrade *versionUpgrade) checkIncarnation(number int) {
 	upgrade.t.Helper()
 	incarnation := upgrade.current.waitForConvergence(upgrade.observers)
@@ -278,17 +279,17 @@
 	upgrade.incarnation = incarnation
 }
 
-// checkObservedStates fails the test if observers saw the relay in any state but alive or suspect. A late timer on a
-// busy machine may raise a suspicion, which is not a verdict.
+// checkObservedStates fails the test if observers reported the relay in any state but alive or suspect. A late timer on
+// a busy machine may raise a suspicion, which does not yet declare the relay dead.
 func checkObservedStates(t *testing.T, restarts int, answers map[string]int) {
 	t.Helper()
-	t.Logf("%d restarts; the relay as its observers held it, by answers: %v", restarts, answers)
+	t.Logf("%d restarts; answers of the observers by reported state of the relay: %v", restarts, answers)
 	for state, n := range answers {
 		if state != "alive" && state != "suspect" {
-			t.Errorf("the relay was held %s in %d answers of its observers", state, n)
+			t.Errorf("observers reported the relay as %s in %d answers", state, n)
 		}
 	}
 	if answers["alive"] == 0 {
-		t.Error("the observers never held the relay alive")
+		t.Error("no observer reported the relay alive")
 	}
 }
