--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -415,7 +415,7 @@
 		{strings.ReplaceAll(peers, "127.0.0.2", "127.0.0.1") + "[membership]\non = true\n", "peers.addresses", "membership.on"},
 		{strings.Replace(peers, "listen = \"127.0.0.1:7946\"", "listen = \"127.0.0.3:7946\"", 1) + "[membership]\non = true\n", "peers.listen", "membership.on"},
 		{peers + "[membership]\non = true\nperiod = \"1s\"\nsuspicion = \"100ms\"\n", "membership.suspicion", "membership.period"},
-		{peers + "[membership]\non = true\nperiod = \"1ms\"\n", "membership.period", "wanted is 100ms"},
+		{peers + "[membership]\non = true\nperiod = \"1ms\"\n", "membership.period", "must be 100ms"},
 		{peers + "[membership]\non = true\nfan-out = 99\n", "membership.fan-out", "1 to 10"},
 		{peers + "[membership]\non = true\nforget = \"1s\"\n", "membership.forget", "membership.period"},
 		{peers + "[membership]\non = true\nfleet = \"\"\n", "membership.fleet", "1 to 32 bytes"},
--- a/internal/membership/codec_test.go
+++ b/internal/membership/codec_test.go
@@ -24,8 +24,8 @@
 
 // goldenMessages returns messages of all kinds with all fields and without the optional ones, and one with more updates
 // than fit.
-func goldenMessages() (names []string, all []message) {
-	add := func(name string, m message) { names, all = append(names, name), append(all, m) }
+func goldenMessages() (names []string, messages []message) {
+	add := func(name string, m message) { names, messages = append(names, name), append(messages, m) }
 	updates := []memberUpdate{{0, Alive, 1}, {1, Suspect, 1700000000123}, {17, Dead, 1<<63 + 5}, {4999, Left, 0}, {128, Alive, 127}}
 	for _, k := range goldenKinds {
 		add(k.name+" bare", message{fleet: "f", name: "n", kind: k.kind})
@@ -35,31 +35,31 @@
 	for _, s := range []State{Alive, Suspect, Dead, Left} {
 		add("one "+s.String(), message{fleet: "fleet", name: "r", startMillis: 1, incarnation: 2, kind: kindGossip, sequence: 3, updates: []memberUpdate{{3, s, 9}}})
 	}
-	over := message{fleet: strings.Repeat("f", maxNameLength), name: strings.Repeat("n", maxNameLength), startMillis: 1<<64 - 1, incarnation: 1<<64 - 1,
+	tooManyUpdates := message{fleet: strings.Repeat("f", maxNameLength), name: strings.Repeat("n", maxNameLength), startMillis: 1<<64 - 1, incarnation: 1<<64 - 1,
 		kind: kindPing, sequence: 1<<64 - 1, target: goldenMembers, health: maxHealthScore}
 	for i := range 200 {
-		over.updates = append(over.updates, memberUpdate{i, Alive, uint64(1700000000000 + i)})
+		tooManyUpdates.updates = append(tooManyUpdates.updates, memberUpdate{i, Alive, uint64(1700000000000 + i)})
 	}
-	add("overfull", over)
-	return names, all
+	add("overfull", tooManyUpdates)
+	return names, messages
 }
 
-// TestCodec_Golden checks that datagrams of earlier versions decode, and encode to the same bytes again, and that what
-// is accepted when cut short does not change.
+// TestCodec_Golden checks that messages encode to the golden datagrams, that these decode and encode again to the same bytes,
+// and that the lengths at which a truncated datagram is accepted do not change.
 func TestCodec_Golden(t *testing.T) {
 	var out strings.Builder
-	names, all := goldenMessages()
-	for i, m := range all {
+	names, messages := goldenMessages()
+	for i, m := range messages {
 		data, fitted := m.encode()
 		fmt.Fprintf(&out, "%s: %d of %d updates\n%x\n", names[i], fitted, len(m.updates), data)
-		whole := 0
+		accepted := 0
 		for n := range data {
 			if _, err := decodeMessage(data[:n], goldenMembers); err == nil {
-				whole++
+				accepted++
 				fmt.Fprintf(&out, "taken when cut to %d of %d\n", n, len(data))
 			}
 		}
-		fmt.Fprintf(&out, "refused at %d other lengths\n", len(data)-whole)
+		fmt.Fprintf(&out, "refused at %d other lengths\n", len(data)-accepted)
 	}
 	golden.Compare(t, "datagrams.txt", out.String())
 
@@ -67,35 +67,35 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	at := 0
+	decoded := 0
 	for line := range strings.Lines(string(text)) {
 		data, err := hex.DecodeString(strings.TrimSpace(line))
 		if err != nil {
 			continue
 		}
-		if at == len(all) {
-			t.Fatal("more datagrams than messages")
+		if decoded == len(messages) {
+			t.Fatalf("more datagrams in the golden file than the %d messages", len(messages))
 		}
 		m, err := decodeMessage(data, goldenMembers)
 		if err != nil {
-			t.Fatalf("%s: %v", names[at], err)
+			t.Fatalf("%s: %v", names[decoded], err)
 		}
-		want := all[at]
+		want := messages[decoded]
 		want.updates = want.updates[:min(len(want.updates), len(m.updates))]
 		if !reflect.DeepEqual(m, want) {
-			t.Errorf("%s: read as %+v, was %+v", names[at], m, want)
+			t.Errorf("%s: decoded to %+v, want %+v", names[decoded], m, want)
 		}
 		if again, fitted := m.encode(); !slices.Equal(again, data) || fitted != len(m.updates) {
-			t.Errorf("%s: written again %x, was %x", names[at], again, data)
+			t.Errorf("%s: encoded again to %x, want %x", names[decoded], again, data)
 		}
-		at++
+		decoded++
 	}
-	if at != len(all) {
-		t.Errorf("%d datagrams for %d messages", at, len(all))
+	if decoded != len(messages) {
+		t.Errorf("%d datagrams for %d messages", decoded, len(messages))
 	}
 }
 
-// TestCodec_GoldenRefusals checks that what is refused stays refused, with the same texts, and that fields of later
+// TestCodec_GoldenRefusals checks that invalid datagrams are rejected with the golden texts, and that fields of later
 // versions are skipped.
 func TestCodec_GoldenRefusals(t *testing.T) {
 	var out strings.Builder
@@ -141,13 +141,13 @@
 			fmt.Fprintf(&out, "%s\n%x\ntaken, as %x\n", tc.name, data, again)
 			continue
 		}
-		// protowire writes its first space as one of two kinds, by the build.
+		// Depending on the build, protowire's error texts contain a no-break space.
 		fmt.Fprintf(&out, "%s\n%x\n%s\n", tc.name, data, strings.ReplaceAll(err.Error(), "\u00a0", " "))
 	}
 	golden.Compare(t, "refusals.txt", out.String())
 }
 
-// TestCodec_DecodeErrors checks that a refused datagram says why and where: the reason, the field and the offset.
+// TestCodec_DecodeErrors checks the reason, field and offset in the error for an invalid datagram.
 func TestCodec_DecodeErrors(t *testing.T) {
 	const header = "b50801120166 1a016e 2802 3005" // 13 bytes
 	for _, tc := range []struct {
@@ -192,8 +192,8 @@
 }
 
 func FuzzCodec_Decode(f *testing.F) {
-	d, _ := (&message{fleet: "f", name: "n", startMillis: 3, incarnation: 4, kind: kindPingReq, sequence: 9, target: 2, health: 3, updates: []memberUpdate{{1, Suspect, 7}, {2, Left, 1 << 40}}}).encode()
-	f.Add(d)
+	valid, _ := (&message{fleet: "f", name: "n", startMillis: 3, incarnation: 4, kind: kindPingReq, sequence: 9, target: 2, health: 3, updates: []memberUpdate{{1, Suspect, 7}, {2, Left, 1 << 40}}}).encode()
+	f.Add(valid)
 	f.Add([]byte{magicByte})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		m, err := decodeMessage(data, 5)
@@ -201,9 +201,9 @@
 			return
 		}
 		again, n := m.encode()
-		back, err := decodeMessage(again, 5)
-		if len(again) > MaxPacketSize || err != nil || fmt.Sprint(back.updates) != fmt.Sprint(m.updates[:n]) && n > 0 {
-			t.Errorf("%v, %+v, %+v", err, m, back)
+		decoded, err := decodeMessage(again, 5)
+		if len(again) > MaxPacketSize || err != nil || fmt.Sprint(decoded.updates) != fmt.Sprint(m.updates[:n]) && n > 0 {
+			t.Errorf("%+v encoded to %d bytes and decoded to %+v, error %v", m, len(again), decoded, err)
 		}
 		New(0, 1, DefaultSettings("f"), LocalNode{Index: 1, Name: "n"}, 5).HandlePacket(0, 2, data)
 	})
--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -7,19 +7,20 @@
 )
 
 const (
-	// maxRelayedProbes bounds the probes made for others at one time, and so what ping-reqs can make a relay send.
+	// maxRelayedProbes bounds the outstanding probes on behalf of other members, and thereby the traffic that ping-reqs can
+	// cause.
 	maxRelayedProbes = 64
 
-	// indirectTimeoutFactor times the probe timeout is how long indirect probes may take: there and back twice, with
-	// the helper's own timeout between.
+	// indirectTimeoutFactor times the probe timeout is the timeout of an indirect probe: two round trips, from this relay to
+	// the helper and from the helper to the target, and the helper's own probe timeout.
 	indirectTimeoutFactor = 3
 
-	// joiningGracePeriods is for how many protocol periods after the start only members that were heard from are
-	// probed: the others are likely to be starting too.
+	// joiningGracePeriods is for how many protocol periods after the start joining members are not probed: they are likely
+	// to be starting too.
 	joiningGracePeriods = 3
 )
 
-// probe is one that this relay began and that has not been answered.
+// probe is an outstanding probe that this relay started for itself.
 type probe struct {
 	target       int
 	sequence     uint64
@@ -30,11 +31,11 @@
 	nacks        int
 }
 
-// relayedProbe is one that this relay makes because another asked for it with a ping-req.
+// relayedProbe is an outstanding probe that this relay makes on behalf of the member that sent a ping-req.
 type relayedProbe struct {
 	requester         int
 	requesterSequence uint64
-	sequence          uint64 // of this relay's own ping
+	sequence          uint64 // sequence number of this relay's ping to the target
 	deadline          time.Duration
 }
 
@@ -42,8 +43,8 @@
 type failureDetector struct {
 	probes   []probe
 	relayed  []relayedProbe
-	order    []int // members in the order of the present round
-	position int   // of the next member in order
+	order    []int // members in the probe order of the current round
+	next     int   // index into order of the next member to probe
 	sequence uint64
 }
 
@@ -53,7 +54,7 @@
 	return d.sequence
 }
 
-// reset forgets all outstanding probes.
+// reset discards all outstanding probes.
 func (d *failureDetector) reset() {
 	d.probes, d.relayed = d.probes[:0], d.relayed[:0]
 }
@@ -62,14 +63,14 @@
 // in a new random order, which bounds the time until a member is probed (SWIM, section 4.3).
 func (d *failureDetector) nextTarget(rng *rand.Rand, members *memberTable, eligible func(i int) bool) int {
 	for range members.records {
-		if d.position >= len(d.order) {
+		if d.next >= len(d.order) {
 			d.startRound(rng, members)
 		}
 		if len(d.order) == 0 {
 			return noMember
 		}
-		i := d.order[d.position]
-		d.position++
+		i := d.order[d.next]
+		d.next++
 		if eligible(i) && !d.probing(i) {
 			return i
 		}
@@ -77,9 +78,9 @@
 	return noMember
 }
 
-// startRound shuffles all members but this relay.
+// startRound puts all members but this relay in a new random order.
 func (d *failureDetector) startRound(rng *rand.Rand, members *memberTable) {
-	d.position = 0
+	d.next = 0
 	d.order = d.order[:0]
 	for i := range members.records {
 		if i != members.local {
@@ -89,12 +90,12 @@
 	rng.Shuffle(len(d.order), func(a, b int) { d.order[a], d.order[b] = d.order[b], d.order[a] })
 }
 
-// probing says whether a probe of a member is outstanding.
+// probing reports whether a probe of a member is outstanding.
 func (d *failureDetector) probing(i int) bool {
 	return slices.ContainsFunc(d.probes, func(p probe) bool { return p.target == i })
 }
 
-// countNack records that a helper reached nobody but is itself there.
+// countNack counts a nack: the helper could not reach the target, but the path from here to the helper works.
 func (d *failureDetector) countNack(sequence uint64) {
 	for i := range d.probes {
 		if p := &d.probes[i]; p.sequence == sequence && p.nacks < p.pingReqsSent {
@@ -103,7 +104,7 @@
 	}
 }
 
-// takeProbe removes and returns the probe with a sequence number.
+// takeProbe removes and returns the probe with the given sequence number.
 func (d *failureDetector) takeProbe(sequence uint64) (probe, bool) {
 	k := slices.IndexFunc(d.probes, func(p probe) bool { return p.sequence == sequence })
 	if k < 0 {
@@ -114,7 +115,7 @@
 	return p, true
 }
 
-// takeRelayed removes and returns the relayed probe with a sequence number.
+// takeRelayed removes and returns the relayed probe with the given sequence number.
 func (d *failureDetector) takeRelayed(sequence uint64) (relayedProbe, bool) {
 	k := slices.IndexFunc(d.relayed, func(p relayedProbe) bool { return p.sequence == sequence })
 	if k < 0 {
@@ -132,7 +133,7 @@
 	return sequence
 }
 
-// probeNext begins the probe of the next member of the round.
+// probeNext starts a probe of the next member of the round.
 func (m *Memberlist) probeNext() {
 	target := m.detector.nextTarget(m.rng, &m.members, func(i int) bool {
 		r := &m.members.records[i]
@@ -150,7 +151,8 @@
 	})
 }
 
-// reconnect pings one member that is dead or was never heard from. Partitions heal by it, without state transfers.
+// reconnect pings one member that is joining, or dead for less than ForgetAfter. This is how views converge after a network
+// partition, without state transfers.
 func (m *Memberlist) reconnect() {
 	i := m.members.random(m.rng, func(i int) bool {
 		r := &m.members.records[i]
@@ -161,7 +163,7 @@
 	}
 }
 
-// expireProbes moves probes on whose deadline has passed: from direct to indirect, from indirect to failed.
+// expireProbes handles probes whose deadline has passed: it turns direct probes into indirect ones and fails indirect ones.
 func (m *Memberlist) expireProbes() {
 	probes := m.detector.probes
 	m.detector.probes = probes[:0]
@@ -177,8 +179,8 @@
 	}
 }
 
-// probeIndirectly asks other members to probe the target, and pings it once more: either its first answer was lost, or
-// the way between the two is broken.
+// probeIndirectly asks other members to probe the target, and pings it once more. The second ping covers a lost ping or ack,
+// the indirect probes a broken path between this relay and the target.
 func (m *Memberlist) probeIndirectly(p *probe) {
 	p.indirect = true
 	p.deadline = m.now + indirectTimeoutFactor*m.probeTimeout()
@@ -194,8 +196,8 @@
 	}
 }
 
-// probeFailed handles a probe that nobody answered. Helpers that didn't even send a nack suggest that this relay is the
-// one in trouble.
+// probeFailed handles a probe without a direct or indirect ack. Missing nacks from helpers suggest that this relay itself is
+// slow or cut off, so they raise the local health score.
 func (m *Memberlist) probeFailed(p *probe) {
 	m.stats.FailedProbes++
 	if !m.settings.plainSWIM && p.nacks < p.pingReqsSent {
@@ -209,7 +211,7 @@
 	}
 }
 
-// handlePingReq probes a member for another.
+// handlePingReq probes a member on behalf of the sender of a ping-req.
 func (m *Memberlist) handlePingReq(from int, msg *message) {
 	target := msg.target - 1
 	if target < 0 || target == m.local.Index || len(m.detector.relayed) >= maxRelayedProbes {
@@ -223,8 +225,8 @@
 	})
 }
 
-// expireRelayedProbes sends nacks for relayed probes that were not answered, so that the requester knows that its helper
-// is there.
+// expireRelayedProbes sends nacks for relayed probes that were not answered in time. A nack shows the requester that the
+// path to its helper works.
 func (m *Memberlist) expireRelayedProbes() {
 	m.detector.relayed = slices.DeleteFunc(m.detector.relayed, func(p relayedProbe) bool {
 		if p.deadline > m.now {
@@ -235,18 +237,19 @@
 	})
 }
 
-// handleAck ends the probe with a sequence number, whether this relay made it for itself or for another.
+// handleAck ends the probe with the given sequence number, whether this relay made it for itself or on behalf of another
+// member.
 func (m *Memberlist) handleAck(from int, sequence uint64) {
 	if p, ok := m.detector.takeRelayed(sequence); ok {
 		m.send(p.requester, message{kind: kindAck, sequence: p.requesterSequence})
 		return
 	}
 	p, ok := m.detector.takeProbe(sequence)
-	if !ok || from != p.target { // an ack relayed by a helper says nothing of round trips
+	if !ok || from != p.target { // an ack relayed by a helper does not measure the round trip to the target
 		return
 	}
 	elapsed := m.now - p.sent
-	if p.indirect { // late, or lost once: answers take longer than was thought
+	if p.indirect { // the first ping or ack was late or lost, so acks take longer than estimated
 		m.roundTrip.observe(min(elapsed, maxProbeTimeout))
 		return
 	}
--- a/internal/membership/detector_test.go
+++ b/internal/membership/detector_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// TestDetector_MarksKilledMemberDead checks that a killed member is dead to 99% of the others within 4 s, and to all
+// TestDetector_MarksKilledMemberDead checks that a killed member is marked dead by 99% of the others within 4 s, and by all
 // within 6 s.
 func TestDetector_MarksKilledMemberDead(t *testing.T) {
 	for _, n := range []int{2, 12, 80} {
@@ -17,11 +17,14 @@
 			}
 			s.run(time.Duration(seed) * 1370 * time.Millisecond)
 			s.kill(1)
-			if _, ok := s.runUntil(4*time.Second, func() bool { k, h := s.countState(1, Dead); return float64(k) >= 0.99*float64(h) }); !ok {
-				k, h := s.countState(1, Dead)
-				t.Errorf("%d relays, seed %d: marked dead by %d of %d after 4 s", n, seed, k, h)
+			if _, ok := s.runUntil(4*time.Second, func() bool {
+				count, observers := s.countState(1, Dead)
+				return float64(count) >= 0.99*float64(observers)
+			}); !ok {
+				count, observers := s.countState(1, Dead)
+				t.Errorf("%d relays, seed %d: marked dead by %d of %d after 4 s", n, seed, count, observers)
 			}
-			if _, ok := s.runUntil(2*time.Second, func() bool { k, h := s.countState(1, Dead); return k == h }); !ok {
+			if _, ok := s.runUntil(2*time.Second, func() bool { count, observers := s.countState(1, Dead); return count == observers }); !ok {
 				t.Errorf("%d relays, seed %d: not marked dead by all after 6 s", n, seed)
 			}
 		}
@@ -37,43 +40,44 @@
 	}
 	if d, ok := s.runUntil(20*time.Second, func() bool {
 		for i := range 20 {
-			if n, h := s.countState(i, Dead); n != h {
+			if count, observers := s.countState(i, Dead); count != observers {
 				return false
 			}
 		}
 		return true
 	}); !ok {
-		t.Errorf("not all are marked dead after %v", d)
+		t.Errorf("not all killed members are marked dead by all after %v", d)
 	} else {
 		t.Logf("all marked dead after %v", d)
 	}
 	for i := 20; i < 40; i++ {
-		if n, h := s.countState(i, Alive); n != h {
-			t.Errorf("running member %d is alive to %d of %d", i, n, h)
+		if count, observers := s.countState(i, Alive); count != observers {
+			t.Errorf("running member %d is alive in the view of %d of %d", i, count, observers)
 		}
 	}
 }
 
-// TestDetector_Partitions checks that a member is never dead to one that reaches it, whatever others report, and that
-// views converge once a partition has healed.
+// TestDetector_Partitions checks that no member marks another dead that it can reach, whatever others report, and that views
+// converge once a partition has healed.
 func TestDetector_Partitions(t *testing.T) {
-	half := func(i int) bool { return i < 15 }
+	firstHalf := func(i int) bool { return i < 15 }
 	for _, tc := range []struct {
 		name  string
 		cut   func(a, b int) bool
 		check func(t *testing.T, s *simulation)
 	}{
-		{"two halves", func(a, b int) bool { return half(a) != half(b) }, func(t *testing.T, s *simulation) {
+		{"two halves", func(a, b int) bool { return firstHalf(a) != firstHalf(b) }, func(t *testing.T, s *simulation) {
 			if n := s.nodes[3].list.ActiveCount(); n != 30 {
-				t.Errorf("half of the fleet counts %d active, want 30", n)
+				t.Errorf("member 3 counts %d active, want 30", n)
 			}
 			if s.nodes[3].list.State(20) != Dead || s.nodes[3].list.State(7) != Alive {
-				t.Error("the other half is not dead, or this half not alive")
+				t.Errorf("in the view of member 3, member 20 is %v, want dead; member 7 is %v, want alive",
+					s.nodes[3].list.State(20), s.nodes[3].list.State(7))
 			}
 		}},
 		{"outbound link of one member down", func(a, b int) bool { return a == 4 }, func(t *testing.T, s *simulation) {
-			if n, h := s.countState(4, Dead); n != h {
-				t.Errorf("the unheard member is dead to %d of %d", n, h)
+			if count, observers := s.countState(4, Dead); count != observers {
+				t.Errorf("the member that cannot send is marked dead by %d of %d", count, observers)
 			}
 		}},
 		{"inbound link of one member down", func(a, b int) bool { return b == 4 }, func(t *testing.T, s *simulation) {
@@ -89,8 +93,8 @@
 		{"one member reaches a third", func(a, b int) bool { return a == 4 && b >= 10 }, nil},
 		{"three groups in a chain", func(a, b int) bool { return a%3 == 0 && b%3 == 2 || a%3 == 2 && b%3 == 0 }, func(t *testing.T, s *simulation) {
 			for i := range s.nodes {
-				if n, h := s.countState(i, Alive); i%3 == 1 && n != h {
-					t.Errorf("member %d, which all reach, is alive to %d of %d", i, n, h)
+				if count, observers := s.countState(i, Alive); i%3 == 1 && count != observers {
+					t.Errorf("member %d, which all reach, is alive in the view of %d of %d", i, count, observers)
 				}
 			}
 		}},
@@ -99,9 +103,9 @@
 			s := newSimulation(30, 5, DefaultSettings("f"))
 			s.startAll()
 			s.run(6 * time.Second)
-			s.onDeath = func(at, of int) {
-				if !s.dropped(at, of) && !s.dropped(of, at) {
-					t.Errorf("%d marks %d dead although both reach each other", at, of)
+			s.onDeath = func(observer, member int) {
+				if !s.dropped(observer, member) && !s.dropped(member, observer) {
+					t.Errorf("%d marks %d dead although both reach each other", observer, member)
 				}
 			}
 			s.dropped = tc.cut
@@ -116,7 +120,7 @@
 			}
 			s.run(5 * time.Second)
 			if !s.converged() {
-				t.Error("the converged view does not last")
+				t.Error("no longer converged 5 s later")
 			}
 		})
 	}
--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -1,12 +1,12 @@
-// Package membership finds out which relays of a fleet are running, from datagrams that the relays send each other. It
+// Package membership detects which relays of a fleet are running, from datagrams that the relays send each other. It
 // implements the SWIM protocol (Das, Gupta, Motivala, 2002) with Lifeguard's extensions (Dadgar, Phillips, Currey,
 // 2018): randomised probing, indirect probes, suspicion with refutation by incarnation, updates piggybacked on probes,
-// and a local health multiplier that makes a relay that is itself slow judge others more patiently. docs/membership.md
-// lists what differs from the papers and why; the main difference is that a relay probes a member itself before it
-// marks it dead, whatever others report.
+// and a local health multiplier that lengthens the timeouts of a relay that is itself slow. docs/membership.md lists what
+// differs from the papers and why; the main difference is that a relay pings a member itself before it marks it dead,
+// whatever others report.
 //
-// [Memberlist] is a state machine. The caller delivers events (the passage of time, received datagrams, the wish to
-// leave) with the current time, and sends the [Packet] values that each event returns. The package has no clock, no
+// [Memberlist] is a state machine. The caller delivers events (ticks, received datagrams, the leave) with the current
+// time, and sends the [Packet] values that each event returns. The package has no clock, no
 // sockets and no goroutines, and all randomness comes from the seed given to [New], so the same code runs in a relay
 // and on a simulated clock.
 //
--- a/internal/membership/errors.go
+++ b/internal/membership/errors.go
@@ -7,28 +7,28 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// Reasons for which a datagram is refused. A decodeError wraps one of them.
+// Reasons for rejecting a datagram. A decodeError wraps one of them.
 var (
 	errNotMessage   = errors.New("not a membership datagram")
 	errMalformed    = errors.New("malformed encoding")
 	errFieldType    = errors.New("unexpected wire type")
 	errMissingField = errors.New("missing field")
 	errVersion      = errors.New("unsupported protocol version")
-	errNameLength   = errors.New("name too short or too long")
+	errNameLength   = errors.New("invalid name length")
 	errKind         = errors.New("unknown message kind")
 	errTarget       = errors.New("target outside the list of peers")
 	errUpdate       = errors.New("invalid update")
 )
 
-// decodeError says where and why a datagram is refused. It wraps the reason, and protowire's error where there is one.
+// decodeError reports where and why a datagram was rejected. It wraps the reason, and protowire's error where there is one.
 type decodeError struct {
 	reason error            // one of the reasons above
 	field  protowire.Number // 0: the datagram as a whole, or a field whose number can't be read
 	offset int              // bytes from the datagram's start to the field, or to the update within it
-	detail error            // the text, with the values that were found
+	detail error            // text of the error, with the values found
 }
 
-// newDecodeError returns an error whose text is made like that of fmt.Errorf.
+// newDecodeError returns a decodeError whose text is formatted as by fmt.Errorf.
 func newDecodeError(reason error, field protowire.Number, offset int, format string, args ...any) *decodeError {
 	return &decodeError{reason: reason, field: field, offset: offset, detail: fmt.Errorf(format, args...)}
 }
@@ -36,5 +36,5 @@
 // Error implements error.
 func (e *decodeError) Error() string { return e.detail.Error() }
 
-// Unwrap gives errors.Is and errors.As the reason and the underlying error.
+// Unwrap returns the reason and the detail, for errors.Is and errors.As.
 func (e *decodeError) Unwrap() []error { return []error{e.reason, e.detail} }
--- a/internal/membership/figures_test.go
+++ b/internal/membership/figures_test.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// TestMemberlist_Figures prints the figures of docs/membership.md. It is a measurement, run with FIGURES=1.
+// TestMemberlist_Figures measures and prints the figures of docs/membership.md. It runs only with FIGURES=1.
 func TestMemberlist_Figures(t *testing.T) {
 	if os.Getenv("FIGURES") == "" {
-		t.Skip("a measurement, asked for by FIGURES=1")
+		t.Skip("measurement, runs only with FIGURES=1")
 	}
 	for _, n := range []int{12, 80, 300, 1000} {
-		var first, most, all []time.Duration
-		var bytes float64
+		var convergence, deadTo99Percent, deadToAll []time.Duration
+		var bytesPerSecond float64
 		seeds := 5
 		if n == 1000 {
 			seeds = 2
@@ -24,9 +24,9 @@
 			s := newSimulation(n, seed+1, DefaultSettings("f"))
 			s.startAll()
 			d, ok := s.runUntil(30*time.Second, s.converged)
-			first = append(first, d)
+			convergence = append(convergence, d)
 			if !ok {
-				t.Errorf("%d: not converged", n)
+				t.Errorf("%d relays, seed %d: not converged after %v", n, seed+1, d)
 			}
 			s.run(20 * time.Second)
 			before := uint64(0)
@@ -38,17 +38,20 @@
 			for _, node := range s.nodes {
 				after += node.list.stats.BytesSent
 			}
-			bytes = float64(after-before) / 10 / float64(n)
+			bytesPerSecond = float64(after-before) / 10 / float64(n)
 			s.kill(3)
-			d, _ = s.runUntil(30*time.Second, func() bool { k, h := s.countState(3, Dead); return float64(k) >= 0.99*float64(h) })
-			e, _ := s.runUntil(30*time.Second, func() bool { k, h := s.countState(3, Dead); return k == h })
-			most, all = append(most, d), append(all, d+e)
+			d, _ = s.runUntil(30*time.Second, func() bool {
+				count, observers := s.countState(3, Dead)
+				return float64(count) >= 0.99*float64(observers)
+			})
+			rest, _ := s.runUntil(30*time.Second, func() bool { count, observers := s.countState(3, Dead); return count == observers })
+			deadTo99Percent, deadToAll = append(deadTo99Percent, d), append(deadToAll, d+rest)
 		}
-		slices.Sort(first)
-		slices.Sort(most)
-		slices.Sort(all)
+		slices.Sort(convergence)
+		slices.Sort(deadTo99Percent)
+		slices.Sort(deadToAll)
 		fmt.Printf("%d relays: converged %v to %v; dead to 99%% median %v worst %v, to all %v worst %v; %.0f bytes/s a relay\n", n,
-			first[0], first[len(first)-1], most[len(most)/2], most[len(most)-1], all[len(all)/2], all[len(all)-1], bytes)
+			convergence[0], convergence[len(convergence)-1], deadTo99Percent[len(deadTo99Percent)/2], deadTo99Percent[len(deadTo99Percent)-1], deadToAll[len(deadToAll)/2], deadToAll[len(deadToAll)-1], bytesPerSecond)
 		s := newSimulation(n, 7, DefaultSettings("f"))
 		s.startAll()
 		s.run(10 * time.Second)
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -6,29 +6,29 @@
 )
 
 const (
-	// retransmitFactor times the logarithm of the fleet's size is how often an update is sent (SWIM's lambda).
+	// retransmitFactor times the binary logarithm of the fleet's size is how many times an update is sent (SWIM's lambda).
 	retransmitFactor = 3
 
-	// maxTransmissions bounds that, so that the count fits a byte.
+	// maxTransmissions bounds the transmissions of an update, so that the count fits a byte.
 	maxTransmissions = 250
 
-	// maxQueuedUpdates is how many queued updates are tried for a datagram: more than fit into one.
-	maxQueuedUpdates = 24
+	// maxUpdateCandidates is how many queued updates are passed to the encoder for a datagram: more than fit into one.
+	maxUpdateCandidates = 24
 
-	// tableSegment is how many members' states a ping carries while there is no news, so that views that differ for
-	// whatever reason converge.
-	tableSegment = 6
+	// tableSegmentSize is how many members a ping covers in the walk over the table while the queue is empty. It makes views
+	// converge whatever made them differ.
+	tableSegmentSize = 6
 )
 
-// gossipBursts says how many datagrams with nothing but updates are sent in a tick, by how many updates wait. Probes
-// carry few: when many members start or fail at once there is as much to tell as there are members.
+// gossipBursts is how many datagrams with updates only are sent in a tick, by the number of queued updates. Probes alone
+// carry too few: when many members start or fail at once, the queue holds an update for each of them.
 var gossipBursts = []struct{ moreThan, packets int }{{300, 8}, {100, 4}, {12, 2}, {0, 1}}
 
-// gossipQueue holds the members whose state is still to be told to others, and how often.
+// gossipQueue holds the members whose state is still to be disseminated, and the transmissions left for each.
 type gossipQueue struct {
 	pending   []int   // members; those sent least often come first
 	remaining []uint8 // transmissions left, by member; 0: not in pending
-	cursor    int     // last member that went out as part of a table segment
+	cursor    int     // last member covered by a table segment
 }
 
 // newGossipQueue returns an empty queue.
@@ -46,8 +46,7 @@
 	q.pending = slices.Insert(q.pending, 0, i)
 }
 
-// transmitted records that the first n members of the queue were sent, and moves those that are to be sent again to its
-// end.
+// transmitted records that the first n members of the queue were sent, and moves those with transmissions left to its end.
 func (q *gossipQueue) transmitted(n int) {
 	sent := slices.Clone(q.pending[:n])
 	q.pending = slices.Delete(q.pending, 0, n)
@@ -59,8 +58,8 @@
 	}
 }
 
-// nextOfTable returns the next member of the walk over the whole table.
-func (q *gossipQueue) nextOfTable() int {
+// nextTableMember returns the next member of the walk over the whole table of members.
+func (q *gossipQueue) nextTableMember() int {
 	q.cursor = (q.cursor + 1) % len(q.remaining)
 	return q.cursor
 }
@@ -71,22 +70,22 @@
 	if u, ok := m.updateForRecipient(to); ok {
 		msg.updates = append(msg.updates, u)
 	}
-	aboutRecipient := len(msg.updates)
-	for _, i := range m.gossip.pending[:min(len(m.gossip.pending), maxQueuedUpdates)] {
+	recipientUpdates := len(msg.updates)
+	for _, i := range m.gossip.pending[:min(len(m.gossip.pending), maxUpdateCandidates)] {
 		msg.updates = append(msg.updates, m.members.update(i))
 	}
-	lastQueued := len(msg.updates)
+	queuedEnd := len(msg.updates)
 	if msg.kind == kindPing && len(m.gossip.pending) == 0 {
 		m.addTableSegment(&msg)
 	}
 	data, fitted := msg.encode()
-	m.gossip.transmitted(max(0, min(fitted, lastQueued)-aboutRecipient))
+	m.gossip.transmitted(max(0, min(fitted, queuedEnd)-recipientUpdates))
 	m.stats.PacketsSent++
 	m.stats.BytesSent += uint64(len(data))
 	m.outbox = append(m.outbox, Packet{to, data})
 }
 
-// stampSender sets what a message says of this relay.
+// stampSender sets the fields of a message that describe this relay.
 func (m *Memberlist) stampSender(msg *message) {
 	msg.fleet = m.settings.Fleet
 	msg.name = m.local.Name
@@ -95,8 +94,8 @@
 	msg.health = m.health.score
 }
 
-// updateForRecipient returns what is believed of a datagram's recipient, if it is anything that it should refute. It
-// goes before all other updates.
+// updateForRecipient returns the update about a datagram's recipient, if the recipient is suspect, dead or left here and
+// should refute it. It is sent before all other updates.
 func (m *Memberlist) updateForRecipient(to int) (memberUpdate, bool) {
 	if s := m.suspicions.byMember[to]; s != nil {
 		return s.claim, true
@@ -111,14 +110,14 @@
 
 // addTableSegment adds the states of the next members of the walk over the table.
 func (m *Memberlist) addTableSegment(msg *message) {
-	for range min(tableSegment, len(m.members.records)) {
-		if i := m.gossip.nextOfTable(); m.members.records[i].state != Joining {
+	for range min(tableSegmentSize, len(m.members.records)) {
+		if i := m.gossip.nextTableMember(); m.members.records[i].state != Joining {
 			msg.updates = append(msg.updates, m.members.update(i))
 		}
 	}
 }
 
-// gossipPending sends updates in datagrams of their own while there are more than probes carry.
+// gossipPending sends queued updates in datagrams that carry updates only.
 func (m *Memberlist) gossipPending() {
 	for range burstSize(len(m.gossip.pending)) {
 		if len(m.gossip.pending) == 0 {
@@ -134,17 +133,17 @@
 	}
 }
 
-// burstSize returns how many datagrams of updates alone are worth sending in a tick.
-func burstSize(pending int) int {
+// burstSize returns how many datagrams with updates only are sent in a tick.
+func burstSize(queued int) int {
 	for _, b := range gossipBursts {
-		if pending > b.moreThan {
+		if queued > b.moreThan {
 			return b.packets
 		}
 	}
 	return 0
 }
 
-// gossipToActive sends the newest updates to some active members at once.
+// gossipToActive sends the newest updates to random active members at once.
 func (m *Memberlist) gossipToActive(packets int) {
 	for range packets {
 		if i := m.members.randomActive(m.rng); i != noMember {
--- a/internal/membership/gossip_test.go
+++ b/internal/membership/gossip_test.go
@@ -19,14 +19,14 @@
 	for _, node := range s.nodes {
 		after += node.list.stats.BytesSent
 		if n := len(node.list.detector.probes) + len(node.list.detector.relayed) + len(node.list.suspicions.active); n > 16 {
-			t.Errorf("%d probes and suspicions outstanding at rest", n)
+			t.Errorf("%d probes and suspicions outstanding in a steady fleet, want at most 16", n)
 		}
 	}
-	if each := float64(after-before) / 20 / 80; each > 2048 {
-		t.Errorf("%.0f bytes a second and relay at rest", each)
+	if rate := float64(after-before) / 20 / 80; rate > 2048 {
+		t.Errorf("each relay sends %.0f bytes/s in a steady fleet, want at most 2048", rate)
 	}
 	if s.largestPacket > MaxPacketSize {
-		t.Errorf("a datagram of %d bytes", s.largestPacket)
+		t.Errorf("largest datagram has %d bytes, want at most %d", s.largestPacket, MaxPacketSize)
 	}
 }
 
--- a/internal/membership/localhealth.go
+++ b/internal/membership/localhealth.go
@@ -6,18 +6,18 @@
 	// maxHealthScore bounds the local health score. Lifeguard's paper uses 8: timeouts grow threefold at most.
 	maxHealthScore = 8
 
-	// stallPenalty is added to the score after this process was stopped: it is likely to be stopped again.
+	// stallPenalty is added to the score after a stall, because the process is likely to be stopped again.
 	stallPenalty = maxHealthScore / 2
 )
 
 // localHealth is Lifeguard's local health multiplier. The score rises with evidence that this relay itself is slow or
 // cut off, and falls with each probe that is answered in time; 0 is healthy. A higher score means longer timeouts, so
-// that a relay in trouble doesn't blame others for it.
+// that a relay that is slow or cut off does not suspect healthy members.
 type localHealth struct {
 	score int
 }
 
-// adjust moves the score within its bounds.
+// adjust adds delta to the score and clamps it to its bounds.
 func (h *localHealth) adjust(delta int) { h.score = min(maxHealthScore, max(0, h.score+delta)) }
 
 // scaleProbeTimeout lengthens a timeout by a quarter for each point of the score.
--- a/internal/membership/localhealth_test.go
+++ b/internal/membership/localhealth_test.go
@@ -5,40 +5,40 @@
 	"time"
 )
 
-// TestLocalHealth_PausedMembersBlameNobody pauses members by turns: they mark nobody dead that was not paused, and are
-// alive to all within 2 s of their return.
-func TestLocalHealth_PausedMembersBlameNobody(t *testing.T) {
-	seeds, each := accuracyRuns()
+// TestLocalHealth_PausedMembersCauseNoFalseDeaths pauses members in turn: no member is marked dead that was not paused, and a
+// paused member is alive in the view of all within 2 s after its pause.
+func TestLocalHealth_PausedMembersCauseNoFalseDeaths(t *testing.T) {
+	seeds, duration := accuracyRuns()
 	for _, plainSWIM := range []bool{false, true} {
-		set := DefaultSettings("f")
-		set.plainSWIM = plainSWIM
-		wrong, late, worst := 0, 0, time.Duration(0)
+		settings := DefaultSettings("f")
+		settings.plainSWIM = plainSWIM
+		falseDeaths, lateRecoveries, longest := 0, 0, time.Duration(0)
 		for seed := range uint64(seeds) {
-			s := newSimulation(20, seed+1, set)
+			s := newSimulation(20, seed+1, settings)
 			paused := map[int]bool{}
-			s.onDeath = func(at, of int) {
-				if !paused[of] {
-					wrong++
+			s.onDeath = func(_, member int) {
+				if !paused[member] {
+					falseDeaths++
 				}
 			}
 			s.startAll()
 			s.run(5 * time.Second)
-			for end := s.now + each; s.now < end; {
+			for end := s.now + duration; s.now < end; {
 				i := 18 + s.rng.IntN(2) // a tenth of the fleet
 				paused[i] = true
 				d := 200*time.Millisecond + time.Duration(s.rng.Int64N(int64(4800*time.Millisecond)))
 				s.pause(i, d)
 				s.run(d)
-				back, ok := s.runUntil(2*time.Second, func() bool { n, h := s.countState(i, Alive); return n == h })
-				if worst = max(worst, back); !ok {
-					late++
+				recovery, ok := s.runUntil(2*time.Second, func() bool { count, observers := s.countState(i, Alive); return count == observers })
+				if longest = max(longest, recovery); !ok {
+					lateRecoveries++
 				}
 				s.run(time.Second)
 			}
 		}
-		t.Logf("plain SWIM: %v; %d marked dead that never paused, %d not alive to all after 2 s, longest %v", plainSWIM, wrong, late, worst)
-		if !plainSWIM && (wrong > 0 || late > 0) {
-			t.Errorf("%d marked dead that never paused, %d not alive to all after 2 s", wrong, late)
+		t.Logf("plain SWIM: %v; %d marked dead without a pause, %d not alive in the view of all after 2 s, longest %v", plainSWIM, falseDeaths, lateRecoveries, longest)
+		if !plainSWIM && (falseDeaths > 0 || lateRecoveries > 0) {
+			t.Errorf("%d marked dead without a pause, %d not alive in the view of all after 2 s", falseDeaths, lateRecoveries)
 		}
 	}
 }
@@ -49,20 +49,20 @@
 		s.startAll()
 		s.run(5 * time.Second)
 		othersDead := 0
-		s.onDeath = func(at, of int) {
-			if of != 4 {
+		s.onDeath = func(_, member int) {
+			if member != 4 {
 				othersDead++
 			}
 		}
 		s.pause(4, d)
 		s.run(d - time.Millisecond)
-		if n, h := s.countState(4, Dead); d > 7*time.Second && n != h {
-			t.Errorf("paused for %v: marked dead by %d of %d", d, n, h)
+		if count, observers := s.countState(4, Dead); d > 7*time.Second && count != observers {
+			t.Errorf("paused for %v: marked dead by %d of %d", d, count, observers)
 		}
-		back, ok := s.runUntil(2*time.Second+time.Millisecond, s.converged)
+		recovery, ok := s.runUntil(2*time.Second+time.Millisecond, s.converged)
 		if !ok {
-			n, h := s.countState(4, Alive)
-			t.Errorf("paused for %v: not converged %v after; alive to %d of %d", d, back, n, h)
+			count, observers := s.countState(4, Alive)
+			t.Errorf("paused for %v: not converged %v after it; alive in the view of %d of %d", d, recovery, count, observers)
 		}
 		if othersDead > 0 {
 			t.Errorf("paused for %v: %d others marked dead", d, othersDead)
@@ -72,9 +72,9 @@
 
 func TestLocalHealth_ScoreAndTimeouts(t *testing.T) {
 	for _, tc := range []struct {
-		adjust                []int
-		score                 int
-		probeWait, suspicions time.Duration
+		adjustments                    []int
+		score                          int
+		probeTimeout, suspicionTimeout time.Duration
 	}{
 		{nil, 0, time.Second, time.Second},
 		{[]int{-1}, 0, time.Second, time.Second},
@@ -82,11 +82,11 @@
 		{[]int{stallPenalty, stallPenalty, 1}, maxHealthScore, 3 * time.Second, 5 * time.Second},
 	} {
 		var h localHealth
-		for _, delta := range tc.adjust {
+		for _, delta := range tc.adjustments {
 			h.adjust(delta)
 		}
-		if h.score != tc.score || h.scaleProbeTimeout(time.Second) != tc.probeWait || h.scaleSuspicionTimeout(time.Second) != tc.suspicions {
-			t.Errorf("%v: score %d, %v, %v", tc.adjust, h.score, h.scaleProbeTimeout(time.Second), h.scaleSuspicionTimeout(time.Second))
+		if h.score != tc.score || h.scaleProbeTimeout(time.Second) != tc.probeTimeout || h.scaleSuspicionTimeout(time.Second) != tc.suspicionTimeout {
+			t.Errorf("%v: score %d, probe timeout %v, suspicion timeout %v", tc.adjustments, h.score, h.scaleProbeTimeout(time.Second), h.scaleSuspicionTimeout(time.Second))
 		}
 	}
 }
--- a/internal/membership/memberlist.go
+++ b/internal/membership/memberlist.go
@@ -6,17 +6,18 @@
 )
 
 const (
-	// ticksPerPeriod divides the protocol period: timeouts are checked, and probes spread, in tenths of it.
+	// ticksPerPeriod is the number of ticks in a protocol period. Timeouts are checked once a tick, and the probes of a period
+	// are spread over its ticks.
 	ticksPerPeriod = 10
 
-	// stallThreshold is how late a tick has to be for this process to have been stopped rather than merely busy.
+	// stallThreshold is the lateness of a tick above which this process counts as having been stopped rather than busy.
 	stallThreshold = 500 * time.Millisecond
 
-	// urgentFanout is how many members hear at once of a refutation or a return from a stall; twice as many of a
-	// leave, which nobody can repeat later.
+	// urgentFanout is how many members are sent a datagram at once after a refutation or a stall. A leave goes to twice as
+	// many, because this relay cannot send it again later.
 	urgentFanout = 5
 
-	// rngStream tells this package's random numbers apart from those of others seeded alike.
+	// rngStream selects a PCG stream of this package's own, so that other packages with the same seed draw other numbers.
 	rngStream = 0x3e3b
 )
 
@@ -29,13 +30,13 @@
 // LocalNode identifies this relay and its process.
 type LocalNode struct {
 	Index               int    // position in the list of peers
-	Name                string // of the relay, 1 to 32 bytes
+	Name                string // name of the relay, 1 to 32 bytes
 	StartMillis         uint64 // start of the process, Unix time in milliseconds
-	PreviousIncarnation uint64 // handed over by the process that this one replaces; 0: none
+	PreviousIncarnation uint64 // incarnation handed over by the predecessor in a hot restart; 0: none
 }
 
-// Memberlist is one relay's view of its fleet, and the protocol that keeps it up to date. It isn't safe for concurrent
-// use.
+// Memberlist is one relay's view of its fleet, and the protocol that keeps the view up to date. It isn't safe for
+// concurrent use.
 type Memberlist struct {
 	settings Settings
 	local    LocalNode
@@ -53,12 +54,12 @@
 	health     localHealth
 	roundTrip  roundTripEstimator
 
-	outbox []Packet // sent during the event being handled
+	outbox []Packet // packets queued by the event being handled
 	stats  Stats
 }
 
-// New returns the view of a relay that knows only itself, in a fleet whose list of peers has the given number of
-// members. The seed determines all random choices.
+// New returns a Memberlist in which only the local relay is alive and all other members are joining. members is the length
+// of the list of peers. The seed determines all random choices.
 func New(now time.Duration, seed uint64, settings Settings, local LocalNode, members int) *Memberlist {
 	m := &Memberlist{
 		settings:   settings,
@@ -74,7 +75,7 @@
 	return m
 }
 
-// tickInterval is the time between two ticks.
+// tickInterval returns the time between two ticks.
 func (m *Memberlist) tickInterval() time.Duration { return m.settings.ProtocolPeriod / ticksPerPeriod }
 
 // NextTick returns when Tick is to be called next.
@@ -83,7 +84,7 @@
 // Stats returns a copy of the counters.
 func (m *Memberlist) Stats() Stats { return m.stats }
 
-// Tick does what is due: it ends probes and suspicions that ran out, begins new probes, and sends updates. The caller
+// Tick handles probes and suspicions whose timeouts have passed, starts new probes, and sends queued updates. The caller
 // sends the returned packets.
 func (m *Memberlist) Tick(now time.Duration) []Packet {
 	m.advance(now)
@@ -99,7 +100,7 @@
 	return m.takeOutbox()
 }
 
-// runTick does the work of one tick.
+// runTick runs one tick of the protocol.
 func (m *Memberlist) runTick() {
 	m.expireRelayedProbes()
 	m.expireProbes()
@@ -114,9 +115,9 @@
 	m.gossipPending()
 }
 
-// HandlePacket takes in a datagram that came from a member's address; from is the member's index in the list of peers.
-// Datagrams that are malformed, of another fleet, or received after Leave are dropped. The caller sends the returned
-// packets.
+// HandlePacket handles a datagram received from a member's address; from is the member's index in the list of peers.
+// Datagrams that are malformed, belong to another fleet, or are received after Leave are dropped. The caller sends the
+// returned packets.
 func (m *Memberlist) HandlePacket(now time.Duration, from int, data []byte) []Packet {
 	m.advance(now)
 	if msg, ok := m.accept(from, data); ok {
@@ -126,7 +127,7 @@
 	return m.takeOutbox()
 }
 
-// accept decodes a datagram and says whether it is to be handled.
+// accept decodes a datagram and reports whether it is to be handled.
 func (m *Memberlist) accept(from int, data []byte) (message, bool) {
 	msg, err := decodeMessage(data, len(m.members.records))
 	if err != nil || from < 0 || from >= len(m.members.records) || from == m.local.Index {
@@ -140,8 +141,8 @@
 	return msg, !m.leaving
 }
 
-// handleMessage takes in what a message says of its sender and of others before it answers, so that the answer already
-// carries the consequences.
+// handleMessage applies the sender's state and the updates of a message before it answers, so that the answer already
+// carries the resulting updates.
 func (m *Memberlist) handleMessage(from int, msg *message) {
 	m.observeSender(from, msg)
 	for _, u := range msg.updates {
@@ -159,8 +160,8 @@
 	}
 }
 
-// Leave announces that this relay leaves of its own accord, so that the others don't have to find out. Afterwards it
-// neither handles datagrams nor judges others. The caller sends the returned packets.
+// Leave announces that this relay leaves the fleet, so that the other members need not detect it as a failure. Afterwards
+// the Memberlist handles no datagrams and changes no member's state. The caller sends the returned packets.
 func (m *Memberlist) Leave(now time.Duration) []Packet {
 	m.advance(now)
 	m.members.self().state = Left
@@ -170,7 +171,7 @@
 	return m.takeOutbox()
 }
 
-// advance sets the time of the event being handled, and notices when this process was stopped before it.
+// advance sets the time of the event being handled, and detects that this process was stopped before it.
 func (m *Memberlist) advance(now time.Duration) {
 	m.now = now
 	if stall := now - m.nextTick; stall > stallThreshold && !m.settings.plainSWIM {
@@ -178,9 +179,9 @@
 	}
 }
 
-// recoverFromStall discards conclusions from silence that was this process's own: while it was stopped it received
-// nothing, so unanswered probes and running suspicions say nothing of others. It also pings some members: those that
-// think this relay dead say so in their acks, and it can refute that.
+// recoverFromStall drops outstanding probes and postpones suspicions: while this process was stopped it received nothing,
+// so missing acks are no evidence against other members. It also pings some members: those that have marked this relay dead
+// report so in their acks, and this relay can refute it.
 func (m *Memberlist) recoverFromStall(stall time.Duration) {
 	m.stats.Stalls++
 	m.nextTick = m.now
@@ -194,7 +195,7 @@
 	}
 }
 
-// takeOutbox returns the packets sent during the event.
+// takeOutbox returns the packets queued by the event and empties the outbox.
 func (m *Memberlist) takeOutbox() []Packet {
 	out := m.outbox
 	m.outbox = nil
--- a/internal/membership/members.go
+++ b/internal/membership/members.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// State is what this relay believes of a member.
+// State is the state of a member in this relay's view.
 type State uint8
 
 // The states, by their values on the wire. Of two updates with the same incarnation, the one with the later state wins.
 const (
-	Joining State = iota // in the list of peers; nothing known of it yet
+	Joining State = iota // in the list of peers; no datagram from it and no update about it received yet
 	Alive
-	Suspect // a probe failed; it is marked dead unless it refutes that in time
+	Suspect // a probe failed; the member is marked dead unless it refutes the suspicion in time
 	Dead
-	Left // it announced that it leaves
+	Left // the member announced that it leaves
 )
 
 // String returns the state's name as the admin endpoint and logs show it.
@@ -26,47 +26,48 @@
 	// noMember is returned in place of a member's index where no member qualifies.
 	noMember = -1
 
-	// maxIncarnationJump is how far one claim may raise an incarnation: 50 days of milliseconds. Without a bound, one
-	// corrupt claim would put an incarnation out of reach of the member that owns it.
+	// maxIncarnationJump is how far one update may raise an incarnation: 50 days of milliseconds. Without a bound, one
+	// corrupt update could raise an incarnation so far that the member itself could never exceed it.
 	maxIncarnationJump = 1 << 32
 
 	// maxClockIncarnation is always plausible, since incarnations start at a process's start time: Unix time in
 	// milliseconds, up to the year 2109.
 	maxClockIncarnation = 1 << 42
 
-	// duplicateNamePeriods is for how many protocol periods two processes under one name are remembered.
+	// duplicateNamePeriods is for how many protocol periods two processes under one name are reported after they were last
+	// seen to alternate.
 	duplicateNamePeriods = 10
 )
 
-// Member is what this relay believes of one member, for display.
+// Member is this relay's view of one member, for display.
 type Member struct {
 	Index         int           `json:"number"`         // position in the list of peers
-	Name          string        `json:"name,omitempty"` // as it says itself; empty: it was never heard from
+	Name          string        `json:"name,omitempty"` // name from the member's own datagrams; empty: none was received
 	State         string        `json:"state"`
 	Incarnation   uint64        `json:"incarnation"`
-	Since         time.Duration `json:"since_ns"`                // time that it has been in this state
-	ReportedBy    int           `json:"by"`                      // index of the member that caused the state; may be itself
-	RoundTrip     time.Duration `json:"round_trip_ns,omitempty"` // last one measured; 0: none
-	Health        int           `json:"health"`                  // local health score as it says itself; 0 is best, 8 worst
-	DuplicateName bool          `json:"twice,omitempty"`         // two processes send under its name
+	Since         time.Duration `json:"since_ns"`                // how long the member has been in this state
+	ReportedBy    int           `json:"by"`                      // index of the member whose report set the state; may be its own
+	RoundTrip     time.Duration `json:"round_trip_ns,omitempty"` // last round trip measured; 0: none
+	Health        int           `json:"health"`                  // local health score that the member reports; 0 is best, 8 worst
+	DuplicateName bool          `json:"twice,omitempty"`         // two processes send datagrams as this member
 }
 
 // memberRecord is the mutable state of one member.
 type memberRecord struct {
-	state       State
-	incarnation uint64
-	since       time.Duration // when it came into this state
-	lastHeard   time.Duration // when the last datagram came from it directly; 0: never
-	reportedBy  int
-	name        string
-	startMillis uint64        // start of its process, Unix time in milliseconds
-	otherStart  uint64        // start of another process that sends under the same index; 0: none
-	otherSeen   time.Duration // when the two were last seen to alternate
-	roundTrip   time.Duration
-	health      int
-}
-
-// active says whether the member counts as running: a suspect does until it is marked dead.
+	state            State
+	incarnation      uint64
+	since            time.Duration // when it entered this state
+	lastHeard        time.Duration // when the last datagram from the member itself arrived; 0: never
+	reportedBy       int
+	name             string
+	startMillis      uint64        // start of its process, Unix time in milliseconds
+	otherStartMillis uint64        // start of another process that sends under the same index, in the same unit; 0: none
+	lastAlternation  time.Duration // when the two were last seen to alternate
+	roundTrip        time.Duration
+	health           int
+}
+
+// active reports whether the member counts as running: a suspect does until it is marked dead.
 func (r *memberRecord) active() bool { return r.state == Alive || r.state == Suspect }
 
 // setState records a change of state.
@@ -74,19 +75,19 @@
 	r.state, r.incarnation, r.since, r.reportedBy = state, incarnation, now, reportedBy
 }
 
-// implausible says whether no process can have reached an incarnation.
+// implausible reports whether an incarnation is higher than any process can have reached.
 func (r *memberRecord) implausible(incarnation uint64) bool {
 	return incarnation > max(r.incarnation+maxIncarnationJump, maxClockIncarnation)
 }
 
-// observeStart records the start time of the process that sent a datagram. A process that returns after another one
-// spoke means that both run, which an ordinary restart does not cause.
-func (r *memberRecord) observeStart(startMillis uint64, now, memory time.Duration) {
+// observeStart records the start time of the process that sent a datagram. If datagrams of two processes alternate, both
+// are running; after an ordinary restart only the new process sends.
+func (r *memberRecord) observeStart(startMillis uint64, now, retention time.Duration) {
 	if r.startMillis != 0 && startMillis != r.startMillis {
-		if startMillis == r.otherStart && now-r.otherSeen < memory {
-			r.otherSeen = now
+		if startMillis == r.otherStartMillis && now-r.lastAlternation < retention {
+			r.lastAlternation = now
 		} else {
-			r.otherStart, r.otherSeen = r.startMillis, now
+			r.otherStartMillis, r.lastAlternation = r.startMillis, now
 		}
 	}
 	r.startMillis = startMillis
@@ -98,7 +99,7 @@
 	local   int // index of this relay
 }
 
-// newMemberTable returns a table in which only this relay is known.
+// newMemberTable returns a table in which this relay is alive and all other members are joining.
 func newMemberTable(size int, local LocalNode, now time.Duration) memberTable {
 	t := memberTable{records: make([]memberRecord, size), local: local.Index}
 	self := t.self()
@@ -110,14 +111,14 @@
 // self returns the record of this relay.
 func (t *memberTable) self() *memberRecord { return &t.records[t.local] }
 
-// update returns what there is to tell others of a member.
+// update returns the update that carries a member's current state.
 func (t *memberTable) update(i int) memberUpdate {
 	r := &t.records[i]
 	return memberUpdate{i, r.state, r.incarnation}
 }
 
-// random returns a random member other than this relay that meets a condition, or noMember. It draws a starting point
-// and searches from there: one draw whatever the outcome.
+// random returns a random eligible member other than this relay, or noMember. It draws a starting index and searches from
+// there, so that each call makes exactly one draw.
 func (t *memberTable) random(rng *rand.Rand, eligible func(i int) bool) int {
 	n := len(t.records)
 	start := rng.IntN(n)
@@ -134,7 +135,7 @@
 	return t.random(rng, func(i int) bool { return t.records[i].active() })
 }
 
-// activeExcept counts active members, this relay and one more not included.
+// activeExcept counts the active members other than this relay and the given one.
 func (t *memberTable) activeExcept(except int) (n int) {
 	for i := range t.records {
 		if i != except && i != t.local && t.records[i].active() {
@@ -162,7 +163,7 @@
 }
 
 // snapshot returns the table for display.
-func (t *memberTable) snapshot(now, duplicateMemory time.Duration) []Member {
+func (t *memberTable) snapshot(now, duplicateRetention time.Duration) []Member {
 	out := make([]Member, len(t.records))
 	for i := range t.records {
 		r := &t.records[i]
@@ -175,36 +176,36 @@
 			ReportedBy:    r.reportedBy,
 			RoundTrip:     r.roundTrip,
 			Health:        r.health,
-			DuplicateName: r.otherStart != 0 && now-r.otherSeen < duplicateMemory && r.state != Left,
+			DuplicateName: r.otherStartMillis != 0 && now-r.lastAlternation < duplicateRetention && r.state != Left,
 		}
 	}
 	return out
 }
 
-// ActiveCount returns how many relays are running, this one included, for those who share a limit among them. It errs
-// towards more: while this relay considers no more than half of those that have not left active, the others may be
-// alive beyond a network partition, and all that have not left are counted.
+// ActiveCount returns how many relays are running, this one included; callers divide limits among them by it. It
+// overestimates in doubt: while no more than half of the members that have not left are active, the others may be alive
+// beyond a network partition, and all members that have not left are counted.
 func (m *Memberlist) ActiveCount() int { return m.members.activeCount() }
 
-// IsActive says whether a member is alive or suspect. It is false for indexes outside the list of peers.
+// IsActive reports whether a member is alive or suspect. It is false for indexes outside the list of peers.
 func (m *Memberlist) IsActive(i int) bool {
 	return i >= 0 && i < len(m.members.records) && m.members.records[i].active()
 }
 
-// State returns what this relay believes of the member with an index.
+// State returns the state of the member with the given index.
 func (m *Memberlist) State(i int) State { return m.members.records[i].state }
 
-// Incarnation returns this relay's own incarnation, to be handed over to the process that replaces this one.
+// Incarnation returns this relay's own incarnation, which a hot restart hands over to the successor.
 func (m *Memberlist) Incarnation() uint64 { return m.members.self().incarnation }
 
-// Members returns what this relay believes of all members, by their index in the list of peers.
+// Members returns this relay's view of all members, by their index in the list of peers.
 func (m *Memberlist) Members(now time.Duration) []Member {
-	out := m.members.snapshot(now, m.duplicateMemory())
+	out := m.members.snapshot(now, m.duplicateRetention())
 	out[m.local.Index].Health = m.health.score
 	return out
 }
 
-// duplicateMemory is for how long two processes under one name are remembered.
-func (m *Memberlist) duplicateMemory() time.Duration {
+// duplicateRetention returns for how long two processes under one name are reported after they were last seen to alternate.
+func (m *Memberlist) duplicateRetention() time.Duration {
 	return duplicateNamePeriods * m.settings.ProtocolPeriod
 }
--- a/internal/membership/roundtrip.go
+++ b/internal/membership/roundtrip.go
@@ -3,19 +3,19 @@
 import "time"
 
 const (
-	minProbeTimeout = 150 * time.Millisecond // below it, scheduling delays of a busy host would fail probes
-	maxProbeTimeout = 2 * time.Second        // above it, deaths would go unnoticed for longer than the suspicion lasts
+	minProbeTimeout = 150 * time.Millisecond // with less, scheduling delays of a busy host would fail probes
+	maxProbeTimeout = 2 * time.Second        // with more, failing the probe would take longer than the suspicion
 )
 
 // roundTripEstimator derives the probe timeout from measured round trips as TCP does (RFC 6298), with smaller gains
-// because the samples come from all members. Links that are slow or lossy between all relays are thereby not mistaken for
-// failures.
+// because the samples come from all members. It prevents false suspicions on a network that is slow or lossy between all
+// relays.
 type roundTripEstimator struct {
-	smoothed  time.Duration // 0: no sample yet
+	smoothed  time.Duration // smoothed mean; 0: no sample yet
 	variation time.Duration // mean deviation
 }
 
-// observe takes in one measured round trip.
+// observe adds a sample: one measured round trip.
 func (e *roundTripEstimator) observe(sample time.Duration) {
 	if e.smoothed == 0 {
 		e.smoothed, e.variation = sample, sample/2
@@ -26,7 +26,7 @@
 	e.smoothed += (sample - e.smoothed) / 16
 }
 
-// timeout returns how long an ack is worth waiting for.
+// timeout returns the time to wait for an ack.
 func (e *roundTripEstimator) timeout() time.Duration {
 	if e.smoothed == 0 {
 		return minProbeTimeout
@@ -34,7 +34,7 @@
 	return min(maxProbeTimeout, max(minProbeTimeout, e.smoothed+4*e.variation))
 }
 
-// probeTimeout returns how long this relay waits for an ack at its present health.
+// probeTimeout returns how long this relay waits for an ack at its current local health score.
 func (m *Memberlist) probeTimeout() time.Duration {
 	if m.settings.plainSWIM {
 		return minProbeTimeout
--- a/internal/membership/simulation_test.go
+++ b/internal/membership/simulation_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// simulation runs a fleet on a virtual clock, over a network that loses, delays, duplicates, reorders and partitions.
+// simulation runs a fleet on a virtual clock, over a network that can lose, delay, duplicate and reorder datagrams, and that
+// can be partitioned.
 type simulation struct {
 	now                   time.Duration
 	events                eventQueue
@@ -18,13 +19,13 @@
 	duplicateRate         float64
 	minDelay              time.Duration // of a datagram
 	maxDelay              time.Duration
-	dropped               func(from, to int) bool
-	largestPacket         int                      // bytes
-	onDeath               func(at, of int)         // called when a member marks another dead
-	lastStates            [][]State                // by observer and member, as onDeath last saw them
-	startMillisOf         func(i int) uint64       // start of a process, Unix time in milliseconds; nil: the true time
-	previousIncarnationOf func(i int) uint64       // nil: none
-	intercept             func(data []byte) []byte // may replace a datagram on arrival; nil: no
+	dropped               func(from, to int) bool    // reports whether the network drops a datagram; nil: none
+	largestPacket         int                        // bytes
+	onDeath               func(observer, member int) // called when the observer marks the member dead
+	lastStates            [][]State                  // by observer and member, as of the last call of reportDeaths
+	startMillisOf         func(i int) uint64         // start of a process, Unix time in milliseconds; nil: the virtual time
+	previousIncarnationOf func(i int) uint64         // incarnation handed over by the predecessor; nil: none
+	intercept             func(data []byte) []byte   // replaces a datagram on arrival; nil: datagrams arrive unchanged
 }
 
 type simNode struct {
@@ -56,16 +57,16 @@
 func (e *eventQueue) Push(x any)   { *e = append(*e, x.(simEvent)) }
 func (e *eventQueue) Pop() any {
 	old := *e
-	x := old[len(old)-1]
+	last := old[len(old)-1]
 	*e = old[:len(old)-1]
-	return x
+	return last
 }
 
 const simStart = 1_700_000_000 * time.Second
 
-func newSimulation(n int, seed uint64, set Settings) *simulation {
-	s := &simulation{now: simStart, rng: rand.New(rand.NewPCG(seed, 9)), settings: set, minDelay: 100 * time.Microsecond, maxDelay: 2 * time.Millisecond}
-	for range n {
+func newSimulation(members int, seed uint64, settings Settings) *simulation {
+	s := &simulation{now: simStart, rng: rand.New(rand.NewPCG(seed, 9)), settings: settings, minDelay: 100 * time.Microsecond, maxDelay: 2 * time.Millisecond}
+	for range members {
 		s.nodes = append(s.nodes, &simNode{})
 	}
 	return s
@@ -127,8 +128,8 @@
 			return
 		}
 		node.paused = false
-		for _, a := range node.inbox {
-			s.send(i, node.list.HandlePacket(s.now, a.from, a.data))
+		for _, datagram := range node.inbox {
+			s.send(i, node.list.HandlePacket(s.now, datagram.from, datagram.data))
 		}
 		node.inbox = nil
 		s.reportDeaths(i)
@@ -136,10 +137,10 @@
 	})
 }
 
-func (s *simulation) send(from int, out []Packet) {
-	for _, o := range out {
-		s.largestPacket = max(s.largestPacket, len(o.Data))
-		if s.dropped != nil && s.dropped(from, o.To) {
+func (s *simulation) send(from int, packets []Packet) {
+	for _, packet := range packets {
+		s.largestPacket = max(s.largestPacket, len(packet.Data))
+		if s.dropped != nil && s.dropped(from, packet.To) {
 			continue
 		}
 		copies := 1
@@ -151,7 +152,7 @@
 				continue
 			}
 			d := s.minDelay + time.Duration(s.rng.Int64N(int64(s.maxDelay-s.minDelay)+1))
-			s.after(d, func() { s.deliver(from, o.To, o.Data) })
+			s.after(d, func() { s.deliver(from, packet.To, packet.Data) })
 		}
 	}
 }
@@ -185,10 +186,10 @@
 	if s.lastStates[i] == nil {
 		s.lastStates[i] = make([]State, len(s.nodes))
 	}
-	for j, was := range s.lastStates[i] {
-		if st := s.nodes[i].list.members.records[j].state; st != was {
-			s.lastStates[i][j] = st
-			if st == Dead {
+	for j, lastState := range s.lastStates[i] {
+		if state := s.nodes[i].list.members.records[j].state; state != lastState {
+			s.lastStates[i][j] = state
+			if state == Dead {
 				s.onDeath(i, j)
 			}
 		}
@@ -205,32 +206,33 @@
 	s.now = end
 }
 
-// runUntil runs in steps until a condition holds. It returns how long that took, or the limit and whether it holds then.
+// runUntil runs in steps until a condition holds. It returns the time that took, or the limit, and whether the condition
+// holds.
 func (s *simulation) runUntil(limit time.Duration, ok func() bool) (time.Duration, bool) {
-	began := s.now
-	for s.now-began < limit {
+	start := s.now
+	for s.now-start < limit {
 		if ok() {
-			return s.now - began, true
+			return s.now - start, true
 		}
 		s.run(50 * time.Millisecond)
 	}
 	return limit, ok()
 }
 
-// countState counts the running members, and those of them to which a member is in a state.
-func (s *simulation) countState(of int, st State) (n, holders int) {
+// countState counts the other running members as observers, and those of them in whose view the member has the state.
+func (s *simulation) countState(member int, state State) (count, observers int) {
 	for i, node := range s.nodes {
-		if node.up && i != of {
-			holders++
-			if node.list.State(of) == st {
-				n++
+		if node.up && i != member {
+			observers++
+			if node.list.State(member) == state {
+				count++
 			}
 		}
 	}
-	return n, holders
+	return count, observers
 }
 
-// converged says whether all running members are alive to all running members.
+// converged reports whether each running member is alive in the view of each running member.
 func (s *simulation) converged() bool {
 	for _, node := range s.nodes {
 		if !node.up {
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -7,51 +7,52 @@
 )
 
 const (
-	// maxSuspicionFactor times the shortest suspicion timeout is the longest: how long a suspicion lasts while nobody
-	// else shares it (Lifeguard's beta).
+	// maxSuspicionFactor times the shortest suspicion timeout is the longest, which applies while no other member confirms
+	// the suspicion (Lifeguard's beta).
 	maxSuspicionFactor = 4
 
-	// maxConfirmations is how many members, the first included, have to suspect a member for the timeout to shrink to
-	// its shortest (Lifeguard's K).
+	// maxConfirmations is how many members, the first included, have to suspect a member for the timeout to reach its
+	// minimum (Lifeguard's K).
 	maxConfirmations = 2
 
-	// confirmationPings is how often this relay pings a member itself, at the end of a suspicion, before it marks it
-	// dead.
+	// confirmationPings is how many pings this relay sends to a member itself, at the end of a suspicion, before it marks
+	// the member dead.
 	confirmationPings = 3
 
-	// recentlyHeardFactor times the probe timeout is how recent a datagram from the member has to be to count in its
-	// favour at the end of a suspicion.
+	// recentlyHeardFactor times the probe timeout is the age below which a datagram from the member dismisses a suspicion at
+	// its end.
 	recentlyHeardFactor = 3
 )
 
-// suspicion is on its way from a failed probe, or a report of a member's death, to the member's death here.
+// suspicion is a running suspicion of one member. It starts with a failed probe, or with a report that the member is suspect
+// or dead, and ends with a refutation, a dismissal or the member being marked dead.
 type suspicion struct {
-	began         time.Duration
-	minTimeout    time.Duration
-	maxTimeout    time.Duration
-	confirmers    [maxConfirmations]int // members that suspect it, in the order of their reports
-	confirmations int                   // how many of confirmers are set
-	possible      int                   // how many others could confirm, as far as it matters
-	claim         memberUpdate          // what the member is told, so that it can refute it
-	pings         int                   // sent by this relay at the end
-	nextPing      time.Duration         // when the last of them runs out; 0: none was sent
-}
-
-// deadline returns when the suspicion times out. Each independent confirmation brings it nearer, the first ones most
+	startedAt             time.Duration
+	minTimeout            time.Duration
+	maxTimeout            time.Duration
+	confirmers            [maxConfirmations]int // members that suspect it, in the order of their reports
+	confirmations         int                   // how many of confirmers are set
+	possibleConfirmations int                   // other members that could confirm it, at most maxConfirmations-1
+	claim                 memberUpdate          // update sent to the member, so that it can refute it
+	pings                 int                   // sent by this relay at the end of the suspicion
+	pingDeadline          time.Duration         // when the last of these pings times out; 0: none was sent
+}
+
+// deadline returns when the suspicion times out. Each independent confirmation shortens the timeout, the first ones most
 // (Lifeguard, section IV-B).
 func (s *suspicion) deadline() time.Duration {
-	if s.possible == 0 {
-		return s.began + s.minTimeout
+	if s.possibleConfirmations == 0 {
+		return s.startedAt + s.minTimeout
 	}
-	share := math.Log(float64(max(1, s.confirmations))) / math.Log(float64(s.possible+1))
-	return s.began + s.maxTimeout - time.Duration(min(1, share)*float64(s.maxTimeout-s.minTimeout))
+	reduction := math.Log(float64(max(1, s.confirmations))) / math.Log(float64(s.possibleConfirmations+1))
+	return s.startedAt + s.maxTimeout - time.Duration(min(1, reduction)*float64(s.maxTimeout-s.minTimeout))
 }
 
-// pending says whether there is nothing to do about the suspicion yet. A reported death has no timeout: this relay
-// tries the member at once.
+// pending reports whether the suspicion is still waiting for its timeout or for the ack to a ping. A suspicion from a
+// reported death has no timeout: this relay pings the member at once.
 func (s *suspicion) pending(now time.Duration) bool {
-	if s.nextPing > 0 {
-		return s.nextPing > now
+	if s.pingDeadline > 0 {
+		return s.pingDeadline > now
 	}
 	return now < s.deadline() && s.claim.state != Dead
 }
@@ -59,7 +60,7 @@
 // suspicionSet holds the running suspicions.
 type suspicionSet struct {
 	byMember []*suspicion // nil: none
-	active   []int        // members with a suspicion, in the order in which these began
+	active   []int        // members under suspicion, in the order in which their suspicions started
 }
 
 // newSuspicionSet returns an empty set.
@@ -68,8 +69,8 @@
 }
 
 // start adds a suspicion of a member that has none.
-func (s *suspicionSet) start(i int, started *suspicion) {
-	s.byMember[i] = started
+func (s *suspicionSet) start(i int, added *suspicion) {
+	s.byMember[i] = added
 	s.active = append(s.active, i)
 }
 
@@ -81,46 +82,46 @@
 	}
 }
 
-// confirm records that one more member shares a suspicion.
-func (s *suspicionSet) confirm(i, by int) {
-	c := s.byMember[i]
-	if c == nil || c.confirmations == len(c.confirmers) || slices.Contains(c.confirmers[:c.confirmations], by) {
+// confirm records that another member confirms a suspicion.
+func (s *suspicionSet) confirm(i, confirmer int) {
+	running := s.byMember[i]
+	if running == nil || running.confirmations == len(running.confirmers) || slices.Contains(running.confirmers[:running.confirmations], confirmer) {
 		return
 	}
-	c.confirmers[c.confirmations] = by
-	c.confirmations++
+	running.confirmers[running.confirmations] = confirmer
+	running.confirmations++
 }
 
-// postpone moves all suspicions by a time in which their members could not be heard, and forgets pings sent before it.
-func (s *suspicionSet) postpone(by time.Duration) {
+// postpone delays all suspicions by the time in which this relay received nothing, and discards the pings sent before it.
+func (s *suspicionSet) postpone(delay time.Duration) {
 	for _, i := range s.active {
-		c := s.byMember[i]
-		c.began += by
-		c.pings, c.nextPing = 0, 0
+		running := s.byMember[i]
+		running.startedAt += delay
+		running.pings, running.pingDeadline = 0, 0
 	}
 }
 
-// suspect marks a member suspect, on the report of a member or of this relay itself.
-func (m *Memberlist) suspect(i, by int, incarnation uint64) {
-	m.members.records[i].setState(Suspect, incarnation, m.now, by)
+// suspect marks a member suspect, because of a failed probe of this relay or a report of another member.
+func (m *Memberlist) suspect(i, reporter int, incarnation uint64) {
+	m.members.records[i].setState(Suspect, incarnation, m.now, reporter)
 	m.stats.Suspicions++
 	m.gossip.push(i)
-	m.startSuspicion(i, by, memberUpdate{i, Suspect, incarnation})
-	m.send(i, message{kind: kindGossip}) // Lifeguard's buddy system: the member hears of it from here at once
+	m.startSuspicion(i, reporter, memberUpdate{i, Suspect, incarnation})
+	m.send(i, message{kind: kindGossip}) // Lifeguard's buddy system: this relay notifies the suspected member at once
 }
 
-// startSuspicion begins a suspicion, or adds a report to the one that runs.
-func (m *Memberlist) startSuspicion(i, by int, claim memberUpdate) {
+// startSuspicion starts a suspicion, or adds a confirmation to a running one.
+func (m *Memberlist) startSuspicion(i, reporter int, claim memberUpdate) {
 	if m.suspicions.byMember[i] == nil {
 		m.suspicions.start(i, m.newSuspicion(i))
 	}
 	m.suspicions.byMember[i].claim = claim
-	m.suspicions.confirm(i, by)
+	m.suspicions.confirm(i, reporter)
 }
 
-// newSuspicion returns a suspicion of a member that begins now.
+// newSuspicion returns a suspicion of a member that starts now.
 func (m *Memberlist) newSuspicion(i int) *suspicion {
-	s := &suspicion{began: m.now, possible: min(maxConfirmations-1, m.members.activeExcept(i))}
+	s := &suspicion{startedAt: m.now, possibleConfirmations: min(maxConfirmations-1, m.members.activeExcept(i))}
 	if m.settings.plainSWIM {
 		s.minTimeout = m.settings.MinSuspicionTimeout
 		s.maxTimeout = s.minTimeout
@@ -131,15 +132,15 @@
 	return s
 }
 
-// checkSuspicions moves all suspicions on.
+// checkSuspicions checks all running suspicions.
 func (m *Memberlist) checkSuspicions() {
 	for _, i := range slices.Clone(m.suspicions.active) {
 		m.checkSuspicion(i)
 	}
 }
 
-// checkSuspicion moves one suspicion on. At its end this relay pings the member itself, several times, before it marks
-// it dead: a member that this relay can reach is never dead to it, whatever others report.
+// checkSuspicion checks one suspicion. After the timeout this relay pings the member itself, several times, before it marks
+// the member dead: it never marks a member dead that it can reach, whatever others report.
 func (m *Memberlist) checkSuspicion(i int) {
 	s := m.suspicions.byMember[i]
 	if s.pending(m.now) {
@@ -154,17 +155,17 @@
 		m.dismissSuspicion(i)
 	case s.pings < confirmationPings:
 		s.pings++
-		s.nextPing = m.now + m.probeTimeout()
+		s.pingDeadline = m.now + m.probeTimeout()
 		m.ping(i)
 	default:
 		m.markDead(i, s.claim)
 	}
 }
 
-// heardDuring says whether a suspected member has sent something since, and not long ago.
+// heardDuring reports whether a datagram from the member arrived after the suspicion started, and recently.
 func (m *Memberlist) heardDuring(s *suspicion, i int) bool {
-	heard := m.members.records[i].lastHeard
-	return heard > s.began && heard+recentlyHeardFactor*m.probeTimeout() > m.now
+	lastHeard := m.members.records[i].lastHeard
+	return lastHeard > s.startedAt && lastHeard+recentlyHeardFactor*m.probeTimeout() > m.now
 }
 
 // dismissSuspicion ends the suspicion of a member that is reachable although its refutation has not arrived.
@@ -175,7 +176,7 @@
 	}
 }
 
-// markDead ends a suspicion with the member's death.
+// markDead ends a suspicion by marking the member dead.
 func (m *Memberlist) markDead(i int, claim memberUpdate) {
 	m.suspicions.clear(i)
 	r := &m.members.records[i]
--- a/internal/membership/suspicion_test.go
+++ b/internal/membership/suspicion_test.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// TestSuspicion_NeverEndsInDeathOfReachableMember runs fleets on a network with heavy loss, delay and reordering: no
-// reachable member is marked dead by anyone, and plain SWIM on the same networks does so many times.
-func TestSuspicion_NeverEndsInDeathOfReachableMember(t *testing.T) {
-	seeds, each := accuracyRuns()
+// TestSuspicion_NoFalseDeathsOnHarshNetwork runs fleets on a network with heavy loss, delay and reordering, where every member
+// is reachable. No member is marked dead. Plain SWIM on the same network marks members dead, which shows that it is harsh.
+func TestSuspicion_NoFalseDeathsOnHarshNetwork(t *testing.T) {
+	seeds, duration := accuracyRuns()
 	falseDeaths := map[bool]int{}
 	for _, plainSWIM := range []bool{false, true} {
-		set := DefaultSettings("f")
-		set.plainSWIM = plainSWIM
+		settings := DefaultSettings("f")
+		settings.plainSWIM = plainSWIM
 		for seed := range uint64(seeds) {
-			s := newSimulation(12, seed+1, set)
+			s := newSimulation(12, seed+1, settings)
 			setHarshNetwork(s)
-			s.onDeath = func(at, of int) {
+			s.onDeath = func(observer, member int) {
 				falseDeaths[plainSWIM]++
 				if !plainSWIM && falseDeaths[plainSWIM] < 5 {
-					t.Errorf("seed %d: %d marks %d dead at %v", seed, at, of, s.now-simStart)
+					t.Errorf("seed %d: %d marks %d dead at %v", seed, observer, member, s.now-simStart)
 				}
 			}
 			s.startAll()
-			s.run(each)
+			s.run(duration)
 		}
 	}
-	t.Logf("%d runs of %v: %d false deaths, %d with plain SWIM", seeds, each, falseDeaths[false], falseDeaths[true])
+	t.Logf("%d runs of %v: %d false deaths, %d with plain SWIM", seeds, duration, falseDeaths[false], falseDeaths[true])
 	if falseDeaths[true] == 0 {
-		t.Error("the network is too easy: plain SWIM marks nobody dead either")
+		t.Error("the simulated network is not harsh enough: plain SWIM causes no false deaths")
 	}
 }
 
@@ -39,15 +39,15 @@
 		confirmers []int
 		want       time.Duration
 	}{
-		{"nobody else can confirm", 0, []int{1}, 11 * time.Second},
+		{"no other member can confirm", 0, []int{1}, 11 * time.Second},
 		{"not confirmed", 1, []int{1}, 14 * time.Second},
-		{"reported twice by one member", 1, []int{1, 1}, 14 * time.Second},
+		{"confirmed twice by one member", 1, []int{1, 1}, 14 * time.Second},
 		{"confirmed by another", 1, []int{1, 2}, 11 * time.Second},
 		{"more confirmations than count", 1, []int{1, 2, 3}, 11 * time.Second},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			set := newSuspicionSet(5)
-			s := &suspicion{began: 10 * time.Second, minTimeout: time.Second, maxTimeout: 4 * time.Second, possible: tc.possible}
+			s := &suspicion{startedAt: 10 * time.Second, minTimeout: time.Second, maxTimeout: 4 * time.Second, possibleConfirmations: tc.possible}
 			set.start(4, s)
 			for _, by := range tc.confirmers {
 				set.confirm(4, by)
@@ -59,16 +59,16 @@
 	}
 }
 
-func TestSuspicion_PostponeForgetsPings(t *testing.T) {
+func TestSuspicion_PostponeResetsPings(t *testing.T) {
 	set := newSuspicionSet(3)
-	set.start(2, &suspicion{began: time.Second, pings: 2, nextPing: 5 * time.Second})
+	set.start(2, &suspicion{startedAt: time.Second, pings: 2, pingDeadline: 5 * time.Second})
 	set.postpone(3 * time.Second)
-	if s := set.byMember[2]; s.began != 4*time.Second || s.pings != 0 || s.nextPing != 0 {
+	if s := set.byMember[2]; s.startedAt != 4*time.Second || s.pings != 0 || s.pingDeadline != 0 {
 		t.Errorf("%+v", s)
 	}
 	set.clear(2)
 	if set.byMember[2] != nil || len(set.active) != 0 {
-		t.Errorf("cleared: %+v", set)
+		t.Errorf("after clear: %+v", set)
 	}
 }
 
@@ -81,6 +81,6 @@
 	}
 	list.HandlePacket(simStart, 1, suspect)
 	if list.Incarnation() != 11 || list.Stats().Refutations != 1 {
-		t.Errorf("the same suspicion again: incarnation %d, %d refutations", list.Incarnation(), list.Stats().Refutations)
+		t.Errorf("same suspicion received again: incarnation %d, %d refutations", list.Incarnation(), list.Stats().Refutations)
 	}
 }
--- a/internal/membership/updates.go
+++ b/internal/membership/updates.go
@@ -1,17 +1,18 @@
 package membership
 
-// memberUpdate is what a relay tells others of a member.
+// memberUpdate is a report of a member's state, as disseminated among relays.
 type memberUpdate struct {
 	member      int
 	state       State
 	incarnation uint64
 }
 
-// observeSender takes in what a datagram says of its sender: it runs, whatever others report.
+// observeSender applies the sender's fields of a datagram. The datagram shows that the sender is running, whatever others
+// report.
 func (m *Memberlist) observeSender(from int, msg *message) {
 	r := &m.members.records[from]
 	r.lastHeard, r.health, r.name = m.now, msg.health, msg.name
-	r.observeStart(msg.startMillis, m.now, m.duplicateMemory())
+	r.observeStart(msg.startMillis, m.now, m.duplicateRetention())
 	if r.implausible(msg.incarnation) {
 		m.stats.RejectedIncarnations++
 		return
@@ -20,12 +21,12 @@
 	case r.state == Joining || msg.incarnation > r.incarnation:
 		m.markAlive(from, msg.incarnation, from)
 	case r.state != Alive:
-		m.send(from, message{kind: kindGossip}) // tells it what is believed of it, so that it can refute that
+		m.send(from, message{kind: kindGossip}) // carries the sender's state here, so that it can refute it
 	}
 }
 
-// markAlive records that a member runs with an incarnation.
-func (m *Memberlist) markAlive(i int, incarnation uint64, by int) {
+// markAlive marks a member alive with the given incarnation.
+func (m *Memberlist) markAlive(i int, incarnation uint64, reporter int) {
 	m.suspicions.clear(i)
 	r := &m.members.records[i]
 	since := r.since
@@ -35,11 +36,11 @@
 	if r.state == Dead {
 		m.stats.Recoveries++
 	}
-	r.setState(Alive, incarnation, since, by)
+	r.setState(Alive, incarnation, since, reporter)
 	m.gossip.push(i)
 }
 
-// applyUpdate takes in what a member reports of another. Higher incarnations win; with equal ones the later state does.
+// applyUpdate applies a member's report about another. The higher incarnation wins; of equal ones, the later state.
 func (m *Memberlist) applyUpdate(from int, u memberUpdate) {
 	if u.member == m.local.Index {
 		m.refute(u)
@@ -66,14 +67,15 @@
 	}
 }
 
-// applyAlive takes in a report that a member is alive, which says something new only with a new incarnation.
+// applyAlive applies a report that a member is alive. It changes a member's state only if the incarnation is higher or the
+// member is joining.
 func (m *Memberlist) applyAlive(from int, u memberUpdate, newer bool) {
 	if newer || m.members.records[u.member].state == Joining {
 		m.markAlive(u.member, u.incarnation, from)
 	}
 }
 
-// applySuspect takes in a report that a member is suspect: a confirmation where this relay suspects it too.
+// applySuspect applies a report that a member is suspect: a confirmation if this relay suspects the member too.
 func (m *Memberlist) applySuspect(from int, u memberUpdate, newer bool) {
 	switch state := m.members.records[u.member].state; {
 	case state == Suspect && !newer:
@@ -83,8 +85,8 @@
 	}
 }
 
-// applyDead takes in a report that a member is dead. It only starts a suspicion, since this relay tries the member
-// itself before it believes that.
+// applyDead applies a report that a member is dead. It only starts a suspicion, because this relay pings the member itself
+// before it marks it dead.
 func (m *Memberlist) applyDead(from int, u memberUpdate, newer bool) {
 	r := &m.members.records[u.member]
 	if r.state == Dead && !newer {
@@ -98,12 +100,12 @@
 	m.startSuspicion(u.member, from, u)
 }
 
-// applyLeft takes in a report that a member has left, unless the report is another's and the member was heard from
-// within the last period.
+// applyLeft applies a report that a member has left. It ignores a report by another member, with the known incarnation, if
+// a datagram from the member itself arrived within the last protocol period.
 func (m *Memberlist) applyLeft(from int, u memberUpdate, newer bool) {
 	r := &m.members.records[u.member]
-	heardLately := r.lastHeard > 0 && m.now-r.lastHeard < m.settings.ProtocolPeriod
-	if from != u.member && !newer && heardLately {
+	recentlyHeard := r.lastHeard > 0 && m.now-r.lastHeard < m.settings.ProtocolPeriod
+	if from != u.member && !newer && recentlyHeard {
 		return
 	}
 	m.suspicions.clear(u.member)
@@ -111,11 +113,11 @@
 	m.gossip.push(u.member)
 }
 
-// refute answers a report about this relay that isn't true with a higher incarnation than the report's.
+// refute answers a false report about this relay with a higher incarnation than the report's.
 func (m *Memberlist) refute(u memberUpdate) {
 	self := m.members.self()
-	known := u.incarnation < self.incarnation || u.incarnation == self.incarnation && u.state == Alive
-	if known || m.leaving {
+	consistent := u.incarnation < self.incarnation || u.incarnation == self.incarnation && u.state == Alive
+	if consistent || m.leaving {
 		return
 	}
 	if self.implausible(u.incarnation) {
