--- a/cmd/aspenbarrow/commands_test.go
+++ b/cmd/aspenbarrow/commands_test.go
@@ -44,8 +44,8 @@
 	}
 	stdout, stderr, err := runCommand(t, "check", good, bad)
 	var usage usageError
-	if !errors.As(err, &usage) || stdout != "" || strings.Count(stderr, "\n") != 2 || !strings.Contains(stderr, `rules.max-atempts: no such key; is "max-attempts" meant?`) ||
-		!strings.Contains(stderr, "class[1].give-up: is a whole number") {
+	if !errors.As(err, &usage) || stdout != "" || strings.Count(stderr, "\n") != 2 || !strings.Contains(stderr, `rules.max-atempts: no such key; did you mean "max-attempts"?`) ||
+		!strings.Contains(stderr, "class[1].give-up: got the whole number 1800") {
 		t.Errorf("%q, %q, %v", stdout, stderr, err)
 	}
 	stdout, stderr, err = runCommand(t, "check", "--json", bad)
--- a/internal/config/builder.go
+++ b/internal/config/builder.go
@@ -32,8 +32,8 @@
 	wordBits    = 64
 )
 
-// builder turns a decoded document into a Config and reports what the document says amiss as a whole. The methods run
-// in a fixed order, which is the order of the problems at one place of the file.
+// builder converts a decoded document into a Config and reports the problems that concern several keys or the meaning of
+// a value. Its methods run in a fixed order, which is the order of the problems at one place of the file.
 type builder struct {
 	*source
 	doc *document
@@ -72,7 +72,8 @@
 	}
 }
 
-// checkAddresses checks all addresses. A required one that is missing is reported already, or the environment gave it.
+// checkAddresses checks all addresses. A required one that the file lacks is already reported, or comes from the
+// environment.
 func (b *builder) checkAddresses() {
 	doc := b.doc
 	if b.given[keyListen] {
@@ -99,14 +100,14 @@
 	_, portText, err := net.SplitHostPort(address)
 	port, portErr := strconv.Atoi(portText)
 	if err != nil || portErr != nil || port < 0 || port > math.MaxUint16 {
-		b.report(key, ErrInvalidValue, "%q is no address with a port", address)
+		b.report(key, ErrInvalidValue, "%q is not an address with a port from 0 to %d", address, math.MaxUint16)
 	}
 }
 
 func (b *builder) seed() uint64 {
 	seed, err := strconv.ParseUint(b.doc.Relay.Seed, hexadecimal, wordBits)
 	if err != nil {
-		b.report("relay.seed", err, "%q is no hexadecimal number of at most 16 digits", b.doc.Relay.Seed)
+		b.report("relay.seed", err, "%q is not a hexadecimal number of at most 16 digits", b.doc.Relay.Seed)
 	}
 	return seed
 }
@@ -114,9 +115,10 @@
 func (b *builder) checkRelayIndex() {
 	relay := &b.doc.Relay
 	if relay.Count < 1 {
-		b.report("relay.relays", ErrOutOfRange, "there is one relay at least")
+		b.report("relay.relays", ErrOutOfRange, "%d is out of range: expected at least 1 relay", relay.Count)
 	} else if relay.Index >= relay.Count {
-		b.report("relay.number", ErrOutOfRange, "relay %d of %d (relay.relays): numbers begin at 0", relay.Index, relay.Count)
+		b.report("relay.number", ErrOutOfRange, "%d is out of range: expected 0 to %d, for %d relays (relay.relays)",
+			relay.Index, relay.Count-1, relay.Count)
 	}
 }
 
@@ -126,17 +128,17 @@
 		b.report(keyPeersAddresses, ErrConflict, "%d addresses for %d relays (relay.relays)", count, doc.Relay.Count)
 	}
 	if doc.Rules.Gossip && doc.Peers.Listen == "" {
-		b.report(keyPeersListen, ErrMissingKey, "is missing, and rules.peers says that relays tell one another")
+		b.report(keyPeersListen, ErrMissingKey, "is missing: it is required when rules.peers is true")
 	}
 }
 
 func (b *builder) checkDrainGrace() {
 	if own, limit := b.doc.Relay.DrainGrace, b.doc.Rules.DrainGrace; own > limit {
-		b.report("relay.drain-grace", ErrConflict, "%v is over rules.drain-grace, %v", own, limit)
+		b.report("relay.drain-grace", ErrConflict, "%v is longer than rules.drain-grace, %v", own, limit)
 	}
 }
 
-// membership returns the settings by which relays detect one another; nil if they do not.
+// membership returns the settings of failure detection among relays; nil if it is off.
 func (b *builder) membership() *membership.Settings {
 	section := &b.doc.Membership
 	if !section.Enabled {
@@ -157,48 +159,49 @@
 	return &detector
 }
 
-// checkMembershipPeers checks what membership wants of the rest of the file: datagrams are allowed, and the list of
-// peers names each relay once, this one among them.
+// checkMembershipPeers checks what membership requires of the rest of the file: datagrams are allowed, and the list of
+// peers contains each relay once, this one included.
 func (b *builder) checkMembershipPeers() {
 	doc, addresses := b.doc, b.doc.Peers.Addresses
 	if !doc.Rules.Gossip {
 		b.report(keyMembershipOn, ErrConflict,
-			"relays find out by datagrams who is there, and rules.peers says that they may send none")
+			"relays detect one another by datagrams, but rules.peers is false")
 	}
 	if len(addresses) == 0 {
-		b.report(keyMembershipOn, ErrConflict, "peers.addresses is missing: it says who may be there")
+		b.report(keyMembershipOn, ErrConflict, "peers.addresses is missing: expected the addresses of all relays")
 	}
 	for i, address := range addresses {
 		if slices.Contains(addresses[:i], address) {
-			b.report(keyPeersAddresses, ErrDuplicate, "%q comes twice, and membership.on tells relays apart by their addresses", address)
+			b.report(keyPeersAddresses, ErrDuplicate, "%q is listed twice, but membership.on distinguishes relays by their addresses", address)
 		}
 	}
 	if len(addresses) > 0 && isSpecificAddress(doc.Peers.Listen) && !slices.Contains(addresses, doc.Peers.Listen) {
-		b.report(keyPeersListen, ErrConflict, "%q is not in peers.addresses: with membership.on the others would not know this relay",
+		b.report(keyPeersListen, ErrConflict, "%q is not in peers.addresses: with membership.on, the other relays could not identify this relay",
 			doc.Peers.Listen)
 	}
 }
 
-// isSpecificAddress says whether an address names one host rather than all of this machine's.
+// isSpecificAddress reports whether an address has a host, rather than stand for all addresses of this machine.
 func isSpecificAddress(address string) bool {
 	host, _, err := net.SplitHostPort(address)
 	return err == nil && host != "" && host != net.IPv4zero.String() && host != net.IPv6zero.String()
 }
 
-// shadow returns the shape of deployment that is evaluated without acting on it; nil if there is none.
+// shadow returns the shape of the deployment for shadow evaluation; nil if that is off.
 func (b *builder) shadow() *shadow.Shape {
 	section := &b.doc.Shadow
 	if !section.Enabled {
 		return nil
 	}
 	if section.Gossip && b.doc.Peers.Listen == "" {
-		b.report("watch.peers", ErrConflict, "relays would tell one another, and peers.listen is missing")
+		b.report("watch.peers", ErrConflict, "relays would exchange datagrams, but peers.listen is missing")
 	}
 	if len(section.ReportFields) > 0 && !section.HealthChecks {
-		b.report(keyShadowReport, ErrConflict, "load reports come with answers to probes, and watch.probes says that there are none")
+		b.report(keyShadowReport, ErrConflict, "load reports come with answers to health checks, but watch.probes is false")
 	}
 	if len(section.ReportFields) > 0 && !slices.Equal(section.ReportFields, b.doc.Rules.ReportFields) {
-		b.report(keyShadowReport, ErrConflict, "reports come in the form of rules.report, %q: watch that or none", b.doc.Rules.ReportFields)
+		b.report(keyShadowReport, ErrConflict, "got %q, but backends report the fields of rules.report: expected %q or none",
+			section.ReportFields, b.doc.Rules.ReportFields)
 	}
 	shape := &shadow.Shape{
 		HealthChecks: section.HealthChecks,
@@ -213,18 +216,18 @@
 	return shape
 }
 
-// checkNames checks that each name in a list is unique and can stand in a line of the protocol.
+// checkNames checks that each name in a list is unique and can be written in a line of the protocol.
 func (b *builder) checkNames(key string, names []string) {
 	for i, name := range names {
 		if name == "" || strings.ContainsAny(name, lineSeparators) {
-			b.report(key, ErrInvalidValue, "%q is no name: letters, digits and signs but space, comma and =", name)
+			b.report(key, ErrInvalidValue, "%q is not a name: expected at least one character, and no space, comma or =", name)
 		} else if slices.Contains(names[:i], name) {
-			b.report(key, ErrDuplicate, "%q comes twice", name)
+			b.report(key, ErrDuplicate, "%q is listed twice", name)
 		}
 	}
 }
 
-// limits returns the bounds that the rules set to retry policies.
+// limits returns the bounds that the rules set on retry policies.
 func (b *builder) limits() routing.Limits {
 	return routing.Limits{
 		MaxAttempts:  b.doc.Rules.MaxAttempts,
--- a/internal/config/builder_routes.go
+++ b/internal/config/builder_routes.go
@@ -14,22 +14,22 @@
 
 // Groups and keys of requests are written as hexadecimal digits.
 const (
-	wordDigits   = 16 // of a whole group or key
+	wordDigits   = 16 // digits of a complete group or key
 	bitsPerDigit = 4
 )
 
 // protocolNames are the protocols in the order of routing.ProtocolLine and routing.ProtocolAMQP.
 var protocolNames = []string{"line", "amqp"}
 
-// protocolList is protocolNames as messages have them.
+// protocolList is the list of protocolNames for messages.
 var protocolList = strings.Join(protocolNames, ", ")
 
-// routeBuilder makes the route table of a document.
+// routeBuilder builds the route table of a document.
 type routeBuilder struct {
 	*builder
 	settings      *settings.Settings
 	limits        routing.Limits
-	classPolicies []balance.RetryPolicy // of requests that no route of the file takes
+	classPolicies []balance.RetryPolicy // one for each class, for requests that match no route of the file
 }
 
 // fileRoute is a route of the file with its conditions resolved, and its position in the file.
@@ -38,8 +38,8 @@
 	match    routing.Match
 }
 
-// routes returns the route table: the routes of the file in their order, then one for each class that has a policy of
-// its own or by way of [retries]. It returns nil if there are none.
+// routes returns the route table: the routes of the file in their order, then one for each class that has a policy, of
+// its own or from [retries]. It returns nil if there are none.
 func (b *builder) routes(installation *settings.Settings) *routing.Table {
 	r := &routeBuilder{builder: b, settings: installation, limits: b.limits()}
 	r.resolveClassPolicies()
@@ -57,7 +57,7 @@
 	return table
 }
 
-// policy returns a section as the balancer has it.
+// policy converts a section to the type of the balancer.
 func (s *retryPolicySection) policy() balance.RetryPolicy {
 	return balance.RetryPolicy{
 		ConnectTimeout: s.ConnectTimeout,
@@ -71,9 +71,9 @@
 	}
 }
 
-// inherit returns a policy with the values that it leaves open taken from a wider one.
+// inherit returns a policy whose unset values are taken from a wider one.
 func inherit(policy, wider balance.RetryPolicy) balance.RetryPolicy {
-	if policy.BaseBackoff == 0 { // a base and its ceiling go together
+	if policy.BaseBackoff == 0 { // the base and the maximum are inherited together
 		setIfZero(&policy.MaxBackoff, wider.MaxBackoff)
 	}
 	setIfZero(&policy.ConnectTimeout, wider.ConnectTimeout)
@@ -93,8 +93,8 @@
 	}
 }
 
-// resolveClassPolicies finds and checks the policy of each class. A class without one of its own has that of [retries],
-// which is checked, and reported, for each such class.
+// resolveClassPolicies determines and checks the policy of each class. A class without one of its own has that of
+// [retries], which is checked, and its problems are reported, for each such class.
 func (r *routeBuilder) resolveClassPolicies() {
 	retries := r.doc.Retries.policy()
 	for i := range r.doc.Classes {
@@ -104,20 +104,20 @@
 		case policy != retries:
 			r.checkPolicy(elementKey("class", i), policy, i, "")
 		case i == 0 || retries != (balance.RetryPolicy{}):
-			r.checkPolicy("retries", policy, i, r.forClass(i))
+			r.checkPolicy("retries", policy, i, r.classSuffix(i))
 		}
 	}
 }
 
-// forClass ends the report of a policy that several classes share.
-func (r *routeBuilder) forClass(class int) string {
+// classSuffix returns the end of the reason of a problem in a policy that several classes share.
+func (r *routeBuilder) classSuffix(class int) string {
 	return fmt.Sprintf(", for class %q", r.doc.Classes[class].Name)
 }
 
 // checkPolicy checks a policy for the requests of a class and reports its problems under the keys of a section.
 func (r *routeBuilder) checkPolicy(section string, policy balance.RetryPolicy, class int, suffix string) {
 	if r.doc.Classes[class].ClientTimeout == 0 {
-		return // which is reported already
+		return // already reported
 	}
 	for _, problem := range routing.CheckPolicy(policy, r.settings.Classes[class], r.limits) {
 		reason := problem.Reason
@@ -132,7 +132,7 @@
 	}
 }
 
-// resolveRoutes returns the routes of the file, without those whose conditions are unsound.
+// resolveRoutes returns the routes of the file, without those whose conditions are invalid.
 func (r *routeBuilder) resolveRoutes() []fileRoute {
 	var routes []fileRoute
 	for i := range r.doc.Routes {
@@ -143,7 +143,7 @@
 	return routes
 }
 
-// reportShadowed reports the routes of the file that no request can reach.
+// reportShadowed reports the routes of the file that can never match, because an earlier route matches all their requests.
 func (r *routeBuilder) reportShadowed(fileRoutes []fileRoute) {
 	routes := make([]routing.Route, len(fileRoutes))
 	for i, route := range fileRoutes {
@@ -158,11 +158,11 @@
 	}
 }
 
-// expand returns a route of the file with its policy. A route for all classes becomes one for each, since it inherits
-// from the policy of the class.
+// expand returns a route of the file with its policy. A route for all classes becomes one route for each class, because
+// it inherits from the policy of the class.
 func (r *routeBuilder) expand(route fileRoute) []routing.Route {
 	section, key := &r.doc.Routes[route.position], elementKey("route", route.position)
-	forClass := func(class int, suffix string) routing.Route {
+	routeFor := func(class int, suffix string) routing.Route {
 		match := route.match
 		match.Class = class
 		policy := inherit(section.policy(), r.classPolicies[class])
@@ -170,11 +170,11 @@
 		return routing.Route{Name: section.Name, Match: match, RetryPolicy: policy}
 	}
 	if class := route.match.Class; class != routing.Any {
-		return []routing.Route{forClass(class, "")}
+		return []routing.Route{routeFor(class, "")}
 	}
 	var routes []routing.Route
 	for class := range r.doc.Classes {
-		routes = append(routes, forClass(class, r.forClass(class)))
+		routes = append(routes, routeFor(class, r.classSuffix(class)))
 	}
 	return routes
 }
@@ -193,7 +193,7 @@
 	return routes
 }
 
-// match resolves the conditions of a route. It reports those that are unsound, and then returns false.
+// match resolves the conditions of a route. It reports those that are invalid, and then returns false.
 func (r *routeBuilder) match(key string, section *routeSection) (match routing.Match, ok bool) {
 	before := len(r.problems)
 	match = routing.MatchAll
@@ -211,39 +211,39 @@
 	return match, len(r.problems) == before
 }
 
-// resolveName sets the index of a name among those known; an empty name leaves the condition open.
+// resolveName sets the index of a name among the known ones; an empty name leaves the condition unset.
 func (r *routeBuilder) resolveName(key, name, where string, known []string, index *int) {
 	if name == "" {
 		return
 	}
 	*index = slices.Index(known, name)
 	if *index < 0 {
-		r.report(key, ErrUnknownValue, "%s", noneOf(name, where, known))
+		r.report(key, ErrUnknownValue, "%s", notOneOf(name, where, known))
 	}
 }
 
-// parseGroup parses a connection group. 0 stands for no group; that is reported if the route is sound so far.
-func (r *routeBuilder) parseGroup(key, text string, soundSoFar bool) uint64 {
+// parseGroup parses a connection group. 0 means no group, which is reported if the route has no problem so far.
+func (r *routeBuilder) parseGroup(key, text string, validSoFar bool) uint64 {
 	before := len(r.problems)
 	group := r.parseDigits(key, text, true)
-	if group == 0 && soundSoFar && len(r.problems) == before {
-		r.report(key, ErrInvalidValue, "0 is no group")
+	if group == 0 && validSoFar && len(r.problems) == before {
+		r.report(key, ErrInvalidValue, "%q is not a group: expected a number above 0", text)
 	}
 	return group
 }
 
-// parseDigits parses hexadecimal digits, of which the first is the most significant of a word; whole says that the word
-// has to be complete.
-func (r *routeBuilder) parseDigits(key, text string, whole bool) uint64 {
+// parseDigits parses the first hexadecimal digits of a 64-bit word, the most significant first. If complete is set, the
+// text must contain all digits of the word.
+func (r *routeBuilder) parseDigits(key, text string, complete bool) uint64 {
 	padding := strings.Repeat("0", max(0, wordDigits-len(text)))
 	word, err := strconv.ParseUint(text+padding, hexadecimal, wordBits)
-	wrongLength := len(text) > wordDigits || whole && len(text) != wordDigits
+	wrongLength := len(text) > wordDigits || complete && len(text) != wordDigits
 	if err != nil || wrongLength || strings.ToLower(text) != text {
-		wanted := "16 at most"
-		if whole {
-			wanted = "16 of them"
+		count := "at most"
+		if complete {
+			count = "exactly"
 		}
-		r.report(key, ErrInvalidValue, "%q: wanted are hexadecimal digits in lower case, %s", text, wanted)
+		r.report(key, ErrInvalidValue, "got %q, expected %s %d hexadecimal digits in lower case", text, count, wordDigits)
 	}
 	return word
 }
--- a/internal/config/builder_settings.go
+++ b/internal/config/builder_settings.go
@@ -8,13 +8,13 @@
 	"aspenbarrow/internal/settings"
 )
 
-// lineSeparators separate the words of a protocol line, so that no name can hold them.
+// lineSeparators separate the words of a protocol line, so no name can contain them.
 const lineSeparators = " ,="
 
 // shareTolerance is the rounding error that the sum of the tenants' shares may have.
 const shareTolerance = 1e-9
 
-// Words of the file.
+// Values of keys in the file.
 const (
 	effectKeyed       = "keyed"
 	discoveryOnDemand = "on-request"
@@ -55,7 +55,7 @@
 	for _, name := range rules.ReportFields {
 		result.ReportFields = append(result.ReportFields, settings.ReportField(name))
 	}
-	if !rules.HealthChecks { // reports come with the answers to health checks: the relay would wait for them in vain
+	if !rules.HealthChecks { // reports come with the answers to health checks, so the relay would wait for reports that never come
 		result.ReportFields, result.ReportFieldNames = nil, nil
 	}
 	b.classes(&result)
@@ -63,7 +63,7 @@
 	return result
 }
 
-// zone returns the index of the relay's zone, the first if the file names none or one that there is not.
+// zone returns the index of the relay's zone, 0 if the file names none or an unknown one.
 func (b *builder) zone() int {
 	name, zones := b.doc.Relay.Zone, b.doc.Rules.Zones
 	if name == "" {
@@ -71,12 +71,12 @@
 	}
 	zone := slices.Index(zones, name)
 	if zone < 0 {
-		b.report("relay.zone", ErrUnknownValue, "%s", noneOf(name, keyZones, zones))
+		b.report("relay.zone", ErrUnknownValue, "%s", notOneOf(name, keyZones, zones))
 	}
 	return max(0, zone)
 }
 
-// balancerSettings returns all settings of the balancer but the classes, the tenants and the fields of load reports.
+// balancerSettings returns the settings of the balancer except classes, tenants and fields of load reports.
 func (b *builder) balancerSettings(zone int) balance.Settings {
 	doc, rules := b.doc, &b.doc.Rules
 	drainGrace := rules.DrainGrace
@@ -112,33 +112,33 @@
 	}
 }
 
-// checkRules checks the rules that a relay cannot run by if they are out of range or disagree.
+// checkRules checks the rules that a relay needs to be in range and free of contradictions.
 func (b *builder) checkRules() {
 	rules := &b.doc.Rules
 	if rules.MaxAttempts < 1 {
-		b.report("rules.max-attempts", ErrOutOfRange, "is nothing")
+		b.report("rules.max-attempts", ErrOutOfRange, "%d is out of range: expected at least 1", rules.MaxAttempts)
 	}
 	if rules.ConnectTimeout == 0 {
-		b.report("rules.connect-timeout", ErrOutOfRange, "is nothing")
+		b.report("rules.connect-timeout", ErrOutOfRange, "%v is out of range: expected more than 0", rules.ConnectTimeout)
 	}
 	if rules.Tick == 0 {
-		b.report("rules.tick", ErrOutOfRange, "is nothing")
+		b.report("rules.tick", ErrOutOfRange, "%v is out of range: expected more than 0", rules.Tick)
 	}
 	if rules.SlowStartFloor > 1 {
-		b.report("rules.cold-from", ErrOutOfRange, "%v is over the whole capacity", rules.SlowStartFloor)
+		b.report("rules.cold-from", ErrOutOfRange, "%v is out of range: expected at most 1, the full capacity", rules.SlowStartFloor)
 	}
 	if rules.OverQuotaPriority > 1 {
-		b.report("rules.over-share-worth", ErrOutOfRange, "%v is over the full worth", rules.OverQuotaPriority)
+		b.report("rules.over-share-worth", ErrOutOfRange, "%v is out of range: expected at most 1, the full worth", rules.OverQuotaPriority)
 	}
 	if rules.ReportsConnectionLoad && rules.ReportsMessageDelay {
-		b.report("rules.tells-delay", ErrConflict, "a LOAD line carries one thing: rules.tells-load says that it is the connection's load")
+		b.report("rules.tells-delay", ErrConflict, "a LOAD line carries one value, and with rules.tells-load that is the connection's load")
 	}
 }
 
 // classes adds the request classes to the settings.
 func (b *builder) classes(result *settings.Settings) {
 	if len(b.doc.Classes) == 0 {
-		b.report("class", ErrMissingKey, "is missing: a relay needs one class at least")
+		b.report("class", ErrMissingKey, "is missing: expected at least one class")
 	}
 	for i := range b.doc.Classes {
 		class := &b.doc.Classes[i]
@@ -157,24 +157,25 @@
 	}
 }
 
-// checkClass checks one class; earlier are the names of those before it.
+// checkClass checks one class; earlier contains the names of the classes before it.
 func (b *builder) checkClass(key string, class *classSection, earlier []string) {
 	if slices.Contains(earlier, class.Name) {
-		b.report(key+".name", ErrDuplicate, "%q comes twice", class.Name)
+		b.report(key+".name", ErrDuplicate, "%q is the name of two classes", class.Name)
 	}
 	if strings.ContainsAny(class.Name, lineSeparators) {
-		b.report(key+".name", ErrInvalidValue, "%q cannot stand in an OPEN line", class.Name)
+		b.report(key+".name", ErrInvalidValue, "%q cannot be written in an OPEN line: expected no space, comma or =", class.Name)
 	}
 	if class.Idempotency == effectKeyed && class.DedupWindow == 0 {
-		b.report(key+".window", ErrMissingKey, "is missing, and %s.effect is keyed: for how long are repeats discarded?", key)
+		b.report(key+".window", ErrMissingKey, "is missing: it is how long repeats are discarded, required because %s.effect is keyed", key)
 	}
 	if class.Idempotency != effectKeyed && class.DedupWindow > 0 {
-		b.report(key+".window", ErrConflict, "is for keyed classes; %s.effect is %s", key, class.Idempotency)
+		b.report(key+".window", ErrConflict, "%v is only allowed for keyed classes, but %s.effect is %s",
+			class.DedupWindow, key, class.Idempotency)
 	}
 	if b.given[key+".give-up"] && class.ClientTimeout == 0 {
-		b.report(key+".give-up", ErrOutOfRange, "is nothing")
+		b.report(key+".give-up", ErrOutOfRange, "%v is out of range: expected more than 0", class.ClientTimeout)
 	} else if class.LatencyObjective > class.ClientTimeout && class.ClientTimeout > 0 {
-		b.report(key+".on-time", ErrConflict, "%v is over %s.give-up, %v", class.LatencyObjective, key, class.ClientTimeout)
+		b.report(key+".on-time", ErrConflict, "%v is longer than %s.give-up, %v", class.LatencyObjective, key, class.ClientTimeout)
 	}
 }
 
@@ -184,11 +185,11 @@
 	for i, tenant := range b.doc.Tenants {
 		key := elementKey("tenant", i)
 		if slices.Contains(result.TenantNames, tenant.Name) {
-			b.report(key+".name", ErrDuplicate, "%q comes twice", tenant.Name)
+			b.report(key+".name", ErrDuplicate, "%q is the name of two tenants", tenant.Name)
 		}
 		totalShare += tenant.Share
 		if totalShare > 1+shareTolerance {
-			b.report(key+".share", ErrConflict, "the shares up to here come to %.3g, over the whole", totalShare)
+			b.report(key+".share", ErrConflict, "the shares of the tenants up to this one add up to %.3g, expected at most 1", totalShare)
 		}
 		result.TenantNames = append(result.TenantNames, tenant.Name)
 		result.Tenants = append(result.Tenants, balance.Tenant{
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -16,14 +16,14 @@
 	"aspenbarrow/internal/routing"
 )
 
-func none(string) string { return "" }
+func noEnvironment(string) string { return "" }
 
-// description makes a request of its class, tenant, group, key and protocol.
+// description returns a request description from its class, tenant, group, key and protocol.
 func description(parts [5]string) RequestDescription {
 	return RequestDescription{Class: parts[0], Tenant: parts[1], Group: parts[2], Key: parts[3], Protocol: parts[4]}
 }
 
-const sound = `[relay]
+const validTOML = `[relay]
 name = "n1"
 listen = "127.0.0.1:5000"
 number = 1
@@ -85,7 +85,7 @@
 `
 
 func TestParse(t *testing.T) {
-	c, err := Parse("a.toml", []byte(sound), none, false)
+	c, err := Parse("a.toml", []byte(validTOML), noEnvironment, false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -107,71 +107,71 @@
 	} {
 		r := c.Relay.Routes.Lookup(tc.request)
 		if r == nil || r.Name != tc.name || r.RetryPolicy != tc.want {
-			t.Errorf("%+v goes by %+v", tc.request, r)
+			t.Errorf("request %+v: got route %+v", tc.request, r)
 		}
 	}
 }
 
-// bad is one change that makes the sound file unsound: what it replaces, the key at fault, and part of the
-// reason. The line expected is that of the new text's first line, or of at.
-type bad struct{ from, to, key, reason, at string }
+// badFile is one replacement that makes validTOML invalid, with the key of the expected problem and a part of its
+// reason. The expected line is that of the first occurrence of to, or of at if that is set.
+type badFile struct{ from, to, key, reason, at string }
 
-var badFiles = []bad{
+var badFiles = []badFile{
 	{`[relay]`, `[relay`, "(syntax)", "expected", ""},
 	{`name = "n1"`, `name = "n1`, "(syntax)", "", ""},
 	{`name = "n1"`, "name = \"n1\"\nname = \"n2\"", "(syntax)", "", `name = "n2"`},
-	{`name = "n1"`, `name = 7`, "relay.name", "is a whole number, wanted is a text", ""},
-	{`name = "n1"`, `nmae = "n1"`, "relay.nmae", `no such key; is "name" meant?`, ""},
+	{`name = "n1"`, `name = 7`, "relay.name", "got the whole number 7, expected a text", ""},
+	{`name = "n1"`, `nmae = "n1"`, "relay.nmae", `no such key; did you mean "name"?`, ""},
 	{`name = "n1"`, `colour = "n1"`, "relay.colour", "no such key", ""},
 	{`listen = "127.0.0.1:5000"`, ``, "relay.listen", "is missing", "[relay]"},
-	{`listen = "127.0.0.1:5000"`, `listen = "127.0.0.1"`, "relay.listen", "no address with a port", ""},
-	{`listen = "127.0.0.1:5000"`, `listen = "127.0.0.1:99999"`, "relay.listen", "no address with a port", ""},
-	{`number = 1`, `number = 2`, "relay.number", "relay 2 of 2 (relay.relays)", ""},
-	{`number = 1`, `number = "1"`, "relay.number", "is a text, wanted is a whole number", ""},
+	{`listen = "127.0.0.1:5000"`, `listen = "127.0.0.1"`, "relay.listen", "is not an address with a port", ""},
+	{`listen = "127.0.0.1:5000"`, `listen = "127.0.0.1:99999"`, "relay.listen", "is not an address with a port", ""},
+	{`number = 1`, `number = 2`, "relay.number", "2 is out of range: expected 0 to 1, for 2 relays (relay.relays)", ""},
+	{`number = 1`, `number = "1"`, "relay.number", `got the text "1", expected a whole number`, ""},
 	{`number = 1`, `number = -1`, "relay.number", "out of range", ""},
-	{`relays = 2`, `relays = 0`, "relay.relays", "one relay at least", ""},
+	{`relays = 2`, `relays = 0`, "relay.relays", "0 is out of range: expected at least 1 relay", ""},
 	{`relays = 2`, `relays = 3`, "peers.addresses", "2 addresses for 3 relays (relay.relays)", "addresses = "},
-	{`zone = "west"`, `zone = "wset"`, "relay.zone", `"wset" is none of rules.zones; is "west" meant?`, ""},
-	{`seed = "8c1f"`, `seed = "xyz"`, "relay.seed", "no hexadecimal number", ""},
-	{`seed = "8c1f"`, "seed = \"8c1f\"\ndrain-grace = \"300ms\"", "relay.drain-grace", "300ms is over rules.drain-grace, 250ms", "drain-grace = \"300ms\""},
+	{`zone = "west"`, `zone = "wset"`, "relay.zone", `"wset" is not one of rules.zones; did you mean "west"?`, ""},
+	{`seed = "8c1f"`, `seed = "xyz"`, "relay.seed", "not a hexadecimal number", ""},
+	{`seed = "8c1f"`, "seed = \"8c1f\"\ndrain-grace = \"300ms\"", "relay.drain-grace", "300ms is longer than rules.drain-grace, 250ms", "drain-grace = \"300ms\""},
 	{`cores = 1`, `cores = -1.5`, "limits.cores", "out of range", ""},
 	{`cores = 1`, `cores = nan`, "limits.cores", "out of range", ""},
-	{`memory-mb = 64`, `memory_mb = 64`, "limits.memory_mb", `is "memory-mb" meant?`, ""},
-	{`memory-mb = 64`, `memory-mb = 64.5`, "limits.memory-mb", "is a number, wanted is a whole number", ""},
+	{`memory-mb = 64`, `memory_mb = 64`, "limits.memory_mb", `did you mean "memory-mb"?`, ""},
+	{`memory-mb = 64`, `memory-mb = 64.5`, "limits.memory-mb", "got the number 64.5, expected a whole number", ""},
 	{`address = "127.0.0.1:8500"`, `mode = "push"`, "discovery.address", "is missing", "[discovery]"},
-	{`address = "127.0.0.1:8500"`, `address = "nowhere"`, "discovery.address", "no address", ""},
-	{`address = "127.0.0.1:8500"`, "address = \"127.0.0.1:8500\"\nmode = \"pushed\"", "discovery.mode", `"pushed" is none of push, on-request; is "push" meant?`, `mode = "pushed"`},
-	{`listen = "127.0.0.1:7946"`, ``, "peers.listen", "is missing, and rules.peers", "[peers]"},
-	{`addresses = ["10.0.0.1:1", "10.0.0.2:1"]`, `addresses = ["10.0.0.1:1", 7]`, "peers.addresses", "holds a whole number", ""},
-	{`addresses = ["10.0.0.1:1", "10.0.0.2:1"]`, `addresses = ["10.0.0.1:1", "there"]`, "peers.addresses", `"there" is no address`, ""},
-	{`addresses = ["10.0.0.1:1", "10.0.0.2:1"]`, `addresses = "10.0.0.1:1"`, "peers.addresses", "wanted is a list", ""},
-	{`peers = true`, `peers = "yes"`, "rules.peers", "wanted is true or false", ""},
-	{`zones = ["east", "west"]`, `zones = ["west", "west"]`, "rules.zones", `"west" comes twice`, ""},
-	{`zones = ["east", "west"]`, `zones = ["a b", "west"]`, "rules.zones", `"a b" is no name`, ""},
-	{`max-attempts = 4`, `max-attempts = 0`, "rules.max-attempts", "is nothing", ""},
-	{`drain-grace = "250ms"`, `drain-grace = 250`, "rules.drain-grace", `a time with its unit, as "1.8s"`, ""},
-	{`drain-grace = "250ms"`, `drain-grace = "250"`, "rules.drain-grace", `"250" is no time`, ""},
+	{`address = "127.0.0.1:8500"`, `address = "nowhere"`, "discovery.address", "is not an address", ""},
+	{`address = "127.0.0.1:8500"`, "address = \"127.0.0.1:8500\"\nmode = \"pushed\"", "discovery.mode", `"pushed" is not one of push, on-request; did you mean "push"?`, `mode = "pushed"`},
+	{`listen = "127.0.0.1:7946"`, ``, "peers.listen", "is missing: it is required when rules.peers is true", "[peers]"},
+	{`addresses = ["10.0.0.1:1", "10.0.0.2:1"]`, `addresses = ["10.0.0.1:1", 7]`, "peers.addresses", "holds the whole number 7", ""},
+	{`addresses = ["10.0.0.1:1", "10.0.0.2:1"]`, `addresses = ["10.0.0.1:1", "there"]`, "peers.addresses", `"there" is not an address`, ""},
+	{`addresses = ["10.0.0.1:1", "10.0.0.2:1"]`, `addresses = "10.0.0.1:1"`, "peers.addresses", "expected a list", ""},
+	{`peers = true`, `peers = "yes"`, "rules.peers", "expected true or false", ""},
+	{`zones = ["east", "west"]`, `zones = ["west", "west"]`, "rules.zones", `"west" is listed twice`, ""},
+	{`zones = ["east", "west"]`, `zones = ["a b", "west"]`, "rules.zones", `"a b" is not a name`, ""},
+	{`max-attempts = 4`, `max-attempts = 0`, "rules.max-attempts", "0 is out of range: expected at least 1", ""},
+	{`drain-grace = "250ms"`, `drain-grace = 250`, "rules.drain-grace", `a time with a unit, such as "1.8s"`, ""},
+	{`drain-grace = "250ms"`, `drain-grace = "250"`, "rules.drain-grace", `"250" is not a time`, ""},
 	{`drain-grace = "250ms"`, `drain-grace = "-1s"`, "rules.drain-grace", "out of range", ""},
-	{`drain-grace = "250ms"`, `cold-from = 1.5`, "rules.cold-from", "over the whole capacity", ""},
-	{`drain-grace = "250ms"`, `weights = "heavy"`, "rules.weights", "none of off, nominal, rough, live", ""},
-	{`drain-grace = "250ms"`, `over-share-worth = 2`, "rules.over-share-worth", "over the full worth", ""},
-	{`drain-grace = "250ms"`, `connect-timeout = "0s"`, "rules.connect-timeout", "is nothing", ""},
-	{`drain-grace = "250ms"`, `tick = "0s"`, "rules.tick", "is nothing", ""},
-	{`drain-grace = "250ms"`, `tick = 2026-12-01`, "rules.tick", "is a date", ""},
-	{`name = "sig-fetch"`, `name = "status-watch"`, "class[1].name", `"status-watch" comes twice`, "name = \"status-watch\"\ngive-up = \"1800ms\""},
+	{`drain-grace = "250ms"`, `cold-from = 1.5`, "rules.cold-from", "expected at most 1, the full capacity", ""},
+	{`drain-grace = "250ms"`, `weights = "heavy"`, "rules.weights", "not one of off, nominal, rough, live", ""},
+	{`drain-grace = "250ms"`, `over-share-worth = 2`, "rules.over-share-worth", "expected at most 1, the full worth", ""},
+	{`drain-grace = "250ms"`, `connect-timeout = "0s"`, "rules.connect-timeout", "0s is out of range: expected more than 0", ""},
+	{`drain-grace = "250ms"`, `tick = "0s"`, "rules.tick", "0s is out of range: expected more than 0", ""},
+	{`drain-grace = "250ms"`, `tick = 2026-12-01`, "rules.tick", "got the date or time of day 2026-12-01", ""},
+	{`name = "sig-fetch"`, `name = "status-watch"`, "class[1].name", `"status-watch" is the name of two classes`, "name = \"status-watch\"\ngive-up = \"1800ms\""},
 	{`name = "sig-fetch"`, ``, "class[1].name", "is missing", "[[class]]\n\ngive-up"},
-	{`name = "sig-fetch"`, `name = "sig,fetch"`, "class[1].name", "cannot stand in an OPEN line", ""},
+	{`name = "sig-fetch"`, `name = "sig,fetch"`, "class[1].name", "cannot be written in an OPEN line", ""},
 	{`give-up = "1800ms"`, ``, "class[1].give-up", "is missing", "[[class]]\nname = \"sig-fetch\""},
-	{`give-up = "1800ms"`, `give-up = "0s"`, "class[1].give-up", "is nothing", ""},
-	{`on-time = "300ms"`, `on-time = "2s"`, "class[1].on-time", "2s is over class[1].give-up, 1.8s", ""},
-	{`effect = "keyed"`, `effect = "idempotent"`, "class[1].effect", "none of safe, keyed, unsafe", ""},
-	{`window = "2s"`, ``, "class[1].window", "is missing, and class[1].effect is keyed", "[[class]]\nname = \"sig-fetch\""},
-	{`effect = "unsafe"`, "effect = \"unsafe\"\nwindow = \"1s\"", "class[2].window", "is for keyed classes; class[2].effect is unsafe", `window = "1s"`},
-	{`scope = "all"`, `scope = "planet"`, "class[1].scope", "none of all, zone, cell", ""},
+	{`give-up = "1800ms"`, `give-up = "0s"`, "class[1].give-up", "0s is out of range: expected more than 0", ""},
+	{`on-time = "300ms"`, `on-time = "2s"`, "class[1].on-time", "2s is longer than class[1].give-up, 1.8s", ""},
+	{`effect = "keyed"`, `effect = "idempotent"`, "class[1].effect", "not one of safe, keyed, unsafe", ""},
+	{`window = "2s"`, ``, "class[1].window", "is missing: it is how long repeats are discarded, required because class[1].effect is keyed", "[[class]]\nname = \"sig-fetch\""},
+	{`effect = "unsafe"`, "effect = \"unsafe\"\nwindow = \"1s\"", "class[2].window", "1s is only allowed for keyed classes, but class[2].effect is unsafe", `window = "1s"`},
+	{`scope = "all"`, `scope = "planet"`, "class[1].scope", "not one of all, zone, cell", ""},
 	{`name = "milano"
-share = 0.4`, "name = \"kyushu\"\nshare = 0.4", "tenant[1].name", `"kyushu" comes twice`, "name = \"kyushu\"\nshare = 0.4"},
-	{`share = 0.4`, `share = 0.6`, "tenant[1].share", "come to 1.1, over the whole", ""},
-	// Timing against the rules.
+share = 0.4`, "name = \"kyushu\"\nshare = 0.4", "tenant[1].name", `"kyushu" is the name of two tenants`, "name = \"kyushu\"\nshare = 0.4"},
+	{`share = 0.4`, `share = 0.6`, "tenant[1].share", "add up to 1.1, expected at most 1", ""},
+	// Retry policies that contradict the rules.
 	{`attempts = 3`, `attempts = 5`, "route[1].attempts", "5 attempts, where the installation allows 4 (rules.max-attempts)", ""},
 	{`second-after = "400ms"`, "attempts = 1\nsecond-after = \"400ms\"", "route[0].second-after", "a second copy is a second attempt, and there is only one (attempts)", `second-after = "400ms"`},
 	{`second-after = "400ms"`, `second-after = "4s"`, "route[0].second-after", "a second copy after 4s, where all ends after", ""},
@@ -201,14 +201,14 @@
 	{`connect-timeout = "200ms"`, `connect-timeout = "2s"`, "retries.connect-timeout", `for class "sig-fetch"`, ""},
 	{`give-up = "4s"`, "give-up = \"4s\"\ntotal = \"5s\"", "class[2].total", "5s is longer than the client waits", `total = "5s"`},
 	// Routes.
-	{`class = "sig-fetch"`, `class = "sig-fetsh"`, "route[1].class", `"sig-fetsh" is none of class[].name; is "sig-fetch" meant?`, ""},
-	{`tenant = "milano"`, `tenant = "roma"`, "route[2].tenant", `"roma" is none of tenant[].name`, ""},
-	{`tenant = "milano"`, `zone = "north"`, "route[2].zone", `"north" is none of rules.zones`, ""},
-	{`tenant = "milano"`, `protocol = "http"`, "route[2].protocol", `"http" is none of line, amqp`, ""},
-	{`tenant = "milano"`, `group = "7"`, "route[2].group", "16 of them", ""},
-	{`tenant = "milano"`, `group = "0000000000000000"`, "route[2].group", "0 is no group", ""},
+	{`class = "sig-fetch"`, `class = "sig-fetsh"`, "route[1].class", `"sig-fetsh" is not one of class[].name; did you mean "sig-fetch"?`, ""},
+	{`tenant = "milano"`, `tenant = "roma"`, "route[2].tenant", `"roma" is not one of tenant[].name`, ""},
+	{`tenant = "milano"`, `zone = "north"`, "route[2].zone", `"north" is not one of rules.zones`, ""},
+	{`tenant = "milano"`, `protocol = "http"`, "route[2].protocol", `"http" is not one of line, amqp`, ""},
+	{`tenant = "milano"`, `group = "7"`, "route[2].group", "expected exactly 16 hexadecimal digits", ""},
+	{`tenant = "milano"`, `group = "0000000000000000"`, "route[2].group", `"0000000000000000" is not a group`, ""},
 	{`key-prefix = "7f"`, `key-prefix = "7F"`, "route[0].key-prefix", "in lower case", ""},
-	{`key-prefix = "7f"`, `key-prefix = "00112233445566778"`, "route[0].key-prefix", "16 at most", ""},
+	{`key-prefix = "7f"`, `key-prefix = "00112233445566778"`, "route[0].key-prefix", "expected at most 16 hexadecimal digits", ""},
 	{`tenant = "milano"`, "class = \"sig-fetch\"\ntenant = \"milano\"", "route[2]", `route "milano" can never match: route "fetches" before it takes all`, "[[route]]\nname = \"milano\""},
 	{`name = "milano"
 tenant`, "tenant", "route[2].name", "is missing", "[[route]]\ntenant"},
@@ -220,16 +220,16 @@
 	}
 	for _, b := range badFiles {
 		t.Run(b.key+" "+b.reason, func(t *testing.T) {
-			if strings.Count(sound, b.from) < 1 {
-				t.Fatalf("%q is not in the sound file", b.from)
+			if strings.Count(validTOML, b.from) < 1 {
+				t.Fatalf("%q is not in validTOML", b.from)
 			}
-			text := strings.Replace(sound, b.from, b.to, 1)
+			text := strings.Replace(validTOML, b.from, b.to, 1)
 			at := b.at
 			if at == "" {
 				at = b.to
 			}
 			want := 1 + strings.Count(text[:strings.Index(text, at)], "\n")
-			_, err := Parse("bad.toml", []byte(text), none, false)
+			_, err := Parse("bad.toml", []byte(text), noEnvironment, false)
 			var problems Problems
 			if !errors.As(err, &problems) {
 				t.Fatalf("%q for %q: %v", b.to, b.from, err)
@@ -237,7 +237,7 @@
 			if !slices.ContainsFunc(problems, func(p Problem) bool {
 				return p.Line == want && p.Column >= 1 && p.Key == b.key && strings.Contains(p.Reason, b.reason) && p.Err != nil
 			}) {
-				t.Errorf("%q for %q: wanted %d: %s: ...%s...\n%v", b.to, b.from, want, b.key, b.reason, err)
+				t.Errorf("%q for %q: want %d: %s: ...%s...\n%v", b.to, b.from, want, b.key, b.reason, err)
 			}
 		})
 	}
@@ -245,21 +245,21 @@
 
 func TestParse_AllProblemsInOrder(t *testing.T) {
 	text := strings.NewReplacer(`number = 1`, `number = 5`, `effect = "keyed"`, `effect = "odd"`, `attempts = 3`, `attempts = 9`,
-		`name = "n1"`, `nam = "n1"`).Replace(sound)
-	_, err := Parse("bad.toml", []byte(text), none, false)
+		`name = "n1"`, `nam = "n1"`).Replace(validTOML)
+	_, err := Parse("bad.toml", []byte(text), noEnvironment, false)
 	var problems Problems
 	if !errors.As(err, &problems) || len(problems) < 4 {
 		t.Fatalf("%v", err)
 	}
 	if !slices.IsSortedFunc(problems, func(a, b Problem) int { return a.Line - b.Line }) ||
-		!strings.HasPrefix(err.Error(), `bad.toml:2:1: relay.nam: no such key; is "name" meant?`) {
+		!strings.HasPrefix(err.Error(), `bad.toml:2:1: relay.nam: no such key; did you mean "name"?`) {
 		t.Errorf("%v", err)
 	}
 }
 
 func TestEffectiveSettings_EnvironmentTakesPrecedence(t *testing.T) {
 	env := func(name string) string { return map[string]string{"PROXY_LISTEN": "127.0.0.1:7"}[name] }
-	text := strings.Replace(sound, `listen = "127.0.0.1:5000"`, "", 1)
+	text := strings.Replace(validTOML, `listen = "127.0.0.1:5000"`, "", 1)
 	c, err := Parse("a.toml", []byte(text), env, false)
 	if err != nil || c.Relay.Listen != "127.0.0.1:7" {
 		t.Fatalf("%v, %+v", err, c.Relay)
@@ -277,13 +277,13 @@
 }
 
 func TestReference_ExampleAndSchemaCoverEveryKey(t *testing.T) {
-	c, err := Parse("example.toml", []byte(ExampleTOML()), none, false)
+	c, err := Parse("example.toml", []byte(ExampleTOML()), noEnvironment, false)
 	if err != nil {
 		t.Fatalf("%v\n%s", err, ExampleTOML())
 	}
-	again, err := Parse("again.toml", []byte(c.FormatTOML()), none, false)
+	again, err := Parse("again.toml", []byte(c.FormatTOML()), noEnvironment, false)
 	if err != nil || again.FormatTOML() != c.FormatTOML() || !strings.Contains(c.FormatTOML(), `give-up = "3.2s"`) {
-		t.Fatalf("%v, written out:\n%s", err, c.FormatTOML())
+		t.Fatalf("%v, formatted:\n%s", err, c.FormatTOML())
 	}
 	text, err := JSONSchema()
 	if err != nil {
@@ -298,29 +298,29 @@
 	if err := json.Unmarshal(text, &schema); err != nil {
 		t.Fatal(err)
 	}
-	for _, s := range c.EffectiveSettings(none) {
+	for _, s := range c.EffectiveSettings(noEnvironment) {
 		section, key, _ := strings.Cut(s.Key, ".")
 		section, _, _ = strings.Cut(section, "[")
 		p := schema.Properties[section]
 		if p.Properties[key] == nil && p.Items.Properties[key] == nil {
-			t.Errorf("the schema lacks %s", s.Key)
+			t.Errorf("schema lacks %s", s.Key)
 		}
 	}
 }
 
-// The page for operators is made by `aspenbarrow config keys` and must not fall behind the types.
+// The page for operators must contain the current output of `aspenbarrow config keys`.
 func TestMarkdownKeys_DocumentedInConfigurationPage(t *testing.T) {
 	page, err := os.ReadFile("../../docs/configuration.md")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !strings.Contains(string(page), MarkdownKeys()) {
-		t.Error("docs/configuration.md does not hold what `aspenbarrow config keys` prints")
+		t.Error("docs/configuration.md does not contain the output of `aspenbarrow config keys`")
 	}
 }
 
 func TestExplainRoute(t *testing.T) {
-	c, err := Parse("a.toml", []byte(sound), none, false)
+	c, err := Parse("a.toml", []byte(validTOML), noEnvironment, false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -335,12 +335,13 @@
 	for _, args := range [][5]string{{"sig-fetsh", "", "", "", "line"}, {"sig-fetch", "roma", "", "", "line"},
 		{"sig-fetch", "", "7", "", "line"}, {"sig-fetch", "", "", "zz", "line"}, {"sig-fetch", "", "", "", "http"}} {
 		if _, err := c.RoutingRequest(description(args)); err == nil {
-			t.Errorf("%v is taken", args)
+			t.Errorf("%v is accepted", args)
 		}
 	}
 }
 
-// Whatever is accepted keeps within the rules by arithmetic of its own, and writes out to what means the same.
+// An accepted policy obeys the rules as this test computes them independently, and the configuration that FormatTOML
+// writes has the same routes.
 func TestParse_AcceptedPoliciesObeyTheRules(t *testing.T) {
 	accepted := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -355,7 +356,7 @@
 		}
 		text += "[[route]]\nname = \"r\"\nclass = \"c\"\n" + ms("attempt-timeout", 1500) + ms("backoff", 300) +
 			fmt.Sprintf("attempts = %d\n", rapid.IntRange(0, 5).Draw(t, "attempts")) + ms("second-after", 900)
-		c, err := Parse("g.toml", []byte(text), none, false)
+		c, err := Parse("g.toml", []byte(text), noEnvironment, false)
 		if err != nil {
 			return
 		}
@@ -373,9 +374,9 @@
 			class.Idempotency == balance.IdempotentWithKey && timing.HedgeDelay >= class.DedupWindow && timing.HedgeDelay > 0 {
 			t.Fatalf("accepted: %+v for %+v", timing, class)
 		}
-		again, err := Parse("w.toml", []byte(c.FormatTOML()), none, false)
+		again, err := Parse("w.toml", []byte(c.FormatTOML()), noEnvironment, false)
 		if err != nil || !again.Relay.Routes.Equal(c.Relay.Routes) || again.FormatTOML() != c.FormatTOML() {
-			t.Fatalf("written out it differs: %v\n%s", err, c.FormatTOML())
+			t.Fatalf("formatted and parsed again, it differs: %v\n%s", err, c.FormatTOML())
 		}
 	})
 	if accepted < 3 {
@@ -384,13 +385,13 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add(sound)
+	f.Add(validTOML)
 	f.Add(ExampleTOML())
 	for _, b := range badFiles {
-		f.Add(strings.Replace(sound, b.from, b.to, 1))
+		f.Add(strings.Replace(validTOML, b.from, b.to, 1))
 	}
 	f.Fuzz(func(t *testing.T, text string) {
-		c, err := Parse("f.toml", []byte(text), none, false)
+		c, err := Parse("f.toml", []byte(text), noEnvironment, false)
 		if err != nil {
 			var problems Problems
 			if !errors.As(err, &problems) || len(problems) == 0 || problems[0].Line < 1 || problems[0].Reason == "" {
@@ -398,14 +399,14 @@
 			}
 			return
 		}
-		again, err := Parse("w.toml", []byte(c.FormatTOML()), none, false)
+		again, err := Parse("w.toml", []byte(c.FormatTOML()), noEnvironment, false)
 		if err != nil || again.FormatTOML() != c.FormatTOML() || !again.Relay.Routes.Equal(c.Relay.Routes) {
-			t.Fatalf("written out it differs: %v\n%s", err, c.FormatTOML())
+			t.Fatalf("formatted and parsed again, it differs: %v\n%s", err, c.FormatTOML())
 		}
 	})
 }
 
-// What membership wants of the rest of a file is asked for by both keys.
+// Problems of membership are reported under the key that causes them, and name the key that it conflicts with.
 func TestParse_Membership(t *testing.T) {
 	const base = "[relay]\nlisten = \"127.0.0.1:5000\"\nrelays = 2\n[discovery]\naddress = \"127.0.0.1:8500\"\n[[class]]\nname = \"a\"\ngive-up = \"2s\"\n"
 	const peers = "[rules]\npeers = true\n[peers]\nlisten = \"127.0.0.1:7946\"\naddresses = [\"127.0.0.1:7946\", \"127.0.0.2:7946\"]\n"
@@ -432,7 +433,7 @@
 		var problems Problems
 		if !errors.As(err, &problems) ||
 			!slices.ContainsFunc(problems, func(p Problem) bool { return p.Key == tc.key && strings.Contains(p.Reason, tc.reason) }) {
-			t.Errorf("%q: told %v, wanted is %s: %s", tc.text, err, tc.key, tc.reason)
+			t.Errorf("%q: got %v, want %s: %s", tc.text, err, tc.key, tc.reason)
 		}
 	}
 }
--- a/internal/config/decoder.go
+++ b/internal/config/decoder.go
@@ -13,14 +13,14 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// maxDuration bounds every time in a file; what is longer is a slip.
+// maxDuration bounds every time in a file; a longer one is taken for a typing error.
 const maxDuration = 24 * time.Hour
 
-// wantedDuration says how a time is written.
-const wantedDuration = `with its unit, as "1.8s" or "250ms"`
+// durationFormat describes, in errors, how a time is written.
+const durationFormat = `with a unit, such as "1.8s" or "250ms"`
 
-// decode reads the text. Keys that it does not give have their defaults. It returns nil if the text is not TOML; all
-// other problems are noted, and their keys have their defaults as well.
+// decode reads the text. Keys that it does not contain get their defaults. It returns nil if the text is not TOML; all
+// other problems are reported, and their keys get their defaults as well.
 func (s *source) decode() *document {
 	var values map[string]any
 	if err := toml.Unmarshal(s.text, &values); err != nil {
@@ -33,7 +33,7 @@
 	return doc
 }
 
-// decodeSection fills a section from its values.
+// decodeSection sets the fields of a section from its values.
 func (s *source) decodeSection(path string, section reflect.Value, values map[string]any) {
 	keys := keysOf(section.Type())
 	s.reportUnknown(path, keys, values)
@@ -50,7 +50,7 @@
 	}
 }
 
-// reportUnknown notes the values of a section that are of no key.
+// reportUnknown reports the values of a section that belong to no key.
 func (s *source) reportUnknown(path string, keys []keySpec, values map[string]any) {
 	known := make([]string, len(keys))
 	for i, key := range keys {
@@ -63,8 +63,8 @@
 	}
 }
 
-// decodeGiven fills a field from the value of its key. It returns false if the key is to have its default: a value
-// that is reported already must not lead to further problems.
+// decodeGiven sets a field from the value of its key. It returns false if the key must get its default: a value that is
+// already reported must not cause further problems.
 func (s *source) decodeGiven(name string, key *keySpec, field reflect.Value, value any) bool {
 	before := len(s.problems)
 	s.values[name] = value
@@ -76,10 +76,10 @@
 	return true
 }
 
-// setDefault gives a field the default of its key.
+// setDefault sets a field to the default of its key.
 func (s *source) setDefault(name string, key *keySpec, field reflect.Value) {
 	if key.isSection() {
-		if _, ok := s.offsets[name]; !ok { // the problems of a section in the text are reported already
+		if _, ok := s.offsets[name]; !ok { // the problems of a section in the text are already reported
 			s.decodeSection(name, field, nil)
 		}
 		return
@@ -89,7 +89,7 @@
 		return
 	}
 	if err := parseDefault(field, text); err != nil {
-		panic(fmt.Sprintf("default of %s: %v", name, err)) // a fault of the types in document.go, whatever the file
+		panic(fmt.Sprintf("default of %s: %v", name, err)) // an error in the types of document.go, whatever the file
 	}
 }
 
@@ -111,7 +111,7 @@
 	return err
 }
 
-// decodeValue sets a field from a value that the text gives, by the type of the field.
+// decodeValue sets a field from a value of the text, by the type of the field.
 func (s *source) decodeValue(name string, key *keySpec, field reflect.Value, value any) {
 	switch target := field.Addr().Interface().(type) {
 	case *string:
@@ -140,9 +140,9 @@
 	}
 }
 
-// reportType notes a value of the wrong type.
-func (s *source) reportType(name string, value any, wanted string) {
-	s.report(name, ErrWrongType, "is %s, wanted is %s", typeName(value), wanted)
+// reportType reports a value of the wrong type.
+func (s *source) reportType(name string, value any, expected string) {
+	s.report(name, ErrWrongType, "got %s, expected %s", describeValue(value), expected)
 }
 
 func (s *source) decodeString(name string, key *keySpec, target *string, value any) {
@@ -152,7 +152,7 @@
 		return
 	}
 	if choices, ok := key.choices(); ok && !slices.Contains(choices, text) {
-		s.report(name, ErrUnknownValue, "%s", noneOf(text, joinChoices(choices, ", "), choices))
+		s.report(name, ErrUnknownValue, "%s", notOneOf(text, joinChoices(choices, ", "), choices))
 		return
 	}
 	*target = text
@@ -173,7 +173,7 @@
 	case !ok:
 		s.reportType(name, value, "a whole number")
 	case number < 0 || number > math.MaxInt32:
-		s.report(name, ErrOutOfRange, "%d is out of range", number)
+		s.report(name, ErrOutOfRange, "%d is out of range: expected 0 to %d", number, math.MaxInt32)
 	default:
 		*target = int(number)
 	}
@@ -191,7 +191,7 @@
 		return
 	}
 	if math.IsNaN(number) || math.IsInf(number, 0) || number < 0 {
-		s.report(name, ErrOutOfRange, "%v is out of range", value)
+		s.report(name, ErrOutOfRange, "%v is out of range: expected a finite number, 0 or more", value)
 		return
 	}
 	*target = number
@@ -200,21 +200,21 @@
 func (s *source) decodeDuration(name string, target *time.Duration, value any) {
 	text, ok := value.(string)
 	if !ok {
-		s.reportType(name, value, "a time "+wantedDuration)
+		s.reportType(name, value, "a time "+durationFormat)
 		return
 	}
 	duration, err := time.ParseDuration(text)
 	switch {
 	case err != nil:
-		s.report(name, ErrInvalidValue, "%q is no time; "+wantedDuration, text)
+		s.report(name, ErrInvalidValue, "%q is not a time: expected a number "+durationFormat, text)
 	case duration < 0 || duration > maxDuration:
-		s.report(name, ErrOutOfRange, "%v is out of range: from 0 to a day", duration)
+		s.report(name, ErrOutOfRange, "%v is out of range: expected 0 to %v", duration, maxDuration)
 	default:
 		*target = duration
 	}
 }
 
-// decodeStrings sets a list of texts. What precedes an item of the wrong type is kept, so that it is checked as well.
+// decodeStrings sets a list of texts. The items before one of the wrong type are kept, so that they are checked as well.
 func (s *source) decodeStrings(name string, target *[]string, value any) {
 	list, ok := value.([]any)
 	if !ok {
@@ -225,14 +225,15 @@
 	for _, item := range list {
 		text, ok := item.(string)
 		if !ok {
-			s.report(name, ErrWrongType, "holds %s, wanted are texts in quotes", typeName(item))
+			s.report(name, ErrWrongType, "holds %s, expected only texts in quotes", describeValue(item))
 			return
 		}
 		*target = append(*target, text)
 	}
 }
 
-// decodeSections sets a list of sections. What precedes an item of the wrong type is kept, so that it is checked as well.
+// decodeSections sets a list of sections. The items before one of the wrong type are kept, so that they are checked as
+// well.
 func (s *source) decodeSections(name string, field reflect.Value, value any) {
 	list, ok := value.([]any)
 	if !ok {
@@ -242,7 +243,7 @@
 	for i, item := range list {
 		table, ok := item.(map[string]any)
 		if !ok {
-			s.report(name, ErrWrongType, "holds %s, wanted are sections", typeName(item))
+			s.report(name, ErrWrongType, "holds %s, expected only sections", describeValue(item))
 			return
 		}
 		field.Set(reflect.Append(field, reflect.Zero(field.Type().Elem())))
@@ -250,21 +251,22 @@
 	}
 }
 
-// typeName returns the type of a value that go-toml decoded, in the words of the documentation.
-func typeName(value any) string {
-	switch value.(type) {
+// describeValue returns the type of a value that go-toml decoded, in the words of the documentation, and the value
+// itself unless it is a list or a section.
+func describeValue(value any) string {
+	switch value := value.(type) {
 	case string:
-		return "a text"
+		return fmt.Sprintf("the text %q", value)
 	case bool:
-		return "true or false"
+		return fmt.Sprint(value)
 	case int64:
-		return "a whole number"
+		return fmt.Sprintf("the whole number %d", value)
 	case float64:
-		return "a number"
+		return fmt.Sprintf("the number %v", value)
 	case []any:
 		return "a list"
 	case map[string]any:
 		return "a section"
 	}
-	return "a date or a time of day"
+	return fmt.Sprintf("the date or time of day %v", value)
 }
--- a/internal/config/effective.go
+++ b/internal/config/effective.go
@@ -11,7 +11,7 @@
 // Setting is a key and its value in force.
 type Setting struct {
 	Key    string `json:"key"`
-	Value  string `json:"value"`          // as a TOML file has it
+	Value  string `json:"value"`          // as written in a TOML file
 	Source string `json:"from,omitempty"` // "default", "file", or "environment" and a variable; empty: not known
 }
 
@@ -22,16 +22,16 @@
 	sourceEnvironment = "environment "
 )
 
-// listedVariables are the environment variables that EffectiveSettings names as the source of a value. It does not name
-// PROXY_MANAGEMENT, which override applies as well: relay.management is listed as from the file or the default then.
+// listedVariables are the environment variables that EffectiveSettings names as the source of a value. PROXY_MANAGEMENT
+// is not among them, although override applies it: the source of relay.management is then listed as file or default.
 var listedVariables = map[string]string{
 	keyName:      variableName,
 	keyListen:    variableListen,
 	keyDiscovery: variableDiscovery,
 }
 
-// EffectiveSettings returns all keys in the order of the file with their values in force and where these came from; nil
-// for a configuration in the platform's JSON.
+// EffectiveSettings returns all keys in the order of the document, with their values in force and the sources of these;
+// nil for a configuration in the platform's JSON.
 func (c *Config) EffectiveSettings(env Environment) []Setting {
 	if c.document == nil {
 		return nil
@@ -91,7 +91,7 @@
 				formatSection(out, value.Index(i))
 			}
 		case value.Kind() == reflect.String && value.Len() == 0 && !key.isRequired():
-			// The empty text stands for an absent key, and would be refused for some.
+			// The empty text means that the key is absent; some keys do not accept it as a value.
 		default:
 			fmt.Fprintf(out, "%s = %s\n", key.name, formatValue(value))
 		}
--- a/internal/config/environment.go
+++ b/internal/config/environment.go
@@ -6,10 +6,10 @@
 	variableListen     = "PROXY_LISTEN"
 	variableDiscovery  = "PROXY_DISCOVERY"
 	variableManagement = "PROXY_MANAGEMENT"
-	variableScratch    = "TMPDIR"
+	variableTempDir    = "TMPDIR"
 )
 
-// Environment returns the value of an environment variable, empty if it is not set; os.Getenv is one.
+// Environment returns the value of an environment variable, empty if it is not set, as os.Getenv does.
 type Environment func(variable string) string
 
 // overrides are the values of a file that environment variables replace.
@@ -18,7 +18,7 @@
 }
 
 // override replaces the values of a file by those of the environment. When a running relay reads its file again, a
-// discovery address in the file stays: a process cannot see its environment change.
+// discovery address in the file is kept, because the environment of a running process does not change.
 func (env Environment) override(reload bool, values overrides) {
 	if reload && *values.discovery != "" {
 		values.discovery = nil
--- a/internal/config/explain.go
+++ b/internal/config/explain.go
@@ -9,7 +9,7 @@
 	"aspenbarrow/internal/routing"
 )
 
-// RequestDescription describes a request as a person writes it.
+// RequestDescription describes a request by the names and digits that a user enters.
 type RequestDescription struct {
 	Class    string // name of the class
 	Tenant   string // name of the tenant; empty: the first
@@ -18,7 +18,7 @@
 	Protocol string // line or amqp
 }
 
-// DescriptionError reports a part of a RequestDescription that the configuration does not know or that is malformed.
+// DescriptionError reports a part of a RequestDescription that is malformed or not in the configuration.
 type DescriptionError struct {
 	Part   string // class, tenant, group, key or protocol
 	Value  string
@@ -38,7 +38,7 @@
 	RetryPolicy []Setting `json:"timing"`
 }
 
-// noRoute is the route of an Explanation of a request that no route matches.
+// noRoute is the Route of an Explanation if no route matches the request.
 const noRoute = "(none)"
 
 // RoutingRequest resolves the names and numbers of a description. Its error is a *DescriptionError.
@@ -63,27 +63,28 @@
 	return request, err
 }
 
-// findName returns the index of a name among those known.
+// findName returns the index of a name among the known ones.
 func findName(part, name, where string, known []string) (int, error) {
 	index := slices.Index(known, name)
 	if index < 0 {
-		return index, &DescriptionError{Part: part, Value: name, Reason: noneOf(name, where, known), Err: ErrUnknownValue}
+		return index, &DescriptionError{Part: part, Value: name, Reason: notOneOf(name, where, known), Err: ErrUnknownValue}
 	}
 	return index, nil
 }
 
-// findProtocol returns the protocol with a name. Unlike findName it suggests none: there are two, and both are told.
+// findProtocol returns the protocol with a name. Unlike findName, it makes no suggestion, because its error lists both
+// protocols.
 func findProtocol(name string) (int, error) {
 	protocol := slices.Index(protocolNames, name)
 	if protocol < 0 {
 		return protocol, &DescriptionError{
-			Part: "protocol", Value: name, Reason: strconv.Quote(name) + " is none of " + protocolList, Err: ErrUnknownValue,
+			Part: "protocol", Value: name, Reason: strconv.Quote(name) + " is not one of " + protocolList, Err: ErrUnknownValue,
 		}
 	}
 	return protocol, nil
 }
 
-// parseWord parses 16 hexadecimal digits; no text at all is zero.
+// parseWord parses 16 hexadecimal digits; an empty text is zero.
 func parseWord(part, text string) (uint64, error) {
 	if text == "" {
 		return 0, nil
@@ -93,12 +94,13 @@
 		err = ErrInvalidValue
 	}
 	if err != nil {
-		return 0, &DescriptionError{Part: part, Value: text, Reason: strconv.Quote(text) + " is no 16 hexadecimal digits", Err: err}
+		return 0, &DescriptionError{Part: part, Value: text, Reason: "got " + strconv.Quote(text) + ", expected 16 hexadecimal digits", Err: err}
 	}
 	return word, nil
 }
 
-// ExplainRoute finds the route of a request as a relay does, and what its policy comes to with the class and the rules.
+// ExplainRoute finds the route of a request as a relay does, and the retry policy that results from the route, the class
+// and the rules.
 func (c *Config) ExplainRoute(request routing.Request) Explanation {
 	explanation := Explanation{Route: noRoute}
 	var policy balance.RetryPolicy
@@ -109,8 +111,8 @@
 	return explanation
 }
 
-// effectivePolicy lists the values of a policy. Where it leaves one open, that of the class or the rules applies;
-// backoff, budget and hedge delay are listed only if the policy sets them.
+// effectivePolicy lists the values of a policy. A value that it does not set comes from the class or the rules; backoff,
+// budget and hedge delay are listed only if the policy sets them.
 func effectivePolicy(policy balance.RetryPolicy, rules *balance.Settings, class int) []Setting {
 	connectTimeout := rules.DialTimeout
 	if policy.ConnectTimeout > 0 {
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -21,74 +21,74 @@
 		balance.FieldUtilization: "utilization", balance.FieldErrors: "errors", balance.FieldLoadShare: "load share", balance.FieldBacklog: "piled up"}
 )
 
-func fieldsWritten(list []balance.ReportField) (out []string) {
+func fieldNames(list []balance.ReportField) (out []string) {
 	for _, f := range list {
 		out = append(out, fieldWords[f])
 	}
 	return out
 }
 
-// describe returns a whole configuration in words that are independent of the names in the code.
+// describe returns a whole configuration as text, in words that do not depend on the names in the code.
 func describe(c *Config) string {
 	var b strings.Builder
-	say := func(what string, args ...any) {
+	add := func(what string, args ...any) {
 		fmt.Fprintf(&b, "%-28s%s\n", what, fmt.Sprintln(args...)[:len(fmt.Sprintln(args...))-1])
 	}
 	r, s := &c.Relay, &c.Relay.Settings
-	say("name", r.Name)
-	say("listens at", r.Listen)
-	say("management at", r.AdminListen)
-	say("discovery at", r.Discovery)
-	say("seed", fmt.Sprintf("%x", r.Seed))
-	say("cores, MB, sockets", c.Cores, r.MemoryMB, r.MaxDescriptors)
-	say("log level", c.LogLevel)
-	say("hears peers at", r.PeerListen)
-	say("peers", r.Peers)
-	say("all peers at", r.BroadcastPeer)
-	say("known", string(r.CachedEndpoints))
-	say("scratch", r.RuntimeDir)
-	say("relay, of how many, zone", s.RelayIndex, s.RelayCount, s.Zone)
-	say("zones", s.ZoneNames)
-	say("kinds", s.KindNames)
-	say("report's names", s.ReportFieldNames)
-	say("report", fieldsWritten(s.ReportFields))
-	say("idle close", s.IdleTimeout)
-	say("tick", s.Tick)
-	say("over share", s.OverQuotaPriority)
-	say("groups", s.Groups)
-	say("passes through", s.PassThrough)
-	say("tells load, delay", s.ReportsConnectionLoad, s.ReportsMessageDelay)
-	say("park", s.ParkTime)
-	say("probes", s.HealthChecks)
-	say("peers told", s.Gossip)
-	say("cancel", s.Cancellation)
-	say("retry after, at most", s.RetryAfter, s.MaxRetryAfter)
-	say("tries", s.MaxAttempts)
-	say("dial", s.DialTimeout)
-	say("list on request, every", s.PollEndpoints, s.PollInterval)
-	say("answer slack", s.AnswerSlack)
-	say("drain grace", s.DrainGrace)
-	say("cold from, warm up", s.SlowStartFloor, s.SlowStartWindow)
-	say("falls over at, for", s.OverloadMultiple, s.OverloadWindow)
-	say("weights", weightsWords[s.Weights])
+	add("name", r.Name)
+	add("listens at", r.Listen)
+	add("management at", r.AdminListen)
+	add("discovery at", r.Discovery)
+	add("seed", fmt.Sprintf("%x", r.Seed))
+	add("cores, MB, sockets", c.Cores, r.MemoryMB, r.MaxDescriptors)
+	add("log level", c.LogLevel)
+	add("hears peers at", r.PeerListen)
+	add("peers", r.Peers)
+	add("all peers at", r.BroadcastPeer)
+	add("known", string(r.CachedEndpoints))
+	add("scratch", r.RuntimeDir)
+	add("relay, of how many, zone", s.RelayIndex, s.RelayCount, s.Zone)
+	add("zones", s.ZoneNames)
+	add("kinds", s.KindNames)
+	add("report's names", s.ReportFieldNames)
+	add("report", fieldNames(s.ReportFields))
+	add("idle close", s.IdleTimeout)
+	add("tick", s.Tick)
+	add("over share", s.OverQuotaPriority)
+	add("groups", s.Groups)
+	add("passes through", s.PassThrough)
+	add("tells load, delay", s.ReportsConnectionLoad, s.ReportsMessageDelay)
+	add("park", s.ParkTime)
+	add("probes", s.HealthChecks)
+	add("peers told", s.Gossip)
+	add("cancel", s.Cancellation)
+	add("retry after, at most", s.RetryAfter, s.MaxRetryAfter)
+	add("tries", s.MaxAttempts)
+	add("dial", s.DialTimeout)
+	add("list on request, every", s.PollEndpoints, s.PollInterval)
+	add("answer slack", s.AnswerSlack)
+	add("drain grace", s.DrainGrace)
+	add("cold from, warm up", s.SlowStartFloor, s.SlowStartWindow)
+	add("falls over at, for", s.OverloadMultiple, s.OverloadWindow)
+	add("weights", weightsWords[s.Weights])
 	p := &s.Costs
-	say("prices", p.CrossZone, p.Waste, p.HealthCheck, p.Migration, p.Gossip, p.List, p.LateFailure)
+	add("prices", p.CrossZone, p.Waste, p.HealthCheck, p.Migration, p.Gossip, p.List, p.LateFailure)
 	for i, x := range s.Classes {
-		say(fmt.Sprintf("class %d %s", i, s.ClassNames[i]), fmt.Sprintf("%x", x.NameHash), x.LatencyObjective, x.ClientTimeout, x.MessageLatencyObjective, effectWords[x.Idempotency],
+		add(fmt.Sprintf("class %d %s", i, s.ClassNames[i]), fmt.Sprintf("%x", x.NameHash), x.LatencyObjective, x.ClientTimeout, x.MessageLatencyObjective, effectWords[x.Idempotency],
 			scopeWords[x.DedupScope], x.DedupWindow, x.PriorityWeight, x.Retired)
 	}
 	for i, x := range s.Tenants {
-		say(fmt.Sprintf("tenant %d %s", i, s.TenantNames[i]), x.Share, x.RequestsPerSecond, x.ConnectionQuota)
+		add(fmt.Sprintf("tenant %d %s", i, s.TenantNames[i]), x.Share, x.RequestsPerSecond, x.ConnectionQuota)
 	}
 	if w := r.Shadow; w == nil {
-		say("watched", "no")
+		add("watched", "no")
 	} else {
-		say("watched", w.HealthChecks, w.Gossip, w.Groups, w.RetryAfter, fieldsWritten(w.ReportFields), weightsWords[w.Weights])
+		add("watched", w.HealthChecks, w.Gossip, w.Groups, w.RetryAfter, fieldNames(w.ReportFields), weightsWords[w.Weights])
 	}
 	if m := r.Membership; m == nil {
-		say("membership", "no")
+		add("membership", "no")
 	} else {
-		say("membership", m.Fleet, m.ProtocolPeriod, m.ProbesPerPeriod, m.IndirectProbes, m.MinSuspicionTimeout, m.ForgetAfter)
+		add("membership", m.Fleet, m.ProtocolPeriod, m.ProbesPerPeriod, m.IndirectProbes, m.MinSuspicionTimeout, m.ForgetAfter)
 	}
 	for class := range s.Classes {
 		for tenant := range max(1, len(s.Tenants)) {
@@ -98,7 +98,7 @@
 						q := routing.Request{Class: class, Tenant: tenant, Zone: s.Zone, Protocol: protocol, Key: key, Group: group}
 						if x := r.Routes.Lookup(q); x != nil {
 							t := &x.RetryPolicy
-							say(fmt.Sprintf("goes %d %d %d %x %x", class, tenant, protocol, key>>56, group>>60), x.Name+":", t.ConnectTimeout, t.AttemptTimeout, t.RequestTimeout,
+							add(fmt.Sprintf("goes %d %d %d %x %x", class, tenant, protocol, key>>56, group>>60), x.Name+":", t.ConnectTimeout, t.AttemptTimeout, t.RequestTimeout,
 								t.MaxAttempts, t.BaseBackoff, t.MaxBackoff, t.RetryBudget, t.HedgeDelay)
 						}
 					}
@@ -109,15 +109,15 @@
 	return b.String()
 }
 
-// Files are read to the values that earlier versions read, and FormatTOML writes the same text.
+// Files are read with the same values as in earlier versions, and FormatTOML writes the same text.
 func TestLoad_Golden(t *testing.T) {
-	scratch := func(name string) string { return map[string]string{"TMPDIR": "scratch"}[name] }
+	withTempDir := func(name string) string { return map[string]string{"TMPDIR": "scratch"}[name] }
 	for _, tc := range []struct {
 		name, path string
 		env        func(string) string
 	}{
-		{"aspenbarrow-toml", "../../example/aspenbarrow.toml", none}, {"config-json", "../../example/config.json", none},
-		{"bare-toml", "testdata/bare.toml", none}, {"every-toml", "testdata/every.toml", scratch}, {"every-json", "testdata/every.json", scratch},
+		{"aspenbarrow-toml", "../../example/aspenbarrow.toml", noEnvironment}, {"config-json", "../../example/config.json", noEnvironment},
+		{"bare-toml", "testdata/bare.toml", noEnvironment}, {"every-toml", "testdata/every.toml", withTempDir}, {"every-json", "testdata/every.json", withTempDir},
 		{"environment", "testdata/every.toml", func(name string) string {
 			return map[string]string{"PROXY_NAME": "n9", "PROXY_LISTEN": "127.0.0.1:59", "PROXY_DISCOVERY": "127.0.0.1:89", "PROXY_MANAGEMENT": "127.0.0.1:99"}[name]
 		}},
@@ -134,28 +134,28 @@
 		golden.Compare(t, tc.name+".written", c.FormatTOML())
 		again, err := Parse("again.toml", []byte(c.FormatTOML()), tc.env, false)
 		if err != nil || describe(&again) != describe(&c) || again.FormatTOML() != c.FormatTOML() {
-			t.Errorf("%s written out is read otherwise: %v", tc.path, err)
+			t.Errorf("%s, formatted and parsed again, differs: %v", tc.path, err)
 		}
 		if tc.name != "every-toml" {
 			continue
 		}
-		whole := map[string]bool{} // keys of any class, tenant or route count
-		for _, s := range c.EffectiveSettings(none) {
+		given := map[string]bool{} // keys without indices; one given by any class, tenant or route is true
+		for _, s := range c.EffectiveSettings(noEnvironment) {
 			key := strings.NewReplacer("[0]", "", "[1]", "", "[2]", "").Replace(s.Key)
-			whole[key] = whole[key] || s.Source == "file"
+			given[key] = given[key] || s.Source == "file"
 		}
-		delete(whole, "retries.backoff") // its classes differ in what may be repeated
-		delete(whole, "retries.max-backoff")
-		delete(whole, "retries.second-after")
-		for key, given := range whole {
-			if !given {
-				t.Errorf("%s does not give %s", tc.path, key)
+		delete(given, "retries.backoff") // not allowed for all classes, which differ in what may be repeated
+		delete(given, "retries.max-backoff")
+		delete(given, "retries.second-after")
+		for key, found := range given {
+			if !found {
+				t.Errorf("%s lacks %s", tc.path, key)
 			}
 		}
 	}
 }
 
-// indented returns an error, line by line, as the golden files have it.
+// indented returns the lines of an error as the golden files contain them.
 func indented(err error) string {
 	if err == nil {
 		return "  taken"
@@ -163,11 +163,11 @@
 	return "  " + strings.ReplaceAll(err.Error(), "\n", "\n  ")
 }
 
-// The problems of a TOML file keep their texts and places.
+// The problems of a TOML file have the texts and places in the golden file.
 func TestLoad_GoldenProblemsOfTOML(t *testing.T) {
 	var out strings.Builder
 	for _, b := range badFiles {
-		_, err := Parse("bad.toml", []byte(strings.Replace(sound, b.from, b.to, 1)), none, false)
+		_, err := Parse("bad.toml", []byte(strings.Replace(validTOML, b.from, b.to, 1)), noEnvironment, false)
 		fmt.Fprintf(&out, "%q for %q\n%s\n", b.to, b.from, indented(err))
 	}
 	every, err := os.ReadFile("testdata/every.toml")
@@ -192,14 +192,14 @@
 		if !strings.Contains(string(every), x[0]) {
 			t.Fatalf("%q is not in the file", x[0])
 		}
-		_, err := Parse("every.toml", []byte(strings.Replace(string(every), x[0], x[1], 1)), none, false)
+		_, err := Parse("every.toml", []byte(strings.Replace(string(every), x[0], x[1], 1)), noEnvironment, false)
 		fmt.Fprintf(&out, "every.toml with %q for %q\n%s\n", x[1], x[0], indented(err))
 	}
 	for _, text := range []string{"", "[relay]\n", "[[class]]\nname = \"a\"\n", "\x00", "a = 1\na = 2\n"} {
-		_, err := Parse("short.toml", []byte(text), none, false)
+		_, err := Parse("short.toml", []byte(text), noEnvironment, false)
 		fmt.Fprintf(&out, "%q\n%s\n", text, indented(err))
 	}
-	c, err := Parse("every.toml", every, none, false)
+	c, err := Parse("every.toml", every, noEnvironment, false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -211,14 +211,15 @@
 	golden.Compare(t, "faults-toml.txt", out.String())
 }
 
-// The problems of a JSON file keep their texts, at a start and when the file is to replace the one in force.
+// The problems of a JSON file have the texts in the golden file, at a start and when the file is to replace the one in
+// force.
 func TestLoad_GoldenProblemsOfJSON(t *testing.T) {
 	text, err := os.ReadFile("testdata/every.json")
 	if err != nil {
 		t.Fatal(err)
 	}
 	every := string(text)
-	old, err := parsePlatform("every.json", text, none, true)
+	old, err := parsePlatform("every.json", text, noEnvironment, true)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -238,9 +239,9 @@
 			t.Fatalf("%q is not in the file", x[0])
 		}
 		text := []byte(strings.Replace(every, x[0], x[1], 1))
-		_, err := parsePlatform("every.json", text, none, false)
+		_, err := parsePlatform("every.json", text, noEnvironment, false)
 		fmt.Fprintf(&out, "%q for %q\n%s\n", x[1], x[0], indented(err))
-		if c, err := parsePlatform("every.json", text, none, true); err == nil {
+		if c, err := parsePlatform("every.json", text, noEnvironment, true); err == nil {
 			fmt.Fprintf(&out, "read again\n%s\n", indented(c.CheckReplacement(old)))
 		}
 	}
--- a/internal/config/keys.go
+++ b/internal/config/keys.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// keySpec describes one key of a section, as its field in the section's type declares it.
+// keySpec describes one key of a section, as declared by its field in the section's type.
 type keySpec struct {
 	name  string
 	index []int // of the field, for reflect.Value.FieldByIndex
@@ -27,10 +27,10 @@
 	return keys
 }
 
-// isSection says whether the key holds a section.
+// isSection reports whether the value of the key is a section.
 func (k *keySpec) isSection() bool { return k.typ.Kind() == reflect.Struct }
 
-// isSectionList says whether the key holds a list of sections.
+// isSectionList reports whether the value of the key is a list of sections.
 func (k *keySpec) isSectionList() bool {
 	return k.typ.Kind() == reflect.Slice && k.typ.Elem().Kind() == reflect.Struct
 }
@@ -40,10 +40,10 @@
 	return required
 }
 
-// defaultText returns the default as the tag holds it, lists separated by commas.
+// defaultText returns the default as written in the tag, the items of a list separated by commas.
 func (k *keySpec) defaultText() (text string, ok bool) { return k.tag.Lookup("default") }
 
-// choices returns the values that a text can have; ok is false if it can have any.
+// choices returns the allowed values of a text; ok is false if any value is allowed.
 func (k *keySpec) choices() (values []string, ok bool) {
 	list, ok := k.tag.Lookup("oneof")
 	if !ok {
@@ -52,7 +52,7 @@
 	return strings.Split(list, ","), true
 }
 
-// joinChoices joins the values that a text can have, without the empty one that stands for an absent key.
+// joinChoices joins the allowed values of a text, without the empty one, which means an absent key.
 func joinChoices(values []string, separator string) string {
 	if values[0] == "" {
 		values = values[1:]
@@ -60,7 +60,7 @@
 	return strings.Join(values, separator)
 }
 
-// doc returns what the key is for, with its choices in quotes.
+// doc returns the description of the key, with its choices in the given quotes.
 func (k *keySpec) doc(quote string) string {
 	doc := k.tag.Get("doc")
 	if choices, ok := k.choices(); ok {
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -13,14 +13,14 @@
 	"aspenbarrow/internal/shadow"
 )
 
-// jsonNull is a JSON value that stands for an absent one.
+// jsonNull is the JSON value that is treated as an absent one.
 const jsonNull = "null"
 
 // platformObject is the platform's JSON file as encoding/json decodes it.
 //
-// The error texts of encoding/json hold the name of the Go struct around a field that has the wrong kind of value, and
-// the texts that operators see are not to change. So platformObject and membershipObject are aliases of types without a
-// name, and the name limits stays; its fields are printed as well.
+// The errors of encoding/json contain the name of the Go struct around a field with a value of the wrong type, and the
+// texts that operators see must not change. So platformObject and membershipObject are aliases of unnamed types, and
+// the type limits and its fields, which are printed as well, keep their names.
 type platformObject = struct {
 	Name       string            `json:"name"`
 	Listen     string            `json:"listen"`
@@ -31,7 +31,7 @@
 	PeerListen string            `json:"peer_listen"`
 	Peers      []string          `json:"peers"`
 	PeersAll   string            `json:"peers_all"`
-	Known      json.RawMessage   `json:"known"` // endpoint list, in the form of discovery
+	Known      json.RawMessage   `json:"known"` // endpoint list, in discovery's form
 	Settings   json.RawMessage   `json:"settings"`
 	Watch      json.RawMessage   `json:"watch"` // settings whose shape is evaluated without acting on it
 	Membership *membershipObject `json:"membership"`
@@ -55,7 +55,7 @@
 	object platformObject
 }
 
-// parsePlatform reads a text in the platform's JSON. Its errors are *KeyError, for the first key at fault.
+// parsePlatform reads a text in the platform's JSON. Its errors are *KeyError, for the first invalid key.
 func parsePlatform(file string, text []byte, env Environment, reload bool) (Config, error) {
 	p := platformParser{file: file}
 	if err := p.decode(text); err != nil {
@@ -72,7 +72,7 @@
 	if err != nil {
 		return Config{}, err
 	}
-	relay.RuntimeDir = env(variableScratch)
+	relay.RuntimeDir = env(variableTempDir)
 	return Config{Cores: object.Limits.Cores, Relay: relay, platform: text}, nil
 }
 
@@ -105,7 +105,8 @@
 	}
 	seed, err := strconv.ParseUint(object.Seed, hexadecimal, wordBits)
 	if err != nil {
-		return controller.Config{}, p.fail("seed", object.Seed, err, "seed %q: %v", object.Seed, err)
+		return controller.Config{}, p.fail("seed", object.Seed, err, "seed %q is not a hexadecimal number of at most 16 digits: %v",
+			object.Seed, err)
 	}
 	installation, err := p.settings(reload)
 	if err != nil {
@@ -130,7 +131,7 @@
 		PeerListen:      object.PeerListen,
 		Peers:           object.Peers,
 		BroadcastPeer:   object.PeersAll,
-		CachedEndpoints: p.known(),
+		CachedEndpoints: p.cachedEndpoints(),
 		Settings:        installation,
 		Shadow:          shape,
 		Membership:      detector,
@@ -144,7 +145,7 @@
 		if object.Listen != "" {
 			key = "discovery"
 		}
-		return p.fail(key, nil, ErrMissingKey, "the listen address or that of discovery is missing")
+		return p.fail(key, nil, ErrMissingKey, "%s is missing: expected an address", key)
 	}
 	if _, _, err := net.SplitHostPort(object.Discovery); err != nil {
 		return p.fail("discovery", object.Discovery, err, "discovery: %v", err)
@@ -161,12 +162,12 @@
 func (p *platformParser) checkLimits() error {
 	resources := p.object.Limits
 	if resources.Cores < 0 || resources.MemoryMB < 0 || resources.Sockets < 0 {
-		return p.fail("limits", resources, ErrOutOfRange, "limits %+v", resources)
+		return p.fail("limits", resources, ErrOutOfRange, "limits %+v: expected no value below 0", resources)
 	}
 	return nil
 }
 
-// settings parses the settings object. At a start it is validated here, at a reload by CheckReplacement.
+// settings parses the settings object. It is validated here at a start, and by CheckReplacement at a reload.
 func (p *platformParser) settings(reload bool) (settings.Settings, error) {
 	installation, err := settings.Parse(p.object.Settings)
 	if err == nil && !reload {
@@ -178,7 +179,7 @@
 	return installation, nil
 }
 
-// failSettings returns the error of a settings object under a key.
+// failSettings returns the error of the settings object that a key holds.
 func (p *platformParser) failSettings(key string, err error, prefix string) error {
 	var field *settings.FieldError
 	if !errors.As(err, &field) {
@@ -190,15 +191,15 @@
 	return p.fail(key, field.Value, err, "%s%v", prefix, err)
 }
 
-// known returns the endpoint list as the relay last had it; nil if the file gives none.
-func (p *platformParser) known() []byte {
+// cachedEndpoints returns the endpoint list as the relay last had it; nil if the file has none.
+func (p *platformParser) cachedEndpoints() []byte {
 	if string(p.object.Known) == jsonNull {
 		return nil
 	}
 	return p.object.Known
 }
 
-// shadow returns the shape of the settings that are evaluated without acting on them; nil if the file gives none.
+// shadow returns the shape of the settings of the shadow evaluation; nil if the file has none.
 func (p *platformParser) shadow() (*shadow.Shape, error) {
 	text := p.object.Watch
 	if len(text) == 0 || string(text) == jsonNull {
@@ -209,12 +210,12 @@
 		return nil, p.failSettings("watch", err, "watch: ")
 	}
 	if shadowed.Gossip && p.object.PeerListen == "" {
-		return nil, p.fail("watch.limits.peers", true, ErrConflict, "watch: relays would tell one another, and peer_listen is missing")
+		return nil, p.fail("watch.limits.peers", true, ErrConflict, "watch: relays would exchange datagrams, but peer_listen is missing")
 	}
 	return shadow.ShapeOf(&shadowed.Settings), nil
 }
 
-// membership returns the settings by which relays detect one another; nil if they do not.
+// membership returns the settings of failure detection among relays; nil if it is off.
 func (p *platformParser) membership(installation *settings.Settings) (*membership.Settings, error) {
 	object := p.object.Membership
 	if object == nil {
@@ -232,7 +233,7 @@
 	}
 	if !installation.Gossip || p.object.PeerListen == "" || len(p.object.Peers) <= installation.RelayIndex {
 		return nil, p.fail("membership", nil, ErrConflict,
-			"membership: settings.limits.peers, peer_listen and this relay among peers are wanted")
+			"membership: expected settings.limits.peers to be true, peer_listen to be set and peers to include this relay")
 	}
 	return &detector, nil
 }
--- a/internal/config/problem.go
+++ b/internal/config/problem.go
@@ -8,34 +8,34 @@
 	"strings"
 )
 
-// What can be wrong with a key. A Problem or KeyError wraps one of these, or the error that another package gave.
+// The kinds of problems of a key. A Problem or KeyError wraps one of these, or the error of another package.
 var (
-	ErrSyntax       = errors.New("not TOML")
+	ErrSyntax       = errors.New("invalid TOML syntax")
 	ErrUnknownKey   = errors.New("unknown key")
 	ErrMissingKey   = errors.New("missing key")
 	ErrWrongType    = errors.New("value of the wrong type")
 	ErrOutOfRange   = errors.New("value out of range")
-	ErrUnknownValue = errors.New("value that is none of those known")
+	ErrUnknownValue = errors.New("value that is not one of those allowed")
 	ErrInvalidValue = errors.New("malformed value")
-	ErrDuplicate    = errors.New("value that comes twice")
-	ErrConflict     = errors.New("value that disagrees with another key")
+	ErrDuplicate    = errors.New("duplicate value")
+	ErrConflict     = errors.New("value that conflicts with another key")
 )
 
-// syntaxKey stands for the key in a Problem of a text that is not TOML.
+// syntaxKey is the key of a Problem of a text that is not TOML.
 const syntaxKey = "(syntax)"
 
-// Problem is one thing wrong with a TOML file.
+// Problem is one error in a TOML file.
 type Problem struct {
 	File   string `json:"file"`
 	Line   int    `json:"line"`   // from 1
 	Column int    `json:"column"` // from 1, in bytes
 	Key    string `json:"key"`    // full name, as in "class[1].give-up"
 	Reason string `json:"reason"`
-	Value  any    `json:"-"` // the value in the file, as decoded; nil if the file does not give one
+	Value  any    `json:"-"` // the value in the file, as decoded; nil if the file has none
 	Err    error  `json:"-"` // the cause
 }
 
-// Error implements the error interface. It returns the problem in one line, with its place in front.
+// Error implements the error interface. It returns one line that begins with the place of the problem.
 func (p Problem) Error() string {
 	return fmt.Sprintf("%s:%d:%d: %s: %s", p.File, p.Line, p.Column, p.Key, p.Reason)
 }
@@ -46,7 +46,7 @@
 // Problems are all problems of a TOML file, in the order of their places.
 type Problems []Problem
 
-// Error implements the error interface. It returns the problems line by line.
+// Error implements the error interface. It returns one line for each problem.
 func (ps Problems) Error() string {
 	lines := make([]string, len(ps))
 	for i, problem := range ps {
@@ -55,7 +55,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Unwrap returns the problems one by one.
+// Unwrap returns each problem as an error.
 func (ps Problems) Unwrap() []error {
 	errs := make([]error, len(ps))
 	for i, problem := range ps {
@@ -64,7 +64,7 @@
 	return errs
 }
 
-// sorted sorts the problems by their places; those of one place stay in the order in which they were found.
+// sorted sorts the problems by their places; those at one place keep the order in which they were found.
 func (ps Problems) sorted() Problems {
 	slices.SortStableFunc(ps, func(a, b Problem) int {
 		return cmp.Or(cmp.Compare(a.Line, b.Line), cmp.Compare(a.Column, b.Column))
--- a/internal/config/reference.go
+++ b/internal/config/reference.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// ExampleTOML returns a sound TOML file with every key, what it is for, and its default or an example.
+// ExampleTOML returns a valid TOML file with every key, its description, and its default or an example value.
 func ExampleTOML() string {
 	var out strings.Builder
-	out.WriteString("# aspenbarrow: every key, with its default. Keys without a value here must be given.\n")
+	out.WriteString("# aspenbarrow: every key, with its default or an example value. Keys that are commented out have neither.\n")
 	writeExample(&out, reflect.TypeFor[document]())
 	return out.String()
 }
@@ -42,7 +42,7 @@
 	fmt.Fprintf(out, "# %s\n%s%s = %s\n", key.doc(""), commentMark, key.name, formatText(key.typ, value))
 }
 
-// MarkdownKeys returns a table of all keys in Markdown for each section, as docs/configuration.md has it.
+// MarkdownKeys returns a Markdown table of the keys of each section, for docs/configuration.md.
 func MarkdownKeys() string {
 	var out strings.Builder
 	for _, section := range keysOf(reflect.TypeFor[document]()) {
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -11,10 +11,10 @@
 )
 
 // ErrIncompleteReplacement is the error that every ReplacementError wraps.
-var ErrIncompleteReplacement = errors.New("lacks a key of the file in force")
+var ErrIncompleteReplacement = errors.New("the file must have all keys of the file in force, with values of the same types")
 
-// ReplacementError reports a key of the file in force that a file to replace it does not have, or has with a value of
-// another type.
+// ReplacementError reports a key of the file in force that is missing in its replacement, or has a value of another type
+// there.
 type ReplacementError struct {
 	Key    string // path within the file, as in "settings.classes[0].give-up-ms"
 	Reason string
@@ -28,12 +28,12 @@
 // Unwrap returns ErrIncompleteReplacement.
 func (e *ReplacementError) Unwrap() error { return ErrIncompleteReplacement }
 
-// optionalKeys are those that a sound file may have or not: the endpoint list as last known, the shadow settings, and
-// what only classes of some idempotency have, where settings.Validate asks for it.
+// optionalKeys are the keys that a valid file need not have: the cached endpoint list, the settings of the shadow
+// evaluation, and the keys that only classes of some idempotency have, for which settings.Validate requires them.
 var optionalKeys = map[string]bool{"known": true, "watch": true, "dedup-scope": true, "dedup-window-ms": true}
 
-// CheckReplacement says whether a file that was read again may replace the one in force: it has all keys of the old one,
-// each with a value of the same type, and its settings are valid. A truncated file thus never takes effect. The keys of
+// CheckReplacement checks whether a file that was read again may replace the one in force: it must have all keys of the
+// old one, each with a value of the same type, and valid settings. So a truncated file never takes effect. The keys of
 // a TOML file are checked when it is parsed. Errors are *ReplacementError, *settings.FieldError or those of
 // encoding/json.
 func (c Config) CheckReplacement(old Config) error {
@@ -63,27 +63,27 @@
 	return checkValue("", value, old)
 }
 
-// checkValue holds a JSON value to the shape of an older one: it is of the same type, an object has all keys of the old
-// one, and each object in a list has the keys that all objects of the old list have.
+// checkValue checks that a JSON value has the shape of an older one: it is of the same type, an object has all keys of
+// the old one, and each object in a list has the keys that all objects of the old list have.
 func checkValue(path string, value, old any) error {
 	switch old := old.(type) {
-	case nil: // any value may take the place of none
+	case nil: // any value may replace null
 		return nil
 	case map[string]any:
 		object, ok := value.(map[string]any)
 		if !ok {
-			return &ReplacementError{Key: path, Reason: "is no object"}
+			return &ReplacementError{Key: path, Reason: fmt.Sprintf("is of type %s, expected object", jsonType(value))}
 		}
 		return checkObject(path, object, old)
 	case []any:
 		list, ok := value.([]any)
 		if !ok {
-			return &ReplacementError{Key: path, Reason: "is no list"}
+			return &ReplacementError{Key: path, Reason: fmt.Sprintf("is of type %s, expected list", jsonType(value))}
 		}
 		return checkList(path, list, old)
 	}
 	if jsonType(value) != jsonType(old) {
-		return &ReplacementError{Key: path, Reason: fmt.Sprintf("is a %s, was a %s", jsonType(value), jsonType(old))}
+		return &ReplacementError{Key: path, Reason: fmt.Sprintf("is of type %s, expected %s", jsonType(value), jsonType(old))}
 	}
 	return nil
 }
@@ -118,8 +118,8 @@
 	return nil
 }
 
-// commonShape returns an object of the keys that all objects of a list have; nil if the list is empty or holds other
-// values.
+// commonShape returns an object with the keys that all objects of a list have; nil if the list is empty or contains
+// other values.
 func commonShape(list []any) map[string]any {
 	var shape map[string]any
 	for i, value := range list {
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -9,25 +9,25 @@
 	"aspenbarrow/balance"
 )
 
-const platform = `{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","management":"","seed":"8c",
+const validJSON = `{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","management":"","seed":"8c",
 "limits":{"cores":1.0,"memory_mb":64,"sockets":256},"peers":["a:1","b:1"],"known":null,
 "settings":{"azs":["east"],"n-instances":1,"me":0,"tick-ms":4,"classes":[
 {"name":"chat","effect":"read_like","on-time-ms":500,"give-up-ms":2000,"worth":1},
 {"name":"order","effect":"idempotency_key","dedup-scope":"all","dedup-window-ms":900,"on-time-ms":500,"give-up-ms":2000,"worth":2}],
 "family-info":{"mode":"proxy","message-aim-ms":[60,60]},"limits":{"try-limit":4,"dial-timeout-ms":250},"rules":{"fall-ms":3000}}}`
 
-// replaced loads a text as the file that is to replace the sound one and returns why it may not.
-func replaced(t *testing.T, text string) error {
+// checkReplacement loads a text as the replacement of validJSON and returns the error if it is rejected.
+func checkReplacement(t *testing.T, text string) error {
 	t.Helper()
-	none := func(string) string { return "" }
+	env := func(string) string { return "" }
 	path := filepath.Join(t.TempDir(), "c.json")
 	read := func(text string) (Config, error) {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		return Load(path, none, true)
+		return Load(path, env, true)
 	}
-	old, err := read(platform)
+	old, err := read(validJSON)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,12 +39,12 @@
 }
 
 func TestCheckReplacement_RefusesTruncatedFiles(t *testing.T) {
-	if err := replaced(t, platform); err != nil {
+	if err := checkReplacement(t, validJSON); err != nil {
 		t.Fatal(err)
 	}
-	for i := range platform {
-		if replaced(t, platform[:i]) == nil {
-			t.Errorf("the first %d bytes are taken", i)
+	for i := range validJSON {
+		if checkReplacement(t, validJSON[:i]) == nil {
+			t.Errorf("the first %d bytes are accepted", i)
 		}
 	}
 }
@@ -53,10 +53,10 @@
 	for _, c := range []struct{ name, from, to, reason string }{
 		{"fewer attempts", `"try-limit":4`, `"try-limit":2`, ""},
 		{"another effect", `"effect":"read_like"`, `"effect":"non_idempotent"`, ""},
-		{"a class more", `"classes":[`, `"classes":[{"name":"new","effect":"non_idempotent","on-time-ms":5,"give-up-ms":20,"worth":1},`, "message-aim-ms"},
-		{"a class more, with its aim", `"message-aim-ms":[60,60]`, `"message-aim-ms":[60,60,70]`, ""},
-		{"another list as known", `"known":null`, `"known":{"version":1,"full":true,"servers":[]}`, ""},
-		{"no known list", `"known":null,`, ``, ""},
+		{"one more class", `"classes":[`, `"classes":[{"name":"new","effect":"non_idempotent","on-time-ms":5,"give-up-ms":20,"worth":1},`, "message-aim-ms"},
+		{"one more class, with its message aim", `"message-aim-ms":[60,60]`, `"message-aim-ms":[60,60,70]`, ""},
+		{"another cached endpoint list", `"known":null`, `"known":{"version":1,"full":true,"servers":[]}`, ""},
+		{"no cached endpoint list", `"known":null,`, ``, ""},
 		{"no seed", `"seed":"8c",`, ``, "seed"},
 		{"no settings", `"settings":`, `"other":`, "settings"},
 		{"no limits of the settings", `"limits":{"try-limit":4,"dial-timeout-ms":250},`, ``, "settings.limits is missing"},
@@ -64,43 +64,43 @@
 		{"a class without a deadline", `"on-time-ms":500,"give-up-ms":2000,"worth":1`, `"on-time-ms":500,"worth":1`, "classes[0].give-up-ms is missing"},
 		{"a keyed class without a window", `"dedup-window-ms":900,`, ``, "dedup-window-ms"},
 		{"attempts that are text", `"try-limit":4`, `"try-limit":"4"`, "cannot unmarshal"},
-		{"attempts that are null", `"try-limit":4`, `"try-limit":null`, "was a number"},
+		{"attempts that are null", `"try-limit":4`, `"try-limit":null`, "is of type null, expected number"},
 		{"no attempts", `"try-limit":4`, `"try-limit":0`, "no number of attempts"},
 		{"attempts below 0", `"try-limit":4`, `"try-limit":-1`, "no number of attempts"},
 		{"half an attempt", `"try-limit":4`, `"try-limit":1.5`, "cannot unmarshal"},
-		{"attempts without end", `"try-limit":4`, `"try-limit":1e9`, ""},
+		{"too many attempts", `"try-limit":4`, `"try-limit":1e9`, ""},
 		{"a deadline that is text", `"give-up-ms":2000`, `"give-up-ms":"soon"`, "cannot unmarshal"},
-		{"a deadline that is null", `"give-up-ms":2000`, `"give-up-ms":null`, "was a number"},
+		{"a deadline that is null", `"give-up-ms":2000`, `"give-up-ms":null`, "is of type null, expected number"},
 		{"a deadline of 0", `"give-up-ms":2000`, `"give-up-ms":0`, "no time above 0"},
 		{"a deadline below 0", `"give-up-ms":2000`, `"give-up-ms":-5`, "no time above 0"},
-		{"no number", `"give-up-ms":2000`, `"give-up-ms":NaN`, "invalid character"},
+		{"not a number", `"give-up-ms":2000`, `"give-up-ms":NaN`, "invalid character"},
 		{"a huge deadline", `"give-up-ms":2000`, `"give-up-ms":1e300`, "no time above 0"},
-		{"over all numbers", `"give-up-ms":2000`, `"give-up-ms":1e999`, "cannot unmarshal"},
+		{"a number beyond float64", `"give-up-ms":2000`, `"give-up-ms":1e999`, "cannot unmarshal"},
 		{"two classes of one name", `"name":"order"`, `"name":"chat"`, "no name of its own"},
 		{"an unknown effect", `"effect":"read_like"`, `"effect":"none"`, "unknown effect"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			text := strings.Replace(platform, c.from, c.to, 1)
-			if text == platform {
+			text := strings.Replace(validJSON, c.from, c.to, 1)
+			if text == validJSON {
 				t.Fatalf("%q is not in the file", c.from)
 			}
-			err := replaced(t, text)
-			if c.name == "attempts without end" { // refused, whichever check is first
+			err := checkReplacement(t, text)
+			if c.name == "too many attempts" { // rejected, whichever check is first
 				if err == nil {
-					t.Error("a thousand million attempts are taken")
+					t.Error("1e9 attempts are accepted")
 				}
 				return
 			}
 			if (err == nil) != (c.reason == "") || err != nil && !strings.Contains(err.Error(), c.reason) {
-				t.Errorf("%v, wanted %q", err, c.reason)
+				t.Errorf("got %v, want %q", err, c.reason)
 			}
 		})
 	}
 }
 
-// Shadow settings come from both forms, are checked against the rest of the file, and are off unless they are given.
+// Shadow settings can be set in TOML and in JSON, are checked against the rest of the file, and are off by default.
 func TestLoad_ShadowSettings(t *testing.T) {
-	parse := func(add string) (Config, error) { return Parse("w.toml", []byte(sound+add), none, false) }
+	parse := func(add string) (Config, error) { return Parse("w.toml", []byte(validTOML+add), noEnvironment, false) }
 	if c, err := parse(""); err != nil || c.Relay.Shadow != nil {
 		t.Fatalf("%v, %v", c.Relay.Shadow, err)
 	}
@@ -110,7 +110,7 @@
 	}
 	for add, want := range map[string]string{
 		"[watch]\non = true\nreport = [\"x0\"]\n":                "w.toml:62:1: watch.report",
-		"[watch]\non = true\nprobes = true\nreport = [\"x0\"]\n": "watch that or none",
+		"[watch]\non = true\nprobes = true\nreport = [\"x0\"]\n": "but backends report the fields of rules.report",
 		"[watch]\non = true\nweights = \"heavy\"\n":              "watch.weights",
 		"[watch]\nsettings = \"x\"\n":                            "watch.settings",
 	} {
@@ -118,38 +118,39 @@
 			t.Errorf("%q: %v, want %q", add, err, want)
 		}
 	}
-	if _, err := Parse("w.toml", []byte(strings.Replace(sound, "peers = true", "peers = false", 1)+
-		"[watch]\non = true\npeers = true\n"), none, false); err != nil {
-		t.Errorf("peers that are heard already: %v", err)
+	if _, err := Parse("w.toml", []byte(strings.Replace(validTOML, "peers = true", "peers = false", 1)+
+		"[watch]\non = true\npeers = true\n"), noEnvironment, false); err != nil {
+		t.Errorf("watch.peers with peers.listen set: %v", err)
 	}
-	of := func(watch string) (Config, error) {
+	loadJSON := func(watch string) (Config, error) {
 		path := filepath.Join(t.TempDir(), "c.json")
-		text := strings.Replace(platform, `"known":null,`, `"known":null,"watch":`+watch+`,`, 1)
+		text := strings.Replace(validJSON, `"known":null,`, `"known":null,"watch":`+watch+`,`, 1)
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		return Load(path, none, false)
+		return Load(path, noEnvironment, false)
 	}
-	settings := platform[strings.Index(platform, `"settings":`)+len(`"settings":`) : len(platform)-1]
-	if c, err := of(settings); err != nil || c.Relay.Shadow == nil || c.Relay.Shadow.HealthChecks {
+	settings := validJSON[strings.Index(validJSON, `"settings":`)+len(`"settings":`) : len(validJSON)-1]
+	if c, err := loadJSON(settings); err != nil || c.Relay.Shadow == nil || c.Relay.Shadow.HealthChecks {
 		t.Errorf("%+v, %v", c.Relay.Shadow, err)
 	}
-	if _, err := of(strings.Replace(settings, `"limits":{`, `"limits":{"peers":true,`, 1)); err == nil || !strings.Contains(err.Error(), "peer_listen") {
-		t.Errorf("peers that nobody hears: %v", err)
+	if _, err := loadJSON(strings.Replace(settings, `"limits":{`, `"limits":{"peers":true,`, 1)); err == nil || !strings.Contains(err.Error(), "peer_listen") {
+		t.Errorf("watch.limits.peers without peer_listen: %v", err)
 	}
-	if _, err := of(`{"azs":[]}`); err == nil || !strings.HasPrefix(err.Error(), "watch: ") {
+	if _, err := loadJSON(`{"azs":[]}`); err == nil || !strings.HasPrefix(err.Error(), "watch: ") {
 		t.Errorf("no classes: %v", err)
 	}
 }
 
-// Load reports come with the answers to health checks. Without health checks, a relay would wait for them in vain.
+// Load reports come with the answers to health checks. Without health checks, a relay would wait for reports that never
+// come.
 func TestParse_NoReportsWithoutHealthChecks(t *testing.T) {
-	c, err := Parse("w.toml", []byte(strings.Replace(sound, "peers = true", "peers = true\nprobes = false\ntells-delay = true", 1)), none, false)
+	c, err := Parse("w.toml", []byte(strings.Replace(validTOML, "peers = true", "peers = true\nprobes = false\ntells-delay = true", 1)), noEnvironment, false)
 	if s := c.Relay.Settings; err != nil || len(s.ReportFields) > 0 || len(s.ReportFieldNames) > 0 || !s.ReportsMessageDelay {
 		t.Errorf("%v, %v", s.ReportFields, err)
 	}
-	if _, err := Parse("w.toml", []byte(strings.Replace(sound, "peers = true", "peers = true\ntells-load = true\ntells-delay = true", 1)), none, false); err == nil ||
-		!strings.Contains(err.Error(), "rules.tells-delay: a LOAD line carries one thing") {
-		t.Errorf("both kinds of note: %v", err)
+	if _, err := Parse("w.toml", []byte(strings.Replace(validTOML, "peers = true", "peers = true\ntells-load = true\ntells-delay = true", 1)), noEnvironment, false); err == nil ||
+		!strings.Contains(err.Error(), "rules.tells-delay: a LOAD line carries one value") {
+		t.Errorf("both tells-load and tells-delay: %v", err)
 	}
 }
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// jsonSchema is a JSON Schema, or the part of one for a key. Its fields stand in the order in which they are written.
+// jsonSchema is a JSON Schema, or the part of one for a key. The order of its fields is that of the output.
 type jsonSchema struct {
 	Schema               string                 `json:"$schema,omitempty"`
 	AdditionalProperties *bool                  `json:"additionalProperties,omitempty"`
@@ -23,7 +23,7 @@
 	Type                 string                 `json:"type"`
 }
 
-// durationPattern matches what time.ParseDuration parses, but for signs and the second spelling of a microsecond.
+// durationPattern matches what time.ParseDuration accepts, except signs and the second spelling of a microsecond.
 const durationPattern = `^([0-9]+(\.[0-9]+)?(ns|us|µs|ms|s|m|h))+$`
 
 // JSONSchema returns a JSON Schema of the TOML file, for editors.
--- a/internal/config/source.go
+++ b/internal/config/source.go
@@ -11,11 +11,11 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// source is the text of a TOML file while it is read: where its keys stand, which it gives, and what is wrong with it.
+// source is the text of a TOML file while it is read, with the places of its keys, their values and its problems.
 type source struct {
 	file     string
 	text     []byte
-	lineEnds []int           // offsets of the line ends
+	lineEnds []int           // offsets of the newline characters
 	offsets  map[string]int  // of keys and sections, by their full names
 	given    map[string]bool // keys that have a value of their type
 	values   map[string]any  // of all keys in the text, as decoded
@@ -32,7 +32,7 @@
 	return s
 }
 
-// report notes a problem of a key at the place of the key, or where the key would belong if the text does not have it.
+// report adds a problem of a key at the place of the key, or at its section if the text does not contain the key.
 func (s *source) report(key string, cause error, format string, args ...any) {
 	line, column := s.position(s.offsetOf(key))
 	s.problems = append(s.problems, Problem{
@@ -42,7 +42,7 @@
 	})
 }
 
-// offsetOf returns the offset of a key, or that of the innermost section around it that the text has.
+// offsetOf returns the offset of a key, or that of the innermost enclosing section that the text contains.
 func (s *source) offsetOf(key string) int {
 	for {
 		if offset, ok := s.offsets[key]; ok {
@@ -66,7 +66,7 @@
 	return line + 1, offset - lineStart + 1
 }
 
-// reportSyntax notes that the text is not TOML.
+// reportSyntax replaces all problems by one: the text is not TOML.
 func (s *source) reportSyntax(err error) {
 	problem := Problem{
 		File: s.file, Line: 1, Column: 1,
@@ -80,7 +80,7 @@
 	s.problems = Problems{problem}
 }
 
-// dropMissing withdraws the problem that a key is missing if the environment supplied its value.
+// dropMissing removes the problem of a missing key if the environment supplied its value.
 func (s *source) dropMissing(key, value string) {
 	if value == "" || s.given[key] {
 		return
@@ -90,13 +90,13 @@
 	})
 }
 
-// locator notes the offsets of all keys of a source.
+// locator records the offsets of all keys of a source.
 type locator struct {
 	offsets  map[string]int
-	elements map[string]int // how many elements of an array of tables have begun
+	elements map[string]int // number of elements of each array of tables so far
 }
 
-// locateKeys notes where each key stands. The text has to be sound TOML.
+// locateKeys records the offset of each key. The text must be valid TOML.
 func (s *source) locateKeys() {
 	l := locator{offsets: s.offsets, elements: map[string]int{}}
 	var parser unstable.Parser
@@ -115,7 +115,7 @@
 	}
 }
 
-// locateName notes the offsets of the parts of a dotted key and returns its full name.
+// locateName records the offsets of the parts of a dotted key and returns its full name.
 func (l *locator) locateName(path string, expression *unstable.Node) string {
 	for parts := expression.Key(); parts.Next(); {
 		part := parts.Node()
@@ -128,7 +128,7 @@
 	return path
 }
 
-// locateElement notes the offset of one more element of an array of tables and returns its full name.
+// locateElement records the offset of the next element of an array of tables and returns its full name.
 func (l *locator) locateElement(expression *unstable.Node) string {
 	array := l.locateName("", expression)
 	element := elementKey(array, l.elements[array])
@@ -142,7 +142,7 @@
 	l.locateInline(key, expression.Value())
 }
 
-// locateInline notes the offsets of the keys of inline tables, those within arrays included.
+// locateInline records the offsets of the keys of inline tables, those within arrays included.
 func (l *locator) locateInline(key string, value *unstable.Node) {
 	switch value.Kind {
 	case unstable.InlineTable:
@@ -159,7 +159,7 @@
 	}
 }
 
-// joinKey returns the full name of a key of a section; the section of the whole file has an empty name.
+// joinKey returns the full name of a key in a section; the top level of the file has an empty name.
 func joinKey(section, name string) string {
 	if section == "" {
 		return name
--- a/internal/config/suggest.go
+++ b/internal/config/suggest.go
@@ -7,26 +7,26 @@
 
 // Lengths of a misspelt name, in bytes, and the edit distances up to which another name is suggested for it.
 const (
-	shortName         = 4 // at most: a distance of 1
-	longName          = 8 // at least: a distance of 3, if nothing is nearer
+	shortName         = 4 // up to this length: shortNameDistance
+	longName          = 8 // from this length on: nameDistance + 1, if no known name is nearer
 	shortNameDistance = 1
 	nameDistance      = 2
 )
 
-// withSuggestion appends to a reason the known name that a misspelt one is likely to mean, if there is one.
+// withSuggestion appends to a reason the known name that a misspelt one probably means, if there is one.
 func withSuggestion(reason, name string, known []string) string {
 	if suggestion := nearest(name, known); suggestion != "" {
-		reason += fmt.Sprintf("; is %q meant?", suggestion)
+		reason += fmt.Sprintf("; did you mean %q?", suggestion)
 	}
 	return reason
 }
 
-// noneOf says that a name is none of those that another key holds.
-func noneOf(name, where string, known []string) string {
-	return withSuggestion(fmt.Sprintf("%q is none of %s", name, where), name, known)
+// notOneOf returns the reason that a name is not one of the known ones; where describes these.
+func notOneOf(name, where string, known []string) string {
+	return withSuggestion(fmt.Sprintf("%q is not one of %s", name, where), name, known)
 }
 
-// nearest returns the known name that a misspelt one is likely to mean, empty if there is none.
+// nearest returns the known name that a misspelt one probably means, empty if there is none.
 func nearest(name string, known []string) string {
 	limit := nameDistance
 	if len(name) <= shortName {
@@ -44,7 +44,7 @@
 	return best
 }
 
-// editDistance returns the optimal string alignment distance: how many bytes have to be inserted, deleted, replaced or
+// editDistance returns the optimal string alignment distance: how many bytes must be inserted, deleted, replaced or
 // swapped with their neighbour to turn one text into the other.
 func editDistance(a, b string) int {
 	beforeLast, last := make([]int, len(b)+1), make([]int, len(b)+1)
