--- a/internal/relay/acceptor.go
+++ b/internal/relay/acceptor.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// acceptRetryDelay is the pause after a failed accept, so that a lasting error does not busy a core.
+	// acceptRetryDelay is the pause after a failed accept, so that a persistent error does not occupy a core.
 	acceptRetryDelay = 5 * time.Millisecond
 
 	// commandQueueLength is how many commands of the controller a session may have pending.
@@ -20,7 +20,7 @@
 )
 
 // accept accepts all connections until the listener is closed. Connections without a whole OPEN line are held in the
-// handshake pool, whose bound keeps EMFILE from coming up.
+// handshake pool, whose capacity keeps the process below its descriptor limit (EMFILE).
 func (r *Relay) accept() error {
 	for {
 		conn, err := r.listener.AcceptTCP()
@@ -29,7 +29,7 @@
 			r.serveConnection(conn)
 		case errors.Is(err, net.ErrClosed):
 			return nil
-		case isTimeout(err): // paused
+		case isTimeout(err): // paused by a deadline in the past
 			if !r.awaitResume() {
 				return nil
 			}
@@ -40,7 +40,7 @@
 	}
 }
 
-// awaitResume reports that the acceptor has paused and waits until it is to go on; false: the relay has ended.
+// awaitResume signals that the acceptor has paused and waits until it may resume; false: the relay has stopped.
 func (r *Relay) awaitResume() bool {
 	select {
 	case r.acceptPaused <- struct{}{}:
@@ -52,15 +52,16 @@
 	case <-r.resumeAccept:
 	}
 	select {
-	case <-r.acceptPaused: // no longer
+	case <-r.acceptPaused: // withdraws the signal
 	default:
 	}
 	return true
 }
 
-// pauseAccepting leaves new connections and datagrams to the other process, or accepts them again.
-func (r *Relay) pauseAccepting(on bool) {
-	if on {
+// setAcceptPaused pauses accepting connections and receiving datagrams, which leaves them to the other process of a hot
+// restart, or resumes both.
+func (r *Relay) setAcceptPaused(paused bool) {
+	if paused {
 		_ = r.listener.SetDeadline(expired)
 	} else {
 		_ = r.listener.SetDeadline(time.Time{})
@@ -69,20 +70,20 @@
 		default:
 		}
 	}
-	r.peers.setPaused(on)
+	r.peers.setPaused(paused)
 }
 
 // serveConnection starts the goroutine of an accepted connection.
 func (r *Relay) serveConnection(conn *net.TCPConn) {
 	_ = conn.SetDeadline(time.Now().Add(handshake.HandshakeTimeout))
 	s := &clientSession{
-		relay:       r,
-		client:      newBufferedConn(conn),
-		state:       session.New(r.lastSessionID.Add(1), r.settings.Load(), r.controller.Metrics()),
-		commands:    make(chan session.Command, commandQueueLength),
-		clientGone:  make(chan bool, 1),
-		established: make(chan struct{}),
-		finished:    make(chan struct{}),
+		relay:        r,
+		client:       newBufferedConn(conn),
+		state:        session.New(r.lastSessionID.Add(1), r.settings.Load(), r.controller.Metrics()),
+		commands:     make(chan session.Command, commandQueueLength),
+		clientClosed: make(chan bool, 1),
+		established:  make(chan struct{}),
+		finished:     make(chan struct{}),
 	}
 	pending := r.handshakes.add(conn)
 	s.state.Accepted(pending)
@@ -90,7 +91,7 @@
 	go s.serve(pending)
 }
 
-// reserveSession counts a session in; false: the relay is at its limit.
+// reserveSession adds a session to the count; false: the relay is at its limit.
 func (r *Relay) reserveSession() bool {
 	if r.sessionCount.Add(1) > r.maxSessions.Load() {
 		r.sessionCount.Add(-1)
@@ -99,7 +100,7 @@
 	return true
 }
 
-// logProtocolError logs a client's breach of the protocol.
+// logProtocolError logs a client's protocol error.
 func (r *Relay) logProtocolError(conn net.Conn, err error) {
 	r.log.Warn("protocol error from client", zap.Stringer("from", conn.RemoteAddr()), zap.Error(err))
 }
--- a/internal/relay/admin.go
+++ b/internal/relay/admin.go
@@ -5,13 +5,13 @@
 	"aspenbarrow/internal/metrics"
 )
 
-// adminRelay is the relay as the admin endpoint sees it. It reads published state and signals the event loop; it never
-// waits for it.
+// adminRelay implements admin.Relay for the admin endpoint. It reads published state and signals the event loop, but
+// never waits for it.
 type adminRelay struct{ *Relay }
 
 var _ admin.Relay = adminRelay{}
 
-// State returns the phase of the relay's life.
+// State returns whether the relay is starting, serving, drained or shutting down.
 func (a adminRelay) State() admin.State {
 	switch c := a.controller; {
 	case c.ShuttingDown():
@@ -37,11 +37,11 @@
 	a.processLinks.broadcast(line)
 }
 
-// setDrained drains this process, or ends the drain. Answers to PING follow at once.
+// setDrained drains this process, or ends the drain. Answers to PING change at once, before the event loop applies the drain.
 func (r *Relay) setDrained(on bool) {
 	r.controller.SetDrained(on)
 	select {
 	case r.drainChanged <- struct{}{}:
-	default: // the event loop has not looked yet
+	default: // an earlier signal is still pending
 	}
 }
--- a/internal/relay/admin_test.go
+++ b/internal/relay/admin_test.go
@@ -26,7 +26,7 @@
 	return startAdminRelayWith(t, "x0=0.1", func(*Config) {})
 }
 
-// startAdminRelayWith does the same with a changed configuration and load report.
+// startAdminRelayWith does the same with a changed configuration and another load report.
 func startAdminRelayWith(t *testing.T, report string, change func(*Config)) *Relay {
 	t.Helper()
 	b := &fake.Backend{LoadReport: report}
@@ -102,7 +102,7 @@
 	fmt.Fprintf(c, "OPEN %016x %016x c=chat,d=1000\r\n", id, id)
 	got := make([]byte, 3)
 	if _, err := io.ReadFull(c, got); err != nil || string(got) != "UP " {
-		t.Fatalf("%q, %v", got, err)
+		t.Fatalf("the client received %q, error %v, want UP", got, err)
 	}
 	return c
 }
@@ -114,11 +114,11 @@
 	for i := range 5 {
 		openEstablished(t, r, i+1)
 	}
-	eventually(t, "five are counted", func() bool { return strings.Contains(adminCall(t, r, "STATS"), "concurrent=5\n") })
-	held, free := make(chan struct{}), make(chan struct{})
-	r.post(func(time.Duration) { close(held); <-free })
-	<-held
-	for range 2 * cap(r.events) { // and whoever posts waits
+	eventually(t, "five sessions are counted", func() bool { return strings.Contains(adminCall(t, r, "STATS"), "concurrent=5\n") })
+	blocked, release := make(chan struct{}), make(chan struct{})
+	r.post(func(time.Duration) { close(blocked); <-release })
+	<-blocked
+	for range 2 * cap(r.events) { // the event queue is full, and posting blocks
 		go r.post(func(time.Duration) {})
 	}
 	for range 200 {
@@ -128,7 +128,7 @@
 		}
 		defer c.Close()
 	}
-	begun := time.Now()
+	start := time.Now()
 	stats := adminCall(t, r, "STATS")
 	for _, want := range []string{"replies.chat.success=5\n", "replies.chat.overload=0\n", "dispatches=5\n", "concurrent=5\n", "targets=1\n", "EOT\n"} {
 		if !strings.Contains(stats, want) {
@@ -136,71 +136,71 @@
 		}
 	}
 	if got := adminCall(t, r, "READY"); got != "SUCCESS serving\n" {
-		t.Errorf("%q", got)
+		t.Errorf("READY is answered with %q", got)
 	}
 	if got := adminCall(t, r, "DRAIN"); got != "SUCCESS draining\n" {
-		t.Errorf("%q", got)
+		t.Errorf("DRAIN is answered with %q", got)
 	}
 	if got := ping(t, r); got != "ERR\r\n" {
-		t.Errorf("a drained relay says %q", got)
+		t.Errorf("a drained relay answers PING with %q", got)
 	}
 	if got := adminCall(t, r, "UNDRAIN"); got != "SUCCESS taking clients\n" {
-		t.Errorf("%q", got)
+		t.Errorf("UNDRAIN is answered with %q", got)
 	}
 	if got := ping(t, r); got != "PONG\r\n" {
-		t.Errorf("a relay that is drained no more says %q", got)
+		t.Errorf("after UNDRAIN the relay answers PING with %q", got)
 	}
-	if took := time.Since(begun); took > 5*time.Second {
+	if took := time.Since(start); took > 5*time.Second {
 		t.Errorf("six answers took %v", took)
 	}
-	close(free)
+	close(release)
 }
 
-// A drained relay moves all its clients within four seconds, not all at once, serves clients that still come, and
+// A drained relay migrates all its clients within four seconds, not all at once, serves clients that still arrive, and
 // accepts clients again after UNDRAIN.
 func TestRelay_DrainMovesClients(t *testing.T) {
 	r := startAdminRelay(t)
-	const n = 30
-	moved := make(chan time.Duration, n)
-	begun := time.Now()
-	watch := func(c net.Conn) {
-		in := bufio.NewReader(c)
+	const clientCount = 30
+	migratedAfter := make(chan time.Duration, clientCount)
+	start := time.Now()
+	awaitMigration := func(c net.Conn) {
+		reader := bufio.NewReader(c)
 		for {
-			l, err := in.ReadString('\n')
-			if err != nil || l == "MOVE\r\n" {
-				moved <- time.Since(begun)
+			line, err := reader.ReadString('\n')
+			if err != nil || line == "MOVE\r\n" {
+				migratedAfter <- time.Since(start)
 				return
 			}
 		}
 	}
-	for i := range n - 1 {
-		go watch(openEstablished(t, r, i+1))
+	for i := range clientCount - 1 {
+		go awaitMigration(openEstablished(t, r, i+1))
 	}
-	begun = time.Now()
+	start = time.Now()
 	if got := adminCall(t, r, "DRAIN") + adminCall(t, r, "DRAIN"); got != "SUCCESS draining\nSUCCESS draining\n" {
-		t.Errorf("%q", got)
+		t.Errorf("two DRAIN are answered with %q", got)
 	}
-	go watch(openEstablished(t, r, n)) // it was on its way
+	go awaitMigration(openEstablished(t, r, clientCount)) // a client that arrives after DRAIN
 	if got := adminCall(t, r, "READY"); !strings.HasPrefix(got, "FAILURE drained") {
-		t.Errorf("%q", got)
+		t.Errorf("READY is answered with %q while draining", got)
 	}
 	first, last := time.Duration(0), time.Duration(0)
-	for i := range n {
-		at := <-moved
+	for i := range clientCount {
+		after := <-migratedAfter
 		if i == 0 {
-			first = at
+			first = after
 		}
-		last = at
+		last = after
 	}
 	if last > 4*time.Second || last-first < 500*time.Millisecond {
-		t.Errorf("moved from %v to %v after the call", first, last)
+		t.Errorf("clients were migrated from %v to %v after DRAIN", first, last)
 	}
-	eventually(t, "nobody is left", func() bool { return strings.Contains(adminCall(t, r, "STATS"), "concurrent=0\n") })
+	eventually(t, "no session is counted", func() bool { return strings.Contains(adminCall(t, r, "STATS"), "concurrent=0\n") })
 	if got := adminCall(t, r, "UNDRAIN"); got != "SUCCESS taking clients\n" {
-		t.Errorf("%q", got)
+		t.Errorf("UNDRAIN is answered with %q", got)
 	}
 	if got := ping(t, r); got != "PONG\r\n" {
-		t.Errorf("%q", got)
+		t.Errorf("after UNDRAIN the relay answers PING with %q", got)
 	}
 	openEstablished(t, r, 99)
 }
@@ -209,19 +209,19 @@
 // checks would have sent a client to a backend that reports to be full.
 func TestAdmin_ReportsShadowEvaluation(t *testing.T) {
 	if got := adminCall(t, startAdminRelay(t), "WATCH"); !strings.HasPrefix(got, "FAILURE nothing is watched") {
-		t.Errorf("%q", got)
+		t.Errorf("without shadow evaluation WATCH is answered with %q", got)
 	}
-	same := func(cfg *Config) { cfg.Shadow = shadow.ShapeOf(&cfg.Settings.Settings) }
-	r := startAdminRelayWith(t, "x0=0.1", same)
+	shadowSame := func(cfg *Config) { cfg.Shadow = shadow.ShapeOf(&cfg.Settings.Settings) }
+	r := startAdminRelayWith(t, "x0=0.1", shadowSame)
 	for i := range 5 {
 		openEstablished(t, r, i+1)
 	}
-	eventually(t, "five are compared", func() bool { return strings.Contains(adminCall(t, r, "WATCH"), "watch.compared=5\n") })
+	eventually(t, "five decisions are compared", func() bool { return strings.Contains(adminCall(t, r, "WATCH"), "watch.compared=5\n") })
 	got := adminCall(t, r, "WATCH")
 	if !strings.HasSuffix(got, "watch.fault=0\nEOT\n") || strings.Count(got, "=0\n") != strings.Count(got, "=")-1 {
-		t.Errorf("the same settings: %q", got)
+		t.Errorf("the same settings show a difference: %q", got)
 	}
-	r = startAdminRelayWith(t, "x0=2.0", func(cfg *Config) { same(cfg); cfg.Shadow.HealthChecks, cfg.Shadow.ReportFields = false, nil })
+	r = startAdminRelayWith(t, "x0=2.0", func(cfg *Config) { shadowSame(cfg); cfg.Shadow.HealthChecks, cfg.Shadow.ReportFields = false, nil })
 	c, err := net.Dial("tcp", r.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -230,31 +230,31 @@
 	_ = c.SetDeadline(time.Now().Add(testTimeout))
 	fmt.Fprintf(c, "OPEN %016x %016x c=chat,d=1000\r\n", 1, 1)
 	if answer, _ := bufio.NewReader(c).ReadString('\n'); !strings.HasPrefix(answer, "BUSY") {
-		t.Errorf("%q of a full backend", answer)
+		t.Errorf("the client of a full backend received %q, want BUSY", answer)
 	}
-	eventually(t, "it is counted", func() bool { return strings.Contains(adminCall(t, r, "WATCH"), "watch.sent=1\n") })
+	eventually(t, "the difference is counted", func() bool { return strings.Contains(adminCall(t, r, "WATCH"), "watch.sent=1\n") })
 }
 
 var update = flag.Bool("update", false, "write golden files")
 
-// The answers of a relay with five clients are the golden file's, byte for byte.
+// The answers of a relay with five clients equal the golden file, byte for byte.
 func TestAdmin_Golden(t *testing.T) {
 	var out bytes.Buffer
-	say := func(r *Relay, calls ...string) {
+	record := func(r *Relay, calls ...string) {
 		for _, c := range calls {
 			fmt.Fprintf(&out, "--- %q\n%s", c, adminCall(t, r, c))
 		}
 	}
-	bare := startAdminRelay(t)
-	eventually(t, "it serves", func() bool { return strings.HasPrefix(adminCall(t, bare, "READY"), "SUCCESS") })
-	say(bare, "READY", "WATCH", "MEMBERS", "", "ready")
+	plain := startAdminRelay(t)
+	eventually(t, "the relay is ready", func() bool { return strings.HasPrefix(adminCall(t, plain, "READY"), "SUCCESS") })
+	record(plain, "READY", "WATCH", "MEMBERS", "", "ready")
 	r := startAdminRelayWith(t, "x0=0.1", func(cfg *Config) { cfg.Shadow = shadow.ShapeOf(&cfg.Settings.Settings) })
 	for i := range 5 {
 		openEstablished(t, r, i+1)
 	}
-	eventually(t, "five are compared", func() bool { return strings.Contains(adminCall(t, r, "WATCH"), "watch.compared=5\n") })
-	eventually(t, "the list is counted", func() bool { return strings.Contains(adminCall(t, r, "STATS"), "\ntargets=1\n") })
-	say(r, "STATS", "WATCH", "DRAIN", "READY", "UNDRAIN", "READY")
+	eventually(t, "five decisions are compared", func() bool { return strings.Contains(adminCall(t, r, "WATCH"), "watch.compared=5\n") })
+	eventually(t, "the endpoint list is counted", func() bool { return strings.Contains(adminCall(t, r, "STATS"), "\ntargets=1\n") })
+	record(r, "STATS", "WATCH", "DRAIN", "READY", "UNDRAIN", "READY")
 
 	name := filepath.Join("testdata", "management.txt")
 	if *update {
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -8,15 +8,15 @@
 	"aspenbarrow/internal/session"
 )
 
-// errClientGone ends an attempt whose client has left or has been answered.
-var errClientGone = errors.New("its client has left")
+// errAttemptAbandoned ends an attempt whose client has disconnected, sent more data or been answered.
+var errAttemptAbandoned = errors.New("attempt abandoned: client has disconnected, sent more data or been answered")
 
-// attempt dials a backend, sends a client's OPEN line and waits for the first line of the answer. If that is UP, it is
-// the first answerLength bytes of the connection returned.
+// attempt dials a backend, sends a client's OPEN line and waits for the first line of the answer. An UP line is
+// the first answerLength bytes buffered in the returned connection.
 func (r *Relay) attempt(ctx context.Context, client *bufferedConn, a *session.Attempt) (
 	backend *bufferedConn, answerLength int, failure *session.AttemptError) {
 	if client.hasPendingInput() {
-		return nil, 0, a.DialFailed(errClientGone, true)
+		return nil, 0, a.DialFailed(errAttemptAbandoned, true)
 	}
 	ctx, cancel := context.WithDeadline(ctx, r.deadlineTime(a.Deadline))
 	defer cancel()
@@ -27,8 +27,8 @@
 	}
 	backend = newBufferedConn(conn.(*net.TCPConn))
 	stop := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(expired) })
-	if isCanceled(ctx) || client.hasPendingInput() { // the client left, or was answered, during the dial
-		failure = a.DialFailed(errClientGone, true)
+	if isCanceled(ctx) || client.hasPendingInput() { // the client disconnected, or was answered, during the dial
+		failure = a.DialFailed(errAttemptAbandoned, true)
 	} else {
 		answerLength, failure = r.exchange(backend, a)
 	}
@@ -46,7 +46,7 @@
 	return backend, answerLength, nil
 }
 
-// isCanceled tells an attempt that was given up from one whose deadline has passed.
+// isCanceled reports whether an attempt was abandoned, rather than ended by its deadline.
 func isCanceled(ctx context.Context) bool { return errors.Is(ctx.Err(), context.Canceled) }
 
 // exchange sends the OPEN line and reads the answer. It returns the length of an UP line.
--- a/internal/relay/attempt_test.go
+++ b/internal/relay/attempt_test.go
@@ -13,43 +13,43 @@
 	"aspenbarrow/internal/fake"
 )
 
-// The dial was allowed; it comes up when its backend has long begun to drain, or is gone: no byte goes there.
+// A dial succeeds long after its backend has begun to drain or has left the endpoint list: no byte is sent there.
 func TestAttempt_DialOutlastingDrainSendsNothing(t *testing.T) {
 	t.Parallel()
 	for _, state := range []string{"draining", "gone"} {
 		t.Run(state, func(t *testing.T) {
 			t.Parallel()
 			d := newScriptedDiscovery(t)
-			addr, empty := listenFullQueue(t)
-			one := fake.Endpoint{ID: "s-0", Addr: addr, Zone: "east", State: "ready", Weight: 1}
-			cfg := plainConfig(d.address(), one)
+			addr, emptyQueue := listenFullQueue(t)
+			entry := fake.Endpoint{ID: "s-0", Addr: addr, Zone: "east", State: "ready", Weight: 1}
+			cfg := plainConfig(d.address(), entry)
 			cfg.Settings.DialTimeout, cfg.Settings.DrainGrace = time.Minute, 20*time.Millisecond // SYNs after 1, 3, 7 and 15 s
 			r, _, _ := startRelay(t, cfg)
-			d.nextRequest().respond(fake.EncodeList(1, []fake.Endpoint{one}))
+			d.nextRequest().respond(fake.EncodeList(1, []fake.Endpoint{entry}))
 			c := openSession(t, r, 1, "")
-			eventually(t, "the balancer counts it", r.connectionCountIs(1))
-			eventually(t, "its dial is out", dialIsPending(t, addr))
+			eventually(t, "the balancer counts the connection", r.connectionCountIs(1))
+			eventually(t, "the dial is pending", dialIsPending(t, addr))
 			d.nextRequest().respond(encodeChange(2, "s-0", state))
-			eventually(t, "it is heard", func() bool {
+			eventually(t, "the change is applied", func() bool {
 				return onEventLoop(r, func() bool {
 					listed, avoided := r.controller.Balancer().CountUnavailable(r.now())
 					return listed == avoided
 				})
 			})
-			heard := make(chan string, 1)
+			received := make(chan string, 1)
 			go func() {
 				line, err := c.reader.ReadString('\n')
-				heard <- fmt.Sprint(line, err)
+				received <- fmt.Sprint(line, err)
 			}()
-			l := empty()
+			l := emptyQueue()
 			_ = l.SetDeadline(time.Now().Add(2 * testTimeout))
-			late, err := l.AcceptTCP()
+			conn, err := l.AcceptTCP()
 			if err != nil {
-				t.Fatalf("the dial does not come up: %v; its client heard %q", err, <-heard)
+				t.Fatalf("the dial did not succeed: %v; its client received %q", err, <-received)
 			}
-			_ = late.SetDeadline(time.Now().Add(testTimeout))
-			(&backendConn{late, t, bufio.NewReader(late)}).expectClosed()
-			_ = late.Close()
+			_ = conn.SetDeadline(time.Now().Add(testTimeout))
+			(&backendConn{conn, t, bufio.NewReader(conn)}).expectClosed()
+			_ = conn.Close()
 		})
 	}
 }
@@ -59,16 +59,16 @@
 	t.Parallel()
 	reset := func(c *backendConn) { _ = c.SetLinger(0); _ = c.Close() }
 	for _, tc := range []struct {
-		name string
-		does func(c *backendConn)
-		ran  bool // it may have acted
+		name       string
+		act        func(c *backendConn)
+		mayHaveRun bool
 	}{
 		{"reset after the line", func(c *backendConn) { c.expectLine("OPEN"); reset(c) }, true},
 		{"FIN after the line", func(c *backendConn) { c.expectLine("OPEN"); _ = c.Close() }, true},
 		{"reset inside UP", func(c *backendConn) { c.expectLine("OPEN"); c.write("UP i"); reset(c) }, true},
 		{"FIN inside UP", func(c *backendConn) { c.expectLine("OPEN"); c.write("UP i"); _ = c.Close() }, true},
 		{"ERR and then UP", func(c *backendConn) { c.expectLine("OPEN"); c.write("ERR\r\nUP it\r\n") }, true},
-		{"an answer that never ends", func(c *backendConn) {
+		{"an endless answer line", func(c *backendConn) {
 			c.expectLine("OPEN")
 			for {
 				if _, err := io.WriteString(c, strings.Repeat("U", 512)); err != nil {
@@ -79,22 +79,22 @@
 		{"BUSY", func(c *backendConn) { c.expectLine("OPEN"); c.write("BUSY\r\n") }, false},
 		{"BUSY and then UP", func(c *backendConn) { c.expectLine("OPEN"); c.write("BUSY\r\nUP it\r\n") }, false},
 	} {
-		for _, effect := range []balance.Idempotency{balance.Idempotent, balance.IdempotentWithKey, balance.NonIdempotent} {
-			t.Run(fmt.Sprint(tc.name, " ", effect), func(t *testing.T) {
+		for _, idempotency := range []balance.Idempotency{balance.Idempotent, balance.IdempotentWithKey, balance.NonIdempotent} {
+			t.Run(fmt.Sprint(tc.name, " ", idempotency), func(t *testing.T) {
 				t.Parallel()
-				one, two := newScriptedBackend(t), newScriptedBackend(t)
-				cfg := plainConfig("127.0.0.1:9", one.endpoint("s-0"), two.endpoint("s-1"))
-				// The other backend is in another zone: a keyed request that may have run has nowhere to go.
+				eastBackend, westBackend := newScriptedBackend(t), newScriptedBackend(t)
+				cfg := plainConfig("127.0.0.1:9", eastBackend.endpoint("s-0"), westBackend.endpoint("s-1"))
+				// The other backend is outside the deduplication scope: a keyed request that may have run is not retried there.
 				cfg.Settings.ZoneNames = []string{"east", "west"}
-				list := []fake.Endpoint{one.endpoint("s-0"), two.endpoint("s-1")}
+				list := []fake.Endpoint{eastBackend.endpoint("s-0"), westBackend.endpoint("s-1")}
 				list[1].Zone = "west"
 				cfg.CachedEndpoints = fake.EncodeList(1, list)
-				cfg.Settings.Classes[0].Idempotency, cfg.Settings.Classes[0].DedupScope = effect, balance.ScopeZone
+				cfg.Settings.Classes[0].Idempotency, cfg.Settings.Classes[0].DedupScope = idempotency, balance.ScopeZone
 				cfg.Settings.Classes[0].DedupWindow, cfg.Settings.Classes[0].ClientTimeout = time.Minute, 9*time.Second
 				r, _, _ := startRelay(t, cfg)
 				c := openSession(t, r, 1, "")
 				conns := make(chan *backendConn, 4)
-				for _, s := range []*scriptedBackend{one, two} {
+				for _, s := range []*scriptedBackend{eastBackend, westBackend} {
 					go func() {
 						for {
 							c, err := s.listener.AcceptTCP()
@@ -106,32 +106,32 @@
 						}
 					}()
 				}
-				next := func() *backendConn {
+				nextConn := func() *backendConn {
 					select {
 					case c := <-conns:
 						return c
 					case <-time.After(testTimeout):
-						t.Fatal("no attempt is made")
+						t.Fatalf("no attempt reached a backend within %v", testTimeout)
 						return nil
 					}
 				}
-				first := next()
-				tc.does(first)
-				if tc.ran && effect != balance.Idempotent {
+				firstConn := nextConn()
+				tc.act(firstConn)
+				if tc.mayHaveRun && idempotency != balance.Idempotent {
 					c.expectLine("ERR")
 					c.expectEOF()
 				} else {
-					second := next()
-					_, _ = io.Copy(io.Discard, first.reader) // its end comes before the next begins
-					second.expectLine("OPEN")
-					second.write("UP it\r\nmore\r\n") // in one segment
+					secondConn := nextConn()
+					_, _ = io.Copy(io.Discard, firstConn.reader) // the first attempt ends before the second begins
+					secondConn.expectLine("OPEN")
+					secondConn.write("UP it\r\nmore\r\n") // in one segment
 					c.expectLine("UP it")
 					c.expectLine("more")
 				}
 				_ = c.Close()
-				eventually(t, "nobody is in the books", func() bool { return r.hasNoSessions(t) })
+				eventually(t, "no session is counted", func() bool { return r.hasNoSessions(t) })
 				if len(conns) != 0 {
-					t.Error("an attempt too many")
+					t.Errorf("%d more attempts, want none", len(conns))
 				}
 			})
 		}
@@ -145,46 +145,46 @@
 	}
 	t.Cleanup(b.Close)
 	for _, tc := range []struct {
-		name string
-		addr string
-		left time.Duration
-		want balance.Status
-		sent int
+		name      string
+		addr      string
+		timeout   time.Duration
+		want      balance.Status
+		openLines int
 	}{
 		{"ready", b.Addr(), testTimeout, balance.StatusOK, 1},
 		{"no time left", b.Addr(), 0, balance.StatusConnectFailed, 0},
-		{"nobody listens", unusedAddress(t), testTimeout, balance.StatusConnectFailed, 0},
+		{"connection refused", unusedAddress(t), testTimeout, balance.StatusConnectFailed, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			was := len(b.OpenLines())
-			r, f, a := newAttempt(t, tc.addr, tc.left)
-			l, n, fail := r.attempt(context.Background(), newWaitingClient(t), a)
-			if l != nil {
-				up, _ := l.reader.R.Peek(n)
-				if string(up) != "UP 0000000000000001\r\n" {
-					t.Errorf("%q", up)
+			before := len(b.OpenLines())
+			r, state, a := newAttempt(t, tc.addr, tc.timeout)
+			backend, length, failure := r.attempt(context.Background(), newWaitingClient(t), a)
+			if backend != nil {
+				line, _ := backend.reader.R.Peek(length)
+				if string(line) != "UP 0000000000000001\r\n" {
+					t.Errorf("the attempt read %q", line)
 				}
-				_ = l.conn.Close()
+				_ = backend.conn.Close()
 			}
-			if got := f.AttemptDone(r.now(), a, fail).Event.Result.Status; got != tc.want || len(b.OpenLines())-was != tc.sent {
-				t.Errorf("%v (%v), %d sent", got, fail, len(b.OpenLines())-was)
+			if got := state.AttemptDone(r.now(), a, failure).Event.Result.Status; got != tc.want || len(b.OpenLines())-before != tc.openLines {
+				t.Errorf("%v (%v) and %d OPEN lines, want %v and %d", got, failure, len(b.OpenLines())-before, tc.want, tc.openLines)
 			}
 		})
 	}
 }
 
 func TestAttempt_Cancelled(t *testing.T) {
-	seen := make(chan struct{}, 1)
-	b := &fake.Backend{Answer: func(string) []string { seen <- struct{}{}; return nil }}
+	received := make(chan struct{}, 1)
+	b := &fake.Backend{Answer: func(string) []string { received <- struct{}{}; return nil }}
 	if err := b.Listen("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(b.Close)
-	r, f, a := newAttempt(t, b.Addr(), testTimeout)
-	ctx, stop := context.WithCancel(context.Background())
-	go func() { <-seen; stop() }()
-	_, _, fail := r.attempt(ctx, newWaitingClient(t), a)
-	if got := f.AttemptDone(r.now(), a, fail).Event.Result.Status; got != balance.StatusCancelled {
-		t.Errorf("%v: %v", got, fail)
+	r, state, a := newAttempt(t, b.Addr(), testTimeout)
+	ctx, cancel := context.WithCancel(context.Background())
+	go func() { <-received; cancel() }()
+	_, _, failure := r.attempt(ctx, newWaitingClient(t), a)
+	if got := state.AttemptDone(r.now(), a, failure).Event.Result.Status; got != balance.StatusCancelled {
+		t.Errorf("%v (%v), want %v", got, failure, balance.StatusCancelled)
 	}
 }
--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -14,8 +14,8 @@
 	"aspenbarrow/internal/fake"
 )
 
-// newBenchBackend starts a backend that costs little beside the relay that is measured: one that echoes what comes after
-// its OPEN line, or (with idle) answers UP and holds the connection without a goroutine.
+// newBenchBackend starts a backend that costs little beside the relay that is measured: it echoes what follows the OPEN
+// line, or (with idle) answers UP and keeps the connection open without a goroutine.
 func newBenchBackend(b *testing.B, idle bool) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -38,7 +38,7 @@
 					return false
 				case bytes.HasPrefix(buf[:n], []byte("OPEN")):
 					_, err = io.WriteString(c, "UP 1\r\n")
-				default: // a probe; the relay may ask again
+				default: // a health check; the relay may send another
 					_, err = io.WriteString(c, "PONG x0=0.1\r\n")
 				}
 				return err == nil
@@ -97,7 +97,7 @@
 		n++
 		fmt.Fprintf(c, "OPEN %016x %016x c=chat,d=1000\r\n", n, n)
 		if k, err := c.Read(buf); err != nil || !bytes.HasPrefix(buf[:k], []byte("UP")) {
-			b.Fatalf("%q, %v", buf[:k], err)
+			b.Fatalf("the client received %q, error %v, want UP", buf[:k], err)
 		}
 		return c
 	}
@@ -105,10 +105,10 @@
 
 // BenchmarkRelay_OpenSession measures one connection after the other: opened through the relay, answered and closed.
 func BenchmarkRelay_OpenSession(b *testing.B) {
-	open := newBenchDialer(b, false)
+	dial := newBenchDialer(b, false)
 	b.ReportAllocs()
 	for b.Loop() {
-		_ = open().Close()
+		_ = dial().Close()
 	}
 }
 
@@ -128,11 +128,11 @@
 	}
 }
 
-// BenchmarkSession_Memory measures what an established connection costs in heap and stacks, the client's and the backend's sockets included. Only
-// a first round tells (-benchtime 1x): a later one finds what the one before is still letting go.
+// BenchmarkSession_Memory measures the heap and stack memory of an established connection, the client's and the backend's
+// sockets included. Only the first iteration is exact (-benchtime 1x): later ones run while the one before still frees memory.
 func BenchmarkSession_Memory(b *testing.B) {
-	open := newBenchDialer(b, true)
-	const many = 1000
+	dial := newBenchDialer(b, true)
+	const connCount = 1000
 	used := func() (heap, stack uint64) {
 		runtime.GC()
 		runtime.GC()
@@ -141,16 +141,16 @@
 		return m.HeapAlloc, m.StackInuse
 	}
 	for b.Loop() {
-		open().Close()
+		dial().Close()
 		heap, stack := used()
-		conns := make([]net.Conn, 0, many)
-		for range many {
-			conns = append(conns, open())
+		conns := make([]net.Conn, 0, connCount)
+		for range connCount {
+			conns = append(conns, dial())
 		}
 		h, s := used()
-		b.ReportMetric(float64(h-heap)/many, "heap-B/conn")
-		b.ReportMetric(float64(s-stack)/many, "stack-B/conn")
-		b.ReportMetric(float64(h-heap+s-stack)/many, "B/conn")
+		b.ReportMetric(float64(h-heap)/connCount, "heap-B/conn")
+		b.ReportMetric(float64(s-stack)/connCount, "stack-B/conn")
+		b.ReportMetric(float64(h-heap+s-stack)/connCount, "B/conn")
 		for _, c := range conns {
 			_ = c.Close()
 		}
--- a/internal/relay/bufferedconn.go
+++ b/internal/relay/bufferedconn.go
@@ -36,7 +36,7 @@
 	c.reader = nil
 }
 
-// peekBeyond waits for bytes beyond the first seen ones and returns all that are buffered, in place.
+// peekBeyond waits for more than seen buffered bytes and returns all that are buffered, in place.
 func (c *bufferedConn) peekBeyond(seen int) ([]byte, error) {
 	if _, err := c.reader.R.Peek(seen + 1); err != nil && c.reader.R.Buffered() <= seen {
 		return nil, err
@@ -47,9 +47,10 @@
 // discard consumes n buffered bytes.
 func (c *bufferedConn) discard(n int) { _, _ = c.reader.R.Discard(n) }
 
-// hasPendingInput says whether a client that waits for its answer has closed its connection or sent more, although its
-// reader may not have been scheduled yet: on a saturated core that can take longer than an attempt may still be begun.
-// It does not block and consumes nothing. Where the system can't tell, the reader will.
+// hasPendingInput reports whether a client that waits for its answer has closed its connection or sent more. It asks the
+// system, since the goroutine that reads the client may not be scheduled yet: on a saturated core that can take longer
+// than the time within which an attempt may still start. It does not block and consumes nothing. Errors that do not
+// show the client's end are left to that goroutine.
 func (c *bufferedConn) hasPendingInput() bool {
 	raw, err := c.conn.SyscallConn()
 	if err != nil {
@@ -64,7 +65,7 @@
 	return err != nil || pending
 }
 
-// isTimeout tells a deadline that passed from a connection that ended.
+// isTimeout reports whether a read, write or accept ended by its deadline rather than by the connection's end.
 func isTimeout(err error) bool {
 	var netError net.Error
 	return errors.As(err, &netError) && netError.Timeout()
--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	// discoveryRequestQueue is how many requests of the controller may be pending; it repeats those that are dropped.
-	discoveryRequestQueue = 8
+	// discoveryRequestQueueLength is how many requests of the controller may be queued; the controller repeats dropped ones.
+	discoveryRequestQueueLength = 8
 
-	// maxDiscoveryConns allows a watch and a request for the whole list at a time.
+	// maxDiscoveryConns allows a watch and a request for the whole list at the same time.
 	maxDiscoveryConns = 2
 
 	// discoveryRandomStream separates the backoff's random numbers from those of other users of the relay's seed.
@@ -38,12 +38,12 @@
 	return &discoveryConn{
 		relay:          r,
 		address:        address,
-		requests:       make(chan bool, discoveryRequestQueue),
+		requests:       make(chan bool, discoveryRequestQueueLength),
 		addressChanges: make(chan string, 1),
 	}
 }
 
-// request asks for changes or for the whole list. It never blocks: a request beyond the queue is dropped.
+// request queues a request for changes or for the whole list. It never blocks: a full queue drops the request.
 func (d *discoveryConn) request(watch bool) {
 	select {
 	case d.requests <- watch:
@@ -51,7 +51,7 @@
 	}
 }
 
-// setAddress changes the agent. It never blocks: an address that is not taken up yet is replaced.
+// setAddress changes the agent. It never blocks: an address that run has not received yet is replaced.
 func (d *discoveryConn) setAddress(address string) {
 	for {
 		select {
@@ -66,8 +66,8 @@
 	}
 }
 
-// run follows one agent after the other until ctx is done. An agent is left at once when the address changes, also
-// during a watch, and nothing of it is posted after the next agent's first update.
+// run follows one agent after the other until ctx is done. When the address changes, also during a watch, the old
+// agent's requests are cancelled at once, and none of its updates is posted after the new agent's first one.
 func (d *discoveryConn) run(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(d.relay.seed, discoveryRandomStream))
 	for changed := false; ; changed = true {
@@ -91,17 +91,17 @@
 		MaxIdleConnsPerHost: maxDiscoveryConns,
 		DialContext:         (&net.Dialer{Timeout: discovery.ResponseGrace}).DialContext,
 	}
-	following, leave := context.WithCancel(ctx)
+	followCtx, cancel := context.WithCancel(ctx)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		d.follow(following, client, &http.Client{Transport: transport})
+		d.follow(followCtx, client, &http.Client{Transport: transport})
 	}()
 	select {
 	case <-ctx.Done():
 	case d.address = <-d.addressChanges:
 	}
-	leave()
+	cancel()
 	<-done
 	transport.CloseIdleConnections()
 }
@@ -132,7 +132,7 @@
 	}
 }
 
-// handleResponse posts what has changed and returns the delay before the next request.
+// handleResponse posts a changed endpoint list and returns the delay before the next request.
 func (d *discoveryConn) handleResponse(client *discovery.Client, request discovery.Request, body []byte, err error) time.Duration {
 	var update discovery.Update
 	if err == nil {
@@ -163,7 +163,7 @@
 	}
 }
 
-// fetch makes one request and returns the body. A body with an error is incomplete or of another status than 200.
+// fetch makes one request and returns the body. A body returned with an error is incomplete or has a status other than 200.
 func fetch(ctx context.Context, client *http.Client, address string, request discovery.Request) ([]byte, error) {
 	u := url.URL{Scheme: "http", Host: address, Path: request.Path, RawQuery: request.Query}
 	ctx, cancel := context.WithTimeout(ctx, request.Timeout)
@@ -179,7 +179,7 @@
 	defer response.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(response.Body, discovery.MaxBodyBytes))
 	if err == nil && response.StatusCode != http.StatusOK {
-		err = fmt.Errorf("status %s", response.Status)
+		err = fmt.Errorf("HTTP status %s, expected 200", response.Status)
 	}
 	return body, err
 }
--- a/internal/relay/driver.go
+++ b/internal/relay/driver.go
@@ -10,12 +10,12 @@
 	"aspenbarrow/internal/upstream"
 )
 
-// driver carries out what the controller asks for. Its methods run on the event loop and never block.
+// driver implements controller.Driver. Its methods run on the event loop and never block.
 type driver struct{ *Relay }
 
 var _ controller.Driver = driver{}
 
-// SendCommand passes a command to a session; one that has ended takes none.
+// SendCommand queues a command for a session; the command is dropped if the session has ended.
 func (d driver) SendCommand(id uint64, command session.Command) {
 	s := d.sessions[id]
 	if s == nil {
@@ -35,7 +35,7 @@
 	}
 }
 
-// ReportClientError logs a client's error.
+// ReportClientError logs a client's protocol error.
 func (d driver) ReportClientError(id uint64, err error) {
 	if s := d.sessions[id]; s != nil {
 		d.logProtocolError(s.client.conn, err)
@@ -57,14 +57,14 @@
 // SetDiscoveryAddress changes the discovery agent.
 func (d driver) SetDiscoveryAddress(address string) { d.discovery.setAddress(address) }
 
-// ListReceived says that the first endpoint list has come.
+// EndpointsReceived signals that the first endpoint list has been received.
 func (d driver) EndpointsReceived() { close(d.endpointsReceived) }
 
 // StopAccepting closes the listener in the background, once.
 func (d driver) StopAccepting() { d.stopAcceptingOnce.Do(func() { go d.stopAccepting() }) }
 
-// Stopped says that no answer is owed any more.
-func (d driver) Stopped() { close(d.drained) }
+// Stopped signals that the shutdown is finished: no answer is pending.
+func (d driver) Stopped() { close(d.shutdownFinished) }
 
 // SetSettings publishes the settings in force.
 func (d driver) SetSettings(s *settings.Settings) {
@@ -73,7 +73,7 @@
 	d.healthChecks.setSettings(s)
 }
 
-// SetLimits applies the shares of the descriptors.
+// SetLimits applies how many connections of each kind may be open.
 func (d driver) SetLimits(limits controller.Limits) {
 	d.maxSessions.Store(int64(limits.Sessions))
 	d.handshakes.resize(limits.Handshakes)
--- a/internal/relay/eventloop.go
+++ b/internal/relay/eventloop.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// post hands an event to the event loop. It may wait for the loop, never the reverse.
+// post queues an event for the event loop, or drops it once the loop has ended. It blocks while the queue is full; the
+// loop never waits for a goroutine that posts.
 func (r *Relay) post(event func(now time.Duration)) {
 	select {
 	case r.events <- event:
@@ -13,7 +14,7 @@
 // now is the controller's clock: Unix time, which the endpoint lists use as well, advanced by the monotonic clock.
 func (r *Relay) now() time.Duration { return r.startUnix + time.Since(r.startTime) }
 
-// deadlineTime converts a reading of the controller's clock to the system's.
+// deadlineTime converts a time of the controller's clock to the system clock's.
 func (r *Relay) deadlineTime(clock time.Duration) time.Time {
 	return r.startTime.Add(clock - r.startUnix)
 }
@@ -25,8 +26,8 @@
 	defer timer.Stop()
 	for {
 		r.controller.FireTimers(r.now())
-		if at, ok := r.controller.NextTimer(); ok {
-			timer.Reset(at - r.now())
+		if fireAt, ok := r.controller.NextTimer(); ok {
+			timer.Reset(fireAt - r.now())
 		}
 		select {
 		case event := <-r.events:
--- a/internal/relay/forward.go
+++ b/internal/relay/forward.go
@@ -10,7 +10,8 @@
 	"aspenbarrow/internal/session"
 )
 
-// forwardClient reads the client: before UP only whether it leaves, after it the lines that go to the backend.
+// forwardClient reads the client. Before UP it only detects that the client disconnects or sends data; after UP it
+// forwards the client's lines to the backend.
 func (s *clientSession) forwardClient() {
 	defer s.readers.Done()
 	defer func() {
@@ -21,15 +22,15 @@
 	}()
 	requestLength := s.state.Open.Len()
 	_, err := s.client.peekBeyond(requestLength)
-	if err != nil || !s.isEstablished() { // nothing may come before the answer
-		s.reportClientGone(err)
+	if err != nil || !s.isEstablished() { // the client must not send data before the answer
+		s.reportClientClosed(err)
 		return
 	}
 	s.client.discard(requestLength)
 	s.copyClientLines()
 }
 
-// isEstablished says whether UP is sent.
+// isEstablished reports whether UP has been or is being sent.
 func (s *clientSession) isEstablished() bool {
 	select {
 	case <-s.established:
@@ -39,11 +40,11 @@
 	}
 }
 
-// reportClientGone reports a client that has closed its connection before UP, or, with a nil error, sent more.
-func (s *clientSession) reportClientGone(err error) {
-	s.clientGone <- err == nil
+// reportClientClosed reports a client that has closed its connection before UP, or, with a nil error, sent more.
+func (s *clientSession) reportClientClosed(err error) {
+	s.clientClosed <- err == nil
 	select {
-	case <-s.established: // UP was just being sent: the backend's connection ends as well
+	case <-s.established: // UP is being sent: the backend's connection ends as well
 		kind := session.EndReset
 		if err != nil {
 			kind = endKind(err)
@@ -81,7 +82,7 @@
 	}
 }
 
-// closeConnections ends what the client's end leaves open.
+// closeConnections closes the connections in the given mode after the client's side has ended.
 func (s *clientSession) closeConnections(mode session.CloseMode) {
 	switch mode {
 	case session.CloseFIN:
@@ -94,7 +95,7 @@
 	}
 }
 
-// forwardBackend sends UP to the client and then the backend's lines, until one side ends or the client is to move.
+// forwardBackend sends UP to the client and then the backend's lines, until one side ends or the session migrates.
 func (s *clientSession) forwardBackend(result *attemptResult) {
 	backend := result.backend
 	s.mu.Lock()
@@ -115,7 +116,7 @@
 	s.terminate(backend, termination)
 }
 
-// terminate ends both connections.
+// terminate closes both connections.
 func (s *clientSession) terminate(backend *bufferedConn, termination session.Termination) {
 	if termination.BackendSilent {
 		s.relay.log.Warn("backend silent, client migrated", zap.Stringer("backend", backend.conn.RemoteAddr()))
@@ -135,12 +136,12 @@
 	backend.recycle()
 }
 
-// copyBackendLines copies the backend's lines to the client. It is between two lines whenever it waits, so MOVE never
-// falls into a line.
+// copyBackendLines copies the backend's lines to the client. It waits only between two lines, so MOVE is never
+// written inside a line.
 func (s *clientSession) copyBackendLines(backend *bufferedConn) session.Termination {
 	client := s.client.conn
 	for seen := 0; ; {
-		// The deadline before the flag: migrate sets the flag first and then cuts the wait short.
+		// The deadline is set before the flag is read: migrate sets the flag first and then expires the deadline.
 		_ = backend.conn.SetReadDeadline(time.Now().Add(session.IdleCheckInterval))
 		if termination, ended := s.state.AtLineBoundary(); ended {
 			return termination
@@ -174,14 +175,14 @@
 	}
 }
 
-// clientBlocked ends a session whose client takes no more bytes.
+// clientBlocked ends a session after a write to its client has failed.
 func (s *clientSession) clientBlocked() session.Termination {
 	termination, mode := s.state.ClientBlocked()
 	s.closeConnections(mode)
 	return termination
 }
 
-// migrate asks the client to move at the end of the next line. The event loop calls it.
+// migrate has the session end with MOVE at the end of the next line. The event loop calls it.
 func (s *clientSession) migrate() {
 	s.state.Migrate()
 	s.mu.Lock()
--- a/internal/relay/handshake.go
+++ b/internal/relay/handshake.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	// lingerReadBytes is how much of a client that never stops sending is discarded in one read.
+	// lingerReadBytes is how much input of a client that keeps sending is discarded in one read.
 	lingerReadBytes = 512
 
-	// lingerReadInterval spaces those reads, so that the client is held up by its own full send buffer.
+	// lingerReadInterval is the delay between those reads, so that the client's send buffer fills up and blocks the client.
 	lingerReadInterval = handshake.LingerTimeout / 16
 )
 
@@ -23,7 +23,7 @@
 	pool       *handshake.Pool
 	clock      func() time.Duration
 	busyAnswer []byte        // for connections that are evicted
-	slotFreed  chan struct{} // a connection has left the pool
+	slotFreed  chan struct{} // a connection has been removed from the pool
 }
 
 func newHandshakePool(size int, busyAnswer string, clock func() time.Duration) *handshakePool {
@@ -35,8 +35,7 @@
 	}
 }
 
-// add takes a connection in, evicting the oldest one of a full pool. It waits no longer than until that one may be
-// evicted.
+// add adds a connection, evicting the oldest one of a full pool. It waits at most until that one may be evicted.
 func (p *handshakePool) add(conn *net.TCPConn) *handshake.Connection {
 	for {
 		added, wait := p.tryAdd(conn)
@@ -55,7 +54,7 @@
 	}
 }
 
-// tryAdd takes a connection in, or says how long to wait for a slot.
+// tryAdd adds a connection, or returns how long to wait for a slot; 0 after it has evicted a connection.
 func (p *handshakePool) tryAdd(conn *net.TCPConn) (*handshake.Connection, time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -63,14 +62,14 @@
 	if evicted != nil {
 		c := evicted.Conn.(*net.TCPConn)
 		if evicted.AwaitsAnswer() {
-			_, _ = c.Write(p.busyAnswer) // the first bytes on it, or after a PONG: this never blocks
+			_, _ = c.Write(p.busyAnswer) // never blocks: at most some PONG lines were written before
 		}
 		_ = c.Close()
 	}
 	return added, wait
 }
 
-// remove takes a connection out; false: it was evicted before.
+// remove removes a connection; false: it was evicted before.
 func (p *handshakePool) remove(connection *handshake.Connection) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -84,9 +83,9 @@
 	return true
 }
 
-// discardInput reads what a client still sends after its last line. Closing over unread bytes would reset the
-// connection and lose that line, and every answer before it that the client has not acknowledged. A client that never
-// stops sending is read slowly after MaxLingerBytes and cut off at LingerTimeout.
+// discardInput reads what a client still sends after the relay's last line. Closing with unread bytes would reset the
+// connection and lose that line, and every answer before it that the client has not acknowledged. A client that keeps
+// sending is read slowly after MaxLingerBytes and cut off at LingerTimeout.
 func (p *handshakePool) discardInput(connection *handshake.Connection) {
 	p.mu.Lock()
 	p.pool.MarkAnswered(connection)
@@ -123,7 +122,7 @@
 	p.pool.Resize(size)
 }
 
-// closeAll answers BUSY to all connections and ends our side of them.
+// closeAll answers BUSY to all connections that await an answer and closes the relay's side of all.
 func (p *handshakePool) closeAll() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/relay/handshake_test.go
+++ b/internal/relay/handshake_test.go
@@ -10,55 +10,55 @@
 )
 
 func TestHandshakePool_EvictsOldest(t *testing.T) {
-	l := newHandshakePool(2, "BUSY 1000\r\n", relayClock())
-	var guests []*handshake.Connection
-	var ends []*net.TCPConn
+	pool := newHandshakePool(2, "BUSY 1000\r\n", relayClock())
+	var added []*handshake.Connection
+	var clientEnds []*net.TCPConn
 	for range 4 {
-		near, far := tcpPipe(t)
-		came := time.Now()
-		guests, ends = append(guests, l.add(near)), append(ends, far)
-		if took := time.Since(came); took > time.Second {
-			t.Errorf("the acceptor waited for %v", took)
+		relayEnd, clientEnd := tcpPipe(t)
+		start := time.Now()
+		added, clientEnds = append(added, pool.add(relayEnd)), append(clientEnds, clientEnd)
+		if took := time.Since(start); took > time.Second {
+			t.Errorf("adding a connection took %v", took)
 		}
 	}
-	for i, g := range guests {
-		if stays := l.remove(g); stays != (i >= 2) {
-			t.Errorf("guest %d is still there: %v", i, stays)
+	for i, connection := range added {
+		if remained := pool.remove(connection); remained != (i >= 2) {
+			t.Errorf("connection %d was still in the pool: %v, want %v", i, remained, i >= 2)
 		}
 	}
-	for _, far := range ends[:2] {
-		if b, err := io.ReadAll(far); err != nil || string(b) != "BUSY 1000\r\n" {
-			t.Errorf("%q, %v", b, err)
+	for _, clientEnd := range clientEnds[:2] {
+		if b, err := io.ReadAll(clientEnd); err != nil || string(b) != "BUSY 1000\r\n" {
+			t.Errorf("an evicted client received %q, error %v, want BUSY", b, err)
 		}
 	}
-	// One that has had its last line goes first, however late it came.
-	near, _ := tcpPipe(t)
-	old := l.add(near)
-	near, far := tcpPipe(t)
-	told := l.add(near)
-	_ = far.Close()
-	l.discardInput(told)
-	near, _ = tcpPipe(t)
-	l.add(near)
-	if l.remove(told) || !l.remove(old) {
-		t.Error("a silent one gave way where one was there that had been told")
+	// A connection that has had its final answer is evicted first, however late it was added.
+	relayEnd, _ := tcpPipe(t)
+	oldest := pool.add(relayEnd)
+	relayEnd, clientEnd := tcpPipe(t)
+	answered := pool.add(relayEnd)
+	_ = clientEnd.Close()
+	pool.discardInput(answered)
+	relayEnd, _ = tcpPipe(t)
+	pool.add(relayEnd)
+	if pool.remove(answered) || !pool.remove(oldest) {
+		t.Error("the older silent connection was evicted, not the one that has had its final answer")
 	}
 }
 
 func TestHandshakePool_DiscardInputIsBounded(t *testing.T) {
-	l := newHandshakePool(1, "", relayClock())
-	near, far := tcpPipe(t)
-	g := l.add(near)
+	pool := newHandshakePool(1, "", relayClock())
+	relayEnd, clientEnd := tcpPipe(t)
+	connection := pool.add(relayEnd)
 	go func() {
 		for b := make([]byte, 32<<10); ; {
-			if _, err := far.Write(b); err != nil {
+			if _, err := clientEnd.Write(b); err != nil {
 				return
 			}
 		}
 	}()
-	began := time.Now()
-	l.discardInput(g)
-	if took := time.Since(began); took > handshake.LingerTimeout+time.Second {
-		t.Errorf("read off for %v", took)
+	start := time.Now()
+	pool.discardInput(connection)
+	if took := time.Since(start); took > handshake.LingerTimeout+time.Second {
+		t.Errorf("input was discarded for %v, want at most %v", took, handshake.LingerTimeout+time.Second)
 	}
 }
--- a/internal/relay/healthcheck.go
+++ b/internal/relay/healthcheck.go
@@ -19,8 +19,8 @@
 	"aspenbarrow/internal/upstream"
 )
 
-// errStaleConnection means that an idle connection has ended or holds an answer that nobody asked for.
-var errStaleConnection = errors.New("a kept connection that has ended, or holds what nobody asked for")
+// errStaleConnection means that the backend has closed an idle connection or sent bytes without a request.
+var errStaleConnection = errors.New("idle connection closed by the backend, or holding unrequested bytes")
 
 // healthChecker sends PING or STATS to backends and reads their answers.
 type healthChecker struct {
@@ -36,7 +36,7 @@
 	used   bool // a request has been sent on it
 }
 
-// isIdle says whether nothing has come on a kept connection, its end included. It does not block.
+// isIdle reports whether a kept connection is open and has nothing to read. It does not block.
 func (c *healthCheckConn) isIdle() bool {
 	raw, err := c.Conn.(*net.TCPConn).SyscallConn()
 	if err != nil || c.reader.R.Buffered() > 0 {
@@ -58,15 +58,15 @@
 // start checks a backend in the background and posts one result.
 func (h *healthChecker) start(b *upstream.Backend) {
 	go func() {
-		result := h.checkRecovering(b)
+		result := h.checkWithRecover(b)
 		h.relay.log.Debug("health check finished", zap.String("backend", b.Name), zap.Uint8("status", uint8(result.Status)),
 			zap.Duration("latency", result.Latency), zap.Float32s("load", result.Load))
 		h.relay.post(func(now time.Duration) { h.relay.controller.HealthCheckDone(now, result) })
 	}()
 }
 
-// checkRecovering ends a panic at this one check, which then counts as failed.
-func (h *healthChecker) checkRecovering(b *upstream.Backend) (result balance.HealthCheckResult) {
+// checkWithRecover runs a check and recovers a panic in it; the check then counts as failed.
+func (h *healthChecker) checkWithRecover(b *upstream.Backend) (result balance.HealthCheckResult) {
 	defer func() {
 		if p := recover(); p != nil {
 			h.relay.log.Error("panic in health check", zap.Any("panic", p), zap.ByteString("stack", debug.Stack()))
@@ -76,11 +76,11 @@
 	return h.check(b)
 }
 
-// step takes one step of the state machine.
-func (h *healthChecker) step(take func(now time.Duration) healthcheck.Step) healthcheck.Step {
+// step runs one transition of the state machine under the lock.
+func (h *healthChecker) step(transition func(now time.Duration) healthcheck.Step) healthcheck.Step {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return take(h.relay.now())
+	return transition(h.relay.now())
 }
 
 // check runs one health check to its result.
@@ -131,9 +131,9 @@
 	})
 }
 
-// exchange sends one request and reads one line. A kept connection is looked at first: on one that the backend has
-// closed the request would be lost, and bytes that came unasked would be taken for this request's answer, and its
-// answer for the next one's.
+// exchange sends one request and reads one line. A kept connection is checked first: if the backend has
+// closed it the request would be lost, and unrequested bytes would be read as the answer to this request, and the
+// answer to this request as the next one's.
 func (h *healthChecker) exchange(conn *healthCheckConn, deadline time.Time) (string, error) {
 	if err := conn.SetDeadline(deadline); err != nil {
 		return "", err
@@ -148,7 +148,7 @@
 	return conn.reader.ReadLine()
 }
 
-// expireIdle closes a kept connection that has not been used in time.
+// expireIdle closes a kept connection that has not been used for the idle time-out.
 func (h *healthChecker) expireIdle(idle *healthcheck.IdleConnection) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/relay/healthcheck_test.go
+++ b/internal/relay/healthcheck_test.go
@@ -13,36 +13,36 @@
 	"aspenbarrow/internal/fake"
 )
 
-// A second answer comes some milliseconds late on a kept connection: it is not taken for the next question's.
+// A second answer arrives on an idle connection some milliseconds late: it is not taken for the answer to the next request.
 func TestHealthChecker_LateAnswerNotTakenForNext(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
-		name  string
-		extra string
-		end   bool
-	}{{"in the same segment", "PONG x0=0.9\r\n", false}, {"half a line", "PON", false}, {"and the end", "PONG x0=0.9\r\n", true},
-		{"the end alone", "", true}} {
+		name    string
+		extra   string
+		sendFIN bool
+	}{{"in the same segment", "PONG x0=0.9\r\n", false}, {"half a line", "PON", false}, {"answer and FIN", "PONG x0=0.9\r\n", true},
+		{"FIN alone", "", true}} {
 		t.Run(tc.name, func(t *testing.T) {
-			s := newScriptedBackend(t)
-			r, _, a := newAttempt(t, s.listener.Addr().String(), testTimeout)
-			s.answerHealthCheck(r)
-			p := r.healthChecks
-			defer p.closeAll()
+			backend := newScriptedBackend(t)
+			r, _, a := newAttempt(t, backend.listener.Addr().String(), testTimeout)
+			backend.answerHealthCheck(r)
+			checker := r.healthChecks
+			defer checker.closeAll()
 			for range 2 {
 				done := make(chan balance.HealthCheckResult, 1)
-				go func() { done <- p.check(a.Backend) }()
-				c := s.accept()
-				c.expectLine("STATS")
-				c.write("PONG x0=0.25\r\n" + tc.extra)
-				if rep := <-done; rep.Status != balance.StatusOK || len(rep.Load) != 1 || rep.Load[0] != 0.25 {
-					t.Fatalf("%+v", rep)
+				go func() { done <- checker.check(a.Backend) }()
+				conn := backend.accept()
+				conn.expectLine("STATS")
+				conn.write("PONG x0=0.25\r\n" + tc.extra)
+				if result := <-done; result.Status != balance.StatusOK || len(result.Load) != 1 || result.Load[0] != 0.25 {
+					t.Fatalf("result %+v, want StatusOK with load 0.25", result)
 				}
-				if tc.end {
-					_ = c.Close()
+				if tc.sendFIN {
+					_ = conn.Close()
 				}
-				t.Cleanup(func() { // one question was asked on it
-					if b, _ := io.ReadAll(c.reader); len(b) != 0 {
-						t.Errorf("asked again on a spent connection: %q", b)
+				t.Cleanup(func() { // one request was sent on it
+					if b, _ := io.ReadAll(conn.reader); len(b) != 0 {
+						t.Errorf("the backend received %q on a connection that is not to be used again", b)
 					}
 				})
 			}
@@ -50,7 +50,7 @@
 	}
 }
 
-// A kept probe connection that its backend has closed since is no answer: the probe goes out anew.
+// An idle connection that the backend has closed meanwhile does not fail a health check: it is repeated on a new connection.
 func TestHealthChecker_RetriesOnClosedIdleConnection(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -58,13 +58,13 @@
 	}
 	defer l.Close()
 	closed := make(chan struct{}, 4)
-	go func() { // answers one question a connection
+	go func() { // answers one request per connection
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			if ask, _ := bufio.NewReader(c).ReadString('\n'); ask == "STATS\r\n" {
+			if line, _ := bufio.NewReader(c).ReadString('\n'); line == "STATS\r\n" {
 				_, _ = io.WriteString(c, "PONG x0=0.25\r\n")
 			}
 			_ = c.Close()
@@ -72,24 +72,24 @@
 		}
 	}()
 	r, _, a := newAttempt(t, l.Addr().String(), testTimeout)
-	p, b := r.healthChecks, a.Backend
-	defer p.closeAll()
+	checker, backend := r.healthChecks, a.Backend
+	defer checker.closeAll()
 	for range 2 {
-		rep := p.check(b)
-		if rep.Status != balance.StatusOK || len(rep.Load) != 1 || rep.Load[0] != 0.25 {
-			t.Errorf("%+v", rep)
+		result := checker.check(backend)
+		if result.Status != balance.StatusOK || len(result.Load) != 1 || result.Load[0] != 0.25 {
+			t.Errorf("result %+v, want StatusOK with load 0.25", result)
 		}
 		<-closed
 	}
 	_ = l.Close()
-	if rep := p.check(b); rep.Status != balance.StatusConnectFailed {
-		t.Errorf("nobody listens: %+v", rep)
+	if result := checker.check(backend); result.Status != balance.StatusConnectFailed {
+		t.Errorf("result %+v without a listener, want StatusConnectFailed", result)
 	}
 }
 
-// Where no connection is to be had a probe says nothing of the backend; a kept one gives way first.
+// A health check without a free connection is abandoned, which says nothing about the backend; an idle connection is closed first.
 func TestHealthChecker_AbandonsWithoutFreeConnection(t *testing.T) {
-	hold := make(chan struct{})
+	release := make(chan struct{})
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -102,16 +102,16 @@
 			return
 		}
 		close(accepted)
-		<-hold
+		<-release
 		_ = c.Close()
 	}()
-	b := &fake.Backend{LoadReport: "x0=0.5"}
-	if err := b.Listen("127.0.0.1:0"); err != nil {
+	backend := &fake.Backend{LoadReport: "x0=0.5"}
+	if err := backend.Listen("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
-	defer b.Close()
+	defer backend.Close()
 	entries := []fake.Endpoint{}
-	for id, addr := range []string{b.Addr(), silent.Addr().String(), b.Addr()} {
+	for id, addr := range []string{backend.Addr(), silent.Addr().String(), backend.Addr()} {
 		entries = append(entries, fake.Endpoint{ID: fmt.Sprint(id), Addr: addr, Zone: "east", State: "ready", Weight: 1})
 	}
 	cfg := testConfig("127.0.0.1:9", entries...)
@@ -121,19 +121,19 @@
 		t.Fatal(err)
 	}
 	defer r.listener.Close()
-	p, to := newHealthChecker(r, 1), r.controller.Backends()
-	defer p.closeAll()
-	if rep := p.check(to[0]); rep.Status != balance.StatusOK || p.checker.Connections() != 1 {
-		t.Fatalf("%+v with %d connections", rep, p.checker.Connections())
+	checks, backends := newHealthChecker(r, 1), r.controller.Backends()
+	defer checks.closeAll()
+	if result := checks.check(backends[0]); result.Status != balance.StatusOK || checks.checker.Connections() != 1 {
+		t.Fatalf("result %+v with %d connections, want StatusOK with 1", result, checks.checker.Connections())
 	}
 	done := make(chan balance.HealthCheckResult, 1)
-	go func() { done <- p.check(to[1]) }() // takes the kept one's place
+	go func() { done <- checks.check(backends[1]) }() // closes the idle connection first
 	<-accepted
-	if rep := p.check(to[2]); rep.Status != balance.StatusAbandoned {
-		t.Errorf("%+v", rep)
+	if result := checks.check(backends[2]); result.Status != balance.StatusAbandoned {
+		t.Errorf("result %+v, want StatusAbandoned", result)
 	}
-	close(hold)
-	if rep := <-done; rep.Status != balance.StatusReset || p.checker.Connections() != 0 {
-		t.Errorf("%+v with %d connections", rep, p.checker.Connections())
+	close(release)
+	if result := <-done; result.Status != balance.StatusReset || checks.checker.Connections() != 0 {
+		t.Errorf("result %+v with %d connections, want StatusReset with none", result, checks.checker.Connections())
 	}
 }
--- a/internal/relay/helpers_test.go
+++ b/internal/relay/helpers_test.go
@@ -23,11 +23,11 @@
 	"aspenbarrow/internal/settings"
 )
 
-// The tests hold two events that may cross at barriers and release them in a chosen order: every backend, discovery agent
-// and client is the test's own and waits for it. docs/crossings.md names the pairs of events.
+// The tests hold two events that may meet in either order at barriers and release them in a chosen order: each backend,
+// discovery agent and client acts only when the test tells it to. docs/crossings.md names the pairs of events.
 
-// departureTimeout is how soon after a client has left nothing may be begun for it.
-const departureTimeout = 100 * time.Millisecond
+// disconnectCleanupTimeout is how long after a client has disconnected the relay may hold its session or start anything for it.
+const disconnectCleanupTimeout = 100 * time.Millisecond
 
 // plainConfig returns a configuration without health checks and peers for the given backends.
 func plainConfig(discovery string, list ...fake.Endpoint) Config {
@@ -35,48 +35,48 @@
 	cfg.Settings.HealthChecks, cfg.Settings.Gossip, cfg.Settings.ReportFields, cfg.Settings.ReportFieldNames = false, false, nil, nil
 	cfg.PeerListen, cfg.Peers, cfg.MaxDescriptors = "", nil, 2048
 	cfg.MemoryMB = 192
-	cfg.Settings.Classes[0].LatencyObjective, cfg.Settings.Classes[0].ClientTimeout = 40*time.Second, time.Minute // a machine that stalls ends nothing
+	cfg.Settings.Classes[0].LatencyObjective, cfg.Settings.Classes[0].ClientTimeout = 40*time.Second, time.Minute // longer than the machine stalls
 	if len(list) == 0 {
 		cfg.CachedEndpoints = nil
 	}
 	return cfg
 }
 
-// startRelay starts a relay; term shuts it down as SIGTERM does, ended yields the result of Run.
-func startRelay(t *testing.T, cfg Config) (r *Relay, term func(), ended chan error) {
+// startRelay starts a relay; shutdown ends it as SIGTERM does, ended yields the result of Run.
+func startRelay(t *testing.T, cfg Config) (r *Relay, shutdown func(), ended chan error) {
 	t.Helper()
 	r, err := New(cfg, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, stop := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	ended = make(chan error, 1)
 	go func() { ended <- r.Run(ctx) }()
 	t.Cleanup(func() {
-		stop()
+		cancel()
 		select {
 		case <-r.stopped:
 		case <-time.After(testTimeout):
-			t.Error("the relay does not end")
+			t.Errorf("the relay has not ended after %v", testTimeout)
 		}
 	})
-	return r, stop, ended
+	return r, cancel, ended
 }
 
 // onEventLoop runs a function on the event loop, where the controller's state may be read.
 func onEventLoop[T any](r *Relay, read func() T) T {
-	got := make(chan T, 1)
-	r.post(func(time.Duration) { got <- read() })
+	result := make(chan T, 1)
+	r.post(func(time.Duration) { result <- read() })
 	select {
-	case v := <-got:
+	case v := <-result:
 		return v
 	case <-r.stopped:
-		var none T
-		return none
+		var zero T
+		return zero
 	}
 }
 
-// hasNoSessions says whether neither the relay nor its balancer counts a session, and checks the balancer's invariants.
+// hasNoSessions reports whether neither the relay nor its balancer counts a session, and checks the balancer's invariants.
 func (r *Relay) hasNoSessions(t *testing.T) bool {
 	t.Helper()
 	return onEventLoop(r, func() bool {
@@ -103,8 +103,8 @@
 	reader *bufio.Reader
 }
 
-// openSession connects and sends an OPEN line, with more fields at its end.
-func openSession(t *testing.T, r *Relay, id int, more string) *testClient {
+// openSession connects and sends an OPEN line that ends with extraFields.
+func openSession(t *testing.T, r *Relay, id int, extraFields string) *testClient {
 	t.Helper()
 	c, err := net.Dial("tcp", r.Addr().String())
 	if err != nil {
@@ -112,33 +112,33 @@
 	}
 	t.Cleanup(func() { _ = c.Close() })
 	_ = c.SetDeadline(time.Now().Add(testTimeout))
-	k := &testClient{c.(*net.TCPConn), t, bufio.NewReader(c)}
-	if _, err := fmt.Fprintf(c, "OPEN %016x %016x c=chat,d=60000%s\r\n", id, id, more); err != nil {
+	client := &testClient{c.(*net.TCPConn), t, bufio.NewReader(c)}
+	if _, err := fmt.Fprintf(c, "OPEN %016x %016x c=chat,d=60000%s\r\n", id, id, extraFields); err != nil {
 		t.Fatal(err)
 	}
-	return k
+	return client
 }
 
 // expectLine reads a line and checks its prefix.
 func (c *testClient) expectLine(want string) {
 	c.t.Helper()
 	if got, err := c.reader.ReadString('\n'); err != nil || !strings.HasPrefix(got, want) {
-		c.t.Fatalf("heard %q and %v, want %q", got, err, want)
+		c.t.Fatalf("the client received %q, error %v, want the prefix %q", got, err, want)
 	}
 }
 
-// expectEOF checks for a clean end with nothing before it.
+// expectEOF checks that the relay ends its side without a reset and sends nothing more.
 func (c *testClient) expectEOF() {
 	c.t.Helper()
 	if rest, err := io.ReadAll(c.reader); err != nil || len(rest) != 0 {
-		c.t.Fatalf("%q and %v before the end", rest, err)
+		c.t.Fatalf("the client received %q, error %v, want EOF", rest, err)
 	}
 }
 
-// departures are the ways in which a client leaves while it waits.
-var departures = []struct {
-	name string
-	how  func(c *testClient)
+// disconnectModes are the ways in which a client disconnects while it waits.
+var disconnectModes = []struct {
+	name       string
+	disconnect func(c *testClient)
 }{
 	{"FIN", func(c *testClient) { _ = c.Close() }},
 	{"half close", func(c *testClient) { _ = c.CloseWrite() }},
@@ -146,7 +146,7 @@
 	{"bytes and FIN", func(c *testClient) { _, _ = io.WriteString(c, "more\r\n"); _ = c.Close() }},
 }
 
-// scriptedBackend is a backend that does only what the test says.
+// scriptedBackend is a backend whose connections the test accepts and answers.
 type scriptedBackend struct {
 	t        *testing.T
 	listener *net.TCPListener
@@ -167,7 +167,7 @@
 	return fake.Endpoint{ID: id, Addr: s.listener.Addr().String(), Zone: "east", State: "ready", Weight: 1}
 }
 
-// answerHealthCheck answers the health check that newAttempt has set off, and closes its connection.
+// answerHealthCheck answers the health check that newAttempt has started, and has the relay close its connection.
 func (s *scriptedBackend) answerHealthCheck(r *Relay) {
 	s.t.Helper()
 	c := s.accept()
@@ -202,7 +202,7 @@
 func (c *backendConn) expectLine(want string) {
 	c.t.Helper()
 	if got, err := c.reader.ReadString('\n'); err != nil || !strings.HasPrefix(got, want) {
-		c.t.Fatalf("the backend was asked %q and %v, want %q", got, err, want)
+		c.t.Fatalf("the backend received %q, error %v, want the prefix %q", got, err, want)
 	}
 }
 
@@ -214,64 +214,64 @@
 	}
 }
 
-// expectClosed waits for the relay to close the connection, with nothing more on it.
+// expectClosed waits for the relay to close the connection and checks that it sends nothing more.
 func (c *backendConn) expectClosed() {
 	c.t.Helper()
 	b, err := io.ReadAll(c.reader)
 	if len(b) != 0 || errors.Is(err, os.ErrDeadlineExceeded) {
-		c.t.Fatalf("the backend was sent %q, %v", b, err)
+		c.t.Fatalf("the backend received %q, error %v, want the end of the connection", b, err)
 	}
 }
 
-// expectServed checks that the next thing to reach a backend is a later client's OPEN: nothing was sent on before it.
-func expectServed(t *testing.T, r *Relay, s *scriptedBackend, id int) {
+// expectServed checks that the next line to reach a backend is the OPEN of a new client: nothing was forwarded before it.
+func expectServed(t *testing.T, r *Relay, backend *scriptedBackend, id int) {
 	t.Helper()
-	c := openSession(t, r, id, "")
-	b := s.accept()
-	b.expectLine(fmt.Sprintf("OPEN %016x", id))
-	b.write("UP it\r\n")
-	c.expectLine("UP it")
-	_ = c.Close()
-	b.expectClosed()
-	_ = b.Close()
-	eventually(t, "nobody is in the books", func() bool { return r.hasNoSessions(t) })
-}
-
-// closeAndAwaitCleanup has a client leave and checks that its session is gone within departureTimeout.
-func closeAndAwaitCleanup(t *testing.T, r *Relay, c *testClient, how func(*testClient)) {
+	client := openSession(t, r, id, "")
+	conn := backend.accept()
+	conn.expectLine(fmt.Sprintf("OPEN %016x", id))
+	conn.write("UP it\r\n")
+	client.expectLine("UP it")
+	_ = client.Close()
+	conn.expectClosed()
+	_ = conn.Close()
+	eventually(t, "no session is counted", func() bool { return r.hasNoSessions(t) })
+}
+
+// disconnectAndAwaitCleanup disconnects a client and checks that its session is removed within disconnectCleanupTimeout.
+func disconnectAndAwaitCleanup(t *testing.T, r *Relay, c *testClient, disconnect func(*testClient)) {
 	t.Helper()
-	gone := time.Now()
-	how(c)
-	eventually(t, "nobody is in the books", func() bool { return r.hasNoSessions(t) })
-	if took := time.Since(gone); took > departureTimeout {
-		t.Errorf("in the books for %v after it had left", took)
+	start := time.Now()
+	disconnect(c)
+	eventually(t, "no session is counted", func() bool { return r.hasNoSessions(t) })
+	if took := time.Since(start); took > disconnectCleanupTimeout {
+		t.Errorf("the session was removed %v after its client had disconnected, want at most %v", took, disconnectCleanupTimeout)
 	}
 }
 
-// listenFullQueue returns a listener whose accept queue is full: a dial succeeds about a second after it is emptied.
-func listenFullQueue(t *testing.T) (addr string, empty func() *net.TCPListener) {
+// listenFullQueue opens a listener whose accept queue is full: a dial succeeds about a second after emptyQueue is called.
+func listenFullQueue(t *testing.T) (addr string, emptyQueue func() *net.TCPListener) {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := os.NewFile(uintptr(fd), "listener")
-	defer func() { _ = f.Close() }() // of the duplicate; the listener stays
+	file := os.NewFile(uintptr(fd), "listener")
+	defer func() { _ = file.Close() }() // the listener has a duplicate of this descriptor
 	if err := unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
 		t.Fatal(err)
 	}
 	if err := unix.Listen(fd, 0); err != nil {
 		t.Fatal(err)
 	}
-	ln, err := net.FileListener(f)
+	ln, err := net.FileListener(file)
 	if err != nil {
 		t.Fatal(err)
 	}
 	l := ln.(*net.TCPListener)
 	t.Cleanup(func() { _ = l.Close() })
 	fillers := 0
-	for limit := testTimeout; ; limit = 200 * time.Millisecond { // until one is not taken in; the first always is
-		c, err := net.DialTimeout("tcp", l.Addr().String(), limit)
+	for timeout := testTimeout; ; timeout = 200 * time.Millisecond { // until a dial times out; the first always succeeds
+		c, err := net.DialTimeout("tcp", l.Addr().String(), timeout)
 		if err != nil {
 			break
 		}
@@ -294,8 +294,8 @@
 // synSent is the state of a socket in /proc/net/tcp whose connection is being dialled.
 const synSent = "02"
 
-// dialIsPending returns a condition: a connection to the IPv4 address is being dialled. That the balancer counts the
-// connection says only that the attempt was ordered: on a busy machine its goroutine may dial some milliseconds later.
+// dialIsPending returns a condition: a connection to the IPv4 address is being dialled. A connection that the balancer
+// counts may not be dialled yet: on a busy machine the goroutine of the attempt may dial some milliseconds later.
 func dialIsPending(t *testing.T, addr string) func() bool {
 	t.Helper()
 	target, err := netip.ParseAddrPort(addr)
@@ -326,7 +326,7 @@
 	requests chan *discoveryRequest
 }
 
-// discoveryRequest is one request to it.
+// discoveryRequest is one request to a scriptedDiscovery.
 type discoveryRequest struct {
 	t *testing.T
 	*http.Request
@@ -349,12 +349,12 @@
 			}
 			go func() {
 				defer c.Close()
-				for in := bufio.NewReader(c); ; {
-					q, err := http.ReadRequest(in)
+				for reader := bufio.NewReader(c); ; {
+					request, err := http.ReadRequest(reader)
 					if err != nil {
 						return
 					}
-					d.requests <- &discoveryRequest{t, q, c.(*net.TCPConn)}
+					d.requests <- &discoveryRequest{t, request, c.(*net.TCPConn)}
 				}
 			}()
 		}
@@ -362,45 +362,45 @@
 	return d
 }
 
-// address is where it listens.
+// address returns the address that the agent listens on.
 func (d *scriptedDiscovery) address() string { return d.listener.Addr().String() }
 
 // nextRequest waits for the next request.
 func (d *scriptedDiscovery) nextRequest() *discoveryRequest {
 	d.t.Helper()
 	select {
-	case q := <-d.requests:
-		return q
+	case request := <-d.requests:
+		return request
 	case <-time.After(testTimeout):
-		d.t.Fatal("discovery is not asked")
+		d.t.Fatalf("no discovery request within %v", testTimeout)
 		return nil
 	}
 }
 
-// isFullList says whether the request is for the whole list.
-func (q *discoveryRequest) isFullList() bool { return q.URL.Query().Get("index") == "" }
+// isFullList reports whether the request is for the whole list.
+func (request *discoveryRequest) isFullList() bool { return request.URL.Query().Get("index") == "" }
 
-// writePartial writes the first bytes of a response, or, with a negative limit, all but the last.
-func (q *discoveryRequest) writePartial(body []byte, most int) {
-	q.t.Helper()
+// writePartial writes the first limit bytes of a response, or, with a negative limit, all but the last -limit bytes.
+func (request *discoveryRequest) writePartial(body []byte, limit int) {
+	request.t.Helper()
 	text := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-	if most < 0 {
-		most += len(text)
+	if limit < 0 {
+		limit += len(text)
 	}
-	if _, err := io.WriteString(q.conn, text[:min(most, len(text))]); err != nil {
-		q.t.Fatal(err)
+	if _, err := io.WriteString(request.conn, text[:min(limit, len(text))]); err != nil {
+		request.t.Fatal(err)
 	}
 }
 
 // respond writes a whole response.
-func (q *discoveryRequest) respond(body []byte) {
-	q.t.Helper()
-	q.writePartial(body, 1<<20)
+func (request *discoveryRequest) respond(body []byte) {
+	request.t.Helper()
+	request.writePartial(body, 1<<20)
 }
 
 // respondUnavailable answers a request with status 503.
-func respondUnavailable(q *discoveryRequest) {
-	_, _ = io.WriteString(q.conn, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
+func respondUnavailable(request *discoveryRequest) {
+	_, _ = io.WriteString(request.conn, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 }
 
 // encodeChange returns a body that changes the state of one endpoint.
@@ -422,7 +422,7 @@
 	}
 }
 
-// testTimeout bounds what a test waits for where time is not what it tests.
+// testTimeout bounds each wait whose length is not what the test checks.
 const testTimeout = 15 * time.Second
 
 // testConfig returns a configuration with health checks and peers for the given backends.
@@ -438,12 +438,12 @@
 		PeerListen: "127.0.0.1:0", Peers: []string{"127.0.0.1:9"}, CachedEndpoints: fake.EncodeList(1, list), Settings: s}
 }
 
-// eventually waits for a condition. It sleeps between two looks, to leave the cores to what it waits for.
-func eventually(t *testing.T, what string, ok func() bool) {
+// eventually waits for a condition. It sleeps between two checks, to leave the cores to what it waits for.
+func eventually(t *testing.T, condition string, ok func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(testTimeout); !ok(); <-time.After(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("not met within %v: %s", testTimeout, condition)
 		}
 	}
 }
@@ -459,8 +459,8 @@
 	return l.Addr().String()
 }
 
-// newAttempt returns an attempt at an address for a client with a deadline, and the relay and session that it belongs to.
-func newAttempt(t *testing.T, addr string, patience time.Duration) (*Relay, *session.Session, *session.Attempt) {
+// newAttempt returns an attempt at an address with a deadline after timeout, and the relay and session that it belongs to.
+func newAttempt(t *testing.T, addr string, timeout time.Duration) (*Relay, *session.Session, *session.Attempt) {
 	t.Helper()
 	cfg := testConfig("127.0.0.1:9", fake.Endpoint{ID: "s", Addr: addr, Zone: "east", State: "ready", Weight: 1})
 	r, err := New(cfg, zap.NewNop())
@@ -468,19 +468,19 @@
 		t.Fatal(err)
 	}
 	_ = r.listener.Close()
-	f := session.New(1, r.settings.Load(), r.controller.Metrics())
-	g, err := f.ReadHandshake(r.now(), []byte("OPEN 0000000000000001 0000000000000002 c=chat,d=1000\r\n"), true)
-	if err != nil || !g.Opened {
-		t.Fatalf("%+v, %v", g, err)
-	}
-	fl := &clientSession{relay: r, state: f, commands: make(chan session.Command, 1)}
-	r.sessionOpened(r.now(), fl)
-	if len(fl.commands) == 0 { // held until its backend has answered a probe
+	state := session.New(1, r.settings.Load(), r.controller.Metrics())
+	line, err := state.ReadHandshake(r.now(), []byte("OPEN 0000000000000001 0000000000000002 c=chat,d=1000\r\n"), true)
+	if err != nil || !line.Opened {
+		t.Fatalf("the OPEN line was read as %+v, error %v", line, err)
+	}
+	s := &clientSession{relay: r, state: state, commands: make(chan session.Command, 1)}
+	r.sessionOpened(r.now(), s)
+	if len(s.commands) == 0 { // the session waits for its backend to answer a health check
 		r.controller.HealthCheckDone(r.now(), balance.HealthCheckResult{Backend: onlyBackend(r), Load: []float32{0.1}})
 	}
-	o := <-fl.commands
-	o.Deadline = r.now() + patience
-	return r, f, f.Execute(r.now(), o).Attempt
+	command := <-s.commands
+	command.Deadline = r.now() + timeout
+	return r, state, state.Execute(r.now(), command).Attempt
 }
 
 // onlyBackend returns the one backend of a relay's list.
@@ -488,12 +488,12 @@
 
 // newWaitingClient returns the connection of a client that waits for its answer.
 func newWaitingClient(t *testing.T) *bufferedConn {
-	near, _ := tcpPipe(t)
-	return newBufferedConn(near)
+	relayEnd, _ := tcpPipe(t)
+	return newBufferedConn(relayEnd)
 }
 
-// tcpPipe returns a client's connection as the relay has it, and its other end.
-func tcpPipe(t *testing.T) (near, far *net.TCPConn) {
+// tcpPipe returns the relay's end and the client's end of a connection.
+func tcpPipe(t *testing.T) (relayEnd, clientEnd *net.TCPConn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/relay/hotrestart.go
+++ b/internal/relay/hotrestart.go
@@ -21,42 +21,42 @@
 
 // A process hands its listening sockets and its state to its successor over a Unix socket in RuntimeDir. First comes
 // one message with the sockets' descriptors, handOverMagic, the length of the state document as four bytes in network
-// order, and the document; then lines in both directions until one process ends. All of this is between processes of
-// different versions and must stay as it is.
+// order, and the document; then lines in both directions until one process ends. Processes of different versions
+// exchange all of this, so it must not change.
 const (
 	handOverMagic     = "abO1" // the format of the first message
 	handOverSizeBytes = 4      // of the length after handOverMagic
 	maxHandOverFiles  = 2      // the listener and the peers' socket
 
-	lineServing     = "SERVING" // successor to predecessor: it accepts connections from now on
-	lineDescriptors = "HELD"    // predecessor to successor: the number of descriptors it still uses
+	lineServing     = "SERVING" // successor to predecessor: the successor accepts connections from now on
+	lineDescriptors = "HELD"    // predecessor to successor: the number of descriptors the predecessor still uses
 	lineLoad        = "SEEN"    // predecessor to successor: the load of its remaining sessions
-	lineDrain       = "DRAIN"   // both ways: drained at the admin endpoint
-	lineUndrain     = "UNDRAIN" // both ways: the end of the drain
+	lineDrain       = "DRAIN"   // both ways: a drain was requested at the admin endpoint
+	lineUndrain     = "UNDRAIN" // both ways: the end of the drain was requested
 )
 
 const (
 	// handOverTimeout bounds the whole hand-over; after it the successor starts without a predecessor.
 	handOverTimeout = time.Second
 
-	// predecessorDialTimeout leaves most of handOverTimeout for the state.
+	// predecessorDialTimeout leaves most of handOverTimeout for receiving the state.
 	predecessorDialTimeout = handOverTimeout / 4
 
-	// exportTimeout is how long the event loop may take to export the state, and sending it as long again.
+	// exportTimeout bounds how long the event loop takes to export the state, and separately how long sending the state takes.
 	exportTimeout = handOverTimeout / 2
 
 	// reportInterval is how often the predecessor reports its descriptors and its load.
 	reportInterval = 100 * time.Millisecond
 )
 
-// Reasons for which nothing is handed over, and the successor starts like a fresh process.
+// Errors that end a hand-over. A successor that has not received the whole state starts without a predecessor.
 var (
-	errDifferentUser     = errors.New("the other process belongs to another user")
-	errUnknownFormat     = errors.New("the old process hands over what this one does not know")
-	errDifferentAddress  = errors.New("the old process listens at another address")
-	errIncompleteMessage = errors.New("the old process has not sent all")
-	errEventLoopBusy     = errors.New("the event loop has no time")
-	errLineTooLong       = errors.New("line too long")
+	errDifferentUser     = errors.New("the other process runs as another user")
+	errUnknownFormat     = errors.New("the predecessor's hand-over message has an unknown format")
+	errDifferentAddress  = errors.New("the predecessor listens at another address")
+	errIncompleteMessage = errors.New("the predecessor's hand-over message is incomplete")
+	errExportTimeout     = fmt.Errorf("the event loop has not exported the state within %v", exportTimeout)
+	errLineTooLong       = errors.New("hot restart line too long")
 )
 
 // listenShared returns a configuration for a socket that another process of this relay may open as well.
@@ -87,7 +87,7 @@
 	return &processLink{conn: conn, reader: bufio.NewReader(conn)}
 }
 
-// writeLine sends a line. An error is left to readLine, which then fails as well.
+// writeLine sends a line. Errors are ignored: readLine then fails as well.
 func (l *processLink) writeLine(line string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -107,31 +107,31 @@
 		case !errors.Is(err, bufio.ErrBufferFull):
 			return "", err
 		case len(line) > hotrestart.MaxDocumentBytes:
-			return "", fmt.Errorf("%w: over %d bytes", errLineTooLong, hotrestart.MaxDocumentBytes)
+			return "", fmt.Errorf("%w: %d bytes read, at most %d allowed", errLineTooLong, len(line), hotrestart.MaxDocumentBytes)
 		}
 	}
 }
 
 // processLinks are the links to the predecessor and the successor.
 type processLinks struct {
-	mu  sync.Mutex
-	all []*processLink
+	mu    sync.Mutex
+	links []*processLink
 }
 
 // add adds a link.
 func (s *processLinks) add(l *processLink) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.all = append(s.all, l)
+	s.links = append(s.links, l)
 }
 
 // remove removes a link.
 func (s *processLinks) remove(l *processLink) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for i := range s.all {
-		if s.all[i] == l {
-			s.all = append(s.all[:i], s.all[i+1:]...)
+	for i := range s.links {
+		if s.links[i] == l {
+			s.links = append(s.links[:i], s.links[i+1:]...)
 			return
 		}
 	}
@@ -141,7 +141,7 @@
 func (s *processLinks) broadcast(line string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, l := range s.all {
+	for _, l := range s.links {
 		go l.writeLine(line)
 	}
 }
@@ -150,26 +150,26 @@
 func (s *processLinks) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, l := range s.all {
+	for _, l := range s.links {
 		_ = l.conn.Close()
 	}
 }
 
-// applyDrainLine applies a drain that was requested of the other process.
+// applyDrainLine applies a drain, or the end of one, that was requested at the other process's admin endpoint.
 func (r *Relay) applyDrainLine(line string) {
 	if line == lineDrain || line == lineUndrain {
 		r.setDrained(line == lineDrain)
 	}
 }
 
-// hotRestartPath is the socket at which a successor finds its predecessor.
+// hotRestartPath returns the path of the socket at which a predecessor waits for its successor.
 func hotRestartPath(cfg *Config) string {
 	h := fnv.New32a()
 	_, _ = io.WriteString(h, cfg.Listen+" "+cfg.Name)
 	return filepath.Join(cfg.RuntimeDir, fmt.Sprintf("aspenbarrow-%08x.sock", h.Sum32()))
 }
 
-// checkSameUser refuses a process of another user.
+// checkSameUser returns errDifferentUser if the other process runs as another user.
 func checkSameUser(conn *net.UnixConn) error {
 	raw, err := conn.SyscallConn()
 	if err != nil {
@@ -186,7 +186,7 @@
 		return err
 	}
 	if int(peer.Uid) != os.Getuid() {
-		return fmt.Errorf("%w: %d", errDifferentUser, peer.Uid)
+		return fmt.Errorf("%w: uid %d", errDifferentUser, peer.Uid)
 	}
 	return nil
 }
--- a/internal/relay/peers.go
+++ b/internal/relay/peers.go
@@ -11,7 +11,7 @@
 	"aspenbarrow/internal/controller"
 )
 
-// datagramQueueLength is how many datagrams may wait to be sent; more are lost, as datagrams may be.
+// datagramQueueLength is how many datagrams may be queued for sending; more are dropped, as the network may drop datagrams too.
 const datagramQueueLength = 64
 
 // datagram is a message to a peer.
@@ -20,26 +20,26 @@
 	data    []byte
 }
 
-// peerSocket exchanges datagrams with the other relays. The controller decides whose are heard.
+// peerSocket exchanges datagrams with the other relays. The controller decides whose datagrams it accepts.
 type peerSocket struct {
-	relay  *Relay
-	listen string // empty: no datagrams
-	outbox chan datagram
-	conn   net.PacketConn // nil until run, unless taken over from the predecessor
-	resume chan struct{}  // tells receive to begin, or to go on
+	relay         *Relay
+	listenAddress string // empty: no datagrams
+	outbox        chan datagram
+	conn          net.PacketConn // nil until run, unless taken over from the predecessor
+	resume        chan struct{}  // signals receive to start or to resume
 }
 
 func newPeerSocket(cfg Config, r *Relay) *peerSocket {
 	p := &peerSocket{relay: r, outbox: make(chan datagram, datagramQueueLength), resume: make(chan struct{}, 1)}
 	if r.settings.Load().Gossip {
-		p.listen = cfg.PeerListen
+		p.listenAddress = cfg.PeerListen
 	}
 	return p
 }
 
 // queue queues a datagram; a full queue drops it.
 func (p *peerSocket) queue(address string, data []byte) {
-	if p.listen == "" {
+	if p.listenAddress == "" {
 		return
 	}
 	select {
@@ -50,7 +50,7 @@
 
 // run opens the socket and serves it in the background until ctx is done.
 func (p *peerSocket) run(ctx context.Context) error {
-	if p.listen == "" {
+	if p.listenAddress == "" {
 		return nil
 	}
 	if p.conn == nil {
@@ -58,7 +58,7 @@
 		if p.relay.adminServer != nil { // a successor may open it as well
 			lc = listenShared(p.relay.log)
 		}
-		conn, err := lc.ListenPacket(ctx, "udp", p.listen)
+		conn, err := lc.ListenPacket(ctx, "udp", p.listenAddress)
 		if err != nil {
 			return err
 		}
@@ -79,12 +79,12 @@
 // startReceiving begins to receive datagrams. Until then a successor leaves them to its predecessor.
 func (p *peerSocket) startReceiving() { p.setPaused(false) }
 
-// setPaused leaves datagrams to another process that shares the socket, or receives them again.
-func (p *peerSocket) setPaused(on bool) {
+// setPaused pauses receiving, which leaves datagrams to another process that shares the socket, or resumes it.
+func (p *peerSocket) setPaused(paused bool) {
 	if p.conn == nil {
 		return
 	}
-	if on {
+	if paused {
 		_ = p.conn.SetReadDeadline(expired)
 		return
 	}
@@ -124,7 +124,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if isTimeout(err) { // paused
+		if isTimeout(err) { // setPaused has expired the deadline
 			select {
 			case <-p.resume:
 			case <-ctx.Done():
--- a/internal/relay/peers_test.go
+++ b/internal/relay/peers_test.go
@@ -12,19 +12,19 @@
 )
 
 func TestPeerSocket_SendsAndReceives(t *testing.T) {
-	known, err := net.ListenPacket("udp", "127.0.0.1:0")
+	peer, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer known.Close()
-	ours, err := net.ListenPacket("udp", "127.0.0.1:0")
+	defer peer.Close()
+	freeSocket, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	at := ours.LocalAddr()
-	_ = ours.Close()
+	address := freeSocket.LocalAddr()
+	_ = freeSocket.Close()
 	cfg := testConfig("127.0.0.1:9")
-	cfg.PeerListen = at.String()
+	cfg.PeerListen = address.String()
 	r, err := New(cfg, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
@@ -37,7 +37,7 @@
 	}
 	r.peers.startReceiving()
 	for _, size := range []int{5, controller.MaxDatagramBytes + 1, 5} { // the one that is too long is dropped
-		if _, err := known.WriteTo(make([]byte, size), at); err != nil {
+		if _, err := peer.WriteTo(make([]byte, size), address); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -45,19 +45,19 @@
 		select {
 		case <-r.events:
 		case <-time.After(testTimeout):
-			t.Fatal("a peer's datagram is not heard")
+			t.Fatalf("no datagram of a peer is received within %v", testTimeout)
 		}
 	}
-	r.peers.queue(known.LocalAddr().String(), []byte("answer"))
-	r.peers.queue(known.LocalAddr().String(), []byte("more"))
+	r.peers.queue(peer.LocalAddr().String(), []byte("answer"))
+	r.peers.queue(peer.LocalAddr().String(), []byte("more"))
 	buf := make([]byte, 512)
-	_ = known.SetReadDeadline(time.Now().Add(testTimeout))
+	_ = peer.SetReadDeadline(time.Now().Add(testTimeout))
 	for _, want := range []string{"answer", "more"} {
-		if n, _, err := known.ReadFrom(buf); err != nil || string(buf[:n]) != want {
-			t.Errorf("%q, %v", buf[:n], err)
+		if n, _, err := peer.ReadFrom(buf); err != nil || string(buf[:n]) != want {
+			t.Errorf("the peer received %q, error %v, want %q", buf[:n], err, want)
 		}
 	}
 	if len(r.events) != 0 {
-		t.Errorf("%d datagrams too many", len(r.events))
+		t.Errorf("%d more datagrams, want none", len(r.events))
 	}
 }
--- a/internal/relay/predecessor.go
+++ b/internal/relay/predecessor.go
@@ -27,10 +27,10 @@
 	listener      *net.TCPListener
 	peerConn      net.PacketConn // nil: no datagrams
 	stateDocument []byte
-	exited        chan struct{} // closed once the process is gone
+	exited        chan struct{} // closed when the process has exited
 }
 
-// alive says whether the predecessor still runs; false for nil.
+// alive reports whether the predecessor still runs; false for nil.
 func (p *predecessor) alive() bool {
 	if p == nil {
 		return false
@@ -43,7 +43,7 @@
 	}
 }
 
-// connectPredecessor takes over from a running process of this relay; nil: there is none, or it is refused.
+// connectPredecessor takes over from a running process of this relay; nil: there is none, or the hand-over failed.
 func connectPredecessor(cfg *Config, log *zap.Logger) *predecessor {
 	if cfg.AdminListen == "" || cfg.RuntimeDir == "" {
 		return nil
@@ -107,12 +107,13 @@
 	magic := header[:len(handOverMagic)]
 	size = binary.BigEndian.Uint32(header[len(handOverMagic):])
 	if string(magic) != handOverMagic || size > hotrestart.MaxDocumentBytes || len(files) == 0 {
-		return files, 0, fmt.Errorf("%w: %q, %d bytes, %d sockets", errUnknownFormat, magic, size, len(files))
+		return files, 0, fmt.Errorf("%w: got %q, a state document of %d bytes and %d sockets; expected %q, at most %d bytes and a socket",
+			errUnknownFormat, magic, size, len(files), handOverMagic, hotrestart.MaxDocumentBytes)
 	}
 	return files, size, nil
 }
 
-// receivedFiles returns the files of a control message, those before an error included.
+// receivedFiles returns the files of a control message; after an error, those that precede it.
 func receivedFiles(control []byte) (files []*os.File, err error) {
 	messages, err := unix.ParseSocketControlMessage(control)
 	if err != nil {
@@ -130,7 +131,7 @@
 	return files, nil
 }
 
-// closeFiles closes duplicates of sockets, which have nothing to lose.
+// closeFiles closes duplicates of sockets. Errors are ignored: nothing is written to the duplicates.
 func closeFiles(files []*os.File) {
 	for _, f := range files {
 		_ = f.Close()
@@ -146,7 +147,7 @@
 	tcp, ok := l.(*net.TCPListener)
 	if !ok || !sameAddress(l.Addr().String(), address) {
 		_ = l.Close()
-		return nil, fmt.Errorf("%w: %v, not %s", errDifferentAddress, l.Addr(), address)
+		return nil, fmt.Errorf("%w: %v, configured is %s", errDifferentAddress, l.Addr(), address)
 	}
 	return tcp, nil
 }
@@ -164,7 +165,7 @@
 	return conn
 }
 
-// sameAddress says whether a socket's address is the configured one, whose port may be 0.
+// sameAddress reports whether a socket's address is the configured one, whose port may be 0 (any port).
 func sameAddress(actual, configured string) bool {
 	configuredHost, configuredPort, err := net.SplitHostPort(configured)
 	if err != nil {
@@ -177,7 +178,7 @@
 	return host == configuredHost && (configuredPort == "0" || port == configuredPort)
 }
 
-// restoreFrom takes the state and the peers' socket over.
+// restoreFrom restores the predecessor's state and takes over its peers' socket.
 func (r *Relay) restoreFrom(p *predecessor) {
 	if err := r.controller.RestoreState(r.now(), p.stateDocument); err != nil {
 		r.log.Warn("hot restart: takeover failed", zap.Error(err))
@@ -185,14 +186,14 @@
 	if p.peerConn == nil {
 		return
 	}
-	if r.peers.listen == "" {
+	if r.peers.listenAddress == "" {
 		_ = p.peerConn.Close()
 		return
 	}
 	r.peers.conn = p.peerConn
 }
 
-// awaitReadiness waits until this process has an endpoint list, or the predecessor is gone; false: ctx is done first.
+// awaitReadiness waits until this process has an endpoint list, or the predecessor has exited; false: ctx is done first.
 func (r *Relay) awaitReadiness(ctx context.Context, p *predecessor) bool {
 	select {
 	case <-r.endpointsReceived:
@@ -203,7 +204,7 @@
 	return true
 }
 
-// followPredecessor reads the predecessor's reports until it ends.
+// followPredecessor reads the predecessor's reports until the predecessor exits.
 func (r *Relay) followPredecessor(p *predecessor) {
 	r.processLinks.add(p.processLink)
 	defer r.processLinks.remove(p.processLink)
@@ -223,7 +224,7 @@
 	}
 }
 
-// handleReport applies one line of the predecessor.
+// handleReport applies one line from the predecessor.
 func (r *Relay) handleReport(line string) {
 	switch keyword, rest, _ := strings.Cut(line, " "); keyword {
 	case lineDescriptors:
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -19,15 +19,15 @@
 )
 
 const (
-	// eventQueueLength is how many events may wait for the event loop before those who post them wait.
+	// eventQueueLength is how many events may be queued for the event loop before post blocks.
 	eventQueueLength = 1024
 
-	// maxDescriptorLimit caps what the system allows, which may be unlimited.
+	// maxDescriptorLimit caps the system's limit, which may be unlimited.
 	maxDescriptorLimit = 1 << 20
 )
 
 // ErrStopped is returned for requests to a relay that no longer runs.
-var ErrStopped = errors.New("the relay has ended")
+var ErrStopped = errors.New("relay has stopped")
 
 // Config is the configuration of a relay.
 type Config = controller.Config
@@ -41,20 +41,20 @@
 	startTime     time.Time
 	startUnix     time.Duration // startTime as Unix time
 
-	events       chan func(now time.Duration)
-	drainChanged chan struct{} // the admin endpoint has switched draining on or off
-	stopped      chan struct{} // closed when the event loop has ended
-	drained      chan struct{} // closed by the event loop once no answer is owed any more
+	events           chan func(now time.Duration)
+	drainChanged     chan struct{} // the admin endpoint has switched draining on or off
+	stopped          chan struct{} // closed when the event loop has ended
+	shutdownFinished chan struct{} // closed by the event loop when the controller has finished the shutdown
 
 	listener             *net.TCPListener
-	sessionCount         atomic.Int64 // sessions that hold descriptors now
+	sessionCount         atomic.Int64 // sessions that use descriptors now
 	maxSessions          atomic.Int64
 	auxiliaryDescriptors atomic.Int64   // descriptors of health checks and of the admin endpoint
 	connections          sync.WaitGroup // client connections from accept to close
 	lastSessionID        atomic.Uint64
 
 	accepting         atomic.Bool   // this process accepts connections
-	resumeAccept      chan struct{} // tells a paused acceptor to go on
+	resumeAccept      chan struct{} // signals a paused acceptor to resume
 	acceptPaused      chan struct{} // the acceptor has paused
 	stopAcceptingOnce sync.Once
 	listenerClosed    chan struct{} // closed when accepting has stopped
@@ -66,7 +66,7 @@
 	peers             *peerSocket
 	adminServer       *admin.Server // nil: there is no admin endpoint
 
-	predecessor  *predecessor // nil: nothing was taken over
+	predecessor  *predecessor // nil: this process took over from none
 	processLinks processLinks
 
 	// Used by the event loop only.
@@ -75,14 +75,14 @@
 }
 
 // New checks a configuration and opens the listeners of a relay, or takes them over from a running process of the same
-// relay. Nothing is accepted before Run.
+// relay. No connection is accepted before Run.
 func New(cfg Config, log *zap.Logger) (*Relay, error) {
 	r := newRelay(cfg, log)
-	shares := controller.AllocateDescriptors(descriptorLimit(cfg.MaxDescriptors), cfg.MemoryMB, cfg.AdminListen != "")
-	r.maxSessions.Store(int64(shares.Sessions))
-	r.handshakes = newHandshakePool(shares.Handshakes, r.busyAnswer(), r.now)
+	limits := controller.AllocateDescriptors(descriptorLimit(cfg.MaxDescriptors), cfg.MemoryMB, cfg.AdminListen != "")
+	r.maxSessions.Store(int64(limits.Sessions))
+	r.handshakes = newHandshakePool(limits.Handshakes, r.busyAnswer(), r.now)
 	r.discovery = newDiscoveryConn(cfg.Discovery, r)
-	r.healthChecks = newHealthChecker(r, shares.HealthChecks)
+	r.healthChecks = newHealthChecker(r, limits.HealthChecks)
 	r.peers = newPeerSocket(cfg, r)
 	var err error
 	if r.controller, err = controller.New(r.now(), cfg, driver{r}, log); err != nil {
@@ -93,9 +93,9 @@
 	if r.listener, err = r.listen(cfg); err != nil {
 		return nil, err
 	}
-	r.auxiliaryDescriptors.Store(int64(shares.HealthChecks + shares.AdminConnections))
+	r.auxiliaryDescriptors.Store(int64(limits.HealthChecks + limits.AdminConnections))
 	if cfg.AdminListen != "" {
-		r.adminServer, err = admin.Listen(cfg.AdminListen, shares.AdminConnections, adminRelay{r}, log)
+		r.adminServer, err = admin.Listen(cfg.AdminListen, limits.AdminConnections, adminRelay{r}, log)
 		if err != nil {
 			_ = r.listener.Close()
 			return nil, err
@@ -104,7 +104,7 @@
 	return r, nil
 }
 
-// newRelay returns a relay with its channels and clock, still without its parts.
+// newRelay returns a relay with its channels and clock, still without its components.
 func newRelay(cfg Config, log *zap.Logger) *Relay {
 	r := &Relay{
 		initialConfig:     cfg,
@@ -114,7 +114,7 @@
 		events:            make(chan func(time.Duration), eventQueueLength),
 		drainChanged:      make(chan struct{}, 1),
 		stopped:           make(chan struct{}),
-		drained:           make(chan struct{}),
+		shutdownFinished:  make(chan struct{}),
 		resumeAccept:      make(chan struct{}, 1),
 		acceptPaused:      make(chan struct{}, 1),
 		listenerClosed:    make(chan struct{}),
@@ -127,7 +127,7 @@
 	return r
 }
 
-// listen opens the clients' address, or takes it over from the predecessor.
+// listen opens the listener for clients, or takes it over from the predecessor.
 func (r *Relay) listen(cfg Config) (*net.TCPListener, error) {
 	if r.predecessor = connectPredecessor(&cfg, r.log); r.predecessor != nil {
 		r.restoreFrom(r.predecessor)
@@ -169,19 +169,19 @@
 	}
 }
 
-// busyAnswer is the answer to a client that is refused without the controller: the relay is full, or shuts down.
+// busyAnswer returns the answer to a client that is refused before it reaches the controller: the relay is full or shuts down.
 func (r *Relay) busyAnswer() string {
 	return protocol.BusyAnswer(session.RetryAfter(r.settings.Load()))
 }
 
-// Reloaded counts a configuration that was read again, applied or not.
+// Reloaded counts a reload of the configuration, which was applied (ok) or rejected.
 func (r *Relay) Reloaded(ok bool) { r.controller.Metrics().Reloaded(ok) }
 
 // Addr returns the address the relay listens on.
 func (r *Relay) Addr() net.Addr { return r.listener.Addr() }
 
-// Run serves until ctx is done and then shuts down: connections that still arrive are served, every answer owed is
-// given, and clients are asked to move.
+// Run serves until ctx is done and then shuts down: it still serves new connections, answers all pending
+// requests and migrates the remaining sessions.
 func (r *Relay) Run(ctx context.Context) error {
 	stopLoop := make(chan struct{})
 	background, cancel := context.WithCancel(context.Background())
@@ -199,9 +199,9 @@
 	}
 	defer r.processLinks.close()
 	acceptEnded := r.startServing(ctx)
-	if successors := r.listenForSuccessor(); successors != nil {
-		go successors.serve()
-		defer successors.close()
+	if hotRestartListener := r.listenForSuccessor(); hotRestartListener != nil {
+		go hotRestartListener.serve()
+		defer hotRestartListener.close()
 	}
 	r.log.Info("serving", zap.Stringer("address", r.listener.Addr()), zap.Int64("flows", r.maxSessions.Load()),
 		zap.String("discovery", discoveryAddress), zap.String("management", adminAddress))
@@ -215,8 +215,8 @@
 	return err
 }
 
-// startServing begins to accept connections; after a hot restart only once this process is ready to. The channel
-// yields the end of the acceptor.
+// startServing begins to accept connections; after a hot restart only once this process is ready. The channel
+// yields the result of accept.
 func (r *Relay) startServing(ctx context.Context) <-chan error {
 	acceptEnded := make(chan error, 1)
 	if p := r.predecessor; p != nil {
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -16,8 +16,8 @@
 	"aspenbarrow/internal/fake"
 )
 
-// A deadline shorter than the time to connect, one attempt, no grace, an idle time of some milliseconds: it serves, and
-// what cannot be served is answered in its time.
+// With a client timeout below the dial timeout, one attempt, no drain grace and an idle timeout of some milliseconds the
+// relay serves, and a request that it cannot serve is answered at its deadline.
 func TestRelay_ServesWithTightSettings(t *testing.T) {
 	t.Parallel()
 	b := newScriptedBackend(t)
@@ -28,23 +28,23 @@
 	r, _, _ := startRelay(t, cfg)
 	expectServed(t, r, b, 1)
 	c := openSession(t, r, 2, "")
-	came := time.Now()
-	try := b.accept()
-	try.expectLine("OPEN")
-	c.expectLine("ERR") // it may have run
+	start := time.Now()
+	conn := b.accept()
+	conn.expectLine("OPEN")
+	c.expectLine("ERR") // the request may have run
 	c.expectEOF()
-	if took := time.Since(came); took < 250*time.Millisecond || took > 600*time.Millisecond { // the rule's 50 ms are the seeds' to hold
-		t.Errorf("answered after %v", took)
+	if took := time.Since(start); took < 250*time.Millisecond || took > 600*time.Millisecond { // the simulation checks the rule's 50 ms
+		t.Errorf("answered after %v, want 250ms to 600ms", took)
 	}
 	addr, _ := listenFullQueue(t)
 	cfg.CachedEndpoints = fake.EncodeList(1, []fake.Endpoint{{ID: "s-0", Addr: addr, Zone: "east", State: "ready", Weight: 1}})
 	r, _, _ = startRelay(t, cfg)
 	c = openSession(t, r, 3, "")
-	came = time.Now()
-	c.expectLine("BUSY\r\n") // it cannot have run
+	start = time.Now()
+	c.expectLine("BUSY\r\n") // the request cannot have run
 	c.expectEOF()
-	if took := time.Since(came); took > 600*time.Millisecond {
-		t.Errorf("answered after %v", took)
+	if took := time.Since(start); took > 600*time.Millisecond {
+		t.Errorf("answered after %v, want at most 600ms", took)
 	}
 }
 
@@ -74,8 +74,8 @@
 		}
 		_ = c.SetDeadline(time.Now().Add(testTimeout))
 		fmt.Fprintf(c, "OPEN %016x %016x c=chat,d=1000\r\n", i+1, i)
-		if l, err := bufio.NewReader(c).ReadString('\n'); err != nil || !strings.HasPrefix(l, "UP") {
-			t.Fatalf("%q, %v", l, err)
+		if line, err := bufio.NewReader(c).ReadString('\n'); err != nil || !strings.HasPrefix(line, "UP") {
+			t.Fatalf("the client received %q, error %v, want UP", line, err)
 		}
 		conns = append(conns, c)
 	}
@@ -90,6 +90,6 @@
 	d.Close()
 	eventually(t, "all goroutines end", func() bool { return runtime.NumGoroutine() <= before })
 	if n := r.sessionCount.Load(); n != 0 {
-		t.Errorf("%d flows are still counted", n)
+		t.Errorf("%d sessions are still counted", n)
 	}
 }
--- a/internal/relay/session.go
+++ b/internal/relay/session.go
@@ -17,27 +17,27 @@
 	"aspenbarrow/internal/session"
 )
 
-// attemptResult is the end of an attempt.
+// attemptResult is the outcome of an attempt.
 type attemptResult struct {
 	attempt      *session.Attempt
 	backend      *bufferedConn
-	answerLength int // of the UP line, which is first in backend
+	answerLength int // of the UP line, the first bytes buffered in backend
 	failure      *session.AttemptError
 	established  session.Event
 }
 
 // clientSession drives one client connection and, once established, its backend connection. It reads, feeds the state
-// machine and writes what that says; it answers nothing on its own.
+// machine and writes the answers that the state machine returns.
 type clientSession struct {
 	relay    *Relay
 	state    *session.Session
 	client   *bufferedConn
 	commands chan session.Command
 
-	clientGone  chan bool     // the client's end before UP; true: it sent more before its answer
-	established chan struct{} // closed when UP is sent
-	finished    chan struct{} // closed at the end of serve
-	readers     sync.WaitGroup
+	clientClosed chan bool      // the client's connection has ended before UP; true: it sent more instead
+	established  chan struct{}  // closed just before UP is sent
+	finished     chan struct{}  // closed at the end of serve
+	readers      sync.WaitGroup // the goroutine that reads the client
 
 	cancelAttempt  context.CancelFunc
 	attemptResults chan attemptResult
@@ -64,7 +64,7 @@
 	}
 }
 
-// finish releases what the session holds. It is deferred, and ends a panic here.
+// finish releases the session's resources. It is deferred and recovers a panic, which ends this session only.
 func (s *clientSession) finish(pending *handshake.Connection, admitted *bool) {
 	if p := recover(); p != nil {
 		s.relay.log.Error("panic in session", zap.Any("panic", p), zap.ByteString("stack", debug.Stack()))
@@ -88,7 +88,7 @@
 	}
 }
 
-// admit counts a session in after its handshake. A client that is not admitted has had its answer.
+// admit reserves a session after its handshake. A client that is not admitted has been answered or has disconnected.
 func (s *clientSession) admit(pending *handshake.Connection, opened bool, err error) bool {
 	if err != nil {
 		s.relay.logProtocolError(s.client.conn, err)
@@ -106,7 +106,7 @@
 		s.relay.handshakes.discardInput(pending)
 		return false
 	}
-	if !s.relay.handshakes.remove(pending) { // evicted just now
+	if !s.relay.handshakes.remove(pending) { // evicted in the meantime
 		s.state.Refused()
 		s.relay.sessionCount.Add(-1)
 		return false
@@ -114,8 +114,8 @@
 	return true
 }
 
-// readHandshake reads up to the OPEN line and answers PING; an error is the client's fault. The deadline was set when
-// the connection was accepted and is not extended by what comes before that line.
+// readHandshake reads up to the OPEN line and answers PING; an error is a protocol error of the client. The deadline
+// was set when the connection was accepted; lines before OPEN do not extend it.
 func (s *clientSession) readHandshake() (opened bool, err error) {
 	for seen := 0; ; {
 		b, err := s.client.peekBeyond(seen)
@@ -153,30 +153,30 @@
 	return session.EndReset
 }
 
-// awaitAnswer feeds commands and the results of attempts to the state machine until the final answer or UP, whose
-// attempt it returns. Only this goroutine answers the client.
+// awaitAnswer feeds commands and the results of attempts to the state machine until the final answer or UP. It
+// returns the attempt that received UP, or nil after a final answer. Only this goroutine answers the client.
 func (s *clientSession) awaitAnswer() *attemptResult {
 	s.attemptResults = make(chan attemptResult, 1)
 	s.cancelAttempt = func() {}
 	defer func() { s.cancelAttempt() }()
-	clientGone := s.clientGone
-	handleClientGone := func(sentMore bool) {
-		clientGone = nil
+	clientClosed := s.clientClosed
+	handleClientClosed := func(sentMore bool) {
+		clientClosed = nil
 		s.relay.log.Debug("client disconnected while waiting", zap.Bool("spoke", sentMore))
 		s.perform(s.state.ClientClosed(sentMore))
 	}
 	for s.state.AwaitsCommands() {
-		select { // first, since select picks at random: nothing is begun for a client that has left
-		case sentMore := <-clientGone:
-			handleClientGone(sentMore)
+		select { // checked alone first, since select picks at random: no attempt starts for a client that has disconnected
+		case sentMore := <-clientClosed:
+			handleClientClosed(sentMore)
 			continue
 		default:
 		}
 		select {
 		case command := <-s.commands:
 			s.perform(s.state.Execute(s.relay.now(), command))
-		case sentMore := <-clientGone:
-			handleClientGone(sentMore)
+		case sentMore := <-clientClosed:
+			handleClientClosed(sentMore)
 		case result := <-s.attemptResults:
 			s.logUnknownAnswer(&result)
 			actions := s.state.AttemptDone(s.relay.now(), result.attempt, result.failure)
@@ -195,7 +195,7 @@
 	return nil
 }
 
-// logUnknownAnswer logs a backend's answer that the protocol does not know.
+// logUnknownAnswer logs a backend's answer that the protocol does not define.
 func (s *clientSession) logUnknownAnswer(result *attemptResult) {
 	if result.failure != nil && result.failure.UnknownAnswer() {
 		s.relay.log.Error("unknown answer from backend", zap.String("backend", result.attempt.Backend.Name),
@@ -258,8 +258,8 @@
 	}
 }
 
-// sendFinalAnswer sends the client's last line and ends our side. What the client still sends is read meanwhile:
-// closing over unread bytes would reset the connection and lose that line.
+// sendFinalAnswer sends the last line to the client and closes the relay's side. What the client still sends is read
+// by others until CloseTimeout: closing with unread bytes would reset the connection and lose that line.
 func (s *clientSession) sendFinalAnswer(answer string) {
 	conn := s.client.conn
 	_ = conn.SetWriteDeadline(time.Now().Add(session.CloseTimeout))
--- a/internal/relay/shutdown.go
+++ b/internal/relay/shutdown.go
@@ -7,7 +7,7 @@
 
 const (
 	// finalWriteGrace is how long the process waits for connections that have just been sent their last line: exiting
-	// over unread bytes resets the connection and loses that line.
+	// with unread bytes resets the connection and loses that line.
 	finalWriteGrace = 50 * time.Millisecond
 
 	// acceptQueueDrainTime bounds how long the accept queue is emptied at the end: clients may keep arriving.
@@ -17,21 +17,21 @@
 // expired is a deadline in the past: setting it ends a read, write or accept that is under way.
 var expired = time.Unix(1, 0)
 
-// awaitShutdown waits for ctx to be done and every answer to be given, or for the acceptor to fail. It reports whether
-// the shutdown was requested.
+// awaitShutdown waits until ctx is done and every answer has been given, or until the acceptor fails. It reports
+// whether the shutdown was requested.
 func (r *Relay) awaitShutdown(ctx context.Context, acceptEnded <-chan error) (requested bool, err error) {
 	select {
 	case err = <-acceptEnded:
 		return false, err
 	case <-ctx.Done():
 	}
-	if r.predecessor.alive() { // it goes on, and accepts from now on
+	if r.predecessor.alive() { // the predecessor continues, and accepts from now on
 		r.controller.SetReplaced(true)
 		_ = r.listener.SetDeadline(expired)
 		_ = r.predecessor.conn.Close()
 	}
 	r.post(r.controller.Shutdown)
-	<-r.drained
+	<-r.shutdownFinished
 	return true, nil
 }
 
@@ -45,8 +45,8 @@
 }
 
 // drainAcceptQueue accepts the connections that still wait in the queue, so that they get an answer: closing the
-// listener would reset them. A queue that another process shares is left to that one. The acceptor is paused first: it
-// may be busy with a connection, and would use up the deadline while others still wait.
+// listener would reset them. A queue that is shared with another process is left to that process. The acceptor is
+// paused first: it may be busy with a connection, and would use up the deadline while others still wait.
 func (r *Relay) drainAcceptQueue() {
 	if r.controller.Replaced() || !r.accepting.Load() {
 		return
@@ -82,8 +82,8 @@
 	r.awaitConnections()
 }
 
-// awaitConnections waits until all connections have ended, or for finalWriteGrace. The event loop still runs: it
-// refuses a client that has sent OPEN just now.
+// awaitConnections waits until all connections have ended, or for finalWriteGrace. The event loop still runs and
+// refuses clients that have just sent OPEN.
 func (r *Relay) awaitConnections() {
 	ended := make(chan struct{})
 	go func() {
--- a/internal/relay/shutdown_test.go
+++ b/internal/relay/shutdown_test.go
@@ -15,80 +15,80 @@
 	"aspenbarrow/internal/fake"
 )
 
-// The backend hangs and the class waits for longer than there is before SIGKILL: the answer comes before that.
+// The backend does not answer, and the client timeout may be longer than the time until SIGKILL: the relay answers before that.
 func TestShutdown_AnswersPendingRequestsBeforeKill(t *testing.T) {
 	t.Parallel()
-	for _, pass := range []bool{false, true} {
-		for _, patient := range []time.Duration{300 * time.Millisecond, 9 * time.Second} {
-			t.Run(fmt.Sprint(pass, patient), func(t *testing.T) {
+	for _, passThrough := range []bool{false, true} {
+		for _, clientTimeout := range []time.Duration{300 * time.Millisecond, 9 * time.Second} {
+			t.Run(fmt.Sprint(passThrough, clientTimeout), func(t *testing.T) {
 				t.Parallel()
 				b := newScriptedBackend(t)
 				cfg := plainConfig("127.0.0.1:9", b.endpoint("s-0"))
-				cfg.Settings.PassThrough, cfg.Settings.Classes[0].ClientTimeout = pass, patient
-				r, term, ended := startRelay(t, cfg)
-				kill := min(patient, 3*time.Second) + 700*time.Millisecond
+				cfg.Settings.PassThrough, cfg.Settings.Classes[0].ClientTimeout = passThrough, clientTimeout
+				r, shutdown, ended := startRelay(t, cfg)
+				killDelay := min(clientTimeout, 3*time.Second) + 700*time.Millisecond
 				c := openSession(t, r, 1, "")
-				try := b.accept()
-				try.expectLine("OPEN")
-				at := time.Now()
-				term()
-				late := openSession(t, r, 2, "") // the front goes on sending
-				hung := b.accept()
-				hung.expectLine("OPEN")
-				for _, c := range []*testClient{c, late} {
+				conn := b.accept()
+				conn.expectLine("OPEN")
+				start := time.Now()
+				shutdown()
+				lateClient := openSession(t, r, 2, "") // clients still arrive
+				lateConn := b.accept()
+				lateConn.expectLine("OPEN")
+				for _, c := range []*testClient{c, lateClient} {
 					c.expectLine("BUSY")
 					c.expectEOF()
 					_ = c.Close()
 				}
-				if took := time.Since(at); took > kill {
-					t.Errorf("answered %v after SIGTERM, SIGKILL may come after %v", took, kill)
+				if took := time.Since(start); took > killDelay {
+					t.Errorf("answered %v after SIGTERM, SIGKILL may come after %v", took, killDelay)
 				}
 				if err := <-ended; err != nil {
 					t.Error(err)
 				}
-				if took := time.Since(at); took > kill+time.Second { // by then nothing is owed: the machine may be busy
-					t.Errorf("ended %v after SIGTERM, SIGKILL may come after %v", took, kill)
+				if took := time.Since(start); took > killDelay+time.Second { // a second more for a busy machine: all answers have been sent
+					t.Errorf("ended %v after SIGTERM, SIGKILL may come after %v", took, killDelay)
 				}
 			})
 		}
 	}
 }
 
-// The dial is still out when the time is up: nothing has run, so even what may not be repeated is refused, not failed.
+// A dial is still pending when the time is up: the request has not run, so even a non-idempotent one gets BUSY, not ERR.
 func TestShutdown_RefusesRequestsDuringDial(t *testing.T) {
 	t.Parallel()
-	for _, pass := range []bool{false, true} {
-		t.Run(fmt.Sprint(pass), func(t *testing.T) {
+	for _, passThrough := range []bool{false, true} {
+		t.Run(fmt.Sprint(passThrough), func(t *testing.T) {
 			t.Parallel()
-			addr, empty := listenFullQueue(t)
+			addr, emptyQueue := listenFullQueue(t)
 			cfg := plainConfig("127.0.0.1:9", fake.Endpoint{ID: "s-0", Addr: addr, Zone: "east", State: "ready", Weight: 1})
 			s := &cfg.Settings
-			s.PassThrough, s.DialTimeout, s.Classes[0].ClientTimeout, s.Classes[0].Idempotency = pass, 9*time.Second, 9*time.Second, balance.NonIdempotent
-			r, term, ended := startRelay(t, cfg)
+			s.PassThrough, s.DialTimeout, s.Classes[0].ClientTimeout, s.Classes[0].Idempotency = passThrough, 9*time.Second, 9*time.Second, balance.NonIdempotent
+			r, shutdown, ended := startRelay(t, cfg)
 			c := openSession(t, r, 1, "")
-			eventually(t, "the balancer counts it", r.connectionCountIs(1))
-			eventually(t, "its dial is out", dialIsPending(t, addr))
-			at := time.Now()
-			term()
+			eventually(t, "the balancer counts the connection", r.connectionCountIs(1))
+			eventually(t, "the dial is pending", dialIsPending(t, addr))
+			start := time.Now()
+			shutdown()
 			c.expectLine("BUSY")
 			c.expectEOF()
 			_ = c.Close()
-			if took := time.Since(at); took > 3700*time.Millisecond {
+			if took := time.Since(start); took > 3700*time.Millisecond {
 				t.Errorf("answered %v after SIGTERM, SIGKILL may come after 3.7 s", took)
 			}
 			if err := <-ended; err != nil {
 				t.Error(err)
 			}
-			l := empty()
-			_ = l.SetDeadline(time.Now().Add(time.Second)) // a SYN that was out would be repeated within it
-			if late, err := l.Accept(); err == nil {
-				t.Errorf("a dial goes on after the relay's end: %v", late.RemoteAddr())
+			l := emptyQueue()
+			_ = l.SetDeadline(time.Now().Add(time.Second)) // the SYN of a pending dial would be repeated within it
+			if conn, err := l.Accept(); err == nil {
+				t.Errorf("the dial from %v continued after the relay's end", conn.RemoteAddr())
 			}
 		})
 	}
 }
 
-// Short deadlines: every standing client is moved before SIGKILL, which comes a second after SIGTERM.
+// With short deadlines every established client is migrated before SIGKILL, which comes a second after SIGTERM.
 func TestShutdown_MovesAllClientsWithShortDeadlines(t *testing.T) {
 	t.Parallel()
 	b := &fake.Backend{}
@@ -98,7 +98,7 @@
 	t.Cleanup(b.Close)
 	cfg := plainConfig("127.0.0.1:9", fake.Endpoint{ID: "s-0", Addr: b.Addr(), Zone: "east", State: "ready", Weight: 1})
 	cfg.Settings.PassThrough, cfg.Settings.Classes[0].ClientTimeout = false, 300*time.Millisecond
-	r, term, ended := startRelay(t, cfg)
+	r, shutdown, ended := startRelay(t, cfg)
 	var clients []*testClient
 	for id := 1; len(clients) < 40; id++ {
 		c := openSession(t, r, id, "")
@@ -108,73 +108,73 @@
 			clients = append(clients, c)
 		}
 	}
-	at := time.Now()
-	term()
-	moved := make(chan string, len(clients))
+	start := time.Now()
+	shutdown()
+	received := make(chan string, len(clients))
 	for _, c := range clients {
 		go func() {
 			all, err := io.ReadAll(c.reader)
 			_ = c.Close()
-			moved <- fmt.Sprint(string(all), err)
+			received <- fmt.Sprint(string(all), err)
 		}()
 	}
 	for range clients {
-		if got := <-moved; got != "MOVE\r\n<nil>" {
-			t.Errorf("at the relay's end: %q", got)
+		if got := <-received; got != "MOVE\r\n<nil>" {
+			t.Errorf("a client received %q until its end, want MOVE", got)
 		}
 	}
-	if took := time.Since(at); took > time.Second {
-		t.Errorf("the last was moved %v after SIGTERM, SIGKILL may come after a second", took)
+	if took := time.Since(start); took > time.Second {
+		t.Errorf("the last client was migrated %v after SIGTERM, SIGKILL may come after a second", took)
 	}
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
 }
 
-// MOVE is due while half of a backend's line is here: it goes out between two lines, and the half is not sent.
+// A client is migrated while the relay has half of a backend's line: MOVE follows the last whole line, and the half is not sent.
 func TestShutdown_MovesOnlyBetweenLines(t *testing.T) {
 	t.Parallel()
 	b := newScriptedBackend(t)
 	cfg := plainConfig("127.0.0.1:9", b.endpoint("s-0"))
 	cfg.Settings.PassThrough, cfg.Settings.Classes[0].ClientTimeout = false, 300*time.Millisecond
-	r, term, _ := startRelay(t, cfg)
+	r, shutdown, _ := startRelay(t, cfg)
 	c := openSession(t, r, 1, "")
-	try := b.accept()
-	try.expectLine("OPEN")
-	try.write("UP it\r\nwhole\r\nha")
+	conn := b.accept()
+	conn.expectLine("OPEN")
+	conn.write("UP it\r\nwhole\r\nha")
 	c.expectLine("UP it")
 	c.expectLine("whole")
-	term()
+	shutdown()
 	c.expectLine("MOVE")
 	c.expectEOF()
 }
 
-// Half an OPEN at the relay's end: BUSY, and no reset that takes it along.
+// A client has sent half an OPEN line at the relay's end: it receives BUSY, and no reset discards that answer.
 func TestShutdown_PartialOpenAnsweredBusy(t *testing.T) {
 	t.Parallel()
 	cfg := plainConfig("127.0.0.1:9", newScriptedBackend(t).endpoint("s-0"))
-	r, term, ended := startRelay(t, cfg)
-	c, err := net.Dial("tcp", r.Addr().String())
+	r, shutdown, ended := startRelay(t, cfg)
+	conn, err := net.Dial("tcp", r.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(testTimeout))
-	if _, err := io.WriteString(c, "PING\r\nOPEN 00000000"); err != nil {
+	defer conn.Close()
+	_ = conn.SetDeadline(time.Now().Add(testTimeout))
+	if _, err := io.WriteString(conn, "PING\r\nOPEN 00000000"); err != nil {
 		t.Fatal(err)
 	}
-	k := &testClient{c.(*net.TCPConn), t, bufio.NewReader(c)}
-	k.expectLine("PONG")
-	term()
-	k.expectLine("BUSY")
-	k.expectEOF()
+	client := &testClient{conn.(*net.TCPConn), t, bufio.NewReader(conn)}
+	client.expectLine("PONG")
+	shutdown()
+	client.expectLine("BUSY")
+	client.expectEOF()
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
 }
 
 // A client waits in the accept queue with a whole OPEN when the listener is about to close and the acceptor has timed
-// out. It is accepted and served, and the shutdown waits for it; closing the listener over it would reset it.
+// out. It is accepted and served, and the shutdown waits for it; closing the listener before that would reset it.
 func TestShutdown_ServesAcceptQueue(t *testing.T) {
 	t.Parallel()
 	b := newScriptedBackend(t)
@@ -185,26 +185,26 @@
 	stop := make(chan struct{})
 	go r.loop(stop)
 	r.accepting.Store(true)
-	c := openSession(t, r, 1, "") // nobody accepts yet
+	c := openSession(t, r, 1, "") // not accepted yet
 	_ = r.listener.SetDeadline(time.Unix(1, 0))
-	go func() { _ = r.accept() }() // its time is over
+	go func() { _ = r.accept() }() // times out at once
 	r.post(r.controller.Shutdown)
-	try := b.accept()
-	try.expectLine("OPEN")
-	try.write("UP it\r\nBYE\r\n")
-	_ = try.CloseWrite()
+	conn := b.accept()
+	conn.expectLine("OPEN")
+	conn.write("UP it\r\nBYE\r\n")
+	_ = conn.CloseWrite()
 	c.expectLine("UP it")
 	c.expectLine("BYE")
 	c.expectEOF()
 	_ = c.Close()
-	<-r.drained
+	<-r.shutdownFinished
 	r.closeRemaining(true)
 	close(stop)
 	<-r.stopped
 }
 
-// The rest of an OPEN comes when the relay has just ended: sent on, it was cut off a moment later. It is told BUSY and
-// its backend hears nothing.
+// The rest of an OPEN line arrives just after the shutdown has finished. A request forwarded then would be cut off a moment
+// later: the client receives BUSY and the backend nothing.
 func TestShutdown_OpenCompletedAfterEndAnsweredBusy(t *testing.T) {
 	t.Parallel()
 	b := newScriptedBackend(t)
@@ -216,17 +216,17 @@
 	go r.loop(stop)
 	r.accepting.Store(true)
 	go func() { _ = r.accept() }()
-	near, err := net.Dial("tcp", r.Addr().String())
+	conn, err := net.Dial("tcp", r.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer near.Close()
-	_ = near.SetDeadline(time.Now().Add(testTimeout))
-	c := &testClient{near.(*net.TCPConn), t, bufio.NewReader(near)}
+	defer conn.Close()
+	_ = conn.SetDeadline(time.Now().Add(testTimeout))
+	c := &testClient{conn.(*net.TCPConn), t, bufio.NewReader(conn)}
 	_, _ = io.WriteString(c, "PING\r\nOPEN 0000000000000001 00000000")
 	c.expectLine("PONG")
 	r.post(r.controller.Shutdown)
-	<-r.drained
+	<-r.shutdownFinished
 	_, _ = io.WriteString(c, "00000002 c=chat,d=60000\r\n")
 	c.expectLine("BUSY")
 	c.expectEOF()
@@ -237,6 +237,6 @@
 	_ = b.listener.SetDeadline(time.Now())
 	if c, err := b.listener.Accept(); err == nil {
 		got, _ := bufio.NewReader(c).ReadString('\n')
-		t.Errorf("the backend was sent %q", got)
+		t.Errorf("the backend received %q", got)
 	}
 }
--- a/internal/relay/successor.go
+++ b/internal/relay/successor.go
@@ -14,7 +14,7 @@
 	"aspenbarrow/internal/controller"
 )
 
-// descriptorsPerSession are those of a client's connection and its backend's.
+// descriptorsPerSession counts the client's connection and the backend's.
 const descriptorsPerSession = 2
 
 // successorListener waits for the next process of this relay.
@@ -40,13 +40,13 @@
 	return s
 }
 
-// newSuccessorListener opens the hot restart socket in place of one that an earlier process has left.
+// newSuccessorListener opens the hot restart socket and replaces one that an earlier process left behind.
 func newSuccessorListener(cfg *Config, r *Relay) (*successorListener, error) {
 	s := &successorListener{relay: r, path: hotRestartPath(cfg)}
 	return s, s.open()
 }
 
-// open replaces the socket, by a rename, with one of this process.
+// open replaces the socket at the path, by a rename, with one of this process.
 func (s *successorListener) open() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -56,14 +56,14 @@
 	if s.listener != nil {
 		_ = s.listener.Close()
 	}
-	temporary := fmt.Sprintf("%s.%d", s.path, os.Getpid())
-	_ = os.Remove(temporary)
-	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: temporary, Net: "unix"})
+	temporaryPath := fmt.Sprintf("%s.%d", s.path, os.Getpid())
+	_ = os.Remove(temporaryPath)
+	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: temporaryPath, Net: "unix"})
 	if err != nil {
 		return err
 	}
 	l.SetUnlinkOnClose(false) // by then the path may be the successor's
-	if err := os.Rename(temporary, s.path); err != nil {
+	if err := os.Rename(temporaryPath, s.path); err != nil {
 		_ = l.Close()
 		return err
 	}
@@ -71,8 +71,8 @@
 	return nil
 }
 
-// serve hands over to a successor, and to another one if that ends first. The path was the successor's by then, so the
-// socket is opened anew.
+// serve hands over to a successor, and to another one if that exits before this process. The first successor may have
+// replaced the socket at the path, so serve opens it again.
 func (s *successorListener) serve() {
 	for {
 		conn, err := s.listener.AcceptUnix()
@@ -89,7 +89,7 @@
 	}
 }
 
-// close closes the socket for good.
+// close closes the socket and prevents open from opening it again.
 func (s *successorListener) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -98,7 +98,7 @@
 	}
 }
 
-// handOver sends the sockets and the state, and then lets the successor accept for as long as it lives.
+// handOver sends the sockets and the state, and then leaves accepting to the successor until that exits.
 func (s *successorListener) handOver(l *processLink) error {
 	if err := checkSameUser(l.conn); err != nil {
 		return err
@@ -135,7 +135,7 @@
 	case e := <-exported:
 		return e.document, e.err
 	case <-time.After(exportTimeout):
-		return nil, errEventLoopBusy
+		return nil, errExportTimeout
 	}
 }
 
@@ -150,7 +150,7 @@
 	return err
 }
 
-// followSuccessor reads the successor's lines until it ends, and accepts again after that.
+// followSuccessor reads the successor's lines until the successor exits, and then accepts connections again.
 func (r *Relay) followSuccessor(l *processLink) {
 	r.processLinks.add(l)
 	defer r.processLinks.remove(l)
@@ -163,7 +163,7 @@
 			return
 		}
 		if line == lineServing && !r.controller.SetReplaced(true) {
-			r.pauseAccepting(true)
+			r.setAcceptPaused(true)
 			go r.reportToSuccessor(l, ended)
 			continue
 		}
@@ -171,21 +171,21 @@
 	}
 }
 
-// successorEnded accepts connections again, also while this process shuts down: no other one does.
+// successorEnded accepts connections again, also while this process shuts down: no other process does.
 func (r *Relay) successorEnded() {
 	select {
-	case <-r.stopped: // it is this process that has ended
+	case <-r.stopped: // this process has ended, not the successor
 		return
 	default:
 	}
 	if r.controller.SetReplaced(false) {
 		r.log.Warn("successor process exited, accepting connections again")
-		r.pauseAccepting(false)
+		r.setAcceptPaused(false)
 	}
 }
 
-// sharedDescriptors returns those of the sockets that the successor shares. They are duplicates; release closes them and
-// is to be called after an error too.
+// sharedDescriptors returns the descriptors of the sockets that the successor shares. They are duplicates; release closes
+// them and must be called after an error too.
 func (r *Relay) sharedDescriptors() (fds []int, release func(), err error) {
 	var files []*os.File
 	release = func() { closeFiles(files) }
@@ -212,7 +212,7 @@
 	return fds, release, nil
 }
 
-// reportToSuccessor reports the descriptors and the load of this process until the successor has ended.
+// reportToSuccessor reports the descriptors and the load of this process until the successor has exited.
 func (r *Relay) reportToSuccessor(l *processLink, ended <-chan struct{}) {
 	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
@@ -242,7 +242,7 @@
 	}
 }
 
-// descriptorsInUse is how many descriptors this process may have in use.
+// descriptorsInUse returns an upper bound of the descriptors that this process uses.
 func (r *Relay) descriptorsInUse() int {
 	return descriptorsPerSession*int(r.sessionCount.Load()) + r.handshakes.size() + controller.ReservedDescriptors +
 		int(r.auxiliaryDescriptors.Load())
--- a/internal/relay/timing_test.go
+++ b/internal/relay/timing_test.go
@@ -17,8 +17,8 @@
 	"aspenbarrow/internal/fake"
 )
 
-// scriptedBackends answer by one script, whichever of them is asked, and record the order in which OPEN lines came and
-// connections ended.
+// scriptedBackends share one script of answers and record the order in which OPEN lines arrive at any of them and their
+// connections end.
 type scriptedBackends struct {
 	mu      sync.Mutex
 	script  []string // for each OPEN in turn; empty: no answer
@@ -50,8 +50,8 @@
 
 func (s *scriptedBackends) serve(c net.Conn) {
 	defer c.Close()
-	in := bufio.NewReader(c)
-	if l, err := in.ReadString('\n'); err != nil || !strings.HasPrefix(l, "OPEN ") {
+	reader := bufio.NewReader(c)
+	if line, err := reader.ReadString('\n'); err != nil || !strings.HasPrefix(line, "OPEN ") {
 		return
 	}
 	s.mu.Lock()
@@ -67,18 +67,18 @@
 			return
 		}
 	}
-	_, _ = in.ReadByte()
+	_, _ = reader.ReadByte()
 	s.mu.Lock()
 	s.events = append(s.events, "end")
 	s.mu.Unlock()
 }
 
-// openEvents returns the OPEN lines so far. The caller holds the lock.
+// openEvents returns an event for each OPEN line so far. The caller holds the lock.
 func (s *scriptedBackends) openEvents() []string {
 	return slices.DeleteFunc(slices.Clone(s.events), func(e string) bool { return e != "open" })
 }
 
-// eventOrder returns what has happened so far.
+// eventOrder returns the events so far, in their order.
 func (s *scriptedBackends) eventOrder() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -88,24 +88,24 @@
 // earnRetryBudget has a relay serve some requests, which earn it the budget for retries; then the script begins.
 func (s *scriptedBackends) earnRetryBudget(t *testing.T, r *Relay) {
 	t.Helper()
-	const many = 8
+	const requestCount = 8
 	s.mu.Lock()
 	script := s.script
-	s.script = slices.Repeat([]string{"UP earned"}, many)
+	s.script = slices.Repeat([]string{"UP earned"}, requestCount)
 	s.mu.Unlock()
-	for i := range many {
+	for i := range requestCount {
 		conn, err := net.Dial("tcp", r.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
 		_ = conn.SetDeadline(time.Now().Add(testTimeout))
 		fmt.Fprintf(conn, "OPEN %016x 05%014x c=safe,d=3000\r\n", 1000+i, i)
-		if l, err := bufio.NewReader(conn).ReadString('\n'); err != nil || !strings.HasPrefix(l, "UP") {
-			t.Fatalf("%q, %v", l, err)
+		if line, err := bufio.NewReader(conn).ReadString('\n'); err != nil || !strings.HasPrefix(line, "UP") {
+			t.Fatalf("the client received %q, error %v, want UP", line, err)
 		}
 		_ = conn.Close()
 	}
-	eventually(t, "all have ended", func() bool { return strings.Count(s.eventOrder(), "end") == many })
+	eventually(t, "all connections have ended", func() bool { return strings.Count(s.eventOrder(), "end") == requestCount })
 	s.mu.Lock()
 	s.events, s.script = nil, script
 	s.mu.Unlock()
@@ -158,94 +158,94 @@
 		name, class, key string
 		script           []string
 		answer           string
-		least, most      time.Duration
-		order            string // how often the backends saw a request, and its end before the answer
+		minTime, maxTime time.Duration
+		order            string // the OPEN lines that the backends receive, and the ends of connections before the answer
 	}{
-		{"no timing of its own", "safe", "05", []string{"UP a"}, "UP a", 0, 2 * time.Second, "open"},
-		{"an attempt is cut and repeated", "safe", "01", []string{"", "UP b"}, "UP b", 200 * time.Millisecond, 2 * time.Second, "open end open"},
-		{"three attempts and no more", "safe", "01", []string{"", "", ""}, "BUSY", 600 * time.Millisecond, 3 * time.Second,
+		{"no route", "safe", "05", []string{"UP a"}, "UP a", 0, 2 * time.Second, "open"},
+		{"an attempt times out and is retried", "safe", "01", []string{"", "UP b"}, "UP b", 200 * time.Millisecond, 2 * time.Second, "open end open"},
+		{"at most three attempts", "safe", "01", []string{"", "", ""}, "BUSY", 600 * time.Millisecond, 3 * time.Second,
 			"open end open end open end"},
-		{"what may have run is not repeated", "unsafe", "01", []string{"", "UP c"}, "ERR", 200 * time.Millisecond, 2 * time.Second, "open end"},
-		{"a second copy after the first has ended", "safe", "02", []string{"", "UP d"}, "UP d", 200 * time.Millisecond, 2 * time.Second, "open end open"},
-		{"only one second copy", "safe", "02", []string{"", "", "UP e"}, "BUSY", 2500 * time.Millisecond, 4 * time.Second, "open end open end"},
-		{"a pause between two attempts", "safe", "03", []string{"ERR", "UP f"}, "UP f", 150 * time.Millisecond, 2 * time.Second, "open open"},
-		{"errors to the last attempt", "safe", "03", []string{"ERR", "ERR"}, "BUSY", 150 * time.Millisecond, 2 * time.Second, "open open"},
-		{"the whole is short", "safe", "04", []string{"", "UP g"}, "BUSY", 200 * time.Millisecond, 2 * time.Second, "open end"},
+		{"an unsafe request that may have run is not retried", "unsafe", "01", []string{"", "UP c"}, "ERR", 200 * time.Millisecond, 2 * time.Second, "open end"},
+		{"a second attempt after the first has ended", "safe", "02", []string{"", "UP d"}, "UP d", 200 * time.Millisecond, 2 * time.Second, "open end open"},
+		{"only one second attempt", "safe", "02", []string{"", "", "UP e"}, "BUSY", 2500 * time.Millisecond, 4 * time.Second, "open end open end"},
+		{"a backoff between two attempts", "safe", "03", []string{"ERR", "UP f"}, "UP f", 150 * time.Millisecond, 2 * time.Second, "open open"},
+		{"an error at every attempt", "safe", "03", []string{"ERR", "ERR"}, "BUSY", 150 * time.Millisecond, 2 * time.Second, "open open"},
+		{"a short total timeout", "safe", "04", []string{"", "UP g"}, "BUSY", 200 * time.Millisecond, 2 * time.Second, "open end"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			c, err := conf.Parse("timed.toml", []byte(timingConfig), func(string) string { return "" }, false)
+			file, err := conf.Parse("timed.toml", []byte(timingConfig), func(string) string { return "" }, false)
 			if err != nil {
 				t.Fatal(err)
 			}
-			s := newScriptedBackends(t, 6, tc.script...)
-			c.Relay.CachedEndpoints = fake.EncodeList(1, s.entries)
-			r, err := New(c.Relay, zap.NewNop())
+			backends := newScriptedBackends(t, 6, tc.script...)
+			file.Relay.CachedEndpoints = fake.EncodeList(1, backends.entries)
+			r, err := New(file.Relay, zap.NewNop())
 			if err != nil {
 				t.Fatal(err)
 			}
-			ctx, stop := context.WithCancel(context.Background())
+			ctx, cancel := context.WithCancel(context.Background())
 			ended := make(chan error, 1)
 			go func() { ended <- r.Run(ctx) }()
 			t.Cleanup(func() {
-				stop()
+				cancel()
 				if err := <-ended; err != nil {
 					t.Error(err)
 				}
 			})
-			s.earnRetryBudget(t, r)
+			backends.earnRetryBudget(t, r)
 			conn, err := net.Dial("tcp", r.Addr().String())
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer conn.Close()
 			_ = conn.SetDeadline(time.Now().Add(testTimeout))
-			began := time.Now()
+			start := time.Now()
 			fmt.Fprintf(conn, "OPEN 0000000000000001 %s00000000000000 c=%s,d=3000\r\n", tc.key, tc.class)
 			line, err := bufio.NewReader(conn).ReadString('\n')
-			took := time.Since(began)
-			if err != nil || !strings.HasPrefix(line, tc.answer) || took < tc.least || took > tc.most {
-				t.Errorf("%q, %v after %v, wanted %q within %v to %v", line, err, took, tc.answer, tc.least, tc.most)
+			took := time.Since(start)
+			if err != nil || !strings.HasPrefix(line, tc.answer) || took < tc.minTime || took > tc.maxTime {
+				t.Errorf("the client received %q, error %v after %v, want %q after %v to %v", line, err, took, tc.answer, tc.minTime, tc.maxTime)
 			}
-			// In which order two connections' goroutines notice is chance; that attempts never overlap is held byte by
-			// byte in the seeded worlds.
-			eventually(t, "the backends saw "+tc.order, func() bool {
-				return strings.Count(s.eventOrder(), "end") >= strings.Count(tc.order, "end")
+			// The order in which the goroutines of two connections record events is random; the deterministic simulation
+			// checks byte by byte that attempts never overlap.
+			eventually(t, "the backends have recorded "+tc.order, func() bool {
+				return strings.Count(backends.eventOrder(), "end") >= strings.Count(tc.order, "end")
 			})
-			if got, want := strings.Count(s.eventOrder(), "open"), strings.Count(tc.order, "open"); got != want {
-				t.Errorf("%d attempts, wanted %d", got, want)
+			if got, want := strings.Count(backends.eventOrder(), "open"), strings.Count(tc.order, "open"); got != want {
+				t.Errorf("%d attempts, want %d", got, want)
 			}
 		})
 	}
 }
 
-// A reload to other routes leaves open requests the timing that they began with; the next request has the new one.
+// A request that is open during a reload keeps the timing of the old routes; the next request has that of the new ones.
 func TestRelay_ReloadKeepsTimingOfOpenRequests(t *testing.T) {
 	parse := func(text string) Config {
-		c, err := conf.Parse("timed.toml", []byte(text), func(string) string { return "" }, false)
+		file, err := conf.Parse("timed.toml", []byte(text), func(string) string { return "" }, false)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return c.Relay
+		return file.Relay
 	}
-	s := newScriptedBackends(t, 6, "", "ERR", "", "UP b", "ERR", "UP never")
+	backends := newScriptedBackends(t, 6, "", "ERR", "", "UP b", "ERR", "UP never")
 	cfg := parse(timingConfig)
-	cfg.CachedEndpoints = fake.EncodeList(1, s.entries)
+	cfg.CachedEndpoints = fake.EncodeList(1, backends.entries)
 	r, err := New(cfg, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, stop := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- r.Run(ctx) }()
 	defer func() {
-		stop()
+		cancel()
 		if err := <-ended; err != nil {
 			t.Error(err)
 		}
 	}()
-	s.earnRetryBudget(t, r)
-	ask := func(id int) net.Conn {
+	backends.earnRetryBudget(t, r)
+	open := func(id int) net.Conn {
 		conn, err := net.Dial("tcp", r.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -254,29 +254,29 @@
 		fmt.Fprintf(conn, "OPEN %016x 0100000000000000 c=safe,d=3000\r\n", id)
 		return conn
 	}
-	hear := func(conn net.Conn, want string) {
+	expectAnswer := func(conn net.Conn, want string) {
 		t.Helper()
-		if l, err := bufio.NewReader(conn).ReadString('\n'); err != nil || !strings.HasPrefix(l, want) {
-			t.Errorf("%q, %v, wanted %q", l, err, want)
+		if line, err := bufio.NewReader(conn).ReadString('\n'); err != nil || !strings.HasPrefix(line, want) {
+			t.Errorf("the client received %q, error %v, want the prefix %q", line, err, want)
 		}
 		_ = conn.Close()
 	}
-	// The first attempt is silent for 200 ms, the second fails at once, the third is silent again: by the old routes
-	// that was the last.
-	first := ask(1)
-	eventually(t, "an attempt is out", func() bool { return strings.Contains(s.eventOrder(), "open") })
-	next := strings.Replace(timingConfig, "attempts = 3", "attempts = 1", 1) // fewer, and one route is gone
+	// The first attempt times out after 200 ms, the second fails at once, the third times out: the old routes allow no
+	// more.
+	first := open(1)
+	eventually(t, "an attempt has been sent", func() bool { return strings.Contains(backends.eventOrder(), "open") })
+	next := strings.Replace(timingConfig, "attempts = 3", "attempts = 1", 1) // fewer attempts, and one route is removed
 	i, j := strings.Index(next, "[[route]]\nname = \"second\""), strings.Index(next, "[[route]]\nname = \"paused\"")
 	if err := r.Reload(parse(next[:i] + next[j:])); err != nil {
 		t.Fatal(err)
 	}
-	hear(first, "BUSY")
-	if n := strings.Count(s.eventOrder(), "open"); n != 3 {
-		t.Errorf("%d attempts by the timing that allowed three", n)
+	expectAnswer(first, "BUSY")
+	if n := strings.Count(backends.eventOrder(), "open"); n != 3 {
+		t.Errorf("%d attempts, want the 3 that the old routes allow", n)
 	}
-	hear(ask(2), "UP b")
-	hear(ask(3), "BUSY") // one attempt, which fails
-	if n := strings.Count(s.eventOrder(), "open"); n != 5 {
-		t.Errorf("%d attempts in all", n)
+	expectAnswer(open(2), "UP b")
+	expectAnswer(open(3), "BUSY") // one attempt, which fails
+	if n := strings.Count(backends.eventOrder(), "open"); n != 5 {
+		t.Errorf("%d attempts in all, want 5", n)
 	}
 }
