--- a/internal/simulation/session_driver.go
+++ b/internal/simulation/session_driver.go
@@ -9,12 +9,12 @@
 	"aspenbarrow/internal/session"
 )
 
-// sessionState is where a session stands in its life.
+// sessionState is the stage that a session has reached.
 type sessionState int
 
 const (
-	stateHandshake   sessionState = iota // the request line has not arrived
-	stateLingering                       // refused; what the client still sends is read and dropped
+	stateHandshake   sessionState = iota // the request has not arrived
+	stateLingering                       // refused; further bytes from the client are read and discarded
 	stateWaiting                         // admitted; waits for a backend's answer
 	stateEstablished                     // client and backend are connected
 	stateClosing                         // waits for the client to close
@@ -29,7 +29,7 @@
 	client           *connEnd
 	handshake        *handshake.Connection
 	state            sessionState
-	lastCommand      time.Duration // keeps commands in order
+	lastCommandAt    time.Duration // keeps commands in order
 	clientDone       bool          // the client has left, or sent more than its request before the answer
 	lingeredBytes    int
 	attempt          *attemptDriver
@@ -37,47 +37,47 @@
 	upstreamBusy     bool
 	downstreamBusy   bool
 	idleCheckPending bool
-	moveInsideLine   bool // mutation: MOVE goes out in the middle of the next line
-	answerDelayed    bool // mutation: the answer is still to go out
+	moveInsideLine   bool // mutation: MOVE is sent in the middle of the next line
+	answerDelayed    bool // mutation: the answer has not been sent yet
 }
 
-// sendAnswer sends the final answer and closes our side.
-func (d *sessionDriver) sendAnswer(last string) {
-	if d.relay.run.hasMutation(MutationLostAnswer) && last == protocol.AnswerFailed {
-		last = ""
+// sendAnswer sends the final answer and closes the relay's side.
+func (d *sessionDriver) sendAnswer(answer string) {
+	if d.relay.run.hasMutation(MutationLostAnswer) && answer == protocol.AnswerFailed {
+		answer = ""
 	}
 	if d.relay.run.hasMutation(MutationLateAnswer) && d.state == stateWaiting {
-		late := d.relay.controller.Settings().AnswerSlack + mutationSlack
+		lateness := d.relay.controller.Settings().AnswerSlack + mutationSlack
 		d.answerDelayed = true
-		d.relay.engine.schedule(d.session.ArrivedAt+d.session.Timeout()+late-d.relay.engine.now, d.relay.whileRunning(func() {
-			d.writeLastLine(last)
+		d.relay.engine.schedule(d.session.ArrivedAt+d.session.Timeout()+lateness-d.relay.engine.now, d.relay.whileRunning(func() {
+			d.writeLastLine(answer)
 			d.awaitClientClose()
 		}))
 		return
 	}
-	d.writeLastLine(last)
-	if d.relay.run.hasMutation(MutationSecondAnswer) && last != "" {
+	d.writeLastLine(answer)
+	if d.relay.run.hasMutation(MutationSecondAnswer) && answer != "" {
 		d.client.writeClosed = false
-		d.writeLastLine(last)
+		d.writeLastLine(answer)
 	}
 }
 
-// writeLastLine writes the last line, if there is one, and closes our side.
-func (d *sessionDriver) writeLastLine(last string) {
-	if last != "" {
-		d.client.write([]byte(last), func(bool) {})
+// writeLastLine writes the last line, unless it is empty, and closes the relay's side.
+func (d *sessionDriver) writeLastLine(line string) {
+	if line != "" {
+		d.client.write([]byte(line), func(bool) {})
 	}
 	d.client.closeWrite()
 }
 
-// watchClient notices a client that leaves, or sends more, before its answer.
+// watchClient detects a client that closes the connection, or sends more than its request, before it has an answer.
 func (d *sessionDriver) watchClient() {
-	head := d.session.Open.Len()
-	if d.clientDone || d.state != stateWaiting || len(d.client.received) <= head && d.client.remoteEnd == session.NoEnd {
+	requestLength := d.session.Open.Len()
+	if d.clientDone || d.state != stateWaiting || len(d.client.received) <= requestLength && d.client.remoteEnd == session.NoEnd {
 		return
 	}
 	d.clientDone = true
-	sentMore := len(d.client.received) > head
+	sentMore := len(d.client.received) > requestLength
 	handOff := d.relay.handOff
 	if d.relay.run.hasMutation(MutationLateClientClose) {
 		handOff = func(do func()) { d.relay.engine.schedule(400*time.Millisecond, d.relay.whileRunning(do)) }
@@ -97,7 +97,7 @@
 	})
 }
 
-// handleCommand executes a command of the controller's.
+// handleCommand executes a command of the controller.
 func (d *sessionDriver) handleCommand(command session.Command) {
 	if d.state != stateWaiting {
 		return
@@ -113,7 +113,7 @@
 	d.perform(d.session.Execute(d.relay.engine.now, command))
 }
 
-// perform carries out the actions that the session asks for.
+// perform carries out the actions that the session returns.
 func (d *sessionDriver) perform(actions session.Actions) {
 	if actions.CancelAttempt && d.attempt != nil {
 		d.attempt.cancel()
@@ -139,7 +139,7 @@
 	}
 	cancelled := event.Kind == session.AttemptEnded && event.Result.Status == balance.StatusCancelled
 	if cancelled && r.run.hasMutation(MutationLoadMiscounted) {
-		event.Result.Attempt++ // which the balancer does not know
+		event.Result.Attempt++ // no attempt that the balancer has recorded
 	}
 	r.post(func(now time.Duration) { r.controller.SessionEvent(now, d.session.Seq, event) })
 }
@@ -161,7 +161,7 @@
 	d.client.notifyReadable()
 }
 
-// closeClient ends a session that waits for its client to close, and tells the controller.
+// closeClient ends a session that waits for its client to close, and reports that to the controller.
 func (d *sessionDriver) closeClient() {
 	if d.state != stateClosing {
 		return
--- a/internal/simulation/session_forwarding.go
+++ b/internal/simulation/session_forwarding.go
@@ -6,7 +6,7 @@
 	"aspenbarrow/internal/session"
 )
 
-// forwardUpstream sends what has arrived from the client on to the backend.
+// forwardUpstream forwards bytes from the client to the backend.
 func (d *sessionDriver) forwardUpstream() {
 	for d.state == stateEstablished && !d.upstreamBusy && !d.clientDone {
 		if unread := d.client.received; len(unread) > 0 {
@@ -30,8 +30,8 @@
 	}
 }
 
-// writeUpstream writes bytes of the client's to the backend. If the backend does not read them in time, it counts
-// as blocked.
+// writeUpstream writes bytes from the client to the backend. A backend that does not read them in time counts as
+// blocked.
 func (d *sessionDriver) writeUpstream(data []byte) {
 	d.upstreamBusy = true
 	var pending *pendingWrite
@@ -67,7 +67,7 @@
 	}
 }
 
-// scheduleIdleCheck checks for an idle session again and again while it may become one.
+// scheduleIdleCheck calls CheckIdle at regular intervals as long as it may end the session.
 func (d *sessionDriver) scheduleIdleCheck() {
 	if d.idleCheckPending || d.state != stateEstablished {
 		return
@@ -79,7 +79,7 @@
 			return
 		}
 		if !d.downstreamBusy {
-			if termination, over := d.session.CheckIdle(d.relay.engine.now); over {
+			if termination, ended := d.session.CheckIdle(d.relay.engine.now); ended {
 				d.terminate(termination)
 				return
 			}
@@ -92,18 +92,18 @@
 
 // migrate ends the session with MOVE at the next line boundary.
 func (d *sessionDriver) migrate() {
-	if d.relay.run.hasMutation(MutationMoveInsideLine) { // not now, but in the middle of the next line
+	if d.relay.run.hasMutation(MutationMoveInsideLine) { // MOVE follows in the middle of the next line instead
 		d.moveInsideLine = true
 		return
 	}
 	d.forwardDownstream()
 }
 
-// forwardDownstream sends what has arrived from the backend on to the client, and ends the session where the
-// session says so.
+// forwardDownstream forwards bytes from the backend to the client. It terminates a session that is to migrate at a line
+// boundary, and one whose backend has ended or violated the protocol.
 func (d *sessionDriver) forwardDownstream() {
 	for d.state == stateEstablished && !d.downstreamBusy {
-		if termination, now := d.session.AtLineBoundary(); now && !d.moveInsideLine {
+		if termination, migrates := d.session.AtLineBoundary(); migrates && !d.moveInsideLine {
 			if d.relay.run.hasMutation(MutationMigrateWithoutMove) {
 				termination.LastLine = ""
 			}
@@ -134,7 +134,7 @@
 	}
 }
 
-// writeDownstream writes the first n bytes of the backend's to the client.
+// writeDownstream writes the first n bytes received from the backend to the client.
 func (d *sessionDriver) writeDownstream(n int) {
 	if d.state != stateEstablished || len(d.backend.received) < n {
 		d.downstreamBusy = false
@@ -147,8 +147,8 @@
 		d.terminate(termination)
 		return
 	}
-	var p *pendingWrite
-	p = d.client.write(d.backend.received[:n], func(ok bool) {
+	var pending *pendingWrite
+	pending = d.client.write(d.backend.received[:n], func(ok bool) {
 		d.downstreamBusy = false
 		if d.state != stateEstablished {
 			return
@@ -158,14 +158,14 @@
 			return
 		}
 		d.backend.consume(n)
-		if p != nil {
+		if pending != nil {
 			d.forwardDownstream()
 		}
 	})
-	if p != nil {
+	if pending != nil {
 		d.relay.engine.schedule(session.ClientWriteTimeout, d.relay.whileRunning(func() {
-			if d.downstreamBusy && !p.cancelled {
-				p.cancelled = true
+			if d.downstreamBusy && !pending.cancelled {
+				pending.cancelled = true
 				d.downstreamBusy = false
 				d.clientBlocked()
 			}
@@ -173,7 +173,7 @@
 	}
 }
 
-// clientBlocked ends a session whose client does not read.
+// clientBlocked ends a session whose client has stopped reading.
 func (d *sessionDriver) clientBlocked() {
 	termination, mode := d.session.ClientBlocked()
 	if mode == session.CloseReset {
--- a/internal/simulation/session_handshake.go
+++ b/internal/simulation/session_handshake.go
@@ -8,7 +8,7 @@
 	"aspenbarrow/internal/session"
 )
 
-// readHandshake reads the lines before the request, and the request itself.
+// readHandshake reads the lines before the request, which it answers, and the request itself.
 func (d *sessionDriver) readHandshake() {
 	if d.state != stateHandshake {
 		return
@@ -19,7 +19,7 @@
 			return
 		}
 		d.session.SetSettings(d.relay.controller.Settings())
-		ready := d.relay.controller.Ready() || d.relay.run.hasMutation(MutationDrainedSaysReady)
+		ready := d.relay.controller.Ready() || d.relay.run.hasMutation(MutationDrainedReportsReady)
 		result, err := d.session.ReadHandshake(d.relay.engine.now, d.client.received, ready)
 		switch {
 		case err != nil:
@@ -37,7 +37,7 @@
 	}
 }
 
-// checkHandshakeEnd looks whether the client has closed, or was evicted from the handshake pool.
+// checkHandshakeEnd checks whether the client has closed its side, or was evicted from the handshake pool.
 func (d *sessionDriver) checkHandshakeEnd(unread int) {
 	switch {
 	case d.client.closed:
@@ -47,7 +47,7 @@
 	}
 }
 
-// reject answers what was no request. Without an error the client has just left.
+// reject answers an invalid request. If err is nil, the client has left without one and gets no answer.
 func (d *sessionDriver) reject(err error) {
 	if err == nil {
 		d.state = stateClosed
@@ -58,7 +58,7 @@
 	d.refuse(protocol.AnswerFailed)
 }
 
-// refuse sends a final answer and lingers: what the client still sends is read, so that closing does not reset the
+// refuse sends a final answer and lingers: it reads what the client still sends, so that closing does not reset the
 // connection before the client has read the answer.
 func (d *sessionDriver) refuse(answer string) {
 	d.state = stateLingering
--- a/internal/simulation/settings.go
+++ b/internal/simulation/settings.go
@@ -13,7 +13,7 @@
 func (run *run) drawSettings() {
 	run.classes = []class{{"watch", 2 * time.Second, 1}, {"fetch", 1800 * time.Millisecond, 2}, {"submit", 3 * time.Second, 5}}
 	if run.options.Installation == nil {
-		run.classes = append(run.classes, class{"extra", 1500 * time.Millisecond, 3}) // used after a settings change only
+		run.classes = append(run.classes, class{"extra", 1500 * time.Millisecond, 3}) // used only after a settings change
 	}
 	run.servedByClass = make([]int, len(run.classes))
 	run.settings = settings.Settings{
@@ -64,7 +64,7 @@
 	}
 }
 
-// baseClasses are the classes that every installation has.
+// baseClasses returns the classes that every installation has.
 func baseClasses() []balance.Class {
 	return []balance.Class{{
 		LatencyObjective:        400 * time.Millisecond,
@@ -89,7 +89,7 @@
 	}}
 }
 
-// limits are what the checker enforces: the settings, with an allowance for the delays of sockets.
+// limits returns what the invariant checker enforces: the settings, with an allowance for the delays of sockets.
 func (run *run) limits() invariant.Limits {
 	const allowance = 50 * time.Millisecond
 	s := &run.settings
@@ -111,7 +111,7 @@
 	}
 }
 
-// classLimits are the classes as the checker enforces them.
+// classLimits returns the classes as the invariant checker enforces them.
 func (run *run) classLimits() []invariant.Class {
 	classes := []invariant.Class{{
 		Name:          "watch",
@@ -138,9 +138,8 @@
 	return classes
 }
 
-// changeSettings has all relays load settings with one class more, the idempotency of two classes swapped and another
-// attempt limit, or the original settings again. Clients start to use the additional class a while after the
-// change, and stop a while before it is taken back.
+// changeSettings reloads all relays with extendedSettings, or with the original settings again. Clients start to use the
+// additional class classRolloutDelay after the change, and stop using it as long before it is removed.
 func (run *run) changeSettings(extend bool, idempotency balance.Idempotency, maxAttempts int) {
 	classes, changed := run.classLimits(), run.settings
 	if extend {
@@ -148,10 +147,10 @@
 	}
 	run.count("settings changed")
 	for _, r := range run.relays {
-		own := changed
-		own.RelayIndex, own.RelayCount, own.Zone = r.cfg.Settings.RelayIndex, r.cfg.Settings.RelayCount, r.cfg.Settings.Zone
-		r.cfg.Settings, r.cfg.Routes = own, run.routingTable()
-		if extend && r.cfg.Routes != nil { // the additional class comes first
+		reloaded := changed
+		reloaded.RelayIndex, reloaded.RelayCount, reloaded.Zone = r.cfg.Settings.RelayIndex, r.cfg.Settings.RelayCount, r.cfg.Settings.Zone
+		r.cfg.Settings, r.cfg.Routes = reloaded, run.routingTable()
+		if extend && r.cfg.Routes != nil { // the additional class is the first, so the others move up by one
 			r.cfg.Routes = r.cfg.Routes.RemapClasses([]int{1, 2, 3})
 		}
 		run.checker.RelayReconfigured(r.number, classes, changed.MaxAttempts)
@@ -168,10 +167,11 @@
 	})
 }
 
-// extendedSettings are the settings with the additional class, and the classes as the checker is to hold them.
+// extendedSettings returns settings with an additional class, the idempotency of two classes swapped and another attempt
+// limit, and their classes as the invariant checker enforces them.
 func (run *run) extendedSettings(idempotency balance.Idempotency, maxAttempts int) ([]invariant.Class, settings.Settings) {
 	classes, extended := run.classLimits(), run.settings
-	asInvariant := map[balance.Idempotency]invariant.Idempotency{
+	toInvariant := map[balance.Idempotency]invariant.Idempotency{
 		balance.Idempotent:    invariant.Idempotent,
 		balance.NonIdempotent: invariant.NonIdempotent,
 	}
@@ -189,27 +189,27 @@
 	classes = append(classes, invariant.Class{
 		Name:             "extra",
 		ClientTimeout:    1500 * time.Millisecond,
-		Idempotency:      asInvariant[idempotency],
+		Idempotency:      toInvariant[idempotency],
 		LatencyObjective: 400 * time.Millisecond,
 	})
 	return classes, extended
 }
 
-// classRolloutDelay is the time between a reload and the clients' use of an additional class.
+// classRolloutDelay is the time between a reload and the clients' first use of an additional class.
 const classRolloutDelay = 1200 * time.Millisecond
 
-// routingTable gives each class its retry policy; nil without any.
+// routingTable returns routes that give each class its retry policy, or nil if there are no policies.
 func (run *run) routingTable() *routing.Table {
-	var all []routing.Route
-	for i, t := range run.options.RetryPolicies {
-		m := routing.MatchAll
-		m.Class = i
-		all = append(all, routing.Route{Name: run.classes[i].name, Match: m, RetryPolicy: t})
+	var routes []routing.Route
+	for i, policy := range run.options.RetryPolicies {
+		match := routing.MatchAll
+		match.Class = i
+		routes = append(routes, routing.Route{Name: run.classes[i].name, Match: match, RetryPolicy: policy})
 	}
-	if all == nil {
+	if routes == nil {
 		return nil
 	}
-	table, errs := routing.NewTable(all)
+	table, errs := routing.NewTable(routes)
 	if len(errs) > 0 {
 		panic(errs[0])
 	}
--- a/internal/simulation/shrink.go
+++ b/internal/simulation/shrink.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// Faults are not weakened below these.
+// The lower limits to which faults are weakened.
 const (
 	minShrunkDuration = 100 * time.Millisecond
 	minShrunkSeverity = 0.05
@@ -44,7 +44,7 @@
 	onSmaller func(script []Fault)
 }
 
-// removeFaults drops the faults that are not needed, and says whether there were any.
+// removeFaults removes the faults that the violation does not need, and reports whether there were any.
 func (s *shrinker) removeFaults() (changed bool) {
 	for i := 0; i < len(s.script); i++ {
 		if s.keepIfFailing(slices.Delete(slices.Clone(s.script), i, i+1)) {
@@ -55,7 +55,7 @@
 	return changed
 }
 
-// weakenFaults halves the duration and severity of faults where that is enough, and says whether it was anywhere.
+// weakenFaults halves the duration and severity of faults where the run still fails, and reports whether any was halved.
 func (s *shrinker) weakenFaults() (changed bool) {
 	for i := range s.script {
 		shorter := slices.Clone(s.script)
@@ -63,20 +63,20 @@
 		if shorter[i].Duration >= minShrunkDuration && s.keepIfFailing(shorter) {
 			changed = true
 		}
-		milder := slices.Clone(s.script)
-		milder[i].Severity /= 2
-		if milder[i].Severity > minShrunkSeverity && s.keepIfFailing(milder) {
+		weaker := slices.Clone(s.script)
+		weaker[i].Severity /= 2
+		if weaker[i].Severity > minShrunkSeverity && s.keepIfFailing(weaker) {
 			changed = true
 		}
 	}
 	return changed
 }
 
-// keepIfFailing takes a script over if it violates the rule.
+// keepIfFailing replaces the script by another if that violates the rule too, and reports whether it does.
 func (s *shrinker) keepIfFailing(script []Fault) bool {
 	options := s.options
 	options.Script = script
-	if script == nil { // nil would have Run draw one
+	if script == nil { // with nil, Run would draw a script
 		options.Script = []Fault{}
 	}
 	violatesRule := func(v invariant.Violation) bool { return v.Rule == s.rule }
--- a/internal/simulation/topology.go
+++ b/internal/simulation/topology.go
@@ -12,7 +12,7 @@
 	"aspenbarrow/internal/fault"
 )
 
-// zones are the availability zones; relays and backends are placed in them by turns.
+// zones are the availability zones. Relays and backends are assigned to them in turn.
 var zones = []string{"east", "west"}
 
 // installationSize is the number of nodes of each kind at the start.
@@ -22,23 +22,24 @@
 func (run *run) drawSize() installationSize {
 	rng := run.engine.rng
 	size := installationSize{relays: 2 + rng.IntN(6), backends: 6 + rng.IntN(27), clients: 100 + rng.IntN(41)}
-	if installation := run.options.Installation; installation != nil { // the draws above are made in any case
+	if installation := run.options.Installation; installation != nil { // drawn in any case, so that later draws are the same
 		size = installationSize{installation.Relays, installation.Backends, installation.Clients}
 	}
 	return size
 }
 
-// populate creates all nodes: discovery and backends first, then relays, then the clients' first visits.
+// populate creates all nodes: discovery and backends, then relays, then clients, which first connect within the arrival
+// window.
 func (run *run) populate(size installationSize) {
 	run.catalog = &catalog{run: run}
 	run.clientHost = run.engine.newHost("outside", "").withNode(fault.Clients, 0)
 	run.clientHost.start()
 	for i := range size.relays {
-		for network := range agentsPerRelay {
+		for agent := range agentsPerRelay {
 			run.catalog.agents = append(run.catalog.agents, &discoveryAgent{
 				catalog: run.catalog,
 				relay:   i,
-				address: fmt.Sprintf("10.2.%d.%d:8500", network, i),
+				address: fmt.Sprintf("10.2.%d.%d:8500", agent, i),
 			})
 		}
 	}
@@ -58,30 +59,30 @@
 	}
 }
 
-// agentsPerRelay is how many discovery agents a relay can follow; it starts with the first.
+// agentsPerRelay is the number of discovery agents that a relay can follow. It starts with the first.
 const agentsPerRelay = 2
 
-// scheduleReleases schedules ordinary releases of up to three backends, which are no faults. A scenario has none that
-// its script does not list.
-func (run *run) scheduleReleases(backends int) {
+// scheduleDeployments schedules planned restarts of up to three backends, which are not faults. With
+// Options.Installation there are only those that the script contains.
+func (run *run) scheduleDeployments(backends int) {
 	engine := run.engine
-	releases := engine.rng.IntN(4)
+	deployments := engine.rng.IntN(4)
 	if run.options.Installation != nil {
-		releases = 0
+		deployments = 0
 	}
-	for range releases {
+	for range deployments {
 		start := engine.randomDuration(4*time.Second, 36*time.Second)
 		grace := engine.randomDuration(6*time.Second, 14*time.Second)
 		b := run.backends[engine.rng.IntN(backends)]
-		engine.schedule(start, func() { b.release(grace, time.Second) })
+		engine.schedule(start, func() { b.drainAndRestart(grace, time.Second) })
 	}
 }
 
-// unavailableLoad is the load of a backend that does not serve: more than any other.
+// unavailableLoad is the load of a backend that does not serve. It is higher than that of any other.
 const unavailableLoad = 1e9
 
-// trueLoad is the demand on a backend relative to its capacity. No node knows it; a baseline policy may use it as an
-// oracle.
+// trueLoad returns the demand on a backend relative to its capacity. No node can observe it, but a baseline policy may
+// use it as an oracle.
 func (run *run) trueLoad(id balance.BackendID) float64 {
 	for _, b := range run.backends {
 		if discovery.BackendID(b.name) != id {
@@ -117,9 +118,9 @@
 	run.backendsByAddress[b.addr] = b
 	run.checker.AddBackend(b.name, b.zone)
 	b.launch()
-	if run.engine.now == epoch { // backends that were there before the run are known to discovery at once
+	if run.engine.now == epoch { // backends that run from the start are in discovery's lists at once
 		for _, agent := range run.catalog.agents {
-			agent.learn(b.entry())
+			agent.applyUpdate(b.entry())
 		}
 	}
 }
@@ -137,7 +138,7 @@
 		server.ReportDelay = installation.LateReportDelay
 	}
 	b.model = emulator.New(server, run.engine.rng.Uint64(), run.engine.now)
-	b.pendingJobs = map[uint64]func(bool){}
+	b.jobCallbacks = map[uint64]func(bool){}
 }
 
 // addRelay creates a relay and starts its process.
@@ -165,24 +166,24 @@
 	run.loadBalancer.checkRelay(r)
 }
 
-// hotKey is the key that many clients share where some key is to be hot.
+// hotKey is the key that many clients share in runs with a hot key.
 const hotKey = 0x407
 
-// addClient creates a client, which does not connect yet.
+// addClient creates a client. It does not connect yet.
 func (run *run) addClient() *client {
 	rng := run.engine.rng
-	stay := [2]time.Duration{2 * time.Second, 25 * time.Second}
+	sessionRange := [2]time.Duration{2 * time.Second, 25 * time.Second}
 	if run.options.Installation != nil {
-		stay = run.options.Installation.StayRange
+		sessionRange = run.options.Installation.StayRange
 	}
-	classes := []int{0, 0, 1, 1, 2} // the shares of the classes
+	classes := []int{0, 0, 1, 1, 2} // a class's share of the clients is its share of this list
 	c := &client{
-		run:          run,
-		number:       len(run.clients),
-		key:          rng.Uint64(),
-		class:        classes[rng.IntN(len(classes))],
-		stayDuration: run.engine.randomDuration(stay[0], stay[1]),
-		sendsBursts:  rng.IntN(12) == 0,
+		run:             run,
+		number:          len(run.clients),
+		key:             rng.Uint64(),
+		class:           classes[rng.IntN(len(classes))],
+		sessionDuration: run.engine.randomDuration(sessionRange[0], sessionRange[1]),
+		sendsBursts:     rng.IntN(12) == 0,
 	}
 	if installation := run.options.Installation; installation != nil && installation.HotKeyShare > 0 {
 		if rng.Float64() < installation.HotKeyShare {
--- a/internal/simulation/trace_test.go
+++ b/internal/simulation/trace_test.go
@@ -7,11 +7,11 @@
 )
 
 // TestRun_WriteTrace writes the trace of the seed in the environment variable SEED to the file in TRACE. It is a tool
-// for debugging and skipped without them.
+// for debugging, and skipped without SEED.
 func TestRun_WriteTrace(t *testing.T) {
 	seed, err := strconv.ParseUint(os.Getenv("SEED"), 10, 64)
 	if err != nil {
-		t.Skip("no SEED")
+		t.Skip("SEED is not set to a number")
 	}
 	f, err := os.Create(os.Getenv("TRACE"))
 	if err != nil {
@@ -21,7 +21,7 @@
 	if err := f.Close(); err != nil {
 		t.Error(err)
 	}
-	for _, b := range res.Violations {
-		t.Log(b)
+	for _, v := range res.Violations {
+		t.Log(v)
 	}
 }
