--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -173,9 +173,9 @@
 	{`share = 0.4`, `share = 0.6`, "tenant[1].share", "come to 1.1, over the whole", ""},
 	// Timing against the rules.
 	{`attempts = 3`, `attempts = 5`, "route[1].attempts", "5 attempts, where the installation allows 4 (rules.max-attempts)", ""},
-	{`second-after = "400ms"`, "attempts = 1\nsecond-after = \"400ms\"", "route[0].second-after", "a second copy is a second attempt, and there is only one (attempts)", `second-after = "400ms"`},
-	{`second-after = "400ms"`, `second-after = "4s"`, "route[0].second-after", "a second copy after 4s, where all ends after", ""},
-	{`drain-grace = "250ms"`, `cancel = false`, "route[0].second-after", "a second copy would overlap the first", "second-after"},
+	{`second-after = "400ms"`, "attempts = 1\nsecond-after = \"400ms\"", "route[0].second-after", "a second attempt after 400ms, but attempts are limited to 1 (attempts)", `second-after = "400ms"`},
+	{`second-after = "400ms"`, `second-after = "4s"`, "route[0].second-after", "a second attempt after 4s, but the request ends after", ""},
+	{`drain-grace = "250ms"`, `cancel = false`, "route[0].second-after", "a second attempt would overlap the first", "second-after"},
 	{`second-after = "400ms"`, "second-after = \"400ms\"\nattempt-timeout = \"300ms\"", "route[0].second-after", "the first attempt has ended after 300ms", `second-after = "400ms"`},
 	{`second-after = "400ms"`, `total = "3300ms"`, "route[0].total", "3.3s is longer than the client waits: 3.2s less 16ms for the answer (class[0].give-up)", ""},
 	{`second-after = "400ms"`, `total = "3190ms"`, "route[0].total", "longer than the client waits", ""},
@@ -184,19 +184,19 @@
 	{`attempt-timeout = "500ms"`, "attempt-timeout = \"500ms\"\ntotal = \"400ms\"", "route[1].attempt-timeout", "an attempt of 500ms does not fit into 400ms (total)", ""},
 	{`attempt-timeout = "500ms"`, `attempt-timeout = "100ms"`, "route[1].connect-timeout", "connecting may take 200ms, the whole attempt only 100ms", `[[route]]
 name = "fetches"`},
-	{`backoff = "50ms"`, `backoff = "2s"`, "route[1].backoff", "a pause of 2s is longer than what is left of 1.784s", ""},
+	{`backoff = "50ms"`, `backoff = "2s"`, "route[1].backoff", "a pause of 2s does not fit into 1.784s", ""},
 	{`backoff = "50ms"`, `backoff = "150ms"`, "route[1].max-backoff", "the ceiling 100ms is under the first pause 150ms (backoff)", `max-backoff = "100ms"`},
 	{`backoff = "50ms"`, ``, "route[1].max-backoff", "a ceiling of 100ms without any pause (backoff)", `max-backoff = "100ms"`},
 	{`attempts = 3`, `attempts = 1`, "route[1].backoff", "a pause before a second attempt that is never made (attempts)", `backoff = "50ms"`},
-	{`budget = 0.1`, `budget = 1.5`, "route[2].budget", "retries feed on retries; less than 1", ""},
+	{`budget = 0.1`, `budget = 1.5`, "route[2].budget", "expected less than 1: retries would allow further retries without end", ""},
 	{`budget = 0.1`, `budget = -0.1`, "route[2].budget", "out of range", ""},
 	{`class = "status-watch"
-key-prefix`, "class = \"image-submit\"\nkey-prefix", "route[0].second-after", "a second copy may act twice: the class is unsafe (class[2].effect)", `second-after = "400ms"`},
+key-prefix`, "class = \"image-submit\"\nkey-prefix", "route[0].second-after", "a second attempt may execute the request twice: the class is unsafe (class[2].effect)", `second-after = "400ms"`},
 	{`class = "status-watch"
 key-prefix = "7f"
-second-after = "400ms"`, "class = \"image-submit\"\nattempt-timeout = \"1s\"\nattempts = 2", "route[0].attempts", "may have run, and this class may not be repeated", "attempts = 2"},
-	{`window = "2s"`, `window = "900ms"`, "route[1].attempts", "past the window of 900ms", "attempts = 3"},
-	{`max-backoff = "100ms"`, "max-backoff = \"100ms\"\nsecond-after = \"2s\"", "route[1].second-after", "comes past the window of 2s", `second-after = "2s"`},
+second-after = "400ms"`, "class = \"image-submit\"\nattempt-timeout = \"1s\"\nattempts = 2", "route[0].attempts", "may have been executed, and requests of this class must not be repeated", "attempts = 2"},
+	{`window = "2s"`, `window = "900ms"`, "route[1].attempts", "outside the window of 900ms", "attempts = 3"},
+	{`max-backoff = "100ms"`, "max-backoff = \"100ms\"\nsecond-after = \"2s\"", "route[1].second-after", "is outside the window of 2s", `second-after = "2s"`},
 	{`scope = "all"`, "scope = \"cell\"\nsecond-after = \"300ms\"", "class[1].second-after", "outside the cell that discards repeats (class[1].scope)", `second-after = "300ms"`},
 	{`connect-timeout = "200ms"`, `connect-timeout = "2s"`, "retries.connect-timeout", `for class "sig-fetch"`, ""},
 	{`give-up = "4s"`, "give-up = \"4s\"\ntotal = \"5s\"", "class[2].total", "5s is longer than the client waits", `total = "5s"`},
@@ -209,7 +209,7 @@
 	{`tenant = "milano"`, `group = "0000000000000000"`, "route[2].group", "0 is no group", ""},
 	{`key-prefix = "7f"`, `key-prefix = "7F"`, "route[0].key-prefix", "in lower case", ""},
 	{`key-prefix = "7f"`, `key-prefix = "00112233445566778"`, "route[0].key-prefix", "16 at most", ""},
-	{`tenant = "milano"`, "class = \"sig-fetch\"\ntenant = \"milano\"", "route[2]", `route "milano" can never match: route "fetches" before it takes all`, "[[route]]\nname = \"milano\""},
+	{`tenant = "milano"`, "class = \"sig-fetch\"\ntenant = \"milano\"", "route[2]", `route "milano" can never match: the earlier route "fetches" matches all`, "[[route]]\nname = \"milano\""},
 	{`name = "milano"
 tenant`, "tenant", "route[2].name", "is missing", "[[route]]\ntenant"},
 }
--- a/internal/routing/match.go
+++ b/internal/routing/match.go
@@ -14,11 +14,11 @@
 // keyWidth is the number of bits of a request key.
 const keyWidth = 64
 
-// Match holds the conditions that a request has to meet, all of them, for a route to take it.
+// Match holds the conditions of a route; a request has to meet all of them.
 type Match struct {
 	Class    int    // index of the class, or Any
 	Tenant   int    // index of the tenant, or Any
-	Zone     int    // index of the relay's own zone, or Any
+	Zone     int    // index of the relay's zone, or Any
 	Protocol int    // ProtocolLine, ProtocolAMQP or Any
 	Group    uint64 // connection group; 0 accepts every group
 	Key      uint64 // key prefix, left-aligned; only the first KeyBits bits count
@@ -42,7 +42,7 @@
 	RetryPolicy balance.RetryPolicy
 }
 
-// fieldSet says which attributes of a request a Match looks at.
+// fieldSet holds which attributes of a request a Match tests.
 type fieldSet struct {
 	class, tenant, zone, protocol, group bool
 	keyMask                              uint64 // selects the prefix of the key; 0: the key is ignored
@@ -54,7 +54,7 @@
 	group, key                    uint64
 }
 
-// fields returns the attributes that m looks at.
+// fields returns the attributes that m tests.
 func (m *Match) fields() fieldSet {
 	fields := fieldSet{
 		class:    m.Class != Any,
@@ -69,7 +69,7 @@
 	return fields
 }
 
-// sample returns a request with the values of m. Attributes that m leaves open have no meaning in it.
+// sample returns a request with the values of m. Its values are meaningless for attributes that m does not test.
 func (m *Match) sample() Request {
 	return Request{Class: m.Class, Tenant: m.Tenant, Zone: m.Zone, Protocol: m.Protocol, Group: m.Group, Key: m.Key}
 }
--- a/internal/routing/policy.go
+++ b/internal/routing/policy.go
@@ -9,12 +9,12 @@
 )
 
 // ErrPolicy is the error that every PolicyError wraps.
-var ErrPolicy = errors.New("unsound retry policy")
+var ErrPolicy = errors.New("invalid retry policy")
 
 // PolicyError is one problem of a retry policy.
 type PolicyError struct {
-	Key    string // the key of the policy at fault, one of the Key constants
-	Other  string // another key that it has to agree with; empty: none. ClassPrefix begins those of the class.
+	Key    string // key of the invalid value, one of the Key constants
+	Other  string // key whose value conflicts with that of Key, empty if none; a key of the class begins with ClassPrefix
 	Reason string
 }
 
@@ -44,7 +44,7 @@
 // ClassPrefix begins the name of a key of the class whose requests a policy governs.
 const ClassPrefix = "class."
 
-// The keys outside the policy that it has to agree with.
+// The keys outside the policy whose values can conflict with it.
 const (
 	keyInstallationAttempts = "rules.max-attempts"
 	keyCancellation         = "rules.cancel"
@@ -54,7 +54,7 @@
 	keyDedupScope           = ClassPrefix + "scope"
 )
 
-// maxRetryBudget bounds the further attempts that each request earns: at 1 or above, retries earn retries without end.
+// maxRetryBudget bounds the retries that each request adds to the budget: at 1 or more, retries would allow further retries without end.
 const maxRetryBudget = 1
 
 // Limits are the bounds that the installation sets to every retry policy.
@@ -83,16 +83,16 @@
 	return c.problems
 }
 
-// policyCheck is one check of a policy, with the figures that several of its steps need.
+// policyCheck is one check of a policy, with the values that several of its steps use.
 type policyCheck struct {
 	balance.RetryPolicy
 	class  balance.Class
 	limits Limits
 
-	attempts       int           // attempts that a request can come to
-	clientPatience time.Duration // the client's timeout less the answer's slack; 0: the client has no timeout
-	deadline       time.Duration // when all attempts have to have ended; 0 or less: there is no deadline
-	totalBackoff   time.Duration // all pauses between the attempts at their longest
+	attempts       int           // maximum number of attempts at a request
+	clientDeadline time.Duration // the client's timeout less the time for the answer; 0: the client has no timeout
+	deadline       time.Duration // time by which all attempts must have ended; 0 or less: there is no deadline
+	totalBackoff   time.Duration // sum of the pauses between the attempts, each at its longest
 
 	problems []*PolicyError
 }
@@ -103,9 +103,9 @@
 		c.attempts = min(c.attempts, policy.MaxAttempts)
 	}
 	if class.ClientTimeout > 0 {
-		c.clientPatience = class.ClientTimeout - limits.AnswerSlack
+		c.clientDeadline = class.ClientTimeout - limits.AnswerSlack
 	}
-	c.deadline = c.clientPatience
+	c.deadline = c.clientDeadline
 	if policy.RequestTimeout > 0 && (c.deadline <= 0 || policy.RequestTimeout < c.deadline) {
 		c.deadline = policy.RequestTimeout
 	}
@@ -113,7 +113,7 @@
 	return c
 }
 
-// report notes a problem; other is the key that key has to agree with, empty if there is none.
+// report records a problem; other is the key whose value conflicts with that of key, empty if there is none.
 func (c *policyCheck) report(key, other, format string, args ...any) {
 	c.problems = append(c.problems, &PolicyError{Key: key, Other: other, Reason: fmt.Sprintf(format, args...)})
 }
@@ -141,12 +141,12 @@
 		{KeyHedgeDelay, c.HedgeDelay},
 	} {
 		if duration.value < 0 {
-			c.report(duration.key, "", "%v is less than nothing", duration.value)
+			c.report(duration.key, "", "%v is negative, expected 0 or more", duration.value)
 		}
 	}
 }
 
-// checkClientTimeout reports timeouts that end only after the client has given up.
+// checkClientTimeout reports timeouts that end too late to answer within the client's timeout.
 func (c *policyCheck) checkClientTimeout() {
 	if c.class.ClientTimeout <= 0 {
 		return
@@ -156,7 +156,7 @@
 		{KeyAttemptTimeout, c.AttemptTimeout},
 		{KeyConnectTimeout, c.ConnectTimeout},
 	} {
-		if timeout.value > c.clientPatience {
+		if timeout.value > c.clientDeadline {
 			c.report(timeout.key, keyClientTimeout, "%v is longer than the client waits: %v less %v for the answer",
 				timeout.value, c.class.ClientTimeout, c.limits.AnswerSlack)
 		}
@@ -186,17 +186,17 @@
 	}
 }
 
-// checkDeadline reports attempts and pauses that cannot all end before the deadline; only the first reason is told.
+// checkDeadline reports attempts and pauses that cannot all end before the deadline; it reports only the first reason.
 func (c *policyCheck) checkDeadline() {
 	switch {
 	case c.deadline <= 0:
 	case c.BaseBackoff >= c.deadline:
-		c.report(KeyBaseBackoff, KeyRequestTimeout, "a pause of %v is longer than what is left of %v", c.BaseBackoff, c.deadline)
+		c.report(KeyBaseBackoff, KeyRequestTimeout, "a pause of %v does not fit into %v", c.BaseBackoff, c.deadline)
 	case c.AttemptTimeout > 0 && time.Duration(c.attempts)*c.AttemptTimeout+c.totalBackoff > c.deadline:
 		c.report(KeyMaxAttempts, KeyAttemptTimeout, "%d attempts of %v and pauses of up to %v cannot end within %v",
 			c.attempts, c.AttemptTimeout, c.totalBackoff, c.deadline)
 	case c.AttemptTimeout == 0 && c.totalBackoff >= c.deadline:
-		c.report(KeyBaseBackoff, KeyMaxAttempts, "pauses of up to %v between %d attempts leave nothing of %v",
+		c.report(KeyBaseBackoff, KeyMaxAttempts, "pauses of up to %v between %d attempts leave no time for the attempts within %v",
 			c.totalBackoff, c.attempts, c.deadline)
 	}
 }
@@ -204,9 +204,10 @@
 func (c *policyCheck) checkRetryBudget() {
 	switch {
 	case c.RetryBudget < 0:
-		c.report(KeyRetryBudget, "", "%v is less than nothing", c.RetryBudget)
+		c.report(KeyRetryBudget, "", "%v is negative, expected at least 0 and less than 1", c.RetryBudget)
 	case c.RetryBudget >= maxRetryBudget:
-		c.report(KeyRetryBudget, "", "with %v further attempts for each request retries feed on retries; less than 1", c.RetryBudget)
+		c.report(KeyRetryBudget, "", "%v retries for each request, expected less than 1: retries would allow further retries without end",
+			c.RetryBudget)
 	}
 }
 
@@ -215,33 +216,33 @@
 	keyed := c.class.Idempotency == balance.IdempotentWithKey
 	switch {
 	case !c.limits.Cancellation:
-		c.report(KeyHedgeDelay, keyCancellation, "a second copy would overlap the first: this installation cannot cancel an attempt")
+		c.report(KeyHedgeDelay, keyCancellation, "a second attempt would overlap the first: this installation cannot cancel an attempt")
 	case c.class.Idempotency == balance.NonIdempotent:
-		c.report(KeyHedgeDelay, keyIdempotency, "a second copy may act twice: the class is unsafe")
+		c.report(KeyHedgeDelay, keyIdempotency, "a second attempt may execute the request twice: the class is unsafe")
 	case keyed && c.HedgeDelay >= c.class.DedupWindow:
-		c.report(KeyHedgeDelay, keyDedupWindow, "a second copy after %v comes past the window of %v in which repeats are discarded",
+		c.report(KeyHedgeDelay, keyDedupWindow, "a second attempt after %v is outside the window of %v in which repeats are discarded",
 			c.HedgeDelay, c.class.DedupWindow)
 	case keyed && c.class.DedupScope == balance.ScopeCell:
-		c.report(KeyHedgeDelay, keyDedupScope, "a second copy goes to another server, as a rule outside the cell that discards repeats")
+		c.report(KeyHedgeDelay, keyDedupScope, "a second attempt goes to another backend, usually outside the cell that discards repeats")
 	}
 }
 
 // checkHedgeDelay reports a hedged attempt that can never be made.
 func (c *policyCheck) checkHedgeDelay() {
 	if c.attempts < 2 {
-		c.report(KeyHedgeDelay, KeyMaxAttempts, "a second copy is a second attempt, and there is only one")
+		c.report(KeyHedgeDelay, KeyMaxAttempts, "a second attempt after %v, but attempts are limited to %d", c.HedgeDelay, c.attempts)
 	}
 	if c.AttemptTimeout > 0 && c.HedgeDelay >= c.AttemptTimeout {
-		c.report(KeyHedgeDelay, KeyAttemptTimeout, "the first attempt has ended after %v, before a second copy after %v",
+		c.report(KeyHedgeDelay, KeyAttemptTimeout, "the first attempt has ended after %v, before a second attempt after %v",
 			c.AttemptTimeout, c.HedgeDelay)
 	}
 	if c.deadline > 0 && c.HedgeDelay >= c.deadline {
-		c.report(KeyHedgeDelay, KeyRequestTimeout, "a second copy after %v, where all ends after %v", c.HedgeDelay, c.deadline)
+		c.report(KeyHedgeDelay, KeyRequestTimeout, "a second attempt after %v, but the request ends after %v", c.HedgeDelay, c.deadline)
 	}
 }
 
-// checkTimedOutAttempts reports repeats of an attempt that timed out, and so may have been executed, where the class
-// does not allow such a repeat.
+// checkTimedOutAttempts reports retries of an attempt that timed out, and so may have been executed, where the class
+// does not allow such a retry.
 func (c *policyCheck) checkTimedOutAttempts() {
 	if c.AttemptTimeout <= 0 || c.attempts < 2 {
 		return
@@ -249,15 +250,15 @@
 	lastStart := time.Duration(c.attempts-1)*c.AttemptTimeout + c.totalBackoff
 	switch {
 	case c.class.Idempotency == balance.NonIdempotent && c.MaxAttempts > 1:
-		c.report(KeyMaxAttempts, keyIdempotency, "an attempt that timed out may have run, and this class may not be repeated; "+
-			"without %s an attempt has all the time", KeyAttemptTimeout)
+		c.report(KeyMaxAttempts, keyIdempotency, "an attempt that timed out may have been executed, and requests of this class "+
+			"must not be repeated; without %s an attempt has all the time left", KeyAttemptTimeout)
 	case c.class.Idempotency == balance.IdempotentWithKey && c.class.DedupWindow > 0 && lastStart >= c.class.DedupWindow:
-		c.report(KeyMaxAttempts, keyDedupWindow, "the last attempt may go out %v after the first, past the window of %v in which "+
+		c.report(KeyMaxAttempts, keyDedupWindow, "the last attempt may start %v after the first, outside the window of %v in which "+
 			"repeats are discarded", lastStart, c.class.DedupWindow)
 	}
 }
 
-// maxTotalBackoff returns the sum of the pauses between so many attempts, each at its longest.
+// maxTotalBackoff returns the sum of the pauses between the given number of attempts, each at its longest.
 func maxTotalBackoff(policy balance.RetryPolicy, attempts int) (total time.Duration) {
 	pause := policy.BaseBackoff
 	for range attempts - 1 {
--- a/internal/routing/policy_test.go
+++ b/internal/routing/policy_test.go
@@ -20,20 +20,20 @@
 		{"sound", balance.RetryPolicy{AttemptTimeout: 300 * time.Millisecond, MaxAttempts: 3, BaseBackoff: 50 * time.Millisecond}, nil},
 		{"too many attempts", balance.RetryPolicy{MaxAttempts: 5},
 			[]string{"attempts: 5 attempts, where the installation allows 4 (rules.max-attempts)"}},
-		{"a negative budget", balance.RetryPolicy{RetryBudget: -1}, []string{"budget: -1 is less than nothing"}},
+		{"a negative budget", balance.RetryPolicy{RetryBudget: -1}, []string{"budget: -1 is negative, expected at least 0 and less than 1"}},
 		{"two problems in the order of the checks", balance.RetryPolicy{MaxBackoff: time.Second, HedgeDelay: time.Second}, []string{
 			"max-backoff: a ceiling of 1s without any pause (backoff)",
-			"second-after: a second copy after 1s comes past the window of 1s in which repeats are discarded (class.window)",
+			"second-after: a second attempt after 1s is outside the window of 1s in which repeats are discarded (class.window)",
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			problems := CheckPolicy(tc.policy, class, limits)
 			if len(problems) != len(tc.want) {
-				t.Fatalf("%v, want %q", problems, tc.want)
+				t.Fatalf("got problems %v, want %q", problems, tc.want)
 			}
 			for i, problem := range problems {
 				if problem.Error() != tc.want[i] || !errors.Is(problem, ErrPolicy) {
-					t.Errorf("%v, want %s", problem, tc.want[i])
+					t.Errorf("got problem %v, want %s", problem, tc.want[i])
 				}
 			}
 		})
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -1,9 +1,9 @@
 // Package routing chooses the route of a request by its class, tenant, group, key and protocol and by the zone of the
-// relay. A route names the retry policy of its requests, and the first route that matches counts. The package also
+// relay. A route names the retry policy of its requests, and the first route that matches is used. The package also
 // checks a retry policy against the class of its requests and the limits of the installation.
 //
-// It reads no files and does no I/O: package config turns names into the indexes used here and places the problems
-// that are found in the file they come from.
+// It reads no files and does no I/O: package config turns names into the indexes used here and adds to each
+// problem the position in its file.
 package routing
 
 import (
@@ -15,7 +15,7 @@
 // ErrShadowedRoute is the error that every ShadowedRouteError wraps.
 var ErrShadowedRoute = errors.New("route can never match")
 
-// ShadowedRouteError reports a route that no request can reach, because an earlier route takes all of its requests.
+// ShadowedRouteError reports a route that no request can reach, because an earlier route matches all of its requests.
 type ShadowedRouteError struct {
 	Index      int // position of the route in the list given to NewTable
 	Name       string
@@ -25,20 +25,20 @@
 
 // Error implements the error interface.
 func (e *ShadowedRouteError) Error() string {
-	return fmt.Sprintf("route %q can never match: route %q before it takes all of its requests", e.Name, e.ByName)
+	return fmt.Sprintf("route %q can never match: the earlier route %q matches all of its requests", e.Name, e.ByName)
 }
 
 // Unwrap returns ErrShadowedRoute.
 func (e *ShadowedRouteError) Unwrap() error { return ErrShadowedRoute }
 
 // Table finds the route of a request. It is immutable, so that goroutines may share it and the routes that it returns
-// stay valid for as long as anybody holds them. A nil *Table is an empty one.
+// stay valid while they are in use. A nil *Table is an empty one.
 type Table struct {
 	routes  []Route
 	indexes []index // ordered by their first routes
 }
 
-// index holds all routes that look at the same attributes, so that one map access finds the first of them. A lookup
+// index holds all routes that test the same attributes, so that one map access finds the first of them. A lookup
 // costs one access for each combination of attributes in use, however many routes there are.
 type index struct {
 	fields     fieldSet
@@ -46,7 +46,7 @@
 	byValues   map[matchValues]int
 }
 
-// notFound is the position of a route or index that there is not.
+// notFound is returned as a position if there is no such route or index.
 const notFound = -1
 
 // NewTable makes a table of the routes in their order. Its errors are of type *ShadowedRouteError, one for each route
@@ -68,7 +68,7 @@
 	return table, errs
 }
 
-// firstCovering returns the position of the first route so far that takes every request that match accepts.
+// firstCovering returns the position of the first route so far that matches every request that match accepts.
 func (t *Table) firstCovering(match *Match) int {
 	fields, sample := match.fields(), match.sample()
 	first := notFound
@@ -96,7 +96,7 @@
 	t.indexes[i].byValues[fields.valuesOf(&sample)] = position
 }
 
-// Lookup returns the first route that matches a request, nil if none does.
+// Lookup returns the first route that matches the request, nil if none does.
 func (t *Table) Lookup(request Request) *Route {
 	if t == nil {
 		return nil
--- a/internal/routing/table_test.go
+++ b/internal/routing/table_test.go
@@ -25,8 +25,8 @@
 		{Name: "tenant 2 by amqp", Match: matchWith(func(m *Match) { m.Tenant, m.Protocol = 2, ProtocolAMQP })},
 		{Name: "east", Match: matchWith(func(m *Match) { m.Zone = 1 })},
 	})
-	if len(errs) != 1 || errs[0].Error() != `route "keys of 7fa" can never match: route "keys of 7f" before it takes all of its requests` {
-		t.Errorf("%v", errs)
+	if len(errs) != 1 || errs[0].Error() != `route "keys of 7fa" can never match: the earlier route "keys of 7f" matches all of its requests` {
+		t.Errorf("got errors %v, want one for the shadowed route", errs)
 	}
 	for _, tc := range []struct {
 		request Request
@@ -44,11 +44,11 @@
 			got = r.Name
 		}
 		if got != tc.want {
-			t.Errorf("%+v goes by %q, want %q", tc.request, got, tc.want)
+			t.Errorf("Lookup(%+v): got route %q, want %q", tc.request, got, tc.want)
 		}
 	}
 	if (*Table)(nil).Lookup(Request{}) != nil {
-		t.Error("no table has a route")
+		t.Error("Lookup of a nil table returned a route")
 	}
 }
 
@@ -66,13 +66,13 @@
 }
 
 func randomMatch(rng *rand.Rand) Match {
-	some := func(n int) int {
+	anyOrIndex := func(n int) int {
 		if rng.IntN(2) == 0 {
 			return Any
 		}
 		return rng.IntN(n)
 	}
-	m := Match{Class: some(3), Tenant: some(3), Zone: some(2), Protocol: some(2), Group: uint64(rng.IntN(3))}
+	m := Match{Class: anyOrIndex(3), Tenant: anyOrIndex(3), Zone: anyOrIndex(2), Protocol: anyOrIndex(2), Group: uint64(rng.IntN(3))}
 	if rng.IntN(2) == 0 {
 		m.KeyBits = 4 * (1 + rng.IntN(2))
 		m.Key = uint64(rng.IntN(256)) << 56
@@ -93,7 +93,7 @@
 		for _, err := range errs {
 			var e *ShadowedRouteError
 			if !errors.As(err, &e) || !errors.Is(err, ErrShadowedRoute) || e.ShadowedBy >= e.Index {
-				t.Fatalf("%v", err)
+				t.Fatalf("got error %v, want a ShadowedRouteError with an earlier route", err)
 			}
 			shadowed[e.Index] = true
 		}
@@ -102,11 +102,11 @@
 				Group: uint64(rng.IntN(3)), Key: rng.Uint64()}
 			want := linearSearch(routes, r)
 			if shadowed[want] {
-				t.Fatalf("route %d is reported as shadowed, but takes %+v", want, r)
+				t.Fatalf("route %d is reported as shadowed, but matches %+v", want, r)
 			}
 			got := table.Lookup(r)
 			if (got == nil) != (want < 0) || got != nil && got.Name != fmt.Sprint(want) {
-				t.Fatalf("%+v goes by %+v, want %d", r, got, want)
+				t.Fatalf("Lookup(%+v): got route %+v, want %d", r, got, want)
 			}
 		}
 	}
@@ -117,11 +117,11 @@
 	two, _ := NewTable([]Route{{Name: "a", Match: MatchAll, RetryPolicy: balance.RetryPolicy{MaxAttempts: 2}}})
 	other, _ := NewTable([]Route{{Name: "a", Match: MatchAll, RetryPolicy: balance.RetryPolicy{RequestTimeout: time.Second}}})
 	if !one.Equal(two) || one.Equal(other) || one.Equal(nil) || !(*Table)(nil).Equal(nil) {
-		t.Error("tables are compared wrongly")
+		t.Error("Equal returned a wrong result")
 	}
 }
 
-// One lookup at a few sizes of the table: routes by class, tenant, group and key prefix.
+// BenchmarkTable_Lookup measures a lookup in tables of several sizes, with routes by class, tenant, group and key prefix.
 func BenchmarkTable_Lookup(b *testing.B) {
 	for _, n := range []int{10, 1000, 50000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -153,7 +153,7 @@
 			i := 0
 			for b.Loop() {
 				if table.Lookup(requests[i&1023]) == nil {
-					b.Fatal("no route")
+					b.Fatal("Lookup returned no route")
 				}
 				i++
 			}
--- a/internal/settings/errors.go
+++ b/internal/settings/errors.go
@@ -5,19 +5,19 @@
 	"fmt"
 )
 
-// What can be wrong with a field of the settings object. A FieldError wraps one of these, or the error of encoding/json.
+// The causes that a FieldError wraps, besides the errors of encoding/json.
 var (
 	ErrNoClasses     = errors.New("settings without request classes")
-	ErrUnknownWord   = errors.New("a word that this field does not know")
-	ErrOutOfRange    = errors.New("a value out of range")
-	ErrDuplicateName = errors.New("a name that is empty or comes twice")
-	ErrTooFewEntries = errors.New("a list with too few entries")
+	ErrUnknownValue  = errors.New("unknown value")
+	ErrOutOfRange    = errors.New("value out of range")
+	ErrDuplicateName = errors.New("empty or duplicate name")
+	ErrTooFewEntries = errors.New("too few entries in a list")
 )
 
-// FieldError reports a field of the settings object that has no usable value.
+// FieldError reports a field of the settings object whose value is invalid.
 type FieldError struct {
 	Field string // path within the object, as in "classes[1].give-up-ms"; empty if the text is not JSON
-	Value any    // the value at fault; nil if there is none; for a value of the wrong kind its kind
+	Value any    // the invalid value; nil if there is none; for a value of the wrong JSON type the name of its type
 	Err   error  // the cause
 
 	reason string
@@ -27,7 +27,7 @@
 	return &FieldError{Field: field, Value: value, Err: cause, reason: fmt.Sprintf(format, args...)}
 }
 
-// classField returns the path of a field of the class with an index.
+// classField returns the path of a field of the class with the given index.
 func classField(index int, name string) string { return fmt.Sprintf("classes[%d].%s", index, name) }
 
 // Error implements the error interface.
@@ -41,5 +41,6 @@
 
 // Error implements the error interface.
 func (e *ClassLimitError) Error() string {
-	return fmt.Sprintf("%d classes since the start, dropped and changed ones included, over %d: restart the relay", e.Count, MaxClasses)
+	return fmt.Sprintf("%d classes since the start, dropped and changed ones included, expected at most %d: restart the relay",
+		e.Count, MaxClasses)
 }
--- a/internal/settings/merge.go
+++ b/internal/settings/merge.go
@@ -10,15 +10,15 @@
 // MaxClasses bounds the classes of one process, dropped and changed ones included.
 const MaxClasses = 1 << 10
 
-// SameRestartOnly reports whether nothing in new settings has to wait for a restart.
+// SameRestartOnly reports whether new settings differ from those in force only in values that a reload can change.
 func SameRestartOnly(updated, inForce *Settings) bool {
 	return reflect.DeepEqual(*updated, keepRestartOnly(updated, inForce))
 }
 
-// Merge returns what new settings come to beside those in force, the names of all classes by their numbers, and the number
-// of each class of the new settings. A class that has not changed keeps its number, a dropped one keeps it for requests
-// that came under it, and one that has changed gets another: a number says for good by which rules a request goes. It fails
-// over MaxClasses.
+// Merge merges new settings into those in force. It returns the merged settings, the names of all classes by their numbers,
+// and the number of each class of the new settings. A number always identifies the same rules: an unchanged class keeps its
+// number, a dropped one keeps it for the requests that were accepted with it, and a changed one gets a new number. Merge
+// fails if there are more than MaxClasses classes.
 func Merge(inForce *Settings, inForceNames []string, updated Settings) (merged Settings, names []string, numbers []int, err error) {
 	merged = keepRestartOnly(&updated, inForce)
 	merged.Classes, names = slices.Clone(inForce.Classes), slices.Clone(inForceNames)
@@ -45,8 +45,8 @@
 	return merged, names, numbers, err
 }
 
-// unchangedClass is the number of a known class with a name and the same rules that no class of the new settings has yet; -1:
-// there is none. Of several the newest is taken.
+// unchangedClass returns the number of a known class with the same name and rules to which no class of the new settings is
+// assigned yet, -1 if there is none. If there are several, it returns the newest.
 func unchangedClass(merged *Settings, names []string, name string, class balance.Class) int {
 	for number := len(names) - 1; number >= 0; number-- {
 		known := merged.Classes[number]
@@ -58,8 +58,9 @@
 	return -1
 }
 
-// keepRestartOnly returns new settings with those of the settings in force that wait for a restart: the relay's place among
-// the others, the names and forms by which lists, reports and lines are read, and what is done with packets.
+// keepRestartOnly returns new settings in which every value that changes only at a restart is the one in force: the relay's
+// index and zone, the number of relays, the names and formats by which endpoint lists, load reports and protocol lines are
+// parsed, and whether packets are passed through.
 func keepRestartOnly(updated, inForce *Settings) Settings {
 	kept := *updated
 	kept.RelayIndex, kept.RelayCount = inForce.RelayIndex, inForce.RelayCount
--- a/internal/settings/merge_test.go
+++ b/internal/settings/merge_test.go
@@ -13,7 +13,7 @@
 	slow := balance.Class{ClientTimeout: time.Minute}
 	inForce := Settings{ClassNames: []string{"a", "b"}, ZoneNames: []string{"east"},
 		Settings: balance.Settings{Classes: []balance.Class{quick, slow}}}
-	// b is first and as it was, a has changed, and c is new.
+	// b is unchanged but now first, a has changed, and c is new.
 	updated := Settings{ClassNames: []string{"b", "a", "c"}, ZoneNames: []string{"west"},
 		Settings: balance.Settings{Classes: []balance.Class{slow, slow, quick}, MaxAttempts: 3}}
 	merged, names, numbers, err := Merge(&inForce, inForce.ClassNames, updated)
--- a/internal/settings/object.go
+++ b/internal/settings/object.go
@@ -7,91 +7,90 @@
 	"aspenbarrow/balance"
 )
 
-// The settings object as encoding/json decodes it; durations are in milliseconds.
+// info is the settings object as encoding/json decodes it; durations are in milliseconds.
 //
-// The error texts of encoding/json hold the name of the Go struct around a field that has the wrong kind of value, and
-// the texts that operators see are not to change. So the name info stays, and the sections are aliases of types
-// without a name.
+// If a field has a value of the wrong type, the error text of encoding/json contains the name of the struct around it. Operators
+// see that text, so it must not change: info keeps its name, and the sections are aliases of unnamed types.
 type info struct {
-	Zones     []string       `json:"azs"`
-	Kinds     []string       `json:"kinds"`
-	Classes   []classObject  `json:"classes"`
-	Customers []tenantObject `json:"customers"`
-	Family    familyObject   `json:"family-info"`
-	Limits    limitsObject   `json:"limits"`
-	Prices    costsObject    `json:"prices"`
-	Rules     rulesObject    `json:"rules"`
-	Stats     struct {
+	Zones   []string       `json:"azs"`
+	Kinds   []string       `json:"kinds"`
+	Classes []classObject  `json:"classes"`
+	Tenants []tenantObject `json:"customers"`
+	Family  familyObject   `json:"family-info"`
+	Limits  limitsObject   `json:"limits"`
+	Costs   costsObject    `json:"prices"`
+	Rules   rulesObject    `json:"rules"`
+	Reports struct {
 		Fields []string `json:"fields"`
-		How    string   `json:"how"`
+		Mode   string   `json:"how"`
 	} `json:"stats"`
-	Me        int     `json:"me"`
-	Instances int     `json:"n-instances"`
-	OverShare float64 `json:"over-share-worth"`
-	Registry  string  `json:"registry-mode"`
-	Tick      float64 `json:"tick-ms"`
-	Weights   string  `json:"weights"`
-	Zone      int     `json:"zone"`
+	RelayIndex        int     `json:"me"`
+	RelayCount        int     `json:"n-instances"`
+	OverQuotaPriority float64 `json:"over-share-worth"`
+	DiscoveryMode     string  `json:"registry-mode"`
+	Tick              float64 `json:"tick-ms"`
+	Weights           string  `json:"weights"`
+	Zone              int     `json:"zone"`
 }
 
 type classObject = struct {
-	Name   string  `json:"name"`
-	OnTime float64 `json:"on-time-ms"`
-	GiveUp float64 `json:"give-up-ms"`
-	Effect string  `json:"effect"`
-	Scope  string  `json:"dedup-scope"`
-	Window float64 `json:"dedup-window-ms"`
-	Worth  float64 `json:"worth"`
+	Name             string  `json:"name"`
+	LatencyObjective float64 `json:"on-time-ms"`
+	ClientTimeout    float64 `json:"give-up-ms"`
+	Idempotency      string  `json:"effect"`
+	DedupScope       string  `json:"dedup-scope"`
+	DedupWindow      float64 `json:"dedup-window-ms"`
+	PriorityWeight   float64 `json:"worth"`
 }
 
 type tenantObject = struct {
-	Name    string  `json:"name"`
-	Portion float64 `json:"portion"`
-	Quota   float64 `json:"quota-per-s"`
+	Name              string  `json:"name"`
+	Share             float64 `json:"portion"`
+	RequestsPerSecond float64 `json:"quota-per-s"`
 }
 
 type familyObject = struct {
-	Groups     bool      `json:"groups"`
-	MessageAim []float64 `json:"message-aim-ms"` // in the order of the classes
-	Mode       string    `json:"mode"`
-	Park       float64   `json:"park-ms"`
-	TellsDelay bool      `json:"tells-delay"`
-	TellsLoad  bool      `json:"tells-load"`
-	Quota      []float64 `json:"tenant-quota-connections"` // in the order of the tenants
+	Groups                   bool      `json:"groups"`
+	MessageLatencyObjectives []float64 `json:"message-aim-ms"` // in the order of the classes
+	Mode                     string    `json:"mode"`
+	ParkTime                 float64   `json:"park-ms"`
+	ReportsMessageDelay      bool      `json:"tells-delay"`
+	ReportsConnectionLoad    bool      `json:"tells-load"`
+	ConnectionQuotas         []float64 `json:"tenant-quota-connections"` // in the order of the tenants
 }
 
 type limitsObject = struct {
-	Cancelling    bool    `json:"cancelling"`
+	Cancellation  bool    `json:"cancelling"`
 	DialTimeout   float64 `json:"dial-timeout-ms"`
-	IdleClose     float64 `json:"idle-close-ms"`
+	IdleTimeout   float64 `json:"idle-close-ms"`
 	MaxRetryAfter float64 `json:"max-retry-after-ms"`
-	Peers         bool    `json:"peers"`
-	Probes        bool    `json:"probes"`
+	Gossip        bool    `json:"peers"`
+	HealthChecks  bool    `json:"probes"`
 	RetryAfter    bool    `json:"retry-after"`
-	TryLimit      int     `json:"try-limit"`
+	MaxAttempts   int     `json:"try-limit"`
 }
 
 type costsObject = struct {
-	CrossZone float64 `json:"cross-zone"`
-	Waste     float64 `json:"waste"`
-	Probe     float64 `json:"probe"`
-	Moves     float64 `json:"moves"`
-	Peer      float64 `json:"peer"`
-	List      float64 `json:"registry-mode"`
-	LateFail  float64 `json:"late-fail"`
+	CrossZone   float64 `json:"cross-zone"`
+	Waste       float64 `json:"waste"`
+	HealthCheck float64 `json:"probe"`
+	Migration   float64 `json:"moves"`
+	Gossip      float64 `json:"peer"`
+	List        float64 `json:"registry-mode"`
+	LateFailure float64 `json:"late-fail"`
 }
 
 type rulesObject = struct {
-	AnswerSlack  float64 `json:"answer-slack-ms"`
-	AskEvery     float64 `json:"ask-every-ms"`
-	ColdFrom     float64 `json:"cold-from"`
-	FallMS       float64 `json:"fall-ms"`
-	FallMultiple float64 `json:"fall-multiple"`
-	StopSending  float64 `json:"stop-sending-within-ms"`
-	WarmUp       float64 `json:"warm-up-ms"`
+	AnswerSlack      float64 `json:"answer-slack-ms"`
+	PollInterval     float64 `json:"ask-every-ms"`
+	SlowStartFloor   float64 `json:"cold-from"`
+	OverloadWindow   float64 `json:"fall-ms"`
+	OverloadMultiple float64 `json:"fall-multiple"`
+	DrainGrace       float64 `json:"stop-sending-within-ms"`
+	SlowStartWindow  float64 `json:"warm-up-ms"`
 }
 
-// Words of the object that choose between two ways to work; every other word chooses the other way.
+// Values of mode, registry-mode and how that select a mode of operation; every other value selects the default one.
 const (
 	modePassThrough   = "pass"
 	registryOnRequest = "on_request"
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,10 +1,10 @@
 // Package settings reads the settings object: the rules, request classes and tenants of an installation, in JSON, as a
-// relay is given them at its start and at a reload. The simulator's first message and a real relay's configuration hold
+// relay receives them at its start and at a reload. The simulator's first message and a real relay's configuration contain
 // the same object, and both are parsed here.
 //
-// The package opens no files and knows no defaults: a field that the object leaves out is zero. It gives no meaning to
-// the names of zones, classes, tenants and machine kinds either, which are kept for messages only. The TOML form of a
-// configuration, and where either form is read from, belong to package config.
+// The package opens no files and has no defaults: a field that is missing from the object is zero. It returns the names of
+// zones, classes, tenants and machine kinds without interpreting them. Package config reads the TOML form of a configuration
+// and decides where either form is read from.
 package settings
 
 import (
@@ -13,8 +13,8 @@
 	"aspenbarrow/balance"
 )
 
-// Settings are the balancer's settings and what the rest of a relay needs beside them, such as the names by which
-// lines and lists refer to its entries.
+// Settings are the balancer's settings and those that only other parts of a relay use, such as the names by which protocol
+// lines and endpoint lists refer to classes and zones.
 type Settings struct {
 	balance.Settings
 	ClassNames       []string // in the order of balance.Settings.Classes
@@ -25,8 +25,8 @@
 	IdleTimeout      time.Duration // after which an unused connection to a backend is closed
 }
 
-// Parse reads the settings object. It skips fields that it does not know. Settings that no relay could run by give a
-// *FieldError; Validate holds them to more.
+// Parse parses the settings object and ignores unknown fields. Settings that no relay can run with give a *FieldError;
+// Validate checks more.
 func Parse(text []byte) (Settings, error) {
 	object, err := decode(text)
 	if err != nil {
@@ -42,27 +42,28 @@
 	parsed := Settings{
 		Settings:    object.balancerSettings(),
 		ClassNames:  namesOf(object.Classes, func(class classObject) string { return class.Name }),
-		TenantNames: namesOf(object.Customers, func(tenant tenantObject) string { return tenant.Name }),
+		TenantNames: namesOf(object.Tenants, func(tenant tenantObject) string { return tenant.Name }),
 		ZoneNames:   object.Zones,
 		KindNames:   object.Kinds,
-		IdleTimeout: FromMilliseconds(object.Limits.IdleClose),
+		IdleTimeout: FromMilliseconds(object.Limits.IdleTimeout),
 	}
 	parsed.Classes = classes
 	parsed.Tenants = object.tenants()
 	if object.reportsLoad() {
-		parsed.ReportFieldNames = object.Stats.Fields
-		parsed.ReportFields = reportFields(object.Stats.Fields)
+		parsed.ReportFieldNames = object.Reports.Fields
+		parsed.ReportFields = reportFields(object.Reports.Fields)
 	}
 	return parsed, nil
 }
 
-// checkRelay checks that there are classes and that the relay is one of the installation's.
+// checkRelay checks that there are classes and that the index of the relay is below the number of relays.
 func (o *info) checkRelay() error {
 	if len(o.Classes) == 0 {
-		return fieldError("classes", nil, ErrNoClasses, "no classes")
+		return fieldError("classes", nil, ErrNoClasses, "no classes, expected at least one")
 	}
-	if o.Instances < 1 || o.Me < 0 || o.Me >= o.Instances {
-		return fieldError("me", o.Me, ErrOutOfRange, "relay %d of %d", o.Me, o.Instances)
+	if o.RelayCount < 1 || o.RelayIndex < 0 || o.RelayIndex >= o.RelayCount {
+		return fieldError("me", o.RelayIndex, ErrOutOfRange, "relay %d of %d, expected 0 <= me < n-instances",
+			o.RelayIndex, o.RelayCount)
 	}
 	return nil
 }
@@ -70,31 +71,31 @@
 // balancerSettings converts all settings but the classes, the tenants and the fields of load reports.
 func (o *info) balancerSettings() balance.Settings {
 	return balance.Settings{
-		RelayIndex:            o.Me,
-		RelayCount:            o.Instances,
+		RelayIndex:            o.RelayIndex,
+		RelayCount:            o.RelayCount,
 		Zone:                  o.Zone,
 		Tick:                  FromMilliseconds(o.Tick),
-		OverQuotaPriority:     o.OverShare,
+		OverQuotaPriority:     o.OverQuotaPriority,
 		Groups:                o.Family.Groups,
 		PassThrough:           o.Family.Mode == modePassThrough,
-		ReportsConnectionLoad: o.Family.TellsLoad,
-		ReportsMessageDelay:   o.Family.TellsDelay,
-		ParkTime:              FromMilliseconds(o.Family.Park),
-		HealthChecks:          o.Limits.Probes,
-		Gossip:                o.Limits.Peers,
-		Cancellation:          o.Limits.Cancelling,
+		ReportsConnectionLoad: o.Family.ReportsConnectionLoad,
+		ReportsMessageDelay:   o.Family.ReportsMessageDelay,
+		ParkTime:              FromMilliseconds(o.Family.ParkTime),
+		HealthChecks:          o.Limits.HealthChecks,
+		Gossip:                o.Limits.Gossip,
+		Cancellation:          o.Limits.Cancellation,
 		RetryAfter:            o.Limits.RetryAfter,
-		MaxAttempts:           max(1, o.Limits.TryLimit),
+		MaxAttempts:           max(1, o.Limits.MaxAttempts),
 		MaxRetryAfter:         FromMilliseconds(o.Limits.MaxRetryAfter),
 		DialTimeout:           FromMilliseconds(o.Limits.DialTimeout),
-		PollEndpoints:         o.Registry == registryOnRequest,
-		PollInterval:          FromMilliseconds(o.Rules.AskEvery),
+		PollEndpoints:         o.DiscoveryMode == registryOnRequest,
+		PollInterval:          FromMilliseconds(o.Rules.PollInterval),
 		AnswerSlack:           FromMilliseconds(o.Rules.AnswerSlack),
-		DrainGrace:            FromMilliseconds(o.Rules.StopSending),
-		SlowStartFloor:        o.Rules.ColdFrom,
-		SlowStartWindow:       FromMilliseconds(o.Rules.WarmUp),
-		OverloadMultiple:      o.Rules.FallMultiple,
-		OverloadWindow:        FromMilliseconds(o.Rules.FallMS),
+		DrainGrace:            FromMilliseconds(o.Rules.DrainGrace),
+		SlowStartFloor:        o.Rules.SlowStartFloor,
+		SlowStartWindow:       FromMilliseconds(o.Rules.SlowStartWindow),
+		OverloadMultiple:      o.Rules.OverloadMultiple,
+		OverloadWindow:        FromMilliseconds(o.Rules.OverloadWindow),
 		Weights:               weightModes[o.Weights],
 		Costs:                 o.costs(),
 	}
@@ -102,13 +103,13 @@
 
 func (o *info) costs() balance.Costs {
 	return balance.Costs{
-		CrossZone:   o.Prices.CrossZone,
-		Waste:       o.Prices.Waste,
-		HealthCheck: o.Prices.Probe,
-		Migration:   o.Prices.Moves,
-		Gossip:      o.Prices.Peer,
-		List:        o.Prices.List,
-		LateFailure: o.Prices.LateFail,
+		CrossZone:   o.Costs.CrossZone,
+		Waste:       o.Costs.Waste,
+		HealthCheck: o.Costs.HealthCheck,
+		Migration:   o.Costs.Migration,
+		Gossip:      o.Costs.Gossip,
+		List:        o.Costs.List,
+		LateFailure: o.Costs.LateFailure,
 	}
 }
 
@@ -124,54 +125,54 @@
 	return classes, nil
 }
 
-// class converts the class with an index. Only a class with idempotency keys needs a deduplication scope.
+// class converts the class with the given index. Only a class with idempotency keys needs a deduplication scope.
 func (o *info) class(index int) (balance.Class, error) {
 	object := &o.Classes[index]
-	idempotency, ok := idempotencies[object.Effect]
+	idempotency, ok := idempotencies[object.Idempotency]
 	if !ok {
-		return balance.Class{}, fieldError(classField(index, "effect"), object.Effect, ErrUnknownWord,
-			"class %d has unknown effect %q", index, object.Effect)
+		return balance.Class{}, fieldError(classField(index, "effect"), object.Idempotency, ErrUnknownValue,
+			`class %d has unknown effect %q, expected "read_like", "idempotency_key" or "non_idempotent"`, index, object.Idempotency)
 	}
-	scope, ok := dedupScopes[object.Scope]
+	scope, ok := dedupScopes[object.DedupScope]
 	if !ok && idempotency == balance.IdempotentWithKey {
-		return balance.Class{}, fieldError(classField(index, "dedup-scope"), object.Scope, ErrUnknownWord,
-			"class %d has unknown scope %q", index, object.Scope)
+		return balance.Class{}, fieldError(classField(index, "dedup-scope"), object.DedupScope, ErrUnknownValue,
+			`class %d has unknown dedup-scope %q, expected "all", "zone" or "cell"`, index, object.DedupScope)
 	}
 	class := balance.Class{
 		NameHash:         HashName(object.Name),
-		LatencyObjective: FromMilliseconds(object.OnTime),
-		ClientTimeout:    FromMilliseconds(object.GiveUp),
+		LatencyObjective: FromMilliseconds(object.LatencyObjective),
+		ClientTimeout:    FromMilliseconds(object.ClientTimeout),
 		Idempotency:      idempotency,
 		DedupScope:       scope,
-		DedupWindow:      FromMilliseconds(object.Window),
-		PriorityWeight:   object.Worth,
+		DedupWindow:      FromMilliseconds(object.DedupWindow),
+		PriorityWeight:   object.PriorityWeight,
 	}
-	if index < len(o.Family.MessageAim) {
-		class.MessageLatencyObjective = FromMilliseconds(o.Family.MessageAim[index])
+	if index < len(o.Family.MessageLatencyObjectives) {
+		class.MessageLatencyObjective = FromMilliseconds(o.Family.MessageLatencyObjectives[index])
 	}
 	return class, nil
 }
 
 func (o *info) tenants() []balance.Tenant {
 	var tenants []balance.Tenant
-	for i, object := range o.Customers {
-		tenant := balance.Tenant{Share: object.Portion, RequestsPerSecond: object.Quota}
-		if i < len(o.Family.Quota) {
-			tenant.ConnectionQuota = o.Family.Quota[i]
+	for i, object := range o.Tenants {
+		tenant := balance.Tenant{Share: object.Share, RequestsPerSecond: object.RequestsPerSecond}
+		if i < len(o.Family.ConnectionQuotas) {
+			tenant.ConnectionQuota = o.Family.ConnectionQuotas[i]
 		}
 		tenants = append(tenants, tenant)
 	}
 	return tenants
 }
 
-// reportsLoad says whether load reports can arrive at all: those that come with the answers to health checks never do
-// where there are no health checks.
+// reportsLoad reports whether load reports can arrive at all: those that come with the answers to health checks cannot if
+// health checks are off.
 func (o *info) reportsLoad() bool {
-	switch o.Stats.How {
+	switch o.Reports.Mode {
 	case reportsOff:
 		return false
 	case reportsOnProbe:
-		return o.Limits.Probes
+		return o.Limits.HealthChecks
 	}
 	return true
 }
@@ -184,7 +185,7 @@
 	return fields
 }
 
-// ReportField returns the field of a load report with a name, balance.FieldOther for a name that is not known.
+// ReportField returns the field of a load report with the given name, balance.FieldOther for an unknown name.
 func ReportField(name string) balance.ReportField { return reportFieldsByName[name] }
 
 // namesOf returns the names of a list of objects; nil for an empty list.
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -10,14 +10,14 @@
 	"aspenbarrow/balance"
 )
 
-const someSettings = `{"classes": [{"name": "chat", "effect": "idempotency_key", "dedup-scope": "cell", "give-up-ms": 2000.0,
+const settingsJSON = `{"classes": [{"name": "chat", "effect": "idempotency_key", "dedup-scope": "cell", "give-up-ms": 2000.0,
 "on-time-ms": 500, "worth": 3, "dedup-window-ms": 5000}], "never-heard-of": {"x": [1]}, "customers": [{"name": "acme", "portion": 0.4}],
 "family-info": {"groups": true, "mode": "pass", "message-aim-ms": [60]}, "n-instances": 2, "me": 1, "tick-ms": 4.0,
 "limits": {"probes": true, "try-limit": 4}, "rules": {"fall-ms": 3000, "cold-from": 0.31}, "registry-mode": "on_request",
 "azs": ["east", "west"], "kinds": ["k"], "stats": {"how": "on_probe", "fields": ["utilization", "x0", "newer"]}, "weights": "rough"}`
 
 func TestParse(t *testing.T) {
-	s, err := Parse([]byte(someSettings))
+	s, err := Parse([]byte(settingsJSON))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -37,7 +37,7 @@
 		`{"classes": [{"effect": "read_like"}], "n-instances": 2, "me": 2}`,
 		`{"classes": [{"name": "chat", "effect": "idempotency_key", "dedup-scope": "moon"}], "n-instances": 1}`} {
 		if _, err := Parse([]byte(bad)); err == nil {
-			t.Errorf("settings %q taken", bad)
+			t.Errorf("Parse(%q) returned no error", bad)
 		}
 	}
 }
@@ -52,34 +52,34 @@
 		cause    error
 		text     string
 	}{
-		{"no classes", parse, `"classes"`, `"other"`, "classes", ErrNoClasses, "settings: no classes"},
-		{"a relay beyond the last", parse, `"me": 1`, `"me": 2`, "me", ErrOutOfRange, "settings: relay 2 of 2"},
-		{"an unknown effect", parse, `"idempotency_key"`, `"odd"`, "classes[0].effect", ErrUnknownWord,
-			`settings: class 0 has unknown effect "odd"`},
-		{"an unknown scope", parse, `"cell"`, `"moon"`, "classes[0].dedup-scope", ErrUnknownWord,
-			`settings: class 0 has unknown scope "moon"`},
+		{"no classes", parse, `"classes"`, `"other"`, "classes", ErrNoClasses, "settings: no classes, expected at least one"},
+		{"a relay beyond the last", parse, `"me": 1`, `"me": 2`, "me", ErrOutOfRange, "settings: relay 2 of 2, expected 0 <= me < n-instances"},
+		{"an unknown effect", parse, `"idempotency_key"`, `"odd"`, "classes[0].effect", ErrUnknownValue,
+			`settings: class 0 has unknown effect "odd", expected "read_like", "idempotency_key" or "non_idempotent"`},
+		{"an unknown scope", parse, `"cell"`, `"moon"`, "classes[0].dedup-scope", ErrUnknownValue,
+			`settings: class 0 has unknown dedup-scope "moon", expected "all", "zone" or "cell"`},
 		{"a text for a number", parse, `"me": 1`, `"me": "1"`, "me", nil,
 			"settings: json: cannot unmarshal string into Go struct field info.me of type int"},
 		{"a class without a name", Validate, `"chat"`, `""`, "classes[0].name", ErrDuplicateName,
-			`settings: class 0 has no name of its own: ""`},
+			`settings: class 0: name "" is empty or used by an earlier class`},
 		{"a timeout of two days", Validate, `2000.0`, `172800000`, "classes[0].give-up-ms", ErrOutOfRange,
-			`settings: class "chat": give-up-ms 1.728e+08 is no time above 0 that can be meant`},
+			`settings: class "chat": give-up-ms 1.728e+08 is out of range, expected more than 0 and at most 86400000`},
 		{"no attempts", Validate, `"try-limit": 4`, `"try-limit": 0`, "limits.try-limit", ErrOutOfRange,
-			"settings: limits: try-limit 0 is no number of attempts above 0 that can be meant"},
+			"settings: limits: try-limit 0 is out of range, expected 1 to 65536"},
 		{"no dial timeout", Validate, `"tick-ms"`, `"other"`, "limits.dial-timeout-ms", ErrOutOfRange,
-			"settings: limits: dial-timeout-ms 0 is no time above 0 that can be meant"},
+			"settings: limits: dial-timeout-ms 0 is out of range, expected more than 0 and at most 86400000"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			if !strings.Contains(someSettings, tc.from) {
-				t.Fatalf("%q is not in the settings", tc.from)
+			if !strings.Contains(settingsJSON, tc.from) {
+				t.Fatalf("%q is not in settingsJSON", tc.from)
 			}
-			err := tc.check([]byte(strings.Replace(someSettings, tc.from, tc.to, 1)))
+			err := tc.check([]byte(strings.Replace(settingsJSON, tc.from, tc.to, 1)))
 			var failure *FieldError
 			if !errors.As(err, &failure) || failure.Field != tc.field || tc.cause != nil && !errors.Is(err, tc.cause) {
-				t.Fatalf("%#v, want one of %s", err, tc.field)
+				t.Fatalf("got error %#v, want a FieldError of %s with cause %v", err, tc.field, tc.cause)
 			}
 			if err.Error() != tc.text {
-				t.Errorf("%v, want %s", err, tc.text)
+				t.Errorf("got error %v, want %s", err, tc.text)
 			}
 		})
 	}
--- a/internal/settings/units.go
+++ b/internal/settings/units.go
@@ -27,7 +27,7 @@
 	return time.Duration(math.Round(ms*microsecondsPerMillisecond)) * time.Microsecond
 }
 
-// HashName returns the number by which the balancer knows the name of a class, its FNV-1a hash.
+// HashName returns the FNV-1a hash by which the balancer identifies the name of a class.
 func HashName(name string) uint64 {
 	hash := fnv.New64a()
 	_, _ = io.WriteString(hash, name) // a hash's Write never fails
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -6,15 +6,15 @@
 	"aspenbarrow/balance"
 )
 
-// Upper bounds of what an operator can mean; what lies beyond is a slip, such as seconds taken for milliseconds.
+// Upper bounds of plausible values; larger ones are mistakes, such as seconds taken for milliseconds.
 const (
 	maxTimeoutMS = float64(24 * time.Hour / time.Millisecond)
 	maxAttempts  = 1 << 16
 )
 
-// Validate holds a settings object to more than Parse does, as is due before it replaces the one in force: each class
-// has a name of its own, timeouts and the number of attempts are above 0 and plausible, and lists in the order of the
-// classes have an entry for each. An error is a *FieldError for the first field at fault.
+// Validate checks a settings object more strictly than Parse, before the object replaces the one in force: each class has a
+// unique name, timeouts and the number of attempts are above 0 and plausible, and a list in the order of the classes that is
+// not empty has an entry for each class. An error is a *FieldError for the first invalid field.
 func Validate(text []byte) error {
 	object, err := decode(text)
 	if err != nil {
@@ -30,45 +30,46 @@
 	return object.validateLimits()
 }
 
-// validateClass checks the class with an index; names holds those of the classes before it.
+// validateClass checks the class with the given index; names contains the names of the classes before it.
 func (o *info) validateClass(index int, names map[string]bool) error {
 	class := &o.Classes[index]
 	if class.Name == "" || names[class.Name] {
 		return fieldError(classField(index, "name"), class.Name, ErrDuplicateName,
-			"class %d has no name of its own: %q", index, class.Name)
+			"class %d: name %q is empty or used by an earlier class", index, class.Name)
 	}
 	type timeout struct {
 		field string
 		value float64
 	}
-	timeouts := []timeout{{"give-up-ms", class.GiveUp}, {"on-time-ms", class.OnTime}}
-	if idempotencies[class.Effect] == balance.IdempotentWithKey {
-		timeouts = append(timeouts, timeout{"dedup-window-ms", class.Window})
+	timeouts := []timeout{{"give-up-ms", class.ClientTimeout}, {"on-time-ms", class.LatencyObjective}}
+	if idempotencies[class.Idempotency] == balance.IdempotentWithKey {
+		timeouts = append(timeouts, timeout{"dedup-window-ms", class.DedupWindow})
 	}
 	for _, timeout := range timeouts {
 		if !plausibleTimeout(timeout.value) {
 			return fieldError(classField(index, timeout.field), timeout.value, ErrOutOfRange,
-				"class %q: %s %v is no time above 0 that can be meant", class.Name, timeout.field, timeout.value)
+				"class %q: %s %v is out of range, expected more than 0 and at most %.0f",
+				class.Name, timeout.field, timeout.value, maxTimeoutMS)
 		}
 	}
 	return nil
 }
 
 func (o *info) validateLimits() error {
-	if attempts := o.Limits.TryLimit; attempts < 1 || attempts > maxAttempts {
+	if attempts := o.Limits.MaxAttempts; attempts < 1 || attempts > maxAttempts {
 		return fieldError("limits.try-limit", attempts, ErrOutOfRange,
-			"limits: try-limit %d is no number of attempts above 0 that can be meant", attempts)
+			"limits: try-limit %d is out of range, expected 1 to %d", attempts, maxAttempts)
 	}
 	if timeout := o.Limits.DialTimeout; !plausibleTimeout(timeout) {
 		return fieldError("limits.dial-timeout-ms", timeout, ErrOutOfRange,
-			"limits: dial-timeout-ms %v is no time above 0 that can be meant", timeout)
+			"limits: dial-timeout-ms %v is out of range, expected more than 0 and at most %.0f", timeout, maxTimeoutMS)
 	}
-	if entries := len(o.Family.MessageAim); entries > 0 && entries < len(o.Classes) {
-		return fieldError("family-info.message-aim-ms", o.Family.MessageAim, ErrTooFewEntries,
+	if entries := len(o.Family.MessageLatencyObjectives); entries > 0 && entries < len(o.Classes) {
+		return fieldError("family-info.message-aim-ms", o.Family.MessageLatencyObjectives, ErrTooFewEntries,
 			"family-info: message-aim-ms has %d entries for %d classes", entries, len(o.Classes))
 	}
 	return nil
 }
 
-// plausibleTimeout says whether a time in milliseconds is above 0 and at most a day.
+// plausibleTimeout reports whether a time in milliseconds is above 0 and at most a day.
 func plausibleTimeout(ms float64) bool { return ms > 0 && ms <= maxTimeoutMS }
