--- a/cmd/aspenlab/experiment.go
+++ b/cmd/aspenlab/experiment.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"errors"
 	"fmt"
 	"runtime"
 	"slices"
@@ -14,23 +13,23 @@
 	"aspenbarrow/internal/scenario"
 )
 
-// ownPolicy is what the flag --policies calls package balance.
+// ownPolicy is the name of package balance in the flag --policies.
 const ownPolicy = "module"
 
 func experimentCommand() *cobra.Command {
 	e := scenario.Experiment{}
 	var asJSON bool
-	c := &cobra.Command{Use: "experiment SCRIPT...", Short: "Set policies against one another on scripts, paired seed by seed",
+	c := &cobra.Command{Use: "experiment SCRIPT...", Short: "Compare policies on scenario scripts, paired by seed",
 		Args: cobra.MinimumNArgs(1), RunE: func(c *cobra.Command, paths []string) error {
 			if e.Seeds < 2 || e.Workers < 1 || len(e.Policies) < 1 {
-				return errors.New("--seeds is 2 at least, --workers and --policies 1")
+				return fmt.Errorf("--seeds is %d, --workers %d and --policies has %d names, expected at least 2, 1 and 1", e.Seeds, e.Workers, len(e.Policies))
 			}
 			for i, p := range e.Policies {
 				switch {
 				case p == ownPolicy:
 					e.Policies[i] = ""
 				case !slices.Contains(baseline.Names(), p):
-					return fmt.Errorf("there is no policy %q; module, %s", p, strings.Join(baseline.Names(), ", "))
+					return fmt.Errorf("unknown policy %q, expected %s or one of %s", p, ownPolicy, strings.Join(baseline.Names(), ", "))
 				}
 			}
 			for _, p := range paths {
@@ -49,9 +48,9 @@
 			scenario.WriteTable(c.OutOrStdout(), cells)
 			return nil
 		}}
-	c.Flags().IntVar(&e.Seeds, "seeds", 20, "how many seeds of each")
-	c.Flags().IntVar(&e.Workers, "workers", runtime.GOMAXPROCS(0), "how many at once")
-	c.Flags().StringSliceVar(&e.Policies, "policies", append([]string{ownPolicy}, baseline.Names()...), "what is compared; the others with the first")
-	c.Flags().BoolVar(&asJSON, "json", false, "as JSON")
+	c.Flags().IntVar(&e.Seeds, "seeds", 20, "number of seeds for each script and policy")
+	c.Flags().IntVar(&e.Workers, "workers", runtime.GOMAXPROCS(0), "number of runs at once")
+	c.Flags().StringSliceVar(&e.Policies, "policies", append([]string{ownPolicy}, baseline.Names()...), "the policies; the first is compared with each of the others")
+	c.Flags().BoolVar(&asJSON, "json", false, "print JSON")
 	return c
 }
--- a/cmd/aspenlab/golden_test.go
+++ b/cmd/aspenlab/golden_test.go
@@ -1,5 +1,5 @@
-// This file holds what the lab writes to bytes that an earlier version wrote. A change that is meant to show in them
-// writes them anew with -update; the difference of the stored files is then read like any other.
+// The tests of this file compare the output of aspenlab with golden files that an earlier version wrote. After an intended
+// change, -update rewrites the golden files; their difference is reviewed like any other.
 
 package main
 
@@ -27,7 +27,7 @@
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// golden holds bytes to a stored file and returns that file's path.
+// golden compares bytes with a golden file and returns that file's path.
 func golden(t *testing.T, name string, got []byte) string {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -45,13 +45,14 @@
 		for i < min(len(got), len(want)) && got[i] == want[i] {
 			i++
 		}
-		t.Errorf("%s: %d bytes, stored are %d; from byte %d on %.120q, stored is %.120q", name, len(got), len(want), i, got[i:], want[i:])
+		t.Errorf("%s: got %d bytes, want %d; from byte %d got %.120q, want %.120q", name, len(got), len(want), i, got[i:], want[i:])
 	}
 	return path
 }
 
-// again reads a stored file into a value, strictly, and writes it with an indent; the bytes must be the stored ones.
-func again(t *testing.T, path, indent string, into any) {
+// checkRoundTrip decodes a golden file into a value, without unknown fields, and encodes it with an indent; the bytes must be
+// those of the file.
+func checkRoundTrip(t *testing.T, path, indent string, into any) {
 	t.Helper()
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -69,20 +70,21 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(bytes.TrimSpace(out.Bytes()), bytes.TrimSpace(text)) {
-		t.Errorf("%s: read and written again it is another\n%s", path, out.Bytes())
+		t.Errorf("%s: decoded and encoded again it differs\n%s", path, out.Bytes())
 	}
 }
 
-// full says of every exported field under a value that it isn't zero, save what JSON leaves out.
-func full(t *testing.T, at string, v reflect.Value) {
+// checkNoZeroFields reports every zero, empty or unexported field under a value, except those that JSON leaves out. In
+// its messages the value is called name.
+func checkNoZeroFields(t *testing.T, name string, v reflect.Value) {
 	t.Helper()
 	switch v.Kind() {
 	case reflect.Pointer:
 		if v.IsNil() {
-			t.Errorf("%s is nil", at)
+			t.Errorf("%s is nil", name)
 			return
 		}
-		full(t, at, v.Elem())
+		checkNoZeroFields(t, name, v.Elem())
 	case reflect.Struct:
 		for i := range v.NumField() {
 			f := v.Type().Field(i)
@@ -90,32 +92,32 @@
 				continue
 			}
 			if !f.IsExported() && !f.Anonymous {
-				t.Errorf("%s.%s does not go out", at, f.Name)
+				t.Errorf("%s.%s is unexported, so JSON leaves it out", name, f.Name)
 				continue
 			}
-			full(t, at+"."+f.Name, v.Field(i))
+			checkNoZeroFields(t, name+"."+f.Name, v.Field(i))
 		}
 	case reflect.Slice, reflect.Map:
 		if v.Len() == 0 {
-			t.Errorf("%s is empty", at)
+			t.Errorf("%s is empty", name)
 		}
 		if v.Kind() == reflect.Slice {
 			for i := range v.Len() {
-				full(t, at+"[]", v.Index(i))
+				checkNoZeroFields(t, name+"[]", v.Index(i))
 			}
 			return
 		}
 		for _, k := range v.MapKeys() {
-			full(t, at+"["+k.String()+"]", v.MapIndex(k))
+			checkNoZeroFields(t, name+"["+k.String()+"]", v.MapIndex(k))
 		}
 	default:
 		if v.IsZero() {
-			t.Errorf("%s is zero", at)
+			t.Errorf("%s is zero", name)
 		}
 	}
 }
 
-func storedBatch() batch.Batch {
+func sampleBatch() batch.Batch {
 	class := func(n int) batch.ClassResult {
 		return batch.ClassResult{Requests: n + 4, Served: n + 3, OnTime: n + 2, Attempts: n + 5}
 	}
@@ -129,7 +131,7 @@
 }
 
 func TestBatch_Golden(t *testing.T) {
-	written := func(b batch.Batch) []byte {
+	writeBatch := func(b batch.Batch) []byte {
 		path := filepath.Join(t.TempDir(), "b.json")
 		if err := b.WriteFile(path); err != nil {
 			t.Fatal(err)
@@ -140,18 +142,18 @@
 		}
 		return text
 	}
-	b := storedBatch()
-	full(t, "batch", reflect.ValueOf(b))
-	path := golden(t, "batch.golden.json", written(b))
-	again(t, path, "", &batch.Batch{})
-	kept, err := batch.ReadFile(path)
-	if err != nil || !reflect.DeepEqual(kept, b) {
-		t.Fatalf("%v, %+v", err, kept)
+	b := sampleBatch()
+	checkNoZeroFields(t, "batch", reflect.ValueOf(b))
+	path := golden(t, "batch.golden.json", writeBatch(b))
+	checkRoundTrip(t, path, "", &batch.Batch{})
+	decoded, err := batch.ReadFile(path)
+	if err != nil || !reflect.DeepEqual(decoded, b) {
+		t.Fatalf("%v, %+v", err, decoded)
 	}
-	golden(t, "batch.golden.json", written(kept))
+	golden(t, "batch.golden.json", writeBatch(decoded))
 
-	// Compared, each measure sees the field that it is of.
-	later := storedBatch()
+	// A difference in each field shows in the measure of that field.
+	later := sampleBatch()
 	for i := range later.Results {
 		s := &later.Results[i]
 		s.Worth, s.Rejected, s.Failed, s.Attempts = s.Worth+1, s.Rejected+3, s.Failed+6, s.Attempts+9
@@ -159,7 +161,7 @@
 			s.Classes[name] = batch.ClassResult{Requests: c.Requests, Served: c.Served + 1, OnTime: c.OnTime + 2, Attempts: c.Attempts + 3}
 		}
 	}
-	diffs, err := batch.Compare(kept, later)
+	diffs, err := batch.Compare(decoded, later)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -170,10 +172,10 @@
 	golden(t, "batch-compared.golden.txt", []byte(lines.String()))
 }
 
-// Seeds played by the command: the same bytes as then, and none of a class's counts is lost on its way.
+// The batch that the command writes matches the golden file, and it has every count of a class.
 func TestPlayedBatch_Golden(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "b.json")
-	if out, err := lab(t, "--from", "3", "--count", "2", "--length", "15s", "--quiet", "--json", path); err != nil {
+	if out, err := runSeeds(t, "--from", "3", "--count", "2", "--length", "15s", "--quiet", "--json", path); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
 	text, err := os.ReadFile(path)
@@ -182,13 +184,13 @@
 	}
 	stored := golden(t, "batch-played.golden.json", text)
 	var b batch.Batch
-	again(t, stored, "", &b)
+	checkRoundTrip(t, stored, "", &b)
 	for _, s := range b.Results {
-		full(t, "classes", reflect.ValueOf(s.Classes))
+		checkNoZeroFields(t, "classes", reflect.ValueOf(s.Classes))
 	}
-	out, err := lab(t, "--from", "3", "--count", "2", "--length", "15s", "--quiet", "--compare", stored)
+	out, err := runSeeds(t, "--from", "3", "--count", "2", "--length", "15s", "--quiet", "--compare", stored)
 	if n := strings.Count(out, "+0.0000 ± 0.0000"); err != nil || n != 13 {
-		t.Errorf("%v, %d measures are the same\n%s", err, n, out)
+		t.Errorf("%v, %d measures without a difference, want 13\n%s", err, n, out)
 	}
 }
 
@@ -204,27 +206,27 @@
 	for i, k := range scenario.Kinds() {
 		script = append(script, everyFieldFault(k, i))
 	}
-	full(t, "script", reflect.ValueOf(script))
+	checkNoZeroFields(t, "script", reflect.ValueOf(script))
 	text, err := json.MarshalIndent(script, "", " ")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var kept []fault.Fault
-	again(t, golden(t, "faults.golden.json", append(text, '\n')), " ", &kept)
-	if !reflect.DeepEqual(kept, script) {
-		t.Errorf("%+v", kept)
+	var decoded []fault.Fault
+	checkRoundTrip(t, golden(t, "faults.golden.json", append(text, '\n')), " ", &decoded)
+	if !reflect.DeepEqual(decoded, script) {
+		t.Errorf("%+v", decoded)
 	}
-	golden(t, "faults.golden.txt", []byte(batch.FormatScript(kept)))
+	golden(t, "faults.golden.txt", []byte(batch.FormatScript(decoded)))
 
-	// What seeds --script takes of it.
+	// The flag --script accepts the faults whose kinds the simulation has.
 	var played []fault.Fault
-	for _, f := range kept {
+	for _, f := range decoded {
 		if slices.Contains(simulation.FaultKinds(), f.Kind) {
 			played = append(played, f)
 		}
 	}
 	if len(played) != len(simulation.FaultKinds()) {
-		t.Errorf("%d of %d kinds are stored", len(played), len(simulation.FaultKinds()))
+		t.Errorf("%d faults of the simulation's %d kinds", len(played), len(simulation.FaultKinds()))
 	}
 	if text, err = json.Marshal(played); err != nil {
 		t.Fatal(err)
@@ -249,14 +251,14 @@
 }
 
 var (
-	spread  = loadstats.Imbalance{Variation: 0.1, MinOverMean: 0.8, MaxOverMean: 1.3, JainIndex: 0.97}
-	second  = loadstats.Second{Imbalance: spread, MeanLoad: 0.5, HashingVariation: 0.2, GreedyVariation: 0.05, IdleSeconds: 0.25, HerdRatio: 1.5, HerdExpected: 9.5, Loads: []float64{0.4, -1, 1e-9}, HashingHerdRatio: 1.75, Arrivals: 12}
-	service = simulation.ServiceSecond{Requested: 10.5, Served: 9.25}
+	sampleImbalance = loadstats.Imbalance{Variation: 0.1, MinOverMean: 0.8, MaxOverMean: 1.3, JainIndex: 0.97}
+	sampleSecond    = loadstats.Second{Imbalance: sampleImbalance, MeanLoad: 0.5, HashingVariation: 0.2, GreedyVariation: 0.05, IdleSeconds: 0.25, HerdRatio: 1.5, HerdExpected: 9.5, Loads: []float64{0.4, -1, 1e-9}, HashingHerdRatio: 1.75, Arrivals: 12}
+	sampleService   = simulation.ServiceSecond{Requested: 10.5, Served: 9.25}
 )
 
-func outcome(program string) scenario.Outcome {
+func sampleOutcome(program string) scenario.Outcome {
 	return scenario.Outcome{Script: "a <bad> day & night", Seed: 1<<63 + 1, Service: 0.9, WorstWindow: 0.7, WorstWindowStart: 3, Classes: map[string]float64{"fetch": 0.8, "submit": 0.85, "watch": 0.95},
-		Seconds: []simulation.ServiceSecond{service, service}, Evenness: []loadstats.Second{second}, Counts: map[string]int{"attempt": 9, "moved": 2}, Program: program,
+		Seconds: []simulation.ServiceSecond{sampleService, sampleService}, Evenness: []loadstats.Second{sampleSecond}, Counts: map[string]int{"attempt": 9, "moved": 2}, Program: program,
 		Faults: []testcluster.FaultEffect{{Fault: everyFieldFault("relays paused", 4), StartedAt: 2 * time.Second, EndedAt: 5 * time.Second, Counts: map[string]int{"struck": 3}}},
 		Waits:  &testcluster.LatencySummary{Count: 7, P50: 1.5, P99: 120, P999: 180.5, Max: 200},
 		Rates:  &testcluster.TrafficRates{HealthChecks: 1.5, PeakHealthChecksPerBackend: 2, Handshakes: 3.5, PeakHandshakesPerBackend: 4, Datagrams: 5.5, PeakDatagramsPerRelay: 6, DiscoveryCalls: 7.5},
@@ -265,8 +267,8 @@
 }
 
 func TestOutcomes_Golden(t *testing.T) {
-	outcomes := []scenario.Outcome{outcome("a"), outcome("b")}
-	full(t, "outcomes", reflect.ValueOf(outcomes))
+	outcomes := []scenario.Outcome{sampleOutcome("a"), sampleOutcome("b")}
+	checkNoZeroFields(t, "outcomes", reflect.ValueOf(outcomes))
 	dir := t.TempDir()
 	if err := report.Write(dir, outcomes); err != nil {
 		t.Fatal(err)
@@ -279,13 +281,13 @@
 		golden(t, stored, text)
 	}
 	path := filepath.Join("testdata", "outcomes.golden.json")
-	again(t, path, "", &[]scenario.Outcome{})
-	if kept, err := report.Read(path); err != nil || !reflect.DeepEqual(kept, outcomes) {
-		t.Errorf("%v, %+v", err, kept)
+	checkRoundTrip(t, path, "", &[]scenario.Outcome{})
+	if decoded, err := report.Read(path); err != nil || !reflect.DeepEqual(decoded, outcomes) {
+		t.Errorf("%v, %+v", err, decoded)
 	}
 }
 
-// Played by the commands on the virtual clock: the same bytes as then, which the report's command reads.
+// The output of the commands scenario and experiment matches the golden files, and package report reads the scenario's.
 func TestScenario_Golden(t *testing.T) {
 	var out bytes.Buffer
 	c := scenarioCommand()
@@ -296,9 +298,9 @@
 	}
 	path := golden(t, "rehearsal.golden.json", out.Bytes())
 	var o scenario.Outcome
-	again(t, path, " ", &o)
-	if kept, err := report.Read(path); err != nil || len(kept) != 1 || !reflect.DeepEqual(kept[0], o) {
-		t.Errorf("%v, %+v", err, kept)
+	checkRoundTrip(t, path, " ", &o)
+	if decoded, err := report.Read(path); err != nil || len(decoded) != 1 || !reflect.DeepEqual(decoded[0], o) {
+		t.Errorf("%v, %+v", err, decoded)
 	}
 
 	out.Reset()
@@ -309,19 +311,19 @@
 		t.Fatal(err)
 	}
 	var cells []scenario.Cell
-	again(t, golden(t, "experiment.golden.json", out.Bytes()), " ", &cells)
+	checkRoundTrip(t, golden(t, "experiment.golden.json", out.Bytes()), " ", &cells)
 }
 
-// The other forms that tests, tools and later programs may store.
+// The other types that tests, tools and later programs may store as JSON match the golden file.
 func TestResults_Golden(t *testing.T) {
-	o := outcome("a")
+	o := sampleOutcome("a")
 	all := struct {
 		Summary loadstats.Summary  `json:"summary"`
 		Cells   []scenario.Cell    `json:"cells"`
 		World   simulation.Result  `json:"world"`
 		Fleet   testcluster.Result `json:"fleet"`
 	}{
-		loadstats.Summary{Imbalance: spread, MeanLoad: 0.5, HashingVariation: 0.2, GreedyVariation: 0.05, RelativeVariation: 0.55, WorstVariation: 0.6, LowestOverMean: 0.3, IdleSeconds: 1.25, HerdRatio: 1.5, HashingHerdRatio: 1.75},
+		loadstats.Summary{Imbalance: sampleImbalance, MeanLoad: 0.5, HashingVariation: 0.2, GreedyVariation: 0.05, RelativeVariation: 0.55, WorstVariation: 0.6, LowestOverMean: 0.3, IdleSeconds: 1.25, HerdRatio: 1.5, HashingHerdRatio: 1.75},
 		[]scenario.Cell{{Script: "s", Policy: "hash", Service: 0.9, WorstWindow: 0.8, Difference: -0.01, ConfidenceBound: 0.005, FailedSeeds: 1, SeedsNeeded: 12}},
 		simulation.Result{Seed: 9, Relays: 2, Backends: 3, Clients: 4, Faults: []simulation.Fault{everyFieldFault("relay killed", 1)},
 			Violations: []invariant.Violation{{Rule: "drain", At: 3 * time.Second, Detail: "sent late"}}, Counts: o.Counts, FaultPairs: map[string]int{"a + b": 2}, ServedWeight: 5.5,
@@ -329,13 +331,13 @@
 		testcluster.Result{Program: "a", Seed: 9, ReadyAfter: time.Second, Service: o.Seconds, Evenness: o.Evenness, Faults: o.Faults, Violations: o.Violations, Counts: o.Counts,
 			ConnectLatency: *o.Waits, Rates: *o.Rates, Usage: *o.Usage, CPUCores: o.Cores, Attempts: []int{3, 4}},
 	}
-	full(t, "results", reflect.ValueOf(all))
+	checkNoZeroFields(t, "results", reflect.ValueOf(all))
 	text, err := json.MarshalIndent(all, "", " ")
 	if err != nil {
 		t.Fatal(err)
 	}
 	into := reflect.New(reflect.TypeOf(all))
-	again(t, golden(t, "results.golden.json", append(text, '\n')), " ", into.Interface())
+	checkRoundTrip(t, golden(t, "results.golden.json", append(text, '\n')), " ", into.Interface())
 	if !reflect.DeepEqual(into.Elem().Interface(), any(all)) {
 		t.Errorf("%+v", into.Elem().Interface())
 	}
--- a/cmd/aspenlab/main.go
+++ b/cmd/aspenlab/main.go
@@ -1,8 +1,8 @@
-// Command aspenlab runs the project's test systems: seeded worlds on a virtual
-// clock, scenarios of faults, experiments that compare policies, and a small
-// demonstration on loopback addresses. A relay in service does not need it.
+// Command aspenlab runs the project's test systems: the deterministic simulation,
+// scenarios with faults, experiments that compare policies, and a small
+// demonstration on loopback addresses. A relay in production does not need it.
 //
-// It exits with 1 when a command fails or a run breaks a rule.
+// It exits with 1 when a command fails or a run violates an invariant.
 package main
 
 import (
@@ -14,8 +14,8 @@
 	"github.com/spf13/cobra"
 )
 
-// gcPercent lets the heap grow ninefold between collections: many short runs with a few megabytes each spend a third
-// of their time collecting at the default.
+// gcPercent lets the heap grow to nine times the live data between garbage collections: at the default of 100, many short
+// runs with a few megabytes each spend a third of their time in collections.
 const gcPercent = 800
 
 func main() {
@@ -27,7 +27,7 @@
 }
 
 func rootCommand() *cobra.Command {
-	root := &cobra.Command{Use: "aspenlab", Short: "Rehearsals and experiments for aspenbarrow", SilenceUsage: true,
+	root := &cobra.Command{Use: "aspenlab", Short: "Simulations, scenarios and experiments for aspenbarrow", SilenceUsage: true,
 		SilenceErrors: true}
 	root.AddCommand(seedsCommand(), demoCommand(), scenarioCommand(), experimentCommand(), checkScriptsCommand(), reportCommand())
 	return root
--- a/cmd/aspenlab/main_test.go
+++ b/cmd/aspenlab/main_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// lab runs the seeds command and returns its standard output.
-func lab(t *testing.T, args ...string) (string, error) {
+// runSeeds runs the seeds command and returns its standard output.
+func runSeeds(t *testing.T, args ...string) (string, error) {
 	t.Helper()
 	var out, errs bytes.Buffer
 	c := seedsCommand()
@@ -21,34 +21,34 @@
 }
 
 func TestSeedsCommand(t *testing.T) {
-	kept := filepath.Join(t.TempDir(), "b.json")
-	out, err := lab(t, "--from", "3", "--count", "4", "--length", "15s", "--json", kept)
-	if err != nil || !strings.HasPrefix(last(out), "4 seeds, 0 failed, ") || !strings.Contains(out, "pairs of faults that overlapped") {
+	batchPath := filepath.Join(t.TempDir(), "b.json")
+	out, err := runSeeds(t, "--from", "3", "--count", "4", "--length", "15s", "--json", batchPath)
+	if err != nil || !strings.HasPrefix(lastLine(out), "4 seeds, 0 failed, ") || !strings.Contains(out, "pairs of faults that overlapped") {
 		t.Errorf("%v\n%s", err, out)
 	}
-	out, err = lab(t, "--from", "3", "--count", "4", "--length", "15s", "--workers", "2", "--compare", kept, "--quiet")
+	out, err = runSeeds(t, "--from", "3", "--count", "4", "--length", "15s", "--workers", "2", "--compare", batchPath, "--quiet")
 	if err != nil || !strings.Contains(out, "worth served") || !strings.Contains(out, "+0.0000 ± 0.0000") {
 		t.Errorf("the same seeds differ: %v\n%s", err, out)
 	}
-	if out, err := lab(t, "--count", "1", "--length", "10s", "--complete", "--quiet"); err == nil || !strings.Contains(out, "never came up: fault ") {
-		t.Errorf("one seed has brought everything about: %v\n%s", err, out)
+	if out, err := runSeeds(t, "--count", "1", "--length", "10s", "--complete", "--quiet"); err == nil || !strings.Contains(out, "never came up: fault ") {
+		t.Errorf("one seed covers every kind of fault and expected count: %v\n%s", err, out)
 	}
-	one, err := lab(t, "--replay", "7", "--trace", "--length", "10s")
-	two, _ := lab(t, "--replay", "7", "--trace", "--length", "10s")
-	if err != nil || one != two || strings.Count(one, "\n") < 1000 {
-		t.Errorf("%v, %d and %d bytes of trace", err, len(one), len(two))
+	first, err := runSeeds(t, "--replay", "7", "--trace", "--length", "10s")
+	second, _ := runSeeds(t, "--replay", "7", "--trace", "--length", "10s")
+	if err != nil || first != second || strings.Count(first, "\n") < 1000 {
+		t.Errorf("%v, traces of %d and %d bytes", err, len(first), len(second))
 	}
-	if out, err := lab(t, "--replay", "7", "--shrink", "--length", "10s"); err != nil || out != "seed 7 breaks no rule\n" {
+	if out, err := runSeeds(t, "--replay", "7", "--shrink", "--length", "10s"); err != nil || out != "seed 7 breaks no rule\n" {
 		t.Errorf("%q, %v", out, err)
 	}
 	for _, args := range [][]string{{"--count", "0"}, {"--length", "1ms"}, {"--compare", "nowhere", "--count", "1", "--length", "1s"}, {"more"}} {
-		if _, err := lab(t, args...); err == nil {
-			t.Errorf("%v is taken", args)
+		if _, err := runSeeds(t, args...); err == nil {
+			t.Errorf("%v: no error", args)
 		}
 	}
 }
 
-func last(out string) string {
+func lastLine(out string) string {
 	lines := strings.Split(strings.TrimSpace(out), "\n")
 	return lines[len(lines)-1]
 }
@@ -67,10 +67,10 @@
 		err := c.Execute()
 		return out.String(), err
 	}
-	one, err := run("scenario", script)
-	two, _ := run("scenario", script)
-	if err != nil || one != two || !strings.Contains(one, "relays die together") || !strings.Contains(one, "worst ten seconds") {
-		t.Errorf("%v, the same twice: %v\n%s", err, one == two, one)
+	first, err := run("scenario", script)
+	second, _ := run("scenario", script)
+	if err != nil || first != second || !strings.Contains(first, "relays die together") || !strings.Contains(first, "worst ten seconds") {
+		t.Errorf("%v, same output twice: %v\n%s", err, first == second, first)
 	}
 	if other, err := run("scenario", script, "--seed", "2", "--json"); err != nil || !strings.Contains(other, `"seconds"`) {
 		t.Errorf("%v\n%s", err, other)
@@ -79,17 +79,17 @@
 		t.Error(err)
 	}
 	if _, err := run("check", script, "main.go"); err == nil || !strings.Contains(err.Error(), "main.go:1:") {
-		t.Errorf("a program is taken for a script: %v", err)
+		t.Errorf("check of main.go: error %v, want one with its position", err)
 	}
 	if _, err := run("scenario", "nowhere.toml"); err == nil {
-		t.Error("a script that is not there is played")
+		t.Error("scenario of a missing script: no error")
 	}
 }
 
 func TestRootCommand_KeepsFormerNames(t *testing.T) {
 	for former, name := range map[string]string{"try": "demo", "rehearse": "scenario"} {
 		if c, _, err := rootCommand().Find([]string{former}); err != nil || c.Name() != name {
-			t.Errorf("%s is %v, %v; want %s", former, c.Name(), err, name)
+			t.Errorf("%s finds the command %v, %v; want %s", former, c.Name(), err, name)
 		}
 	}
 }
--- a/cmd/aspenlab/scenario.go
+++ b/cmd/aspenlab/scenario.go
@@ -24,7 +24,7 @@
 }
 
 func checkScriptsCommand() *cobra.Command {
-	return &cobra.Command{Use: "check SCRIPT...", Short: "Say all that is wrong with rehearsals' scripts", Args: cobra.MinimumNArgs(1),
+	return &cobra.Command{Use: "check SCRIPT...", Short: "Report all errors in scenario scripts", Args: cobra.MinimumNArgs(1),
 		RunE: func(_ *cobra.Command, paths []string) error {
 			var errs []error
 			for _, p := range paths {
@@ -42,14 +42,14 @@
 	seeds     int
 	asJSON    bool
 	processes bool
-	program   string // the relay's; empty: built from this source
-	against   string // another program, played by turns with the first
-	outDir    string // of the report; empty: none
+	program   string // path of the relay's program; empty: built from this source
+	against   string // path of a second program, whose runs alternate with those of the first
+	outDir    string // folder of the report; empty: no report
 }
 
 func scenarioCommand() *cobra.Command {
 	f := &scenarioFlags{}
-	c := &cobra.Command{Use: "scenario SCRIPT", Aliases: []string{"rehearse"}, Short: "Play a bad day on the virtual clock, or on real processes, and measure the service, second by second",
+	c := &cobra.Command{Use: "scenario SCRIPT", Aliases: []string{"rehearse"}, Short: "Play a scenario with faults on the virtual clock or on real processes, and measure the service of each second",
 		Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
 			s, err := readScript(args[0])
 			if err != nil {
@@ -62,26 +62,26 @@
 				return f.onProcesses(c, s)
 			}
 			if f.program != "" || f.against != "" || f.seeds != 1 || f.outDir != "" {
-				return errors.New("--relay, --against, --seeds and --out go with --real")
+				return errors.New("--relay, --against, --seeds and --out need --real")
 			}
 			o := scenario.Play(s, f.seed)
 			return writeOutcomes(c, []scenario.Outcome{o}, s, f.asJSON)
 		}}
-	c.Flags().Uint64Var(&f.seed, "seed", 0, "another seed than the script's")
-	c.Flags().BoolVar(&f.asJSON, "json", false, "as JSON")
-	c.Flags().BoolVar(&f.processes, "real", false, "on processes of the relay's program, in real time")
-	c.Flags().StringVar(&f.program, "relay", "", "the relay's program; none: it is built from this source")
-	c.Flags().StringVar(&f.against, "against", "", "another program, played by turns with the first on the same seeds")
-	c.Flags().IntVar(&f.seeds, "seeds", 1, "how many seeds, from the first on")
-	c.Flags().StringVar(&f.outDir, "out", "", "a folder for report.html, report.json and report.csv")
+	c.Flags().Uint64Var(&f.seed, "seed", 0, "seed; 0: the script's")
+	c.Flags().BoolVar(&f.asJSON, "json", false, "print JSON")
+	c.Flags().BoolVar(&f.processes, "real", false, "play on processes of the relay's program, in real time")
+	c.Flags().StringVar(&f.program, "relay", "", "the relay's program; empty: built from this source")
+	c.Flags().StringVar(&f.against, "against", "", "a second program, whose runs on the same seeds alternate with those of the first")
+	c.Flags().IntVar(&f.seeds, "seeds", 1, "number of consecutive seeds, from the first one")
+	c.Flags().StringVar(&f.outDir, "out", "", "folder for report.html, report.json and report.csv")
 	return c
 }
 
-// onProcesses plays the script on processes of one program or of two by turns, until it is done or interrupted. What
-// was played by then is written to the folder of --out also when a run failed.
+// onProcesses plays the script on processes of one program, or of two in alternation, until it ends or is interrupted. It
+// writes the outcomes up to then to the folder of --out, even if a run failed.
 func (f *scenarioFlags) onProcesses(c *cobra.Command, s scenario.Script) error {
 	if f.seeds < 1 {
-		return errors.New("--seeds is 1 at least")
+		return fmt.Errorf("--seeds is %d, expected at least 1", f.seeds)
 	}
 	ctx, stop := signal.NotifyContext(c.Context(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -91,7 +91,7 @@
 		if err != nil {
 			return err
 		}
-		defer func() { _ = os.RemoveAll(dir) }() // in the system's folder for temporary files
+		defer func() { _ = os.RemoveAll(dir) }() // on an error, a leftover in the system's temporary folder
 		if program, err = testcluster.Build(ctx, dir); err != nil {
 			return err
 		}
@@ -108,8 +108,8 @@
 		fmt.Fprintln(c.ErrOrStderr(), o.Summary())
 	})
 	if f.outDir != "" {
-		if e := report.Write(f.outDir, outcomes); e != nil {
-			err = errors.Join(err, e)
+		if writeErr := report.Write(f.outDir, outcomes); writeErr != nil {
+			err = errors.Join(err, writeErr)
 		}
 	}
 	if err != nil {
@@ -118,26 +118,26 @@
 	return writeOutcomes(c, outcomes, s, f.asJSON)
 }
 
-// writeOutcomes prints outcomes. It returns an error if one has a violation.
+// writeOutcomes prints outcomes. It returns an error if one of them has a violation.
 func writeOutcomes(c *cobra.Command, outcomes []scenario.Outcome, s scenario.Script, asJSON bool) (err error) {
 	out := c.OutOrStdout()
 	switch {
 	case asJSON && len(outcomes) == 1:
-		e := json.NewEncoder(out)
-		e.SetIndent("", " ")
-		err = e.Encode(outcomes[0])
+		enc := json.NewEncoder(out)
+		enc.SetIndent("", " ")
+		err = enc.Encode(outcomes[0])
 	case asJSON:
-		e := json.NewEncoder(out)
-		e.SetIndent("", " ")
-		err = e.Encode(outcomes)
+		enc := json.NewEncoder(out)
+		enc.SetIndent("", " ")
+		err = enc.Encode(outcomes)
 	case len(outcomes) == 1:
 		outcomes[0].WriteReport(out, s)
 	default:
 		scenario.WriteComparison(out, outcomes)
 	}
 	for i := range outcomes {
-		if b := outcomes[i].Violations; err == nil && len(b) > 0 {
-			err = fmt.Errorf("%w: %s", errFailed, b[0])
+		if violations := outcomes[i].Violations; err == nil && len(violations) > 0 {
+			err = fmt.Errorf("%w: %s", errFailed, violations[0])
 		}
 	}
 	return err
--- a/cmd/aspenlab/seeds.go
+++ b/cmd/aspenlab/seeds.go
@@ -20,7 +20,7 @@
 	"aspenbarrow/internal/simulation/batch"
 )
 
-// seedsFlags are the flags of "aspenlab seeds", and the options of a run that follow from them.
+// seedsFlags are the flags of "aspenlab seeds", and the options of a run that options derives from them.
 type seedsFlags struct {
 	from            uint64
 	count, workers  int
@@ -35,15 +35,16 @@
 }
 
 // errFailed is the error of a command whose runs had violations.
-var errFailed = errors.New("a rule is broken")
+var errFailed = errors.New("a run violates an invariant")
 
-// seedsCommand plays seeds. It fails when a rule is broken and, with --complete, when a kind of fault never came up.
+// seedsCommand runs the simulation with many seeds. It fails if a run violates an invariant and, with --complete, if a kind
+// of fault or an expected count never occurred.
 func seedsCommand() *cobra.Command {
 	f := &seedsFlags{}
-	c := &cobra.Command{Use: "seeds", Short: "Play the relay on a virtual clock, a world from each seed, and hold every rule",
+	c := &cobra.Command{Use: "seeds", Short: "Run the deterministic simulation of relays, one run for each seed, and check every invariant",
 		Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
 			if f.count < 1 || f.workers < 1 || f.length < time.Second {
-				return fmt.Errorf("--count and --workers are 1 at least, --length a second")
+				return fmt.Errorf("--count is %d, --workers %d and --length %v, expected at least 1, 1 and %v", f.count, f.workers, f.length, time.Second)
 			}
 			if err := f.options(); err != nil {
 				return err
@@ -54,25 +55,25 @@
 			return f.runBatch(c.OutOrStdout(), c.ErrOrStderr())
 		}}
 	c.Flags().Uint64Var(&f.from, "from", 0, "the first seed")
-	c.Flags().IntVar(&f.count, "count", 100, "how many seeds")
-	c.Flags().IntVar(&f.workers, "workers", runtime.GOMAXPROCS(0), "how many at once")
+	c.Flags().IntVar(&f.count, "count", 100, "number of seeds")
+	c.Flags().IntVar(&f.workers, "workers", runtime.GOMAXPROCS(0), "number of runs at once")
 	c.Flags().DurationVar(&f.length, "length", time.Minute, "virtual time of a run")
-	c.Flags().StringVar(&f.json, "json", "", "keep the batch in this file")
-	c.Flags().StringVar(&f.compare, "compare", "", "set the batch against one that was kept")
-	c.Flags().Int64Var(&f.replay, "replay", -1, "play this one seed again")
+	c.Flags().StringVar(&f.json, "json", "", "write the batch to this file")
+	c.Flags().StringVar(&f.compare, "compare", "", "compare the batch with the one in this file, which --json wrote")
+	c.Flags().Int64Var(&f.replay, "replay", -1, "run only this seed")
 	c.Flags().BoolVar(&f.trace, "trace", false, "with --replay: print the run step by step")
-	c.Flags().BoolVar(&f.shrink, "shrink", false, "with --replay: cut the script of faults down to what still fails")
-	c.Flags().StringVar(&f.script, "script", "", "faults instead of each seed's own: a JSON file: a list of {kind, at_ns, for_ns, who, much}")
-	c.Flags().StringVar(&f.timing, "timing", "", "a TOML file whose classes watch, fetch and submit give those of the world their timing")
-	c.Flags().BoolVar(&f.quiet, "quiet", false, "only the closing line and what failed")
-	c.Flags().BoolVar(&f.complete, "complete", false, "fail if a kind of trouble never came up")
+	c.Flags().BoolVar(&f.shrink, "shrink", false, "with --replay: reduce the faults to those with which the run still fails")
+	c.Flags().StringVar(&f.script, "script", "", "JSON file with a list of faults {kind, at_ns, for_ns, who, much}, in place of each seed's own")
+	c.Flags().StringVar(&f.timing, "timing", "", "TOML file whose classes watch, fetch and submit set the retry policies of the simulated ones")
+	c.Flags().BoolVar(&f.quiet, "quiet", false, "leave out the progress and the counts of the batch")
+	c.Flags().BoolVar(&f.complete, "complete", false, "fail if a kind of fault or an expected count never occurred")
 	return c
 }
 
-// timedClasses are the classes of a --timing file that give those of the simulation their timing, in their order.
+// timedClasses are the classes of a --timing file whose retry policies those of the simulation get, in the simulation's order.
 var timedClasses = []string{"watch", "fetch", "submit"}
 
-// options reads the files that the runs have in common.
+// options sets the options that all runs share, and reads the files of --script and --timing for them.
 func (f *seedsFlags) options() (err error) {
 	f.opt = simulation.Options{Duration: f.length}
 	if f.script != "" {
@@ -81,7 +82,7 @@
 		}
 	}
 	if f.timing != "" {
-		f.opt.RetryPolicies, err = readTimings(f.timing)
+		f.opt.RetryPolicies, err = readRetryPolicies(f.timing)
 	}
 	return err
 }
@@ -99,14 +100,14 @@
 	}
 	for i := range faults {
 		if !slices.Contains(simulation.FaultKinds(), faults[i].Kind) {
-			return nil, fmt.Errorf("%s: there is no fault %q", path, faults[i].Kind)
+			return nil, fmt.Errorf("%s: unknown fault kind %q, expected one of %q", path, faults[i].Kind, simulation.FaultKinds())
 		}
 	}
 	return faults, nil
 }
 
-// readTimings reads the retry policies of timedClasses from a configuration.
-func readTimings(path string) (timings []balance.RetryPolicy, err error) {
+// readRetryPolicies reads the retry policies of timedClasses from a configuration.
+func readRetryPolicies(path string) (policies []balance.RetryPolicy, err error) {
 	cfg, err := config.Load(path, func(string) string { return "" }, false)
 	if err != nil {
 		return nil, err
@@ -116,16 +117,16 @@
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", path, err)
 		}
-		var timing balance.RetryPolicy
+		var policy balance.RetryPolicy
 		if route := cfg.Relay.Routes.Lookup(request); route != nil {
-			timing = route.RetryPolicy
+			policy = route.RetryPolicy
 		}
-		timings = append(timings, timing)
+		policies = append(policies, policy)
 	}
-	return timings, nil
+	return policies, nil
 }
 
-// replaySeed plays one seed again, or shrinks its faults.
+// replaySeed runs one seed, or shrinks its faults.
 func (f *seedsFlags) replaySeed(out io.Writer) (err error) {
 	opt := f.opt
 	opt.Seed = uint64(f.replay)
@@ -135,8 +136,8 @@
 	if f.trace {
 		w := bufio.NewWriter(out)
 		defer func() {
-			if flushed := w.Flush(); err == nil {
-				err = flushed
+			if flushErr := w.Flush(); err == nil {
+				err = flushErr
 			}
 		}()
 		opt.Trace = w
@@ -155,7 +156,7 @@
 	return nil
 }
 
-// shrinkSeed cuts a seed's faults down to those with which it still fails.
+// shrinkSeed reduces a seed's faults to those with which it still fails.
 func shrinkSeed(out io.Writer, opt simulation.Options) error {
 	script, rule := simulation.Shrink(opt, func(s []simulation.Fault) { fmt.Fprintf(out, "still fails with %d faults\n", len(s)) })
 	if rule == "" {
@@ -166,7 +167,7 @@
 	return errFailed
 }
 
-// runBatch plays many seeds and reports on them.
+// runBatch runs many seeds and reports on them.
 func (f *seedsFlags) runBatch(out, progressOut io.Writer) error {
 	b := batch.Run(f.from, f.count, f.workers, f.opt, f.progress(progressOut))
 	if f.quiet {
@@ -193,15 +194,15 @@
 	case b.FailedSeeds > 0:
 		return errFailed
 	case f.complete && len(missing) > 0:
-		return fmt.Errorf("%d kinds of trouble never came up", len(missing))
+		return fmt.Errorf("%d kinds of fault or expected counts never occurred", len(missing))
 	}
 	return nil
 }
 
-// progressInterval is after how many seeds the progress is shown.
+// progressInterval is the number of seeds between two progress reports.
 const progressInterval = 50
 
-// progress returns what shows the progress, or nil if standard error is no terminal.
+// progress returns a function that shows the progress, or nil if standard error is not a terminal or --quiet is set.
 func (f *seedsFlags) progress(out io.Writer) func(done int, result batch.SeedResult) {
 	info, err := os.Stderr.Stat()
 	if err != nil || info.Mode()&os.ModeCharDevice == 0 || f.quiet {
--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -1,6 +1,6 @@
 // Command drill is simadapter under its former name.
 //
-// Deprecated: deploy files name simadapter now. This command goes with the next release.
+// Deprecated: use simadapter, which the deploy files name. The next release removes this command.
 package main
 
 import (
--- a/example/example.go
+++ b/example/example.go
@@ -1,10 +1,10 @@
-// Package example holds the example configuration, so that it can be tried
-// without a file at hand.
+// Package example embeds the example configuration, so that programs can use it
+// without the file.
 package example
 
 import _ "embed"
 
-// Config is a sound TOML file of an installation with three classes.
+// Config is a valid TOML configuration of a relay with three classes.
 //
 //go:embed aspenbarrow.toml
 var Config string
--- a/example/fake/client.go
+++ b/example/fake/client.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	patience       = 1500 * time.Millisecond // how long the client waits for its session
+	sessionTimeout = 1500 * time.Millisecond // for the client to get its session
 	reconnectDelay = 200 * time.Millisecond  // after MOVE
 )
 
@@ -21,7 +21,7 @@
 	out               io.Writer // gets the lines that the relay sends
 }
 
-// run opens a session and sends the lines of in. Asked to MOVE it reconnects, as clients do.
+// run opens a session and sends the lines of in. After MOVE it reconnects, as clients do.
 func (c *client) run(in io.Reader) error {
 	typed := scanLines(in)
 	for options := ""; ; options = ",again=1" {
@@ -33,7 +33,7 @@
 	}
 }
 
-// session holds one connection and reports whether it ended with MOVE.
+// session runs one connection and reports whether it ended with MOVE.
 func (c *client) session(typed <-chan string, options string) (moved bool, err error) {
 	conn, err := net.Dial("tcp", c.relay)
 	if err != nil {
@@ -41,18 +41,18 @@
 	}
 	var id [8]byte
 	_, _ = rand.Read(id[:]) // never fails
-	fmt.Fprintf(conn, "OPEN %s %s c=%s,d=%d%s\r\n", hex.EncodeToString(id[:]), c.key, c.class, patience.Milliseconds(), options)
+	fmt.Fprintf(conn, "OPEN %s %s c=%s,d=%d%s\r\n", hex.EncodeToString(id[:]), c.key, c.class, sessionTimeout.Milliseconds(), options)
 	received := scanLines(conn)
 	moved, err = c.exchange(conn, typed, received)
 	_ = conn.Close()
-	for range received { // until its goroutine has ended
+	for range received { // lets the goroutine of scanLines end
 	}
 	return moved, err
 }
 
-// exchange sends what is typed and shows what is received, until the relay ends the connection or the input ends.
+// exchange sends typed lines and prints received ones, until the relay ends the connection or the input ends.
 func (c *client) exchange(conn net.Conn, typed, received <-chan string) (moved bool, err error) {
-	var sendable <-chan string // nil until OPEN is answered: the protocol wants the client to wait
+	var sendable <-chan string // nil until OPEN is answered: the protocol requires the client to wait
 	for {
 		select {
 		case line, ok := <-sendable:
--- a/example/fake/main.go
+++ b/example/fake/main.go
@@ -1,5 +1,5 @@
 // Command fake runs what the example's relay needs around it: three fake backends and a fake discovery service
-// or, with -client, one client. It models no load and measures nothing.
+// or, with -client, one client. It does not model load and measures nothing.
 package main
 
 import (
@@ -9,7 +9,7 @@
 )
 
 func main() {
-	relay := flag.String("client", "", "be a client of the relay at this address")
+	relay := flag.String("client", "", "run a client of the relay at this address")
 	key := flag.String("key", "7f3a9c21e0b4d655", "the client's key, in hexadecimal")
 	class := flag.String("class", "chat", "the client's class")
 	flag.Parse()
--- a/example/fake/servers.go
+++ b/example/fake/servers.go
@@ -12,17 +12,17 @@
 const (
 	backendCount     = 3
 	firstBackendPort = 5101
-	discoveryAddr    = "127.0.0.1:8500" // as example/aspenbarrow.toml has it
+	discoveryAddr    = "127.0.0.1:8500" // the same as in example/aspenbarrow.toml
 )
 
-// servers are the fake backends and the discovery that lists them.
+// servers holds the fake backends and the discovery service that lists them.
 type servers struct {
 	backends  map[string]*fake.Backend // by name
 	endpoints []fake.Endpoint
 	discovery fake.Discovery
 }
 
-// runServers runs the backends and discovery until the input ends; its lines are commands.
+// runServers runs the backends and discovery, and executes the commands in the lines of in until it ends.
 func runServers(in io.Reader, out io.Writer) error {
 	s := servers{backends: map[string]*fake.Backend{}}
 	defer s.closeBackends()
@@ -63,7 +63,7 @@
 	}
 }
 
-// execute carries out one command. All but "say" name a backend.
+// execute executes one command. The argument of every command but "say" is a backend's name.
 func (s *servers) execute(command, argument string, out io.Writer) {
 	if command == "say" {
 		for _, b := range s.backends {
@@ -73,7 +73,7 @@
 	}
 	b := s.backends[argument]
 	if b == nil {
-		fmt.Fprintln(out, "no such command or backend")
+		fmt.Fprintf(out, "unknown command or backend: %q %q\n", command, argument)
 		return
 	}
 	switch command {
@@ -86,7 +86,7 @@
 	}
 }
 
-// setState lists a backend with a state from now on.
+// setState makes discovery list a backend with a state from now on.
 func (s *servers) setState(name, state string) {
 	for i := range s.endpoints {
 		if s.endpoints[i].ID == name {
--- a/example/fake/servers_test.go
+++ b/example/fake/servers_test.go
@@ -23,7 +23,7 @@
 		t.Errorf("after ready: %+v, %q", s.endpoints, out.String())
 	}
 	s.execute("drain", "s-7", &out)
-	if want := "no such command or backend\n"; out.String() != want {
+	if want := "unknown command or backend: \"drain\" \"s-7\"\n"; out.String() != want {
 		t.Errorf("an unknown backend: %q, want %q", out.String(), want)
 	}
 }
--- a/internal/demo/client.go
+++ b/internal/demo/client.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	patience     = 1500 * time.Millisecond // how long a client waits for its session
-	lineInterval = time.Second             // between two lines of a client
-	retryDelay   = 100 * time.Millisecond  // after a session that failed
-	// noticeTime is how long the relay may take to hear that a backend drains before a placement there counts.
-	noticeTime = 300 * time.Millisecond
+	sessionTimeout = 1500 * time.Millisecond // for a client to get its session
+	lineInterval   = time.Second             // between two lines of a client
+	retryDelay     = 100 * time.Millisecond  // after a session that failed
+	// drainNoticeTime is the time for the relay to read that a backend drains; earlier placements there are not counted.
+	drainNoticeTime = 300 * time.Millisecond
 	// keyStep spreads the clients' keys over the hash space: 2^64 divided by the golden ratio.
 	keyStep = 0x9e3779b97f4a7c15
 )
 
-// errNotServed means that the relay answered a session with anything but UP.
+// errNotServed means that the relay answered OPEN with anything but UP.
 var errNotServed = errors.New("not served")
 
 // client is one client of the demonstration.
@@ -30,14 +30,14 @@
 	class  string
 }
 
-// run holds a session, and a new one whenever it ends, until ctx is done or the relay leaves.
+// run opens a session, and another one whenever it ends, until ctx is done or the relay drains.
 func (c *client) run(ctx context.Context) {
 	for attempt := 0; ctx.Err() == nil; attempt++ {
 		err := c.session(ctx, attempt)
 		c.mu.Lock()
-		leaving := c.relayLeaving
+		draining := c.relayDraining
 		c.mu.Unlock()
-		if leaving {
+		if draining {
 			return
 		}
 		if err != nil {
@@ -46,7 +46,7 @@
 	}
 }
 
-// session holds one connection to the relay. It returns nil if the client was asked to move.
+// session runs one connection to the relay. It returns nil if the relay asked the client to migrate.
 func (c *client) session(ctx context.Context, attempt int) error {
 	var dialer net.Dialer
 	conn, err := dialer.DialContext(ctx, "tcp", c.relayAddr)
@@ -69,15 +69,15 @@
 	return c.exchange(conn, in, backend)
 }
 
-// open asks for a session and returns the name of its backend.
+// open requests a session and returns the name of its backend.
 func (c *client) open(conn net.Conn, in *bufio.Reader, attempt int) (backend string, err error) {
-	asked := time.Now()
-	again := ""
+	requested := time.Now()
+	option := ""
 	if attempt > 0 {
-		again = ",again=1"
+		option = ",again=1"
 	}
 	key := uint64(c.number+1) * keyStep
-	fmt.Fprintf(conn, "OPEN %08x%08x %016x c=%s,d=%d%s\r\n", c.number+1, attempt+1, key, c.class, patience.Milliseconds(), again)
+	fmt.Fprintf(conn, "OPEN %08x%08x %016x c=%s,d=%d%s\r\n", c.number+1, attempt+1, key, c.class, sessionTimeout.Milliseconds(), option)
 	line, err := in.ReadString('\n')
 	if err != nil {
 		return "", err
@@ -88,22 +88,22 @@
 		c.printf("client %d (%s) is answered %s", c.number, c.class, answer)
 		return "", errNotServed
 	}
-	c.countPlacement(backend, asked)
+	c.countPlacement(backend, requested)
 	c.printf("client %d (%s) is at %s", c.number, c.class, backend)
 	return backend, nil
 }
 
-func (c *client) countPlacement(backend string, asked time.Time) {
+func (c *client) countPlacement(backend string, requested time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.backendOf[c.number] = backend
 	c.result.Placed++
-	if backend == c.draining && !c.drainedAt.IsZero() && asked.After(c.drainedAt.Add(noticeTime)) {
+	if backend == c.draining && !c.drainedAt.IsZero() && requested.After(c.drainedAt.Add(drainNoticeTime)) {
 		c.result.PlacedAtDraining++
 	}
 }
 
-// exchange sends a line now and then, until the client is asked to move or the connection fails.
+// exchange sends a line every lineInterval, until the relay asks the client to migrate or the connection fails.
 func (c *client) exchange(conn net.Conn, in *bufio.Reader, backend string) error {
 	for {
 		if _, err := fmt.Fprintf(conn, "hello %d\r\n", c.number); err != nil {
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,8 +1,8 @@
 // Package demo shows a relay at work on one machine: the real relay with the example's configuration, fake
 // backends and discovery, and a few clients, all on loopback addresses and in one process.
 //
-// Run prints events as they happen: placements, a drain, moves, the relay's own drain at its end. The fakes
-// model no load, so the figures say nothing of real servers.
+// Run prints events as they happen: placements, a drain, migrations, the relay's own drain at the end. The fakes
+// do not model load, so the figures do not carry over to real servers.
 package demo
 
 import (
@@ -21,13 +21,13 @@
 	"aspenbarrow/internal/relay"
 )
 
-// configName is what errors call the configuration.
+// configName is the name of the configuration in errors.
 const configName = "example/aspenbarrow.toml"
 
-// Options are the size of the demonstration.
+// Options are the configuration and the size of the demonstration.
 type Options struct {
 	Config   string        // TOML; its addresses are replaced by loopback ones with free ports
-	Duration time.Duration // upper bound
+	Duration time.Duration // upper bound of the run
 	Backends int
 	Clients  int // concurrent ones
 }
@@ -35,9 +35,9 @@
 // Result counts what happened.
 type Result struct {
 	Placed           int // connections that got a backend
-	Moved            int // connections that were asked to reconnect
+	Moved            int // connections that were migrated
 	Drained          int // backends that drained
-	PlacedAtDraining int // connections placed at a backend well after the relay heard that it drains
+	PlacedAtDraining int // connections placed at a draining backend later than drainNoticeTime after discovery listed it so
 }
 
 // demonstration is the state of one run.
@@ -49,15 +49,15 @@
 	endpoints []fake.Endpoint
 	relayAddr string
 
-	mu           sync.Mutex
-	result       Result
-	backendOf    map[int]string // by client
-	draining     string         // the backend that drains; empty: none
-	drainedAt    time.Time      // when discovery first listed one as draining
-	relayLeaving bool           // a client that is moved from now on has no relay to reconnect to
+	mu            sync.Mutex
+	result        Result
+	backendOf     map[int]string // by client
+	draining      string         // the draining backend; empty: none
+	drainedAt     time.Time      // when discovery first listed one as draining
+	relayDraining bool           // from now on, a client that is migrated has no relay to reconnect to
 }
 
-// Run plays the demonstration, writing what happens to out, until its duration is over or ctx is done. It
+// Run runs the demonstration and writes its events to out, until its duration is over or ctx is done. It
 // returns an error if the configuration is invalid, a socket cannot be opened or the relay fails.
 func Run(ctx context.Context, out io.Writer, options Options) (Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, options.Duration)
@@ -85,8 +85,8 @@
 	return d.result, err
 }
 
-// startFakes starts the backends and discovery. The function that it returns stops those that were started,
-// also after an error.
+// startFakes starts the backends and discovery. The function that it returns stops those that were started; it
+// must be called after an error too.
 func (d *demonstration) startFakes() (stop func(), err error) {
 	var closers []func()
 	stop = func() {
@@ -115,7 +115,7 @@
 	serving, stopRelay := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- r.Run(serving) }()
-	d.printf("a relay on %s, %d backends and discovery beside it, all stand-ins in this process", d.relayAddr, d.options.Backends)
+	d.printf("a relay on %s with %d fake backends and a fake discovery, all in this process", d.relayAddr, d.options.Backends)
 
 	connected, stopClients := context.WithCancel(context.Background())
 	var clients sync.WaitGroup
@@ -125,9 +125,9 @@
 	}
 	d.drainAndRestore(ctx)
 	d.mu.Lock()
-	d.relayLeaving = true
+	d.relayDraining = true
 	d.mu.Unlock()
-	d.printf("the relay is asked to leave: it answers what it owes and has the rest move")
+	d.printf("the relay drains: it answers open requests and migrates sessions")
 	stopRelay()
 	err := <-ended
 	stopClients()
@@ -135,15 +135,15 @@
 	return err
 }
 
-// drainAndRestore drains the backend with the most connections for half of the demonstration, with a sixth of
-// it before and after.
+// drainAndRestore drains the backend with the most connections for half of the demonstration's duration, and waits
+// a sixth of it before and after.
 func (d *demonstration) drainAndRestore(ctx context.Context) {
 	sixth := d.options.Duration / 6
 	if !sleep(ctx, sixth) {
 		return
 	}
 	name, connections := d.chooseBackend()
-	d.printf("discovery says that %s, with %d connections, drains", name, connections)
+	d.printf("discovery lists %s, with %d connections, as draining", name, connections)
 	d.setState(name, "draining")
 	d.mu.Lock()
 	d.drainedAt = time.Now()
@@ -160,7 +160,7 @@
 	sleep(ctx, sixth)
 }
 
-// chooseBackend returns the backend with the most connections and notes that it is the one that drains.
+// chooseBackend returns the backend with the most connections and records it as the draining one.
 func (d *demonstration) chooseBackend() (name string, connections int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -178,7 +178,7 @@
 	return name, counts[name]
 }
 
-// setState has discovery list a backend with a state from now on.
+// setState makes discovery list a backend with a state from now on.
 func (d *demonstration) setState(name, state string) {
 	for i := range d.endpoints {
 		if d.endpoints[i].ID == name {
@@ -193,7 +193,7 @@
 	fmt.Fprintf(d.out, "%6.2f s  %s\n", time.Since(d.started).Seconds(), fmt.Sprintf(format, args...))
 }
 
-// lineWriter keeps lines of several goroutines apart; each is one Write.
+// lineWriter serializes the writes of several goroutines; each line is one Write.
 type lineWriter struct {
 	mu  sync.Mutex
 	out io.Writer
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -20,7 +20,7 @@
 	if result.Placed < 6 || result.Moved < 1 || result.Drained != 1 || result.PlacedAtDraining != 0 || time.Since(began) > 20*time.Second {
 		t.Errorf("%+v after %v\n%s", result, time.Since(began), out.String())
 	}
-	for _, want := range []string{"drains", "is moved off", "is ready again", "asked to leave", "over: "} {
+	for _, want := range []string{"as draining", "is moved off", "is ready again", "the relay drains", "over: "} {
 		if !strings.Contains(out.String(), want) {
 			t.Errorf("%q is not shown\n%s", want, out.String())
 		}
@@ -36,6 +36,6 @@
 		t.Errorf("%v\n%s", err, out.String())
 	}
 	if _, err := Run(ctx, &out, Options{Config: "[relay", Duration: time.Second, Backends: 1}); err == nil {
-		t.Error("an invalid configuration is played")
+		t.Error("no error for an invalid configuration")
 	}
 }
--- a/internal/fake/backend.go
+++ b/internal/fake/backend.go
@@ -1,7 +1,8 @@
 // Package fake provides fake backends and a fake discovery service that speak the relay's protocols on
 // loopback sockets, for tests, the demonstration and the example.
 //
-// They model no load: figures taken with them say nothing of real servers. Package emulator does that.
+// They do not model load, so measurements with them do not carry over to real servers. Package emulator models
+// load.
 package fake
 
 import (
@@ -13,16 +14,16 @@
 	"sync"
 )
 
-// Answers of a Backend that are no lines of the protocol.
+// Special answers of a Backend, which are not lines of the protocol.
 const (
 	EndConnection   = ""      // closes the backend's side of the connection
 	ResetConnection = "RESET" // resets the connection
 )
 
-// Backend is a fake backend, which listens on a socket. Its exported fields are set before Listen.
+// Backend is a fake backend, which listens on a socket. Its exported fields must be set before Listen.
 type Backend struct {
-	// Answer returns the lines that answer an OPEN line; EndConnection and ResetConnection have a meaning of
-	// their own. If the first one begins with UP, the session is established and every later line is echoed.
+	// Answer returns the lines that answer an OPEN line; EndConnection and ResetConnection act on the
+	// connection. If the first one begins with UP, the session is established and every later line is echoed.
 	// If there are none, the backend never answers. Nil establishes every session.
 	Answer func(open string) []string
 	// LoadReport follows PONG in the answer to STATS.
@@ -76,7 +77,7 @@
 	return append([]string(nil), b.openLines...)
 }
 
-// StopResponding leaves all connections open and answers nothing from now on, like a partitioned machine.
+// StopResponding makes the backend answer nothing from now on, with all connections open, like a partitioned machine.
 func (b *Backend) StopResponding() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -102,7 +103,7 @@
 	}
 }
 
-// send writes lines and reports whether the connection goes on.
+// send writes lines and reports whether the connection is still open for more.
 func send(conn net.Conn, lines []string) bool {
 	for _, line := range lines {
 		switch line {
--- a/internal/fake/discovery.go
+++ b/internal/fake/discovery.go
@@ -24,8 +24,8 @@
 	StartedMS int64   `json:"started_ms"` // Unix time in milliseconds
 }
 
-// Discovery is a fake discovery service. It answers every request with the whole list, a request that names a
-// version once there is a newer one or its wait is over.
+// Discovery is a fake discovery service. It answers every request with the whole list. It answers a request that
+// names a version when there is a newer one or the request's wait time is over.
 type Discovery struct {
 	server *http.Server
 	addr   string
@@ -34,11 +34,11 @@
 	changed   chan struct{} // closed and replaced at every change
 	version   int
 	endpoints []Endpoint
-	response  string // in place of the list; empty: none
-	waiting   int    // requests
+	response  string // body of every response; empty: the list
+	waiting   int    // requests that wait for a newer version
 }
 
-// Listen starts discovery on an address with a first list.
+// Listen starts discovery on an address with an initial list.
 func (d *Discovery) Listen(addr string, endpoints ...Endpoint) error {
 	d.changed, d.version, d.endpoints = make(chan struct{}), 1, endpoints
 	listener, err := net.Listen("tcp", addr)
@@ -55,7 +55,7 @@
 // Addr returns the address that discovery listens on.
 func (d *Discovery) Addr() string { return d.addr }
 
-// Close ends discovery and every request to it.
+// Close stops discovery and closes the connections of all requests to it.
 func (d *Discovery) Close() { _ = d.server.Close() }
 
 // WaitingCalls returns how many requests wait for a newer version.
@@ -65,9 +65,9 @@
 	return d.waiting
 }
 
-// SetVersion sets the version of the present list.
+// SetVersion sets the version of the current list.
 func (d *Discovery) SetVersion(version int) {
-	d.change(func() { d.version = version - 1 }) // change counts on
+	d.change(func() { d.version = version - 1 }) // change increments it
 }
 
 // SetEndpoints replaces the list.
@@ -78,7 +78,7 @@
 // SetResponse makes text the body of every response, until SetEndpoints is called.
 func (d *Discovery) SetResponse(text string) { d.change(func() { d.response = text }) }
 
-// change applies a change, counts the version on and wakes the requests that wait for it.
+// change applies a change, increments the version and wakes the requests that wait for a newer one.
 func (d *Discovery) change(apply func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -125,8 +125,7 @@
 	}
 }
 
-// endpointList is a whole list in the published form. The order of its fields is that of the keys in the
-// encoding.
+// endpointList is a whole list in the published form. The keys of the encoding are in the order of its fields.
 type endpointList struct {
 	Full      bool       `json:"full"`
 	Endpoints []Endpoint `json:"servers"`
@@ -140,7 +139,7 @@
 	}
 	text, err := json.Marshal(endpointList{Full: true, Endpoints: endpoints, Version: version})
 	if err != nil {
-		panic(fmt.Sprintf("list: %v", err)) // only a weight that is no number cannot be encoded
+		panic(fmt.Sprintf("encoding the endpoint list: %v", err)) // only a weight that is NaN or infinite cannot be encoded
 	}
 	return text
 }
--- a/internal/fake/fake_test.go
+++ b/internal/fake/fake_test.go
@@ -34,7 +34,7 @@
 	t.Cleanup(b.Close)
 }
 
-// exchange sends a line and returns the next one.
+// exchange sends a line and returns the next line that it receives.
 func exchange(t *testing.T, conn net.Conn, in *bufio.Reader, line string) string {
 	t.Helper()
 	if _, err := io.WriteString(conn, line+"\r\n"); err != nil {
@@ -47,7 +47,7 @@
 	return strings.TrimRight(answer, "\r\n")
 }
 
-func TestBackend_AnswersProbesAndEchoesSessions(t *testing.T) {
+func TestBackend_AnswersHealthChecksAndEchoesSessions(t *testing.T) {
 	b := &Backend{LoadReport: "x0=0.1"}
 	listen(t, b)
 	conn, in := connect(t, b)
@@ -102,7 +102,7 @@
 	}
 	var timeout net.Error
 	if line, err := in.ReadString('\n'); !errors.As(err, &timeout) || !timeout.Timeout() {
-		t.Errorf("a silent backend: %q, %v; want a timeout", line, err)
+		t.Errorf("after StopResponding: %q, %v; want a timeout", line, err)
 	}
 }
 
--- a/internal/simadapter/simadapter.go
+++ b/internal/simadapter/simadapter.go
@@ -1,6 +1,6 @@
 // Package simadapter connects package balance to a simulator: it keeps the decision instances of one process
-// and hands them the events of package simwire. It has no clock and no randomness of its own; both come with
-// the batches, so that identical input yields identical output.
+// and passes them the events of package simwire. It has no clock and no random source of its own: the time and
+// the seeds come with the batches, so that identical input yields identical output.
 package simadapter
 
 import (
@@ -16,7 +16,7 @@
 	"aspenbarrow/internal/simwire"
 )
 
-// readBufferSize is the size of the input's buffer in bytes; most batches fit it.
+// readBufferSize is the size of the input's buffer in bytes; most batches fit into it.
 const readBufferSize = 1 << 20
 
 // Main runs the adapter as a command of this name and returns its exit code: 0 at the end of its input and 1
@@ -49,8 +49,8 @@
 	}
 }
 
-// host keeps the instances of one process. They share nothing but the endpoint lists, which belong to the
-// process by the protocol and are only read.
+// host keeps the instances of one process. They share only the endpoint lists, which the protocol defines per
+// process and which the instances only read.
 type host struct {
 	instances map[uint32]*balance.Balancer
 	lists     [simwire.MaxListSlots][]balance.Backend
@@ -83,7 +83,7 @@
 			continue
 		}
 		if !selected {
-			return fmt.Errorf("event code %d before any instance was named", e.Code)
+			return fmt.Errorf("event code %d before an instance was selected, expected event code %d first", e.Code, simwire.EventSelectInstance)
 		}
 		if err := h.deliver(instance, now, e); err != nil {
 			return err
@@ -91,8 +91,8 @@
 	}
 }
 
-// deliver hands one event to its instance. A panic of the decision code is reported to the simulator as a
-// failure of that instance, which is discarded; the others go on.
+// deliver passes one event to its instance. It reports a panic of the decision code to the simulator as a
+// failure of that instance and discards the instance; the others continue.
 func (h *host) deliver(instance uint32, now time.Duration, e *simwire.Event) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// configure starts an instance, in place of one of the same number.
+// configure starts an instance, which replaces one of the same number.
 func (h *host) configure(instance uint32, now time.Duration, e *simwire.Event) error {
 	s, err := settings.Parse(e.Settings)
 	if err != nil {
@@ -129,7 +129,7 @@
 	switch e.Code {
 	case simwire.EventEndpointsUpdated:
 		var list []balance.Backend
-		if e.UpdateKind != balance.UpdateFailed { // a failure names no list
+		if e.UpdateKind != balance.UpdateFailed { // a failed update carries no list
 			list = h.lists[e.ListSlot]
 		}
 		b.EndpointsUpdated(now, e.UpdateKind, list)
--- a/internal/simadapter/simadapter_test.go
+++ b/internal/simadapter/simadapter_test.go
@@ -43,7 +43,7 @@
 
 func TestRun_AnswersBatchesUntilInputEnds(t *testing.T) {
 	in := append(batchFrame(1000), batchFrame(1000, selectInstance(3), configure(settingsJSON), endpointList(), endpointsUpdated(), requestArrived(5))...)
-	// A kill and a fresh start in one batch: the old request is void.
+	// Exit and a new start in one batch: the new instance does not send the request of the old one again.
 	in = append(in, batchFrame(2000, selectInstance(3), []byte{100}, configure(settingsJSON), endpointsUpdated(), requestArrived(6))...)
 	var out bytes.Buffer
 	if err := Run(bytes.NewReader(in), &out); err != nil {
@@ -66,9 +66,9 @@
 		name, want string
 		in         []byte
 	}{
-		{"cut off", "offset", batchFrame(1, selectInstance(1))[:18]},
+		{"truncated", "offset", batchFrame(1, selectInstance(1))[:18]},
 		{"unknown code", "unknown event code 200", batchFrame(1, selectInstance(1), []byte{200})},
-		{"no instance named", "before any instance", batchFrame(1, []byte{100})},
+		{"no instance selected", "before an instance was selected", batchFrame(1, []byte{100})},
 		{"bad settings", "instance 1: settings", batchFrame(1, selectInstance(1), configure("{}"))},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -80,7 +80,7 @@
 	}
 }
 
-// endpointListOf is a list of n servers with absurd weights among them.
+// endpointListOf encodes a list of n backends, some of which have invalid weights.
 func endpointListOf(n int) []byte {
 	b := binary.BigEndian.AppendUint32([]byte{70, 0, 0, 0, 0}, uint32(n))
 	weights := []float32{1, 0, -3, float32(math.Inf(1)), float32(math.NaN()), 1e30}
@@ -96,7 +96,7 @@
 func TestRun_RejectsTruncatedEndpointListWithOffset(t *testing.T) {
 	whole := batchFrame(1000, selectInstance(3), configure(settingsJSON), endpointListOf(400), endpointsUpdated(), requestArrived(5))
 	if err := Run(bytes.NewReader(whole), new(bytes.Buffer)); err != nil {
-		t.Fatalf("whole: %v", err)
+		t.Fatalf("complete frame: %v", err)
 	}
 	for cut := 1; cut < len(whole); cut += 97 {
 		err := Run(bytes.NewReader(whole[:cut]), new(bytes.Buffer))
@@ -104,7 +104,7 @@
 			t.Fatalf("cut at %d: %v", cut, err)
 		}
 	}
-	// A frame that is complete but whose list claims more lines than it holds.
+	// A complete frame whose endpoint list announces more entries than it holds.
 	short := batchFrame(1000, selectInstance(3), configure(settingsJSON), endpointListOf(400)[:5000])
 	err := Run(bytes.NewReader(short), new(bytes.Buffer))
 	if err == nil || !strings.Contains(err.Error(), "offset") || !strings.Contains(err.Error(), "code 70") {
@@ -115,7 +115,7 @@
 func TestRun_IgnoresEventsOfUnknownInstances(t *testing.T) {
 	var out bytes.Buffer
 	if err := Run(bytes.NewReader(batchFrame(1, selectInstance(9), requestArrived(1))), &out); err != nil || out.Len() != 8 {
-		t.Fatalf("%x, %v", out.Bytes(), err)
+		t.Fatalf("reply %x, error %v; want an empty reply", out.Bytes(), err)
 	}
 }
 
--- a/internal/simwire/codec_test.go
+++ b/internal/simwire/codec_test.go
@@ -20,8 +20,8 @@
 	"aspenbarrow/balance"
 )
 
-// recordedFrames is a run of frames, each of events: a start, a list, requests, ends, and the exit. Every code and every
-// outcome comes, and every field other than 0.
+// recordedFrames holds the events of a sequence of frames: configuration, endpoint lists, requests, ended attempts and the
+// exit. Every event code and every status occurs, and every field has a value other than 0 at least once.
 var recordedFrames = [][]string{
 	{
 		"78 00000003", "1e 0123456789abcdef 00000007 7b2261223a317d", "32 02 00000001 0000000000000029",
@@ -56,9 +56,9 @@
 	{},
 }
 
-// statuses are the words for outcomes here, with their codes on the wire.
+// statuses holds the name of each status in events.txt and its code on the wire.
 var statuses = map[balance.Status]struct {
-	word string
+	name string
 	code uint16
 }{balance.StatusOK: {"ok", 0}, balance.StatusError: {"error", 5}, balance.StatusOverloaded: {"full", 11}, balance.StatusTimeout: {"timeout", 110},
 	balance.StatusConnectFailed: {"connect failed", 111}, balance.StatusReset: {"reset", 104}, balance.StatusCancelled: {"cancelled", 125}, balance.StatusAbandoned: {"moot", 114}}
@@ -68,9 +68,9 @@
 		r.ID, r.Class, r.Tenant, r.Key, r.TimeLeft, r.ExpectedLoad, r.Group, r.ClientRetry, r.MidStream, r.Reconnecting)
 }
 
-// describeEvent says all that an event holds.
+// describeEvent formats all fields of an event.
 func describeEvent(t *testing.T, e *Event) string {
-	o, r := &e.Result, &e.HealthCheck
+	result, check := &e.Result, &e.HealthCheck
 	switch e.Code {
 	case EventSelectInstance:
 		return fmt.Sprintf("about: relay %d", e.Instance)
@@ -91,39 +91,39 @@
 	case EventSessionAdopted:
 		return fmt.Sprintf("resumed: %s, at %x", describeRequest(&e.Request), uint64(e.Backend))
 	case EventAttemptSucceeded:
-		return fmt.Sprintf("begun: id %x, attempt %d, at %x, after %v", o.ID, o.Attempt, uint64(o.Backend), o.Latency)
+		return fmt.Sprintf("begun: id %x, attempt %d, at %x, after %v", result.ID, result.Attempt, uint64(result.Backend), result.Latency)
 	case EventLoadReported:
 		kind := map[balance.LoadSignal]string{balance.SignalConnectionLoad: "load", balance.SignalMessageDelay: "delay"}
-		return fmt.Sprintf("note: id %x, attempt %d, at %x, %s %v", o.ID, o.Attempt, uint64(e.Backend), kind[e.Signal], e.SignalValue)
+		return fmt.Sprintf("note: id %x, attempt %d, at %x, %s %v", result.ID, result.Attempt, uint64(e.Backend), kind[e.Signal], e.SignalValue)
 	case EventAttemptEnded:
-		return fmt.Sprintf("settled: id %x, attempt %d, at %x, %s after %v, closed %v, load %v", o.ID, o.Attempt, uint64(o.Backend),
-			statuses[o.Status].word, o.Latency, o.Closed, o.Load)
+		return fmt.Sprintf("settled: id %x, attempt %d, at %x, %s after %v, closed %v, load %v", result.ID, result.Attempt, uint64(result.Backend),
+			statuses[result.Status].name, result.Latency, result.Closed, result.Load)
 	case EventClientClosed:
-		return fmt.Sprintf("dropped: id %x", o.ID)
+		return fmt.Sprintf("dropped: id %x", result.ID)
 	case EventTimerFired:
 		return fmt.Sprintf("fired: token %d", e.TimerToken)
 	case EventHealthCheckDone:
-		return fmt.Sprintf("probed: %x, %s after %v, load %v", uint64(r.Backend), statuses[r.Status].word, r.Latency, r.Load)
+		return fmt.Sprintf("probed: %x, %s after %v, load %v", uint64(check.Backend), statuses[check.Status].name, check.Latency, check.Load)
 	case EventGossipReceived:
 		return fmt.Sprintf("datagram: from %d, %q", e.Peer, e.Payload)
 	case EventExit:
 		return "exit"
 	}
-	t.Fatalf("no words for %d", e.Code)
+	t.Fatalf("no description of event code %d", e.Code)
 	return ""
 }
 
-// recordWriter writes records as the simulator does.
+// recordWriter encodes records as the simulator does.
 type recordWriter struct{ bytes []byte }
 
-func (w *recordWriter) uint8(v uint8)           { w.bytes = append(w.bytes, v) }
-func (w *recordWriter) uint16(v uint16)         { w.bytes = binary.BigEndian.AppendUint16(w.bytes, v) }
-func (w *recordWriter) uint32(v uint32)         { w.bytes = binary.BigEndian.AppendUint32(w.bytes, v) }
-func (w *recordWriter) uint64(v uint64)         { w.bytes = binary.BigEndian.AppendUint64(w.bytes, v) }
-func (w *recordWriter) float32(v float32)       { w.uint32(math.Float32bits(v)) }
-func (w *recordWriter) float64(v float64)       { w.uint64(math.Float64bits(v)) }
-func (w *recordWriter) wait(d time.Duration)    { w.float64(float64(d) / 1e6) }
-func (w *recordWriter) status(s balance.Status) { w.uint16(statuses[s].code) }
+func (w *recordWriter) uint8(v uint8)                { w.bytes = append(w.bytes, v) }
+func (w *recordWriter) uint16(v uint16)              { w.bytes = binary.BigEndian.AppendUint16(w.bytes, v) }
+func (w *recordWriter) uint32(v uint32)              { w.bytes = binary.BigEndian.AppendUint32(w.bytes, v) }
+func (w *recordWriter) uint64(v uint64)              { w.bytes = binary.BigEndian.AppendUint64(w.bytes, v) }
+func (w *recordWriter) float32(v float32)            { w.uint32(math.Float32bits(v)) }
+func (w *recordWriter) float64(v float64)            { w.uint64(math.Float64bits(v)) }
+func (w *recordWriter) milliseconds(d time.Duration) { w.float64(float64(d) / 1e6) }
+func (w *recordWriter) status(s balance.Status)      { w.uint16(statuses[s].code) }
 
 func (w *recordWriter) backend(id balance.BackendID) {
 	w.uint32(uint32(id >> 16))
@@ -137,7 +137,7 @@
 	}
 }
 
-// flag8 is the bit if on, else 0.
+// flag8 returns bit if on is true and 0 otherwise.
 func flag8(on bool, bit uint8) uint8 {
 	if on {
 		return bit
@@ -150,7 +150,7 @@
 	w.uint8(uint8(r.Class))
 	w.uint32(uint32(r.Tenant))
 	w.uint64(r.Key)
-	w.wait(r.TimeLeft)
+	w.milliseconds(r.TimeLeft)
 	w.float64(r.ExpectedLoad / 1000)
 	w.uint64(r.Group)
 	w.uint8(flag8(r.ExpectedLoad > 0, 1) | flag8(r.ClientRetry, 2) | flag8(r.MidStream, 8) | flag8(r.Reconnecting, 16))
@@ -163,11 +163,11 @@
 	w.float32(float32(b.Weight))
 	w.backend(b.ID)
 	w.uint16(uint16(b.Kind))
-	w.wait(b.ReadyAt)
+	w.milliseconds(b.ReadyAt)
 }
 
-// lists writes what process and instances are told of backends, and reports whether e is such an event.
-func (w *recordWriter) lists(e *Event) bool {
+// endpointEvent encodes the fields of an event about backends and reports whether e is one.
+func (w *recordWriter) endpointEvent(e *Event) bool {
 	switch e.Code {
 	case EventEndpointsUpdated:
 		w.uint8(uint8(e.UpdateKind))
@@ -181,7 +181,7 @@
 		}
 	case EventHealthCheckDone:
 		w.status(e.HealthCheck.Status)
-		w.wait(e.HealthCheck.Latency)
+		w.milliseconds(e.HealthCheck.Latency)
 		w.backend(e.HealthCheck.Backend)
 		w.load(e.HealthCheck.Load)
 	default:
@@ -190,8 +190,8 @@
 	return true
 }
 
-// attempts writes what becomes of requests, and reports whether e is such an event.
-func (w *recordWriter) attempts(e *Event) bool {
+// requestEvent encodes the fields of an event about a request and reports whether e is one.
+func (w *recordWriter) requestEvent(e *Event) bool {
 	r := &e.Result
 	switch e.Code {
 	case EventRequestArrived:
@@ -201,7 +201,7 @@
 		w.backend(e.Backend)
 	case EventAttemptSucceeded:
 		w.uint64(r.ID)
-		w.wait(r.Latency)
+		w.milliseconds(r.Latency)
 		w.backend(r.Backend)
 		w.uint16(uint16(r.Attempt))
 	case EventLoadReported:
@@ -215,7 +215,7 @@
 		w.uint16(uint16(r.Attempt))
 		w.backend(r.Backend)
 		w.status(r.Status)
-		w.wait(r.Latency)
+		w.milliseconds(r.Latency)
 		w.uint8(flag8(r.Closed, 1))
 		w.load(r.Load)
 	case EventClientClosed:
@@ -226,11 +226,11 @@
 	return true
 }
 
-// encodeEvent writes an event as the simulator would, from what was decoded of it alone: what is lost in decoding
-// differs. A hint without its flag and flags that nothing reads are not kept by design, so none are recorded.
+// encodeEvent encodes a decoded event as the simulator does, so that a field that decoding loses shows as a difference. By
+// design, decoding drops a load hint whose flag is not set and flags that the decoder does not read; recordedFrames has none.
 func encodeEvent(t *testing.T, e *Event) []byte {
 	w := &recordWriter{bytes: []byte{byte(e.Code)}}
-	if w.lists(e) || w.attempts(e) {
+	if w.endpointEvent(e) || w.requestEvent(e) {
 		return w.bytes
 	}
 	switch e.Code {
@@ -253,7 +253,7 @@
 	return w.bytes
 }
 
-// readHexLines reads a golden file's lines of nothing but hexadecimal digits.
+// readHexLines decodes the lines of a golden file that consist of hexadecimal digits and skips the others.
 func readHexLines(t *testing.T, name string) (out [][]byte) {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", name))
@@ -268,7 +268,7 @@
 	return out
 }
 
-// Frames of the simulator as recorded are read to the same events, and those written again are the same bytes.
+// Recorded frames of the simulator decode to the recorded events, and those encode to the same bytes.
 func TestCodec_MatchesGoldenFrames(t *testing.T) {
 	if golden.Updating() {
 		var all strings.Builder
@@ -279,7 +279,7 @@
 	}
 	frames := readHexLines(t, "frames.txt")
 	if len(frames) != len(recordedFrames) {
-		t.Fatalf("%d frames, %d were recorded", len(frames), len(recordedFrames))
+		t.Fatalf("frames.txt has %d frames, want %d", len(frames), len(recordedFrames))
 	}
 	var out strings.Builder
 	seen := map[EventCode]bool{}
@@ -287,21 +287,21 @@
 	stream := bytes.NewReader(slices.Concat(frames...))
 	for _, f := range frames {
 		if err := ReadFrame(stream, &buf); err != nil || !bytes.Equal(buf.Bytes(), f) {
-			t.Fatalf("%x, %v: read as a frame it is %x", f, err, buf.Bytes())
+			t.Fatalf("ReadFrame: %v, got %x, want %x", err, buf.Bytes(), f)
 		}
 		events, now, err := decodeAll(f)
 		if err != nil {
 			t.Fatalf("%x: %v", f, err)
 		}
 		fmt.Fprintf(&out, "frame at %v\n", now)
-		var again []byte
+		var encoded []byte
 		for i := range events {
 			seen[events[i].Code] = true
 			fmt.Fprintf(&out, "%s\n", describeEvent(t, &events[i]))
-			again = append(again, encodeEvent(t, &events[i])...)
+			encoded = append(encoded, encodeEvent(t, &events[i])...)
 		}
-		if again = frame(uint32(len(events)), again); !bytes.Equal(again, f) {
-			t.Errorf("written again\n%x, was\n%x", again, f)
+		if encoded = frame(uint32(len(events)), encoded); !bytes.Equal(encoded, f) {
+			t.Errorf("encoded again\n%x, want\n%x", encoded, f)
 		}
 	}
 	if err := ReadFrame(stream, &buf); !errors.Is(err, io.EOF) || errors.Unwrap(err) != nil {
@@ -310,22 +310,22 @@
 	golden.Compare(t, "events.txt", out.String())
 	for _, c := range []EventCode{EventLoadReported, EventTimerFired, EventConfigure, EventClientClosed, EventEndpointsUpdated, EventGossipReceived, EventEndpointList, EventSessionAdopted, EventHealthCheckDone, EventExit, EventAttemptEnded, EventSelectInstance, EventRequestArrived, EventAttemptSucceeded} {
 		if !seen[c] {
-			t.Errorf("no event %d is recorded", c)
+			t.Errorf("no recorded frame has event code %d", c)
 		}
 	}
 }
 
-// How each frame that is torn or spoilt is refused stays as it is.
+// The errors for truncated and malformed frames match the golden file.
 func TestDecoder_ErrorTextsMatchGolden(t *testing.T) {
 	var out strings.Builder
 	for i, f := range readHexLines(t, "frames.txt") {
 		for n := range f {
 			cut := slices.Clone(f[:n])
-			if n >= headerSize { // a header that is as long as it says
+			if n >= headerSize { // set the header's length to that of the truncated frame
 				binary.BigEndian.PutUint32(cut, uint32(n))
 			}
 			if _, _, err := decodeAll(cut); err == nil {
-				t.Errorf("frame %d cut to %d bytes is taken", i, n)
+				t.Errorf("frame %d cut to %d bytes is accepted", i, n)
 			} else if n%37 == 0 {
 				fmt.Fprintf(&out, "frame %d cut to %d: %v\n", i, n, err)
 			}
@@ -344,7 +344,7 @@
 	golden.Compare(t, "refusals.txt", out.String())
 }
 
-// writeEveryAction writes every action with figures other than 0, of two instances that take turns.
+// writeEveryAction writes every action, with values other than 0, for several instances in turn.
 func writeEveryAction(r *Reply) {
 	a, b := ActionWriter{r, 3}, ActionWriter{r, 0xfffffffe}
 	a.WatchEndpoints(true)
@@ -365,17 +365,17 @@
 	b.Log(strings.Repeat("x", maxTextSize+1))
 }
 
-// reencodeReply reads a reply's records and has each one written again.
+// reencodeReply decodes the records of a reply and encodes each one into to.
 func reencodeReply(t *testing.T, reply []byte, to *Reply) {
 	t.Helper()
 	records, b := binary.BigEndian.Uint32(reply), reply[replyHeaderSize:]
 	if n := binary.BigEndian.Uint32(reply[4:]); int(n) != len(reply) {
-		t.Fatalf("a reply of %d bytes says %d", len(reply), n)
+		t.Fatalf("reply of %d bytes has length %d in its header", len(reply), n)
 	}
 	take := func(n int) []byte { p := b[:n]; b = b[n:]; return p }
 	u16 := func() int { return int(binary.BigEndian.Uint16(take(2))) }
 	u64 := func() uint64 { return binary.BigEndian.Uint64(take(8)) }
-	wait := func() time.Duration { return time.Duration(math.Float64frombits(u64()) * 1e6) }
+	milliseconds := func() time.Duration { return time.Duration(math.Float64frombits(u64()) * 1e6) }
 	backend := func() balance.BackendID {
 		return balance.BackendID(uint64(binary.BigEndian.Uint32(take(4)))<<16 | uint64(u16()))
 	}
@@ -392,19 +392,19 @@
 			to.Fatal(w.Instance, string(take(u16())))
 		case 30:
 			id := u64()
-			w.Reject(id, wait())
+			w.Reject(id, milliseconds())
 		case 50:
 			w.Log(string(take(u16())))
 		case 60:
 			w.FetchEndpoints()
 		case 70:
 			id, at := u64(), backend()
-			w.Send(id, at, wait())
+			w.Send(id, at, milliseconds())
 		case 80:
 			w.ReleaseHealthCheck(backend())
 		case 90:
 			token := u64()
-			w.SetTimer(token, wait())
+			w.SetTimer(token, milliseconds())
 		case 100:
 			w.WatchEndpoints(take(1)[0] == 1)
 		case 110:
@@ -420,34 +420,34 @@
 		case 140:
 			w.Migrate(u64())
 		default:
-			t.Fatalf("code %d", code)
+			t.Fatalf("unknown action code %d", code)
 		}
 	}
 	if records != 0 {
-		t.Fatalf("%d records are missing", int32(records))
+		t.Fatalf("record count in the header is %d too high", int32(records))
 	}
 }
 
-// A reply has the bytes that it had, and its records written again are the same.
+// A reply with every action matches the golden bytes, and its records, decoded and encoded again, are the same bytes.
 func TestReply_MatchesGoldenBytes(t *testing.T) {
 	var r Reply
 	r.Reset()
 	writeEveryAction(&r)
-	// The text that is cut to the longest is left out of the file but for its first bytes.
+	// The golden file holds only the size of the last text, which is truncated to maxTextSize.
 	got, tail := r.Bytes(), bytes.Repeat([]byte("x"), maxTextSize)
 	short, ok := bytes.CutSuffix(got, tail)
 	if !ok {
-		t.Fatal("the long text is not at the end")
+		t.Fatal("the reply does not end with the truncated text")
 	}
 	golden.Compare(t, "reply.txt", fmt.Sprintf("%x\nand %d times 78\n", short, len(tail)))
-	was := readHexLines(t, "reply.txt")
-	if len(was) != 1 {
-		t.Fatalf("%d replies in the file", len(was))
+	stored := readHexLines(t, "reply.txt")
+	if len(stored) != 1 {
+		t.Fatalf("reply.txt has %d replies, want 1", len(stored))
 	}
-	whole := append(was[0], tail...)
+	whole := append(stored[0], tail...)
 	var again Reply
 	reencodeReply(t, whole, &again)
 	if !bytes.Equal(again.Bytes(), whole) {
-		t.Error("written again the reply differs")
+		t.Error("the reply differs after decoding and encoding")
 	}
 }
--- a/internal/simwire/decoder.go
+++ b/internal/simwire/decoder.go
@@ -1,12 +1,12 @@
 // Package simwire encodes and decodes mesa-8412, the protocol by which a simulator drives package balance:
 // batches of events come in, one reply of actions goes out for each.
 //
-// A Decoder walks the events of a frame that ReadFrame has read; a Reply collects actions, which an
-// ActionWriter writes for one instance. The package keeps no instances and makes no decisions; package
-// simadapter does the former.
+// A Decoder decodes the events of a frame that ReadFrame has read; a Reply collects actions, which an
+// ActionWriter writes for one instance. The package only encodes and decodes: package simadapter keeps the
+// instances, package balance makes the decisions.
 //
 // Frames are big-endian and unpadded; times on the wire are milliseconds as 64-bit floating-point numbers.
-// What is wrong with a frame is reported as a *FrameError, within a record wrapped in a *RecordError.
+// A malformed frame is reported as a *FrameError, which is wrapped in a *RecordError if it is within a record.
 package simwire
 
 import (
@@ -19,14 +19,14 @@
 	"aspenbarrow/internal/settings"
 )
 
-// endpointSize is the size of a backend in an endpoint list, in bytes.
+// endpointSize is the size of an entry of an endpoint list, in bytes.
 const endpointSize = 25
 
-// loadHintScale turns the wire's expected load, milliseconds of work a second, into the unit of load
-// reports, microseconds of work a second.
+// loadHintScale converts the wire's expected load, in milliseconds of work per second, to the unit of load
+// reports, microseconds of work per second.
 const loadHintScale = 1000
 
-// Bits of a request's options. The protocol defines none of value 4.
+// Bits of a request's flags. The protocol does not define bit 2.
 const (
 	flagHasLoadHint  = 1 << 0
 	flagClientRetry  = 1 << 1
@@ -51,28 +51,28 @@
 	frame       []byte
 	offset      int
 	recordsLeft uint32
-	err         *FrameError // the first in the current record
+	err         *FrameError // first error in the current record
 }
 
-// NewDecoder starts on a frame as ReadFrame left it and returns the clock in its header.
+// NewDecoder returns a decoder of a frame that ReadFrame has read, and the clock in the frame's header.
 func NewDecoder(frame []byte) (*Decoder, time.Duration, error) {
 	if len(frame) < headerSize {
-		return nil, 0, newFrameError(Truncated, len(frame), "frame cut off at offset %d", len(frame))
+		return nil, 0, newFrameError(Truncated, len(frame), "frame header truncated at offset %d, expected %d bytes", len(frame), headerSize)
 	}
 	if n := binary.BigEndian.Uint32(frame); int64(n) != int64(len(frame)) {
-		return nil, 0, newFrameError(BadFrameLength, 0, "frame length %d at offset 0 but %d bytes", n, len(frame))
+		return nil, 0, newFrameError(BadFrameLength, 0, "frame length %d at offset 0, but the frame has %d bytes", n, len(frame))
 	}
 	d := &Decoder{frame: frame, offset: 4}
 	now := d.milliseconds()
 	d.recordsLeft = d.uint32()
-	if int64(d.recordsLeft) > int64(len(frame)-headerSize) { // a record has one byte at least
-		return nil, 0, newFrameError(BadRecordCount, recordCountOffset, "record count %d at offset %d exceeds the frame",
-			d.recordsLeft, recordCountOffset)
+	if int64(d.recordsLeft) > int64(len(frame)-headerSize) { // a record has at least one byte
+		return nil, 0, newFrameError(BadRecordCount, recordCountOffset, "record count %d at offset %d exceeds the %d bytes of records",
+			d.recordsLeft, recordCountOffset, len(frame)-headerSize)
 	}
 	return d, now, nil
 }
 
-// Next decodes a record into e. It returns io.EOF after the last one. Byte slices in e are valid until the
+// Next decodes the next record into e. It returns io.EOF after the last one. Byte slices in e are valid until the
 // frame's buffer is used again, load reports until the next call; Backends is newly allocated.
 func (d *Decoder) Next(e *Event) error {
 	if d.recordsLeft == 0 {
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// end returns io.EOF, or an error if the frame goes on after its last record.
+// end returns io.EOF, or an error if bytes follow the last record.
 func (d *Decoder) end() error {
 	if rest := len(d.frame) - d.offset; rest != 0 {
 		return newFrameError(TrailingBytes, d.offset, "%d bytes after the last record at offset %d", rest, d.offset)
@@ -99,8 +99,8 @@
 	return io.EOF
 }
 
-// record decodes the fields of the event that e.Code names and reports whether there is such an event. Load
-// reports are appended to load.
+// record decodes the fields of the event with code e.Code and reports whether the protocol defines that code.
+// Load reports are appended to load.
 func (d *Decoder) record(e *Event, load []float32) bool {
 	switch e.Code {
 	case EventSelectInstance:
@@ -138,20 +138,20 @@
 	return true
 }
 
-// fail keeps the first error of a record.
+// fail records an error, unless the current record has one already.
 func (d *Decoder) fail(kind ErrorKind, offset int, format string, args ...any) {
 	if d.err == nil {
 		d.err = newFrameError(kind, offset, format, args...)
 	}
 }
 
-// take returns the next n bytes, or nil and keeps an error if they are not there.
+// take returns the next n bytes. If fewer are left, it records an error and returns nil.
 func (d *Decoder) take(n int) []byte {
 	if d.err != nil {
 		return nil
 	}
 	if left := len(d.frame) - d.offset; n < 0 || n > left {
-		d.fail(Truncated, d.offset, "%d bytes wanted at offset %d, %d left", n, d.offset, left)
+		d.fail(Truncated, d.offset, "expected %d bytes at offset %d, %d left", n, d.offset, left)
 		return nil
 	}
 	field := d.frame[d.offset : d.offset+n : d.offset+n]
@@ -192,7 +192,7 @@
 
 func (d *Decoder) milliseconds() time.Duration { return settings.FromMilliseconds(d.float64()) }
 
-// backend decodes an IPv4 address and a port, which together are a backend's id.
+// backend decodes an IPv4 address and a port, which together are a backend's ID.
 func (d *Decoder) backend() balance.BackendID {
 	if field := d.take(6); field != nil {
 		return balance.BackendID(uint64(binary.BigEndian.Uint32(field))<<16 | uint64(binary.BigEndian.Uint16(field[4:])))
@@ -220,7 +220,7 @@
 	case wireStatusAbandoned:
 		return balance.StatusAbandoned
 	default:
-		d.fail(BadValue, start, "unknown outcome code %d", code)
+		d.fail(BadValue, start, "unknown status code %d", code)
 		return balance.StatusError
 	}
 }
@@ -293,13 +293,13 @@
 	start := d.offset
 	kind := d.uint8()
 	if kind > uint8(balance.UpdateFailed) {
-		d.fail(BadValue, start, "list scope %d", kind)
+		d.fail(BadValue, start, "unknown update kind %d, expected 0 to %d", kind, balance.UpdateFailed)
 	}
 	e.UpdateKind = balance.EndpointUpdateKind(kind)
 	start = d.offset
 	e.ListSlot = d.uint32()
-	if e.UpdateKind != balance.UpdateFailed && e.ListSlot >= MaxListSlots { // a failure names no list
-		d.fail(BadValue, start, "list slot %d", e.ListSlot)
+	if e.UpdateKind != balance.UpdateFailed && e.ListSlot >= MaxListSlots { // a failed update carries no list
+		d.fail(BadValue, start, "list slot %d, expected 0 to %d", e.ListSlot, MaxListSlots-1)
 	}
 	e.ListVersion = d.uint64()
 }
@@ -308,16 +308,17 @@
 	start := d.offset
 	e.ListSlot = d.uint32()
 	if e.ListSlot >= MaxListSlots {
-		d.fail(BadValue, start, "list slot %d", e.ListSlot)
+		d.fail(BadValue, start, "list slot %d, expected 0 to %d", e.ListSlot, MaxListSlots-1)
 	}
 	e.Backends = d.backends()
 }
 
-// backends decodes a counted list. It checks the count against the frame before it allocates.
+// backends decodes the entries of an endpoint list after their count. It checks the count against the frame before it allocates.
 func (d *Decoder) backends() []balance.Backend {
 	n := d.uint32()
 	if d.err != nil || int64(n)*endpointSize > int64(len(d.frame)-d.offset) {
-		d.fail(Truncated, d.offset, "list of %d lines at offset %d exceeds the frame", n, d.offset)
+		d.fail(Truncated, d.offset, "list of %d endpoints at offset %d needs %d bytes, %d left", n, d.offset,
+			int64(n)*endpointSize, len(d.frame)-d.offset)
 		return nil
 	}
 	list := make([]balance.Backend, n)
@@ -331,7 +332,7 @@
 	start := d.offset
 	state := d.uint8()
 	if state > uint8(balance.StateDraining) {
-		d.fail(BadValue, start, "unknown backend status %d", state)
+		d.fail(BadValue, start, "unknown backend state %d, expected 0 to %d", state, balance.StateDraining)
 	}
 	b.State = balance.BackendState(state)
 	b.Zone = int(d.uint16())
--- a/internal/simwire/errors.go
+++ b/internal/simwire/errors.go
@@ -24,10 +24,10 @@
 // FrameError reports a frame that cannot be read or decoded.
 type FrameError struct {
 	Kind   ErrorKind
-	Offset int // where in the frame the fault was found, in bytes
+	Offset int // of the error in the frame, in bytes
 
 	text  string
-	cause error // of the reader; nil if the frame itself is at fault
+	cause error // the reader's error; nil if the frame is malformed
 }
 
 // Error implements error.
@@ -48,7 +48,7 @@
 // RecordError reports a record whose fields cannot be decoded. It wraps the FrameError of the field.
 type RecordError struct {
 	Code   EventCode
-	Offset int // of the record's code in the frame
+	Offset int // of the record's code in the frame, in bytes
 	Err    *FrameError
 }
 
--- a/internal/simwire/event.go
+++ b/internal/simwire/event.go
@@ -2,7 +2,7 @@
 
 import "aspenbarrow/balance"
 
-// EventCode is the first byte of a record in a batch. Event and action codes are separate spaces.
+// EventCode is the first byte of a record in a batch. Event codes and action codes are separate code spaces.
 type EventCode uint8
 
 // The event codes, each with its name in the protocol's description.
@@ -23,7 +23,7 @@
 	EventAttemptSucceeded EventCode = 140 // BEGUN
 )
 
-// MaxListSlots is how many endpoint lists a process keeps; slots count from 0.
+// MaxListSlots is the number of endpoint lists that a process keeps; slots are numbered from 0.
 const MaxListSlots = 16
 
 // Event is one record of a batch. Which fields are set depends on Code.
--- a/internal/simwire/reply.go
+++ b/internal/simwire/reply.go
@@ -40,10 +40,10 @@
 	frame    []byte
 	records  uint32
 	selected bool   // whether an instance is selected yet
-	instance uint32 // the selected one
+	instance uint32 // the selected instance
 }
 
-// Reset empties the reply; it is to be called before the first use.
+// Reset empties the reply. It must be called before the first use.
 func (r *Reply) Reset() {
 	r.frame = append(r.frame[:0], make([]byte, replyHeaderSize)...)
 	r.records, r.selected = 0, false
@@ -56,7 +56,7 @@
 	return r.frame
 }
 
-// record begins a record, after one that selects its instance where that changes.
+// record begins a record. If the selected instance changes, it first writes a record that selects the new one.
 func (r *Reply) record(instance uint32, code actionCode) {
 	if !r.selected || r.instance != instance {
 		r.records++
@@ -78,7 +78,7 @@
 	r.uint16(uint16(id))
 }
 
-// text appends a text with its length, cut to the longest that the wire carries.
+// text appends a text with its length. It truncates a text that is longer than maxTextSize.
 func (r *Reply) text(s string) {
 	if len(s) > maxTextSize {
 		s = s[:maxTextSize]
@@ -109,7 +109,7 @@
 	w.Reply.milliseconds(timeout)
 }
 
-// Reject answers a request with "rejected"; the client may come again after retryAfter.
+// Reject answers a request with "rejected"; the client may send it again after retryAfter.
 func (w ActionWriter) Reject(id uint64, retryAfter time.Duration) {
 	w.Reply.record(w.Instance, actionReject)
 	w.Reply.uint64(id)
@@ -122,7 +122,7 @@
 	w.Reply.uint64(id)
 }
 
-// Cancel abandons an attempt.
+// Cancel requests the cancellation of an attempt.
 func (w ActionWriter) Cancel(id uint64, attempt int) {
 	w.Reply.record(w.Instance, actionCancel)
 	w.Reply.uint64(id)
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -74,10 +74,10 @@
 	want := balance.Request{ID: 0x98b635d3a91c4, Key: 0x91f03b7c55d20a64, TimeLeft: 240 * time.Millisecond,
 		ExpectedLoad: 12000, Group: 0x2b8e6401d9f37c10}
 	if r != want {
-		t.Errorf("call %+v, want %+v", r, want)
+		t.Errorf("request %+v, want %+v", r, want)
 	}
 	if got[2].TimerToken != 0x4d || got[4].Result.ID != 0x243eb0e6f2b19 {
-		t.Errorf("timer %+v, dropped %+v", got[2].TimerToken, got[4].Result.ID)
+		t.Errorf("timer token %x, ID of the closed client %x", got[2].TimerToken, got[4].Result.ID)
 	}
 }
 
@@ -89,7 +89,7 @@
 		{"begun", "8c 00098b635d3a91c4 4022800000000000 0a124a07 1b5b 0000", func(e Event) bool {
 			return e.Result.Latency == 9250*time.Microsecond && e.Result.Backend == 0x0a124a071b5b
 		}},
-		{"note", "0a 00098b635d3a91c4 0000 0a124a07 1b5b 01 3f000000", func(e Event) bool {
+		{"progress", "0a 00098b635d3a91c4 0000 0a124a07 1b5b 01 3f000000", func(e Event) bool {
 			return e.Signal == balance.SignalConnectionLoad && e.SignalValue == 0.5
 		}},
 		{"settled", "6e 00098b635d3a91c4 0002 0a124a07 1b5b 006e 4032800000000000 01 01 3f000000", func(e Event) bool {
@@ -120,7 +120,7 @@
 			if err != nil || len(got) != 1 || !tc.check(got[0]) {
 				t.Fatalf("got %+v, %v", got, err)
 			}
-			for n := range body { // cut off anywhere, it is an error that says where
+			for n := range body { // truncated at any byte, the error has the offset
 				if _, _, err := decodeAll(frame(1, body[:n])); err == nil || !strings.Contains(err.Error(), "offset") {
 					t.Fatalf("cut to %d bytes: %v", n, err)
 				}
@@ -135,12 +135,12 @@
 		frame      []byte
 	}{
 		{"unknown code", "unknown event code 99 at offset 16", frame(1, []byte{99})},
-		{"unknown outcome", "unknown outcome code 7", frame(1, unhex(t, "5a 0007 3ff6666666666666 0a9011f2 1b84 00"))},
-		{"list too long", "list of 4294967295 lines", frame(1, unhex(t, "46 00000000 ffffffff"))},
+		{"unknown status", "unknown status code 7", frame(1, unhex(t, "5a 0007 3ff6666666666666 0a9011f2 1b84 00"))},
+		{"list too long", "list of 4294967295 endpoints", frame(1, unhex(t, "46 00000000 ffffffff"))},
 		{"list slot", "list slot 16", frame(1, unhex(t, "46 00000010 00000000"))},
-		{"settings too long", "bytes wanted", frame(1, unhex(t, "1e 0000000000000001 ffffffff"))},
-		{"count too large", "record count", frame(9000, []byte{100})},
-		{"bytes left over", "after the last record", frame(1, []byte{100, 100})},
+		{"settings too long", "expected 4294967295 bytes", frame(1, unhex(t, "1e 0000000000000001 ffffffff"))},
+		{"record count too large", "record count", frame(9000, []byte{100})},
+		{"trailing bytes", "after the last record", frame(1, []byte{100, 100})},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if _, _, err := decodeAll(tc.frame); err == nil || !strings.Contains(err.Error(), tc.want) {
@@ -156,7 +156,7 @@
 		frame  []byte
 		kind   ErrorKind
 		offset int
-		record EventCode // 0: the error is of no record
+		record EventCode // 0: the error is not within a record
 	}{
 		{"truncated header", frame(0, nil)[:9], Truncated, 9, 0},
 		{"frame length", append(frame(1, []byte{100}), 1), BadFrameLength, 0, 0},
@@ -175,7 +175,7 @@
 			}
 			var recordError *RecordError
 			if errors.As(err, &recordError) != (tc.record != 0) {
-				t.Fatalf("error %#v, of a record: want %v", err, tc.record != 0)
+				t.Fatalf("error %#v, is a RecordError: want %v", err, tc.record != 0)
 			}
 			if recordError != nil && (recordError.Code != tc.record || recordError.Offset != headerSize) {
 				t.Errorf("record error %+v, want event code %d at offset %d", recordError, tc.record, headerSize)
@@ -190,10 +190,10 @@
 	r := bytes.NewReader(append(bytes.Clone(whole), whole...))
 	for range 2 {
 		if err := ReadFrame(r, &buf); err != nil || !bytes.Equal(buf.Bytes(), whole) {
-			t.Fatalf("%x, %v", buf.Bytes(), err)
+			t.Fatalf("got %x, error %v; want %x", buf.Bytes(), err, whole)
 		}
 	}
-	if err := ReadFrame(r, &buf); !errors.Is(err, io.EOF) || errors.Unwrap(err) != nil { // io.EOF itself
+	if err := ReadFrame(r, &buf); !errors.Is(err, io.EOF) || errors.Unwrap(err) != nil { // io.EOF itself, not wrapped
 		t.Errorf("at the end: %v, want io.EOF", err)
 	}
 	for n := 1; n < len(whole); n++ {
@@ -203,7 +203,7 @@
 		}
 		var frameError *FrameError
 		if !errors.As(err, &frameError) || frameError.Kind != Truncated || frameError.Offset != n {
-			t.Errorf("cut to %d bytes: %#v, want the kind Truncated and that offset", n, err)
+			t.Errorf("cut to %d bytes: %#v, want kind Truncated and offset %d", n, err, n)
 		}
 	}
 	huge := append([]byte{0xff, 0xff, 0xff, 0xff}, whole[4:]...)
@@ -240,16 +240,16 @@
 		do         func(w ActionWriter)
 	}{
 		{"cancel", "0a 00098b635d3a91c4 0001", func(w ActionWriter) { w.Cancel(0x98b635d3a91c4, 1) }},
-		{"refuse", "1e 000243eb0e6f2b19 406f400000000000", func(w ActionWriter) {
+		{"reject", "1e 000243eb0e6f2b19 406f400000000000", func(w ActionWriter) {
 			w.Reject(0x243eb0e6f2b19, 250*time.Millisecond)
 		}},
 		{"fail", "82 000243eb0e6f2b19", func(w ActionWriter) { w.Fail(0x243eb0e6f2b19) }},
-		{"move", "8c 000243eb0e6f2b19", func(w ActionWriter) { w.Migrate(0x243eb0e6f2b19) }},
-		{"probe", "6e 0a9011f2 1b84", func(w ActionWriter) { w.CheckHealth(0x0a9011f21b84) }},
-		{"release", "50 0a9011f2 1b84", func(w ActionWriter) { w.ReleaseHealthCheck(0x0a9011f21b84) }},
-		{"tell all", "78 ffff 0004 68692037", func(w ActionWriter) { w.SendGossip(-1, []byte("hi 7")) }},
-		{"subscribe", "64 01", func(w ActionWriter) { w.WatchEndpoints(true) }},
-		{"unsubscribe", "64 00", func(w ActionWriter) { w.WatchEndpoints(false) }},
+		{"migrate", "8c 000243eb0e6f2b19", func(w ActionWriter) { w.Migrate(0x243eb0e6f2b19) }},
+		{"check health", "6e 0a9011f2 1b84", func(w ActionWriter) { w.CheckHealth(0x0a9011f21b84) }},
+		{"release health check", "50 0a9011f2 1b84", func(w ActionWriter) { w.ReleaseHealthCheck(0x0a9011f21b84) }},
+		{"gossip to all", "78 ffff 0004 68692037", func(w ActionWriter) { w.SendGossip(-1, []byte("hi 7")) }},
+		{"watch", "64 01", func(w ActionWriter) { w.WatchEndpoints(true) }},
+		{"stop watching", "64 00", func(w ActionWriter) { w.WatchEndpoints(false) }},
 		{"fetch", "3c", func(w ActionWriter) { w.FetchEndpoints() }},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
