--- a/internal/testcluster/addresses.go
+++ b/internal/testcluster/addresses.go
@@ -4,13 +4,13 @@
 	"net/netip"
 )
 
-// Limits on the number of parties: the address of a pair has 24 bits.
+// Limits on the number of nodes: the addresses of all pairs are in 127.0.0.0/8, which leaves 24 bits.
 const (
 	maxRelays   = 1024
 	maxBackends = 1024
 )
 
-// The second byte of the loopback addresses of each kind of party, and the layout of the bytes after it.
+// The second byte of the loopback addresses of each kind of node, and the layout of the bits after it.
 const (
 	relayNet     = 1  // relays
 	discoveryNet = 2  // discovery, one address for each relay
@@ -22,20 +22,20 @@
 	addressBits  = 16 // bits of the index below the second byte
 )
 
-// loopbackAddress is the n-th address of a subnet of 127.0.0.0/8. Each pair of parties has an address of its own, so
-// that a single wildcard socket serves all pairs of a kind and still tells them apart.
+// loopbackAddress returns the n-th address of a subnet of 127.0.0.0/8. Each pair of nodes has an address of its own, so
+// that a single wildcard socket serves all pairs of a kind and can still distinguish them.
 func loopbackAddress(net, n int) netip.Addr {
 	return netip.AddrFrom4([4]byte{127, byte(net + n>>addressBits), byte(n >> 8), byte(n)})
 }
 
-// indexInNet is the inverse of loopbackAddress; false if the address is below the subnet.
+// indexInNet is the inverse of loopbackAddress. It returns false if the address is below the subnet.
 func indexInNet(a netip.Addr, net int) (int, bool) {
 	b := a.Unmap().As4()
 	n := (int(b[1])-net)<<addressBits | int(b[2])<<8 | int(b[3])
 	return n, b[0] == 127 && int(b[1]) >= net
 }
 
-// ports are the port numbers of a cluster, one for each kind of party.
+// ports are the port numbers of a cluster, one for each kind of node.
 type ports struct {
 	relay, peer, discovery, datagram int
 	releaseRelay                     func()
@@ -68,7 +68,7 @@
 	return hostPort(loopbackAddress(broadcastNet, i), p.datagram)
 }
 
-// backendPair is the relay and the backend that an address of a backend belongs to.
+// backendPair returns the relay and the backend that a backend address belongs to.
 func backendPair(a netip.Addr) (relay, backend int, ok bool) {
 	n, ok := indexInNet(a, backendNet)
 	return n >> backendBits, n & (1<<backendBits - 1), ok && n < maxRelays<<backendBits
--- a/internal/testcluster/addresses_test.go
+++ b/internal/testcluster/addresses_test.go
@@ -10,25 +10,25 @@
 	seen := map[netip.Addr]string{}
 	for _, r := range []int{0, 1, 255, 256, maxRelays - 1} {
 		for _, b := range []int{0, 1, 255, 256, maxBackends - 1} {
-			a := loopbackAddress(backendNet, r<<backendBits|b)
-			if gr, gb, ok := backendPair(a); !ok || gr != r || gb != b || !a.IsLoopback() {
-				t.Errorf("%v is %d, %d", a, gr, gb)
+			addr := loopbackAddress(backendNet, r<<backendBits|b)
+			if gotRelay, gotBackend, ok := backendPair(addr); !ok || gotRelay != r || gotBackend != b || !addr.IsLoopback() {
+				t.Errorf("the address of relay %d and backend %d, %v, is parsed as that of relay %d and backend %d", r, b, addr, gotRelay, gotBackend)
 			}
-			if was := seen[a]; was != "" {
-				t.Errorf("%v twice: %s", a, was)
+			if other := seen[addr]; other != "" {
+				t.Errorf("address %v of relay %d and backend %d is also that of %s", addr, r, b, other)
 			}
-			seen[a] = fmt.Sprint(r, b)
+			seen[addr] = fmt.Sprint(r, b)
 			if b < maxRelays {
-				p := loopbackAddress(peerNet, r<<peerBits|b)
-				if n, ok := indexInNet(p, peerNet); !ok || n>>peerBits != r || n&(1<<peerBits-1) != b || seen[p] != "" {
-					t.Errorf("peers %d, %d: %v", r, b, p)
+				peerAddr := loopbackAddress(peerNet, r<<peerBits|b)
+				if n, ok := indexInNet(peerAddr, peerNet); !ok || n>>peerBits != r || n&(1<<peerBits-1) != b || seen[peerAddr] != "" {
+					t.Errorf("peer address %v of relays %d and %d is parsed wrongly or not unique", peerAddr, r, b)
 				}
-				seen[p] = fmt.Sprint("peer ", r, b)
+				seen[peerAddr] = fmt.Sprint("peer ", r, b)
 			}
 		}
 		for _, net := range []int{relayNet, discoveryNet, broadcastNet} {
 			if seen[loopbackAddress(net, r)] != "" {
-				t.Errorf("%v is a pair's too", loopbackAddress(net, r))
+				t.Errorf("address %v is also that of a pair", loopbackAddress(net, r))
 			}
 		}
 	}
--- a/internal/testcluster/backend_faults.go
+++ b/internal/testcluster/backend_faults.go
@@ -7,7 +7,7 @@
 	"aspenbarrow/internal/fault"
 )
 
-// currentBackends are all backends added so far.
+// currentBackends returns all backends added so far.
 func (c *cluster) currentBackends() []*backend {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -23,7 +23,7 @@
 		for _, i := range targetIndexes(f, len(all)) {
 			if b := all[i]; b.utilization() >= 0 {
 				begin(c, b, f)
-				effects.struck.Add(1)
+				effects.affected.Add(1)
 				affected = append(affected, b)
 			}
 		}
@@ -39,26 +39,26 @@
 func startBackends(c *cluster, f *fault.Fault, effects *effectCounters) func() {
 	for range 1 + int(f.Severity*3) {
 		c.addBackend(true)
-		effects.struck.Add(1)
+		effects.affected.Add(1)
 	}
 	return nil
 }
 
-// cutOffZone cuts all backends of a zone off the network. Discovery reports them gone after a delay, unless they are
-// back by then.
-func cutOffZone(c *cluster, f *fault.Fault, effects *effectCounters) func() {
+// disconnectZone cuts all backends of a zone off the network. Discovery reports them gone after a delay, unless the fault
+// has ended by then.
+func disconnectZone(c *cluster, f *fault.Fault, effects *effectCounters) func() {
 	var affected []*backend
 	for _, b := range c.currentBackends() {
 		if b.zone == f.Target%len(zones) && b.utilization() >= 0 {
-			b.disappear()
-			effects.struck.Add(1)
+			b.disconnect()
+			effects.affected.Add(1)
 			affected = append(affected, b)
 		}
 	}
-	noticed := make(chan struct{})
+	ended := make(chan struct{})
 	c.runAfter(time.Duration(f.Severity*float64(6*time.Second)), func() {
 		select {
-		case <-noticed:
+		case <-ended:
 			return
 		default:
 		}
@@ -67,9 +67,9 @@
 		}
 	})
 	return func() {
-		close(noticed)
+		close(ended)
 		for _, b := range affected {
-			b.reappear()
+			b.reconnect()
 		}
 	}
 }
@@ -79,7 +79,7 @@
 	for i, b := range c.currentBackends() {
 		if b.utilization() >= 0 {
 			b.crash()
-			effects.struck.Add(1)
+			effects.affected.Add(1)
 			c.runAfter(f.Duration+time.Duration(i)*200*time.Millisecond, func() { b.launch(true) })
 		}
 	}
--- a/internal/testcluster/backend_model.go
+++ b/internal/testcluster/backend_model.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// runAfter calls do after a delay if the same process is still running then. While the process is paused, the call
-// waits for its end. It is called with the lock held.
+// runAfter calls do after a delay if the same process is still running then. If the process is paused, the call is
+// deferred until it resumes. runAfter is called with the lock held.
 func (b *backend) runAfter(d time.Duration, do func()) {
-	life := b.generation
+	generation := b.generation
 	b.cluster.runAfter(d, func() {
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		switch {
-		case b.generation != life || !b.up:
+		case b.generation != generation || !b.up:
 		case b.paused:
-			b.backlog = append(b.backlog, do)
+			b.deferredCalls = append(b.deferredCalls, do)
 		default:
 			do()
 		}
@@ -32,11 +32,11 @@
 	if b.timer != nil {
 		b.timer.Stop()
 	}
-	life := b.generation
+	generation := b.generation
 	b.timer = time.AfterFunc(max(0, at-b.cluster.now()), func() {
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		if b.generation == life && b.up {
+		if b.generation == generation && b.up {
 			b.completeJobs(b.model.Complete(b.cluster.now()), false)
 			b.scheduleCompletion()
 		}
@@ -61,8 +61,8 @@
 	b.scheduleCompletion()
 }
 
-func (b *backend) slowDown(times float64) {
-	b.updateModel(func(now time.Duration) { b.model.SetSlowdown(now, times) })
+func (b *backend) slowDown(factor float64) {
+	b.updateModel(func(now time.Duration) { b.model.SetSlowdown(now, factor) })
 }
 
 func (b *backend) pause() {
@@ -72,20 +72,20 @@
 	})
 }
 
-// resume continues a paused process with everything that arrived meanwhile.
+// resume continues a paused process and makes the calls that were deferred meanwhile.
 func (b *backend) resume() {
 	b.updateModel(func(now time.Duration) {
 		b.paused = false
 		_, full := b.model.Resume(now)
 		b.completeJobs(full, true)
-		for _, do := range b.backlog {
+		for _, do := range b.deferredCalls {
 			do()
 		}
-		b.backlog = nil
+		b.deferredCalls = nil
 	})
 }
 
-// utilization is the backend's demand divided by its capacity; below 0: it is down.
+// utilization returns the backend's demand divided by its capacity, or -1 if it is down.
 func (b *backend) utilization() float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/testcluster/backend_session.go
+++ b/internal/testcluster/backend_session.go
@@ -25,7 +25,7 @@
 			continue
 		}
 		relay, number, ok := backendPair(c.LocalAddr().(*net.TCPAddr).AddrPort().Addr())
-		if !ok || number != b.index || relay >= len(b.cluster.relays) { // of a blackhole, or of no relay
+		if !ok || number != b.index || relay >= len(b.cluster.relays) { // a connection made by blackhole, or from no relay
 			_ = c.Close()
 			continue
 		}
@@ -40,7 +40,7 @@
 	observer      *invariant.BackendConn
 	generation    int
 	id            uint64
-	muted         bool // the backend's machine is off the network
+	disconnected  bool // the backend's machine is cut off the network
 	opening       bool
 	established   bool
 	loadCounted   bool
@@ -55,52 +55,52 @@
 // handleConnection serves a connection of a relay until it ends.
 func (b *backend) handleConnection(c *net.TCPConn, relay int) {
 	cluster := b.cluster
-	from, here := node{fault.Relays, relay}, node{fault.Backends, b.index}
-	late, ok := cluster.links.connectDelay(from, here)
+	relayNode, backendNode := node{fault.Relays, relay}, node{fault.Backends, b.index}
+	delay, ok := cluster.links.connectDelay(relayNode, backendNode)
 	if !ok {
 		_ = c.SetLinger(0)
 		_ = c.Close()
 		return
 	}
-	// Reading starts before the delay: if the checker were told of a line only afterwards, the relay would seem to have
-	// sent it for a client that has left since, or to a backend that is draining.
+	// Reading starts before the delay. If a line were reported to the checker only afterwards, the relay would appear to
+	// have sent it for a client that has left since, or to a backend that is draining.
 	s := &session{backend: b, id: cluster.connectionIDs.Add(1)}
 	cluster.withChecker(func() { s.observer = cluster.checker.BackendConnected(int(s.id), relay, b.index) })
-	s.conn = newRelayConn(cluster, c, from, here, s.observer)
-	pieces := s.conn.startReading()
-	ok = late == 0 || sleepContext(cluster.ctx, late)
+	s.conn = newRelayConn(cluster, c, relayNode, backendNode, s.observer)
+	chunks := s.conn.startReading()
+	ok = delay == 0 || sleepContext(cluster.ctx, delay)
 	b.mu.Lock()
-	if !ok || !b.up && !b.silent {
+	if !ok || !b.up && !b.disconnected {
 		b.mu.Unlock()
 		s.conn.close(closedByReset)
 		return
 	}
-	s.generation, s.muted = b.generation, b.silent
+	s.generation, s.disconnected = b.generation, b.disconnected
 	b.sessions[s] = true
 	b.mu.Unlock()
 	cluster.countHandshake(relay, b.index)
-	s.conn.deliver(pieces, func(p []byte) {
+	s.conn.deliver(chunks, func(chunk []byte) {
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		if b.generation == s.generation && !s.muted {
-			s.splitter.feed(p, s.handleLine)
+		if b.generation == s.generation && !s.disconnected {
+			s.splitter.feed(chunk, s.handleLine)
 		}
 	})
 	b.mu.Lock()
-	s.closed()
-	mute := s.muted
+	s.releaseLoad()
+	disconnected := s.disconnected
 	delete(b.sessions, s)
 	b.mu.Unlock()
 	cluster.removeAttempt(s)
-	if !mute {
+	if !disconnected {
 		s.conn.flush()
 	}
 	s.conn.close(closedCleanly)
 }
 
-// closed releases the load of a connection that has ended. It is called with the backend's lock held, as are the
+// releaseLoad releases the load of a connection that has ended. It is called with the backend's lock held, as are the
 // methods below.
-func (s *session) closed() {
+func (s *session) releaseLoad() {
 	if s.loadCounted {
 		s.loadCounted = false
 		c := s.backend.cluster
@@ -141,18 +141,18 @@
 	}
 }
 
-// open handles an OPEN request. How long it takes depends on the load of the model.
+// open handles an OPEN request. The time until the answer depends on the load of the model.
 func (s *session) open(line string) {
 	b, c := s.backend, s.backend.cluster
-	words := strings.Fields(line)
-	if len(words) != 4 {
+	fields := strings.Fields(line)
+	if len(fields) != 4 {
 		s.conn.sendLine("SYNTAX")
 		s.conn.closeWrite()
 		return
 	}
-	s.request = words[1]
-	s.key, _ = strconv.ParseUint(words[2], 16, 64)
-	s.load = c.loadOf(words[1])
+	s.request = fields[1]
+	s.key, _ = strconv.ParseUint(fields[2], 16, 64)
+	s.load = c.loadOf(fields[1])
 	c.recordAttempt(s)
 	s.opening = true
 	if c.chance(b.errorRate) {
@@ -161,16 +161,16 @@
 		return
 	}
 	b.lastJob++
-	id, life := b.lastJob, b.generation
-	switch b.model.Arrive(c.now(), emulator.Request{ID: id, Work: c.options.Fleet.SetupWork * (0.5 + c.randomFloat())}) {
+	jobID, generation := b.lastJob, b.generation
+	switch b.model.Arrive(c.now(), emulator.Request{ID: jobID, Work: c.options.Fleet.SetupWork * (0.5 + c.randomFloat())}) {
 	case emulator.Rejected:
 		s.answer("BUSY", true)
 	case emulator.Crashed:
 		c.incrementCount("cold backend fell over")
 		go b.crash()
 	case emulator.Accepted, emulator.Queued:
-		b.jobs[id] = func(full bool) {
-			if b.generation == life {
+		b.jobs[jobID] = func(full bool) {
+			if b.generation == generation {
 				s.completeOpen(full)
 			}
 		}
@@ -193,18 +193,18 @@
 		c.withLoadRecorder(func(l *loadstats.Recorder) {
 			l.ConnectionOpened(s.id, loadstats.Connection{Key: s.key, Relay: s.conn.relay.index, Backend: b.index, Load: s.load, Opened: c.elapsed()})
 		})
-		b.receipts++
-		s.receipt = fmt.Sprintf("%d-%d-%d", b.index, b.generation, b.receipts)
+		b.receiptCount++
+		s.receipt = fmt.Sprintf("%d-%d-%d", b.index, b.generation, b.receiptCount)
 		s.answer("UP "+s.receipt, false)
 		b.scheduleCompletion()
 	}
 }
 
-// answer sends the answer to a request; over says that the connection ends with it.
-func (s *session) answer(line string, over bool) {
-	s.opening, s.established = false, !over
+// answer sends the answer to a request. If final, the connection ends with it.
+func (s *session) answer(line string, final bool) {
+	s.opening, s.established = false, !final
 	s.conn.sendLine(line)
-	if over {
+	if final {
 		s.conn.closeWrite()
 	}
 }
--- a/internal/testcluster/backends.go
+++ b/internal/testcluster/backends.go
@@ -23,7 +23,7 @@
 	mu              sync.Mutex
 	model           *emulator.Server
 	up              bool
-	silent          bool // the machine is off the network
+	disconnected    bool // the machine is cut off the network
 	state           string
 	generation      int
 	started         time.Duration
@@ -35,9 +35,9 @@
 	failures        failureRate
 	busyRate        float64 // share of requests answered BUSY
 	resetRate       float64 // share of requests whose connection is reset
-	receipts        int
+	receiptCount    int
 	paused          bool
-	backlog         []func()
+	deferredCalls   []func()
 	port            int
 	listener        *net.TCPListener
 	removeBlackhole func() // nil: the address is reachable
@@ -45,25 +45,25 @@
 }
 
 // newBackend returns a backend that has not been launched yet.
-func (c *cluster) newBackend(number int, size float64) *backend {
-	b := &backend{cluster: c, index: number, name: fmt.Sprintf("s-%03d", number), zone: number % len(zones), size: size,
+func (c *cluster) newBackend(index int, size float64) *backend {
+	b := &backend{cluster: c, index: index, name: fmt.Sprintf("s-%03d", index), zone: index % len(zones), size: size,
 		sessions: map[*session]bool{}, state: "ready"}
 	cfg := c.options.Fleet.Server
 	cfg.Cores *= size
-	if number%100 >= 100-int(c.options.Fleet.LateReportShare*100) {
+	if index%100 >= 100-int(c.options.Fleet.LateReportShare*100) {
 		cfg.ReportDelay = c.options.Fleet.LateReportDelay
 	}
 	cfg.WarmRequestRate *= size
-	b.model = emulator.New(cfg, c.options.Seed*1000+uint64(number), c.now())
+	b.model = emulator.New(cfg, c.options.Seed*1000+uint64(index), c.now())
 	return b
 }
 
-// capacity is the work that the backend can do in a second.
+// capacity returns the work that the backend can do in a second.
 func (b *backend) capacity() float64 {
 	return b.cluster.options.Fleet.Server.Cores * b.cluster.options.Fleet.Server.Speed * b.size
 }
 
-// endpoint is the backend's entry in the endpoint list. It is called with the lock held.
+// endpoint returns the backend's entry in the endpoint list. It is called with the lock held.
 func (b *backend) endpoint() endpoint {
 	weight := 1.0
 	if b.cluster.options.Fleet.ListsWeights {
@@ -73,7 +73,7 @@
 		Started: b.started.Milliseconds(), backend: b.index, port: b.port}
 }
 
-// launch starts the backend's process, if it is down. A cold one is a new process, which the endpoint list says.
+// launch starts the backend if it is down. If cold, it is a new process, and the endpoint list gives its start time.
 func (b *backend) launch(cold bool) {
 	b.mu.Lock()
 	if b.up {
@@ -87,9 +87,9 @@
 	if err := b.listen(); err != nil {
 		b.cluster.reportError(err)
 	}
-	b.up, b.silent, b.state = true, false, "ready"
+	b.up, b.disconnected, b.state = true, false, "ready"
 	b.generation++
-	b.paused, b.backlog = false, nil
+	b.paused, b.deferredCalls = false, nil
 	b.errorRate, b.busyRate, b.resetRate = 0, 0, 0
 	b.jobs = map[uint64]func(bool){}
 	if cold {
@@ -100,24 +100,24 @@
 	e := b.endpoint()
 	b.mu.Unlock()
 	b.cluster.withLoadRecorder(func(l *loadstats.Recorder) { l.BackendUp(b.cluster.elapsed(), b.index, b.capacity()) })
-	when := publishDelayed
+	timing := publishDelayed
 	if !cold {
-		when = publishImmediately
+		timing = publishImmediately
 	}
-	b.cluster.discovery.publish(e, when)
+	b.cluster.discovery.publish(e, timing)
 }
 
-// crash ends the process: its connections are reset, and discovery is told.
+// crash ends the process: its connections are reset, and discovery publishes it as gone.
 func (b *backend) crash() {
 	if b.stop(false) {
 		b.publish("gone")
 	}
 }
 
-// disappear takes the backend's machine off the network without telling anybody.
-func (b *backend) disappear() { b.stop(true) }
+// disconnect cuts the backend's machine off the network. Discovery is not notified.
+func (b *backend) disconnect() { b.stop(true) }
 
-// publish has discovery announce a new state of the backend.
+// publish sets the backend's state and publishes it through discovery.
 func (b *backend) publish(state string) {
 	b.mu.Lock()
 	b.state = state
@@ -126,17 +126,18 @@
 	b.cluster.discovery.publish(e, publishDelayed)
 }
 
-// stop ends the process, or if silent cuts its machine off the network. It returns false if the backend was down.
-func (b *backend) stop(silent bool) bool {
+// stop ends the process or, if disconnect is true, cuts its machine off the network. It returns false if the backend is
+// already down.
+func (b *backend) stop(disconnect bool) bool {
 	b.mu.Lock()
 	if !b.up {
 		b.mu.Unlock()
 		return false
 	}
-	b.up, b.silent = false, silent
+	b.up, b.disconnected = false, disconnect
 	b.generation++
 	_ = b.listener.Close()
-	if silent {
+	if disconnect {
 		var err error
 		if b.removeBlackhole, err = blackhole(netip.AddrPortFrom(netip.IPv4Unspecified(), uint16(b.port))); err != nil {
 			b.cluster.reportError(err)
@@ -145,15 +146,15 @@
 	b.jobs = map[uint64]func(bool){}
 	sessions := b.sessions
 	b.sessions = map[*session]bool{}
-	if silent { // its connections stay open, but nothing passes any more
+	if disconnect { // its connections stay open, but no more data passes
 		b.sessions = sessions
 		for s := range sessions {
-			s.muted = true
+			s.disconnected = true
 		}
 	}
 	b.mu.Unlock()
 	b.cluster.withLoadRecorder(func(l *loadstats.Recorder) { l.BackendDown(b.cluster.elapsed(), b.index) })
-	if !silent {
+	if !disconnect {
 		for s := range sessions {
 			s.conn.close(closedByReset)
 		}
@@ -161,8 +162,9 @@
 	return true
 }
 
-// reappear connects a machine that had disappeared to the network again. Its open connections are reset.
-func (b *backend) reappear() {
+// reconnect connects a disconnected machine to the network again: its open connections are reset, and the process
+// starts cold.
+func (b *backend) reconnect() {
 	b.mu.Lock()
 	sessions := b.sessions
 	b.sessions = map[*session]bool{}
@@ -173,7 +175,7 @@
 	b.launch(true)
 }
 
-// drain has discovery announce that the backend is draining, and ends its process after a while.
+// drain publishes the backend as draining through discovery, and ends its process after the given time.
 func (b *backend) drain(within time.Duration) {
 	b.cluster.withLoadRecorder(func(l *loadstats.Recorder) { l.BackendDown(b.cluster.elapsed(), b.index) })
 	b.publish("draining")
--- a/internal/testcluster/client.go
+++ b/internal/testcluster/client.go
@@ -14,7 +14,7 @@
 	"aspenbarrow/internal/invariant"
 )
 
-// client is a visit in progress.
+// client is one emulated client during its visit.
 type client struct {
 	visit
 	cluster      *cluster
@@ -28,15 +28,15 @@
 
 // served reports whether the client has a connection on which its lines are answered in time.
 func (c *client) served(now time.Duration) bool {
-	said := time.Duration(c.pendingSince.Load())
-	return c.connected.Load() && !c.slowResponse.Load() && (said == 0 || now-said <= lineLatencyObjective)
+	sentAt := time.Duration(c.pendingSince.Load())
+	return c.connected.Load() && !c.slowResponse.Load() && (sentAt == 0 || now-sentAt <= lineLatencyObjective)
 }
 
-func (c *client) randomDuration(least, most time.Duration) time.Duration {
-	if most <= least {
-		return least
+func (c *client) randomDuration(minimum, maximum time.Duration) time.Duration {
+	if maximum <= minimum {
+		return minimum
 	}
-	return least + time.Duration(c.random.Int64N(int64(most-least)))
+	return minimum + time.Duration(c.random.Int64N(int64(maximum-minimum)))
 }
 
 // run connects, and reconnects when a connection ends, until the visit is over.
@@ -44,9 +44,9 @@
 	cluster := c.cluster
 	ctx, cancel := context.WithTimeout(ctx, c.end-cluster.elapsed())
 	defer cancel()
-	wished := time.Now()
+	connectStart := time.Now()
 	for ctx.Err() == nil {
-		pause := c.connect(ctx, &wished)
+		pause := c.connect(ctx, &connectStart)
 		c.connected.Store(false)
 		if !sleepContext(ctx, pause) {
 			return
@@ -54,32 +54,34 @@
 	}
 }
 
-// connect makes one attempt, stays as long as the connection lasts, and returns how long to wait before the next
+// connect makes one attempt, holds the connection as long as it lasts, and returns how long to wait before the next
 // attempt.
-func (c *client) connect(ctx context.Context, wished *time.Time) (pause time.Duration) {
+func (c *client) connect(ctx context.Context, connectStart *time.Time) (pause time.Duration) {
 	cluster := c.cluster
-	n := cluster.frontend.pick(c.random)
-	if n < 0 {
+	relayIndex := cluster.frontend.pick(c.random)
+	if relayIndex < 0 {
 		return 500 * time.Millisecond
 	}
-	conn, pause := c.dial(ctx, n)
+	conn, pause := c.dial(ctx, relayIndex)
 	if conn == nil {
 		return pause
 	}
 	id := cluster.connectionIDs.Add(1)
-	var watch *invariant.ClientConn
-	cluster.withChecker(func() { watch = cluster.checker.ClientAccepted(int(id), n, cluster.checker.RelayProcess(n)) })
-	relayConn := newRelayConn(cluster, conn, node{fault.Relays, n}, node{fault.Clients, n}, watch)
-	said, read := receiveLines(relayConn)
-	defer c.closeInBackground(relayConn, said, read)
+	var observer *invariant.ClientConn
+	cluster.withChecker(func() {
+		observer = cluster.checker.ClientAccepted(int(id), relayIndex, cluster.checker.RelayProcess(relayIndex))
+	})
+	relayConn := newRelayConn(cluster, conn, node{fault.Relays, relayIndex}, node{fault.Clients, relayIndex}, observer)
+	lines, readDone := receiveLines(relayConn)
+	defer c.closeInBackground(relayConn, lines, readDone)
 	relayConn.sendLine(c.request(id))
 	select {
-	case answer, ok := <-said:
+	case answer, ok := <-lines:
 		if !ok {
 			cluster.incrementCount("connection ended without an answer")
 			return c.retryDelay()
 		}
-		return c.handleAnswer(ctx, answer, relayConn, said, wished)
+		return c.handleAnswer(ctx, answer, relayConn, lines, connectStart)
 	case <-time.After(requestClasses[c.class].clientTimeout + TimingAllowance):
 		cluster.incrementCount("client gave up")
 		return c.retryDelay()
@@ -100,29 +102,29 @@
 
 // dial connects to a relay, subject to the faults on the link. Without a connection it returns how long to wait
 // before the next attempt.
-func (c *client) dial(ctx context.Context, n int) (conn *net.TCPConn, pause time.Duration) {
+func (c *client) dial(ctx context.Context, relayIndex int) (conn *net.TCPConn, pause time.Duration) {
 	cluster := c.cluster
-	late, ok := cluster.links.connectDelay(node{fault.Clients, n}, node{fault.Relays, n})
+	delay, ok := cluster.links.connectDelay(node{fault.Clients, relayIndex}, node{fault.Relays, relayIndex})
 	if !ok {
 		sleepContext(ctx, time.Second)
 		return nil, c.retryDelay()
 	}
-	if late > 0 && !sleepContext(ctx, late) {
+	if delay > 0 && !sleepContext(ctx, delay) {
 		return nil, 0
 	}
-	up, err := net.DialTimeout("tcp", cluster.ports.relayAddr(n), 2*time.Second)
+	dialed, err := net.DialTimeout("tcp", cluster.ports.relayAddr(relayIndex), 2*time.Second)
 	if err != nil {
 		cluster.incrementCount("client not let in")
 		return nil, c.retryDelay()
 	}
-	return up.(*net.TCPConn), 0
+	return dialed.(*net.TCPConn), 0
 }
 
-// request is the line that requests a connection.
+// request returns the OPEN line that requests a connection.
 func (c *client) request(id uint64) string {
-	name := fmt.Sprintf("%016x", id*0x9e3779b97f4a7c15+c.cluster.options.Seed)
+	requestID := fmt.Sprintf("%016x", id*0x9e3779b97f4a7c15+c.cluster.options.Seed)
 	class := requestClasses[c.class]
-	line := fmt.Sprintf("OPEN %s %016x c=%s,d=%d", name, c.key, class.name, class.clientTimeout.Milliseconds())
+	line := fmt.Sprintf("OPEN %s %016x c=%s,d=%d", requestID, c.key, class.name, class.clientTimeout.Milliseconds())
 	if c.attempts > 0 {
 		line += ",r=1"
 	}
@@ -132,59 +134,59 @@
 	return line
 }
 
-// receiveLines receives lines from a connection in the background. It closes said after the last line, and then
-// read.
-func receiveLines(conn *relayConn) (said chan string, read chan struct{}) {
-	said, read = make(chan string, 64), make(chan struct{})
+// receiveLines receives lines from a connection in the background. After the last line it closes lines, and then
+// readDone.
+func receiveLines(conn *relayConn) (lines chan string, readDone chan struct{}) {
+	lines, readDone = make(chan string, 64), make(chan struct{})
 	go func() {
-		defer close(read)
-		defer close(said)
+		defer close(readDone)
+		defer close(lines)
 		var l lineSplitter
 		conn.receive(func(b []byte) {
 			l.feed(b, func(line string) {
 				select {
-				case said <- line:
+				case lines <- line:
 				case <-conn.ctx.Done():
 				}
 			})
 		})
 	}()
-	return said, read
+	return lines, readDone
 }
 
 // closeInBackground closes a connection gracefully without blocking the client.
-func (c *client) closeInBackground(conn *relayConn, said <-chan string, read <-chan struct{}) {
+func (c *client) closeInBackground(conn *relayConn, lines <-chan string, readDone <-chan struct{}) {
 	c.cluster.clients.wg.Add(1) // clients.stop waits for this too
 	go func() {
 		defer c.cluster.clients.wg.Done()
 		go func() {
-			for range said { // discard what still arrives
+			for range lines { // discard lines that still arrive
 			}
 		}()
-		conn.closeGracefully(read)
+		conn.closeGracefully(readDone)
 	}()
 }
 
 // handleAnswer handles the answer to a request, holds the connection if it is UP, and returns how long to wait
 // before the next attempt.
-func (c *client) handleAnswer(ctx context.Context, answer string, conn *relayConn, said <-chan string, wished *time.Time) (pause time.Duration) {
+func (c *client) handleAnswer(ctx context.Context, answer string, conn *relayConn, lines <-chan string, connectStart *time.Time) (pause time.Duration) {
 	cluster := c.cluster
 	switch word, rest, _ := strings.Cut(answer, " "); word {
 	case "UP":
 		cluster.incrementCount("served")
-		cluster.recordConnectLatency(time.Since(*wished))
+		cluster.recordConnectLatency(time.Since(*connectStart))
 		c.attempts, c.returning = 0, false
 		c.connected.Store(true)
 		c.slowResponse.Store(false)
 		c.pendingSince.Store(0)
-		pause = c.holdConnection(ctx, conn, said)
-		*wished = time.Now()
+		pause = c.holdConnection(ctx, conn, lines)
+		*connectStart = time.Now()
 		return pause
 	case "BUSY":
 		cluster.incrementCount("refused")
 		c.attempts++
-		if v, err := strconv.Atoi(rest); err == nil {
-			return time.Duration(v) * time.Millisecond
+		if retryAfterMS, err := strconv.Atoi(rest); err == nil {
+			return time.Duration(retryAfterMS) * time.Millisecond
 		}
 		return c.randomDuration(100*time.Millisecond, 600*time.Millisecond)
 	}
@@ -195,11 +197,11 @@
 
 // holdConnection sends lines at intervals until the visit or the connection ends, and returns how long to wait
 // before the next attempt.
-func (c *client) holdConnection(ctx context.Context, conn *relayConn, said <-chan string) (pause time.Duration) {
+func (c *client) holdConnection(ctx context.Context, conn *relayConn, lines <-chan string) (pause time.Duration) {
 	cluster := c.cluster
 	ticker := time.NewTicker(lineInterval)
 	defer ticker.Stop()
-	sent, heard := 0, time.Now()
+	sent, lastReceived := 0, time.Now()
 	send := func() {
 		if c.pendingSince.Load() == 0 {
 			c.pendingSince.Store(int64(cluster.now()))
@@ -213,12 +215,12 @@
 		case <-ctx.Done():
 			return 0
 		case <-ticker.C:
-			if time.Since(heard) > silenceTimeout {
+			if time.Since(lastReceived) > silenceTimeout {
 				return c.connectionLost("connection silent")
 			}
 			send()
-		case line, ok := <-said:
-			heard = time.Now()
+		case line, ok := <-lines:
+			lastReceived = time.Now()
 			switch {
 			case !ok:
 				return c.connectionLost("connection lost")
@@ -241,7 +243,7 @@
 	return c.reconnectDelay()
 }
 
-// reconnectDelay is how long a client waits after it has lost a connection.
+// reconnectDelay returns how long a client waits after it has lost a connection.
 func (c *client) reconnectDelay() time.Duration {
 	if d := c.cluster.options.Fleet.ReconnectWindow; d > 0 {
 		return c.randomDuration(0, d)
--- a/internal/testcluster/clients.go
+++ b/internal/testcluster/clients.go
@@ -12,8 +12,8 @@
 const (
 	lineInterval         = 2 * time.Second
 	lineLatencyObjective = 60 * time.Millisecond
-	maxQuickAttempts     = 4               // in quick succession, before a longer pause
-	silenceTimeout       = 9 * time.Second // without an answer, after which a client gives a connection up
+	maxQuickAttempts     = 4               // failed attempts in quick succession before a longer pause
+	silenceTimeout       = 9 * time.Second // time without a line after which a client gives up a connection
 )
 
 // clients generate open-loop load: arrival times, keys and durations are drawn in advance, so that they do not
@@ -25,7 +25,7 @@
 	wg      sync.WaitGroup
 	mu      sync.Mutex
 	active  map[*client]bool
-	closed  bool
+	stopped bool
 }
 
 // start schedules all visits of the run.
@@ -37,12 +37,12 @@
 	}
 }
 
-// schedule has a visit begin at its time, unless the clients are stopped by then.
+// schedule starts a visit at its start time, unless the clients are stopped by then.
 func (cs *clients) schedule(v visit) {
 	time.AfterFunc(v.start-cs.cluster.elapsed(), func() {
 		c := &client{cluster: cs.cluster, visit: v, random: rand.New(rand.NewPCG(v.seed, 1))}
 		cs.mu.Lock()
-		if cs.closed {
+		if cs.stopped {
 			cs.mu.Unlock()
 			return
 		}
@@ -60,22 +60,22 @@
 // stop ends all visits and waits for their connections to close.
 func (cs *clients) stop() {
 	cs.mu.Lock()
-	cs.closed = true
+	cs.stopped = true
 	cs.mu.Unlock()
 	cs.cancel()
 	cs.wg.Wait()
 }
 
-// measureService measures the present moment as package simulation does: the demand of the clients present and how
-// much of it is served, both weighted by priority.
+// measureService returns the current demand of the active clients and how much of it is served, both weighted by
+// priority, as package simulation measures them.
 func (cs *clients) measureService() (s simulation.ServiceSecond) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	for c := range cs.active {
-		worth := requestClasses[c.class].priorityWeight
-		s.Requested += worth
+		weight := requestClasses[c.class].priorityWeight
+		s.Requested += weight
 		if c.served(cs.cluster.now()) {
-			s.Served += worth
+			s.Served += weight
 		}
 	}
 	return s
--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -4,7 +4,7 @@
 //
 // Package invariant observes the relays' side of every connection; Result.Violations lists the rules that were violated. A
 // run in which a fault had no effect is an error, since it demonstrates nothing. No relay process outlives the test cluster,
-// even if that is killed. The package requires Linux.
+// even if the test cluster is killed. The package requires Linux.
 package testcluster
 
 import (
@@ -94,28 +94,28 @@
 }
 
 // incrementCount counts one more occurrence of an event that Result.Counts reports.
-func (c *cluster) incrementCount(what string) {
+func (c *cluster) incrementCount(event string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.counts[what]++
+	c.counts[event]++
 }
 
 // reportError records an error of the test cluster itself, which ends the run.
 func (c *cluster) reportError(err error) {
 	select {
 	case c.errors <- err:
-	default: // the first errors are enough
+	default: // the channel is full; the run ends with an earlier error
 	}
 }
 
-// randomFloat draws from the generator of the run's seed: a number in [0, 1).
+// randomFloat draws a number in [0, 1) from the generator that the run's seed initializes.
 func (c *cluster) randomFloat() float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.random.Float64()
 }
 
-// chance is true with probability p.
+// chance returns true with probability p.
 func (c *cluster) chance(p float64) bool { return p > 0 && c.randomFloat() < p }
 
 // Run starts a cluster, drives it with clients and faults for Options.Duration, and returns once everything it
@@ -160,26 +160,26 @@
 	c.runStart.Store(int64(c.now()))
 	before := c.relayUsages()
 	c.clients.start(c)
-	var ends []func()
+	var endFaults []func()
 	c.mu.Lock()
 	c.effects = make([]FaultEffect, len(c.options.Faults))
 	c.mu.Unlock()
 	for i := range c.options.Faults {
-		ends = append(ends, c.scheduleFault(i))
+		endFaults = append(endFaults, c.scheduleFault(i))
 	}
-	sweep := time.NewTicker(time.Second)
-	defer sweep.Stop()
-	over := time.NewTimer(c.options.Duration)
-	defer over.Stop()
+	ticker := time.NewTicker(time.Second)
+	defer ticker.Stop()
+	deadline := time.NewTimer(c.options.Duration)
+	defer deadline.Stop()
 	if c.options.Observe != nil {
 		defer c.startObserver()()
 	}
-	if err := c.measureUntilEnd(res, sweep.C, over.C); err != nil {
+	if err := c.measureUntilEnd(res, ticker.C, deadline.C); err != nil {
 		return err
 	}
 	length := c.elapsed()
 	after := c.relayUsages()
-	for _, end := range ends {
+	for _, end := range endFaults {
 		end()
 	}
 	c.clients.stop()
@@ -190,17 +190,17 @@
 
 // measureUntilEnd takes measurements every second until the run is over, is cancelled, or fails with an error of the
 // test cluster itself.
-func (c *cluster) measureUntilEnd(res *Result, sweep, over <-chan time.Time) error {
+func (c *cluster) measureUntilEnd(res *Result, tick, deadline <-chan time.Time) error {
 	last := c.totalCPUTime()
 	for {
 		select {
-		case <-sweep:
+		case <-tick:
 			c.withChecker(c.checker.CheckOverdue)
 			res.Service = append(res.Service, c.clients.measureService())
 			now := c.totalCPUTime()
 			res.CPUCores = append(res.CPUCores, (now - last).Seconds())
 			last = now
-		case <-over:
+		case <-deadline:
 			return nil
 		case <-c.ctx.Done():
 			return c.ctx.Err()
--- a/internal/testcluster/cluster_test.go
+++ b/internal/testcluster/cluster_test.go
@@ -34,40 +34,40 @@
 	return m.Run()
 }
 
-// smallCluster is a cluster small enough for a test; its clients load its backends to 60 percent.
+// smallCluster returns a cluster small enough for a test; its clients load its backends to 60 percent.
 func smallCluster(relays, backends, clients int) simulation.Installation {
 	f := simulation.Installation{Relays: relays, Backends: backends, Clients: clients, SetupWork: 0.004, LineWork: 0.0005, Gossip: true,
 		ArrivalWindow: time.Second, StayRange: [2]time.Duration{8 * time.Second, 30 * time.Second}, ReconnectWindow: 200 * time.Millisecond,
 		Server: emulator.Config{Cores: 4, Speed: 1, MaxRequests: 200, Backlog: 128, ColdCapacity: coldCapacity, WarmUpTime: warmUpTime, ColdCrashFactor: overloadFactor,
 			ColdCrashWindow: overloadWindow, ReportInterval: 500 * time.Millisecond, ReportNoise: 0.03}}
-	usual := float64(clients) / float64(backends)
-	f.Server.WarmRequestRate = max(4, usual/3)
-	f.ConnectionLoad = 0.6 * f.Server.Cores / usual
+	clientsPerBackend := float64(clients) / float64(backends)
+	f.Server.WarmRequestRate = max(4, clientsPerBackend/3)
+	f.ConnectionLoad = 0.6 * f.Server.Cores / clientsPerBackend
 	return f
 }
 
-// runCluster runs a cluster and fails the test on any violation of the rules.
-func runCluster(t *testing.T, o Options) Result {
+// runCluster runs a cluster and fails the test if a relay violates an invariant.
+func runCluster(t *testing.T, opt Options) Result {
 	t.Helper()
-	o.Program = program
-	if o.Seed == 0 {
-		o.Seed = 1
+	opt.Program = program
+	if opt.Seed == 0 {
+		opt.Seed = 1
 	}
-	res, err := Run(context.Background(), o)
+	res, err := Run(context.Background(), opt)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, b := range res.Violations {
-		t.Error("broken:", b)
+	for _, violation := range res.Violations {
+		t.Error("invariant violated:", violation)
 	}
 	return res
 }
 
-// servedShare is the share of the clients' demand that was served within a range of seconds.
+// servedShare returns the share of the clients' demand that was served within a range of seconds.
 func servedShare(res Result, from, to int) float64 {
-	asked, served := 0.0, 0.0
+	requested, served := 0.0, 0.0
 	for _, s := range res.Service[from:min(to, len(res.Service))] {
-		asked, served = asked+s.Requested, served+s.Served
+		requested, served = requested+s.Requested, served+s.Served
 	}
-	return served / asked
+	return served / requested
 }
--- a/internal/testcluster/datagrams.go
+++ b/internal/testcluster/datagrams.go
@@ -12,7 +12,7 @@
 )
 
 // datagramForwarder forwards datagrams between relays and applies link faults to them. One wildcard socket receives
-// them all and sends each from the address by which the receiver knows the sender.
+// them all and sends each from the address that the receiver has for the sender.
 type datagramForwarder struct {
 	cluster *cluster
 	conn    *ipv4.PacketConn
@@ -29,7 +29,7 @@
 	forwarder := &datagramForwarder{cluster: owner, conn: ipv4.NewPacketConn(c)}
 	if err := forwarder.conn.SetControlMessage(ipv4.FlagDst, true); err != nil {
 		_ = c.Close()
-		return nil, 0, fmt.Errorf("datagrams' destinations: %w", err)
+		return nil, 0, fmt.Errorf("receiving the destination addresses of datagrams: %w", err)
 	}
 	return forwarder, c.LocalAddr().(*net.UDPAddr).Port, nil
 }
@@ -59,7 +59,8 @@
 	}
 }
 
-// route determines the sender and the receivers of a datagram. Only a relay's own address can send as that relay.
+// route determines the sender and the receivers of a datagram, and forwards it. A relay is accepted as the sender only from
+// its own address.
 func (forwarder *datagramForwarder) route(ctx context.Context, src, dst netip.Addr, data []byte) {
 	c := forwarder.cluster
 	sender, ok := indexInNet(src, relayNet)
@@ -83,11 +84,11 @@
 	}
 }
 
-// forward delivers a datagram subject to the faults on its link.
+// forward delivers a datagram, subject to the faults on its link.
 func (forwarder *datagramForwarder) forward(ctx context.Context, from, to int, data []byte) {
 	c := forwarder.cluster
-	late, held := c.links.datagramDelays(node{fault.Relays, from}, node{fault.Relays, to})
-	for _, d := range late {
+	delays, held := c.links.datagramDelays(node{fault.Relays, from}, node{fault.Relays, to})
+	for _, d := range delays {
 		switch {
 		case held != nil:
 			go func() {
@@ -105,7 +106,7 @@
 	}
 }
 
-// deliver sends a datagram from the address by which its receiver knows the sender.
+// deliver sends a datagram from the address that its receiver has for the sender.
 func (forwarder *datagramForwarder) deliver(from, to int, data []byte) {
 	c := forwarder.cluster
 	src := loopbackAddress(peerNet, to<<peerBits|from).As4()
--- a/internal/testcluster/discovery.go
+++ b/internal/testcluster/discovery.go
@@ -25,10 +25,11 @@
 	backend      int
 	port         int
 	revision     int // of the discovery service
-	sinceVersion int // version of the agent that added this entry
+	sinceVersion int // version of the agent's list since which the entry is unchanged
 }
 
-// discoveryAgent is the discovery service of one relay. Faults delay or suppress what it learns and answers.
+// discoveryAgent is the discovery service of one relay. Faults delay or suppress the updates it receives and the answers
+// it sends.
 type discoveryAgent struct {
 	mu        sync.Mutex
 	relay     int
@@ -39,7 +40,7 @@
 	frozen    bool // ignores changes
 }
 
-// discoveryService knows the true state of the backends and serves the HTTP requests of all relays.
+// discoveryService publishes the state of the backends to all agents and serves the HTTP requests of all relays.
 type discoveryService struct {
 	cluster    *cluster
 	agents     []*discoveryAgent
@@ -70,23 +71,23 @@
 	return service
 }
 
-// publish tells all agents of a change to a backend: each after a delay of its own, or immediately before the run.
-func (service *discoveryService) publish(e endpoint, when publishTiming) {
+// publish sends the new entry of a backend to all agents: to each after a random delay, or to all immediately.
+func (service *discoveryService) publish(e endpoint, timing publishTiming) {
 	service.mu.Lock()
 	service.revision++
 	e.revision = service.revision
-	late := service.extraDelay
+	extraDelay := service.extraDelay
 	service.mu.Unlock()
 	for _, agent := range service.agents {
-		if when == publishImmediately {
+		if timing == publishImmediately {
 			agent.applyUpdate(service.cluster, e)
 			continue
 		}
-		service.cluster.runAfter(service.cluster.links.randomDuration(200*time.Millisecond, 900*time.Millisecond)+late, func() { agent.applyUpdate(service.cluster, e) })
+		service.cluster.runAfter(service.cluster.links.randomDuration(200*time.Millisecond, 900*time.Millisecond)+extraDelay, func() { agent.applyUpdate(service.cluster, e) })
 	}
 }
 
-// publishTiming says whether agents learn of a change immediately or after a delay.
+// publishTiming selects whether agents receive a change immediately or after a delay.
 type publishTiming bool
 
 const (
@@ -94,7 +95,7 @@
 	publishDelayed     publishTiming = false
 )
 
-// applyUpdate has the agent learn of a change, unless it is frozen or knows a newer one.
+// applyUpdate adds a new entry to the agent's list, unless the agent is frozen or already has a newer entry.
 func (agent *discoveryAgent) applyUpdate(c *cluster, e endpoint) {
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
@@ -127,54 +128,54 @@
 	agent.changed = make(chan struct{})
 }
 
-// setSilent makes the agent leave requests without an answer, or answer them again.
-func (agent *discoveryAgent) setSilent(c *cluster, out bool) {
+// setSilent makes the agent stop answering requests, or answer them again.
+func (agent *discoveryAgent) setSilent(c *cluster, silent bool) {
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
-	if agent.silent == out {
+	if agent.silent == silent {
 		return
 	}
-	agent.silent = out
-	if !out {
+	agent.silent = silent
+	if !silent {
 		agent.notifyWatchers()
 	}
-	c.withChecker(func() { c.checker.SetAgentSilent(agent.relay, c.ports.discoveryAddr(agent.relay), out) })
+	c.withChecker(func() { c.checker.SetAgentSilent(agent.relay, c.ports.discoveryAddr(agent.relay), silent) })
 }
 
 // handleMembers answers a long poll of the endpoint list.
-func (service *discoveryService) handleMembers(w http.ResponseWriter, q *http.Request) {
-	agent, ok := q.Context().Value(agentContextKey{}).(*discoveryAgent)
+func (service *discoveryService) handleMembers(w http.ResponseWriter, req *http.Request) {
+	agent, ok := req.Context().Value(agentContextKey{}).(*discoveryAgent)
 	if !ok {
-		http.Error(w, "nobody's agent", http.StatusNotFound)
+		http.Error(w, "no discovery agent has this address", http.StatusNotFound)
 		return
 	}
-	cluster, ctx := service.cluster, q.Context()
+	cluster, ctx := service.cluster, req.Context()
 	cluster.countTraffic(agent.relay, &cluster.traffic.discoveryCalls)
 	relay, discovery := node{fault.Relays, agent.relay}, node{fault.Discovery, agent.relay}
 	if !cluster.links.passStream(ctx, relay, discovery) {
 		return
 	}
 	from, full := 0, true
-	if v, err := strconv.Atoi(q.URL.Query().Get("index")); err == nil {
+	if v, err := strconv.Atoi(req.URL.Query().Get("index")); err == nil {
 		from, full = v, false
 	}
-	waitMilliseconds, _ := strconv.Atoi(q.URL.Query().Get("wait"))
-	version, told, ok := agent.waitForUpdate(ctx, from, full, time.Duration(waitMilliseconds)*time.Millisecond)
+	waitMilliseconds, _ := strconv.Atoi(req.URL.Query().Get("wait"))
+	version, endpoints, ok := agent.waitForUpdate(ctx, from, full, time.Duration(waitMilliseconds)*time.Millisecond)
 	if ok && cluster.links.passStream(ctx, discovery, relay) {
-		service.reply(w, agent, version, full, told)
+		service.reply(w, agent, version, full, endpoints)
 	}
 }
 
-// waitForUpdate waits until there is something newer than a version, or the client's wait is over; a full list is returned
-// at once. A silent agent answers nothing until its silence is over. It returns false when ctx is done before.
-func (agent *discoveryAgent) waitForUpdate(ctx context.Context, from int, full bool, within time.Duration) (version int, told []endpoint, ok bool) {
-	deadline := time.NewTimer(within)
+// waitForUpdate waits until the list is newer than version from, or maxWait is over; a full list is returned at once. While
+// the agent is silent, nothing is returned. It returns false if ctx is done first.
+func (agent *discoveryAgent) waitForUpdate(ctx context.Context, from int, full bool, maxWait time.Duration) (version int, endpoints []endpoint, ok bool) {
+	deadline := time.NewTimer(maxWait)
 	defer deadline.Stop()
-	waited := full
+	answerUnchanged := full
 	for {
 		agent.mu.Lock()
 		changed := agent.changed
-		if !agent.silent && (agent.version > from || waited) {
+		if !agent.silent && (agent.version > from || answerUnchanged) {
 			defer agent.mu.Unlock()
 			return agent.version, agent.endpointsSince(from, full), true
 		}
@@ -182,26 +183,26 @@
 		select {
 		case <-changed:
 		case <-deadline.C:
-			waited = true
+			answerUnchanged = true
 		case <-ctx.Done():
 			return 0, nil, false
 		}
 	}
 }
 
-// endpointsSince is what changed after a version, or the full list, which leaves out those that are gone. It is called with
-// the lock held.
+// endpointsSince returns the entries changed after a version, or the full list without the backends that are gone. It is
+// called with the lock held.
 func (agent *discoveryAgent) endpointsSince(from int, full bool) []endpoint {
-	told := make([]endpoint, 0, 8)
+	endpoints := make([]endpoint, 0, 8)
 	for _, e := range agent.endpoints {
 		if full && e.State != "gone" || !full && e.sinceVersion > from {
-			told = append(told, e)
+			endpoints = append(endpoints, e)
 		}
 	}
-	return told
+	return endpoints
 }
 
-// reply writes the answer to a request and tells the checker what the relay learns by it.
+// reply writes the answer to a request and reports the endpoints in it to the checker.
 func (service *discoveryService) reply(w http.ResponseWriter, agent *discoveryAgent, version int, full bool, list []endpoint) {
 	text, err := json.Marshal(map[string]any{"version": version, "full": full, "servers": list})
 	if err != nil {
--- a/internal/testcluster/discovery_faults.go
+++ b/internal/testcluster/discovery_faults.go
@@ -6,7 +6,7 @@
 	"aspenbarrow/internal/fault"
 )
 
-// delayDiscovery makes all agents learn of changes later.
+// delayDiscovery adds a delay to the updates of all agents.
 func delayDiscovery(owner *cluster, f *fault.Fault, effects *effectCounters) func() {
 	service := owner.discovery
 	set := func(d time.Duration) {
@@ -15,11 +15,11 @@
 		service.extraDelay = d
 	}
 	set(time.Second + time.Duration(f.Severity*float64(6*time.Second)))
-	effects.struck.Add(int64(len(service.agents)))
+	effects.affected.Add(int64(len(service.agents)))
 	return func() { set(0) }
 }
 
-// affectedAgents are the discovery agents that a fault affects.
+// affectedAgents returns the discovery agents that a fault affects.
 func (c *cluster) affectedAgents(f *fault.Fault) (out []*discoveryAgent) {
 	if f.Targets == nil && f.Severity > 0.5 {
 		return c.discovery.agents
@@ -30,12 +30,12 @@
 	return out
 }
 
-// silenceDiscovery makes agents leave requests without an answer.
+// silenceDiscovery makes agents stop answering requests.
 func silenceDiscovery(c *cluster, f *fault.Fault, effects *effectCounters) func() {
 	agents := c.affectedAgents(f)
 	for _, agent := range agents {
 		agent.setSilent(c, true)
-		effects.struck.Add(1)
+		effects.affected.Add(1)
 	}
 	return func() {
 		for _, agent := range agents {
@@ -44,14 +44,15 @@
 	}
 }
 
-// freezeDiscovery makes the agents of some relays learn nothing for a while, and then everything they missed.
+// freezeDiscovery makes the agents of some relays ignore updates. When the fault ends, they receive the current state of
+// all backends.
 func freezeDiscovery(c *cluster, f *fault.Fault, effects *effectCounters) func() {
 	agents := c.affectedAgents(f)
 	for _, agent := range agents {
 		agent.mu.Lock()
 		agent.frozen = true
 		agent.mu.Unlock()
-		effects.struck.Add(1)
+		effects.affected.Add(1)
 	}
 	return func() {
 		for _, agent := range agents {
--- a/internal/testcluster/failure_rate.go
+++ b/internal/testcluster/failure_rate.go
@@ -4,14 +4,13 @@
 	"time"
 )
 
-// failureRate counts a backend's failures for each second. The rate it reports is the count of the last complete
-// second.
+// failureRate counts a backend's failures per second. It reports the count of the last complete second.
 type failureRate struct {
 	second            time.Duration
 	current, previous float64
 }
 
-// advance moves on to the second that a time lies in.
+// advance starts a new count if the given time is in another second than the current count.
 func (rate *failureRate) advance(at time.Duration) {
 	switch second := at.Truncate(time.Second); second {
 	case rate.second:
@@ -29,7 +28,7 @@
 	rate.current++
 }
 
-// rate is the number of failures in the last complete second.
+// rate returns the number of failures in the last complete second.
 func (rate *failureRate) rate(at time.Duration) float64 {
 	rate.advance(at)
 	return rate.previous
--- a/internal/testcluster/faults.go
+++ b/internal/testcluster/faults.go
@@ -28,7 +28,7 @@
 		"backends slow":       backendFault(func(c *cluster, b *backend, f *fault.Fault) { b.slowDown(4 + 30*f.Severity) }, func(b *backend) { b.slowDown(1) }),
 		"backends paused":     backendFault(func(c *cluster, b *backend, f *fault.Fault) { b.pause() }, func(b *backend) { b.resume() }),
 		"backends die":        backendFault(func(c *cluster, b *backend, f *fault.Fault) { b.crash() }, func(b *backend) { b.launch(true) }),
-		"backends vanished":   backendFault(func(c *cluster, b *backend, f *fault.Fault) { b.disappear() }, func(b *backend) { b.reappear() }),
+		"backends vanished":   backendFault(func(c *cluster, b *backend, f *fault.Fault) { b.disconnect() }, func(b *backend) { b.reconnect() }),
 		"backends failing fast": backendFault(func(c *cluster, b *backend, f *fault.Fault) {
 			b.updateModel(func(time.Duration) { b.errorRate = 0.4 + 0.6*f.Severity })
 		}, func(b *backend) { b.updateModel(func(time.Duration) { b.errorRate = 0 }) }),
@@ -40,7 +40,7 @@
 		}, func(b *backend) { b.updateModel(func(time.Duration) { b.busyRate = 0 }) }),
 		"backends drain": backendFault(func(c *cluster, b *backend, f *fault.Fault) { b.drain(f.Duration) }, func(b *backend) { b.launch(true) }),
 		"backends start": startBackends,
-		"zone cut off":   cutOffZone,
+		"zone cut off":   disconnectZone,
 		"power cut":      cutPower,
 		"list late":      delayDiscovery,
 		"list out":       silenceDiscovery,
@@ -59,24 +59,24 @@
 	return names
 }
 
-// targetIndexes are the indexes of the parties that a fault affects, out of so many.
-func targetIndexes(f *fault.Fault, of int) []int {
+// targetIndexes returns the indexes of the nodes that a fault affects, where count is the number of nodes of that kind.
+func targetIndexes(f *fault.Fault, count int) []int {
 	if f.Targets != nil {
 		return f.Targets
 	}
 	n := 1
 	switch f.Kind {
 	case "relays die together", "relays start late", "relays paused", "relays leave":
-		n = max(1, int(f.Severity*float64(of)))
+		n = max(1, int(f.Severity*float64(count)))
 	case "relay killed":
 	default:
 		if f.Severity > 0.4 {
-			n = max(1, int(f.Severity*float64(of))/3)
+			n = max(1, int(f.Severity*float64(count))/3)
 		}
 	}
 	var out []int
-	for i := range min(n, of) {
-		out = append(out, (f.Target+i)%of)
+	for i := range min(n, count) {
+		out = append(out, (f.Target+i)%count)
 	}
 	return out
 }
@@ -87,16 +87,16 @@
 	effects := &effectCounters{}
 	var once sync.Once
 	var mu sync.Mutex
-	var over func()
+	var endInjection func()
 	began, ended := time.Duration(-1), false
 	finish := func() {
 		once.Do(func() {
 			mu.Lock()
 			ended = true
-			o := over
+			callback := endInjection
 			mu.Unlock()
-			if o != nil {
-				o()
+			if callback != nil {
+				callback()
 			}
 			c.mu.Lock()
 			defer c.mu.Unlock()
@@ -110,7 +110,7 @@
 			return
 		}
 		began = c.elapsed()
-		over = faultInjectors[f.Kind](c, &f, effects)
+		endInjection = faultInjectors[f.Kind](c, &f, effects)
 		c.runAfter(f.Duration, finish)
 	})
 	return finish
@@ -123,13 +123,13 @@
 	for _, v := range planVisits(&c.options.Fleet, c.options.Seed+1, 0)[:min(n, c.options.Fleet.Clients)] {
 		v.start, v.end = now+time.Duration(c.randomFloat()*float64(time.Second)), now+f.Duration
 		c.clients.schedule(v)
-		effects.struck.Add(1)
+		effects.affected.Add(1)
 	}
 	return nil
 }
 
 // linkFault applies a fault to links. A partition between relays and backends also prevents new connections: the
-// address of each pair becomes unreachable.
+// address of each separated pair becomes unreachable.
 func linkFault(c *cluster, f *fault.Fault, effects *effectCounters) func() {
 	l := f.Link
 	end := c.links.inject(l, effects)
@@ -156,7 +156,7 @@
 				c.reportError(fmt.Errorf("%s: %w", scriptPosition(f), err))
 				break
 			}
-			effects.struck.Add(1)
+			effects.affected.Add(1)
 			removers = append(removers, remove)
 		}
 	}
@@ -170,7 +170,7 @@
 // CheckFault returns an error if a test cluster does not support a fault of this kind.
 func CheckFault(f *fault.Fault) error {
 	if _, ok := faultInjectors[f.Kind]; !ok {
-		return fmt.Errorf("processes can't play %q", f.Kind)
+		return fmt.Errorf("a test cluster can't play the fault %q", f.Kind)
 	}
 	return nil
 }
--- a/internal/testcluster/front_balancer.go
+++ b/internal/testcluster/front_balancer.go
@@ -20,51 +20,51 @@
 }
 
 // setAvailable marks a relay as available or not.
-func (front *frontBalancer) setAvailable(relay int, good bool) {
+func (front *frontBalancer) setAvailable(relay int, available bool) {
 	front.mu.Lock()
 	defer front.mu.Unlock()
 	front.changes[relay]++
-	front.available[relay] = good
+	front.available[relay] = available
 }
 
 // noticeLoss marks a relay as unavailable after a random detection delay, unless its state has changed by then.
 func (front *frontBalancer) noticeLoss(relay int) {
 	front.mu.Lock()
-	life := front.changes[relay]
+	changes := front.changes[relay]
 	front.mu.Unlock()
 	front.cluster.runAfter(front.cluster.links.randomDuration(200*time.Millisecond, 2600*time.Millisecond), func() {
 		front.mu.Lock()
 		defer front.mu.Unlock()
-		if front.changes[relay] == life {
+		if front.changes[relay] == changes {
 			front.changes[relay]++
 			front.available[relay] = false
 		}
 	})
 }
 
-// pick chooses a relay for a new connection; below 0: none is available.
+// pick chooses a relay for a new connection, or returns -1 if none is available.
 func (front *frontBalancer) pick(rng *rand.Rand) int {
 	front.mu.Lock()
 	defer front.mu.Unlock()
-	if hot := front.cluster.options.Fleet.HotRelayShare; hot > 0 && front.available[0] && rng.Float64() < hot {
+	if hotShare := front.cluster.options.Fleet.HotRelayShare; hotShare > 0 && front.available[0] && rng.Float64() < hotShare {
 		return 0
 	}
 	n := 0
-	for _, g := range front.available {
-		if g {
+	for _, available := range front.available {
+		if available {
 			n++
 		}
 	}
 	if n == 0 {
 		return -1
 	}
-	k := rng.IntN(n)
-	for i, g := range front.available {
-		if g {
-			if k == 0 {
+	remaining := rng.IntN(n)
+	for i, available := range front.available {
+		if available {
+			if remaining == 0 {
 				return i
 			}
-			k--
+			remaining--
 		}
 	}
 	return -1
--- a/internal/testcluster/link_faults.go
+++ b/internal/testcluster/link_faults.go
@@ -10,10 +10,10 @@
 	"aspenbarrow/internal/fault"
 )
 
-// The delay that the loss of a segment costs: TCP's retransmission timeouts on an established connection, and when connecting.
+// TCP's retransmission timeouts on an established connection and when connecting: the delay that a lost segment causes.
 const (
-	retransmission        = 200 * time.Millisecond
-	connectRetransmission = time.Second
+	retransmissionTimeout        = 200 * time.Millisecond
+	connectRetransmissionTimeout = time.Second
 )
 
 // node is one end of a link.
@@ -29,14 +29,14 @@
 	effects *effectCounters
 }
 
-// linkFaults apply faults to the links between parties. Data of a stream is delayed, never lost or reordered, and
+// linkFaults applies faults to the links between nodes. Data of a stream is delayed, never lost or reordered, and
 // nothing is held longer than its fault lasts. It is safe for concurrent use.
 type linkFaults struct {
 	mu       sync.RWMutex
 	active   []*activeFault
 	randomMu sync.Mutex
 	random   *rand.Rand
-	idle     atomic.Bool // no fault is in force, which is checked without a lock
+	idle     atomic.Bool // no fault is in force; read without a lock
 }
 
 func newLinkFaults(seed uint64) *linkFaults {
@@ -66,7 +66,7 @@
 	}
 }
 
-// affecting are the faults in force on the link from one party to another.
+// affecting returns the faults in force on the link from one node to another.
 func (links *linkFaults) affecting(from, to node) []*activeFault {
 	if links.idle.Load() {
 		return nil
@@ -91,25 +91,25 @@
 	return links.random.Float64() < p
 }
 
-func (links *linkFaults) randomDuration(least, most time.Duration) time.Duration {
-	if most <= least {
-		return least
+func (links *linkFaults) randomDuration(minimum, maximum time.Duration) time.Duration {
+	if maximum <= minimum {
+		return minimum
 	}
 	links.randomMu.Lock()
 	defer links.randomMu.Unlock()
-	return least + time.Duration(links.random.Int64N(int64(most-least)))
+	return minimum + time.Duration(links.random.Int64N(int64(maximum-minimum)))
 }
 
-// passStream returns once a chunk of a stream has arrived, or with false when ctx is done before. The caller passes the
-// chunks of one direction of a connection one after another, which keeps their order.
+// passStream waits until a chunk of a stream arrives. It returns false if ctx is done first. The caller passes the chunks
+// of one direction of a connection one after another, which keeps their order.
 func (links *linkFaults) passStream(ctx context.Context, from, to node) bool {
 	for {
-		delay, cut := links.streamDelay(from, to)
+		delay, holding := links.streamDelay(from, to)
 		switch {
-		case cut != nil:
-			cut.effects.held.Add(1)
+		case holding != nil:
+			holding.effects.held.Add(1)
 			select {
-			case <-cut.ended: // look again: another fault may still hold it
+			case <-holding.ended: // check again: another fault may still hold the chunk
 			case <-ctx.Done():
 				return false
 			}
@@ -121,8 +121,8 @@
 	}
 }
 
-// streamDelay is how much later a chunk of a stream arrives, or the fault that holds it.
-func (links *linkFaults) streamDelay(from, to node) (delay time.Duration, cut *activeFault) {
+// streamDelay returns how much later a chunk of a stream arrives, or the fault that holds it.
+func (links *linkFaults) streamDelay(from, to node) (delay time.Duration, holding *activeFault) {
 	for _, a := range links.affecting(from, to) {
 		if a.link.Partitioned || a.link.Buffered {
 			return 0, a
@@ -133,34 +133,34 @@
 		}
 		if links.chance(a.link.LossRate) {
 			a.effects.lost.Add(1)
-			delay += retransmission
+			delay += retransmissionTimeout
 		}
 	}
 	return delay, nil
 }
 
-// connectDelay is how much later than usual a connection is established; false: it is not established at all.
-func (links *linkFaults) connectDelay(from, to node) (late time.Duration, ok bool) {
-	for _, d := range [2][2]node{{from, to}, {to, from}} {
-		for _, a := range links.affecting(d[0], d[1]) {
+// connectDelay returns how much later than usual a connection is established, or false if it is not established at all.
+func (links *linkFaults) connectDelay(from, to node) (delay time.Duration, ok bool) {
+	for _, direction := range [2][2]node{{from, to}, {to, from}} {
+		for _, a := range links.affecting(direction[0], direction[1]) {
 			if a.link.Partitioned || a.link.Buffered {
 				a.effects.refused.Add(1)
 				return 0, false
 			}
-			late += a.link.Delay
+			delay += a.link.Delay
 			if links.chance(a.link.LossRate) {
 				a.effects.delayed.Add(1)
-				late += connectRetransmission
+				delay += connectRetransmissionTimeout
 			}
 		}
 	}
-	return late, true
+	return delay, true
 }
 
-// datagramDelays are the delays after which the copies of a datagram arrive; none: it is lost. A datagram that is
-// held arrives at the end of the fault that holds it.
-func (links *linkFaults) datagramDelays(from, to node) (late []time.Duration, held *activeFault) {
-	late = []time.Duration{0}
+// datagramDelays returns the delays after which the copies of a datagram arrive; without any, it is lost. A datagram that
+// is held arrives at the end of the fault that holds it.
+func (links *linkFaults) datagramDelays(from, to node) (delays []time.Duration, held *activeFault) {
+	delays = []time.Duration{0}
 	for _, a := range links.affecting(from, to) {
 		switch l := a.link; {
 		case l.Partitioned, links.chance(l.LossRate):
@@ -172,7 +172,7 @@
 		default:
 			if links.chance(l.DuplicateRate) {
 				a.effects.duplicated.Add(1)
-				late = append(late, late[0]+links.randomDuration(0, 20*time.Millisecond))
+				delays = append(delays, delays[0]+links.randomDuration(0, 20*time.Millisecond))
 			}
 			d := l.Delay + links.randomDuration(0, l.Jitter)
 			if links.chance(l.ReorderRate) {
@@ -181,10 +181,10 @@
 			if d > 0 {
 				a.effects.delayed.Add(1)
 			}
-			for i := range late {
-				late[i] += d
+			for i := range delays {
+				delays[i] += d
 			}
 		}
 	}
-	return late, held
+	return delays, held
 }
--- a/internal/testcluster/link_faults_test.go
+++ b/internal/testcluster/link_faults_test.go
@@ -9,38 +9,38 @@
 func TestLinkFaults_AffectDatagrams(t *testing.T) {
 	links := newLinkFaults(1)
 	a, b := node{fault.Relays, 1}, node{fault.Relays, 2}
-	count := func(l fault.Link) (arrived, late int, did map[string]int) {
+	count := func(l fault.Link) (arrived, late int, effects map[string]int) {
 		l.From, l.To = fault.NodeSet{Kind: fault.Relays, Indexes: []int{1}}, fault.NodeSet{Kind: fault.Relays}
 		counters := &effectCounters{}
 		end := links.inject(&l, counters)
 		defer end()
 		for range 1000 {
-			times, _ := links.datagramDelays(a, b)
-			arrived += len(times)
-			for _, x := range times {
-				if x > 0 {
+			delays, _ := links.datagramDelays(a, b)
+			arrived += len(delays)
+			for _, delay := range delays {
+				if delay > 0 {
 					late++
 				}
 			}
-			if back, _ := links.datagramDelays(b, a); len(back) != 1 || back[0] != 0 {
-				t.Fatal("the other way is in trouble as well")
+			if reverse, _ := links.datagramDelays(b, a); len(reverse) != 1 || reverse[0] != 0 {
+				t.Fatal("the fault affects the reverse direction as well")
 			}
 		}
 		return arrived, late, counters.counts()
 	}
-	if n, _, did := count(fault.Link{Partitioned: true}); n != 0 || did["datagrams lost"] != 1000 {
-		t.Errorf("a cut let %d pass: %v", n, did)
+	if n, _, effects := count(fault.Link{Partitioned: true}); n != 0 || effects["datagrams lost"] != 1000 {
+		t.Errorf("a partition let %d of 1000 pass, effects %v", n, effects)
 	}
 	if n, _, _ := count(fault.Link{LossRate: 0.2}); n < 750 || n > 850 {
-		t.Errorf("%d of 1000 at a loss of a fifth", n)
+		t.Errorf("%d of 1000 arrived at a loss rate of 0.2", n)
 	}
-	if n, _, did := count(fault.Link{DuplicateRate: 0.1}); n < 1070 || n > 1130 || did["datagrams doubled"] != n-1000 {
-		t.Errorf("%d of 1000, a tenth doubled: %v", n, did)
+	if n, _, effects := count(fault.Link{DuplicateRate: 0.1}); n < 1070 || n > 1130 || effects["datagrams doubled"] != n-1000 {
+		t.Errorf("%d arrived of 1000 at a duplicate rate of 0.1, effects %v", n, effects)
 	}
 	if n, late, _ := count(fault.Link{ReorderRate: 0.3}); n != 1000 || late < 250 || late > 350 {
-		t.Errorf("%d, %d late", n, late)
+		t.Errorf("%d of 1000 arrived, %d of them late, at a reorder rate of 0.3", n, late)
 	}
-	if times, held := links.datagramDelays(a, b); len(times) != 1 || held != nil {
-		t.Error("trouble that is over")
+	if delays, held := links.datagramDelays(a, b); len(delays) != 1 || held != nil {
+		t.Error("a fault that has ended affects datagrams")
 	}
 }
--- a/internal/testcluster/machine_limits.go
+++ b/internal/testcluster/machine_limits.go
@@ -19,29 +19,30 @@
 		lim.Cur = lim.Max
 		_ = unix.Setrlimit(unix.RLIMIT_NOFILE, &lim)
 	}
-	// A connection takes one descriptor each at its client and its backend; a relay those of discovery and health checks.
-	const ofRelay, own = 24, 200
-	if need := uint64(2*conns + ofRelay*relays + own); need > lim.Cur {
-		most := (int64(lim.Cur) - own - int64(2*conns)) / ofRelay
-		return fmt.Errorf("%d relays with %d connections want %d descriptors and there are %d: with so many connections %d relays fit",
-			relays, conns, need, lim.Cur, max(0, most))
+	// A connection takes one descriptor at its client and one at its backend; a relay takes those for discovery and health
+	// checks.
+	const descriptorsPerRelay, ownDescriptors = 24, 200
+	if need := uint64(2*conns + descriptorsPerRelay*relays + ownDescriptors); need > lim.Cur {
+		fits := (int64(lim.Cur) - ownDescriptors - int64(2*conns)) / descriptorsPerRelay
+		return fmt.Errorf("%d relays with %d connections need %d file descriptors, the limit is %d: with this many connections, %d relays fit",
+			relays, conns, need, lim.Cur, max(0, fits))
 	}
 	var mem unix.Sysinfo_t
 	if err := unix.Sysinfo(&mem); err != nil {
 		return err
 	}
-	const each = 24 << 20
+	const memoryPerRelay = 24 << 20
 	free := int64(mem.Freeram+mem.Bufferram) * int64(mem.Unit)
 	if kb := availableKB(); kb > 0 {
 		free = kb << 10
 	}
-	if need := int64(relays) * each; need > free {
-		return fmt.Errorf("%d relays want some %d MB of memory and %d are free: %d relays fit", relays, need>>20, free>>20, free/each)
+	if need := int64(relays) * memoryPerRelay; need > free {
+		return fmt.Errorf("%d relays need about %d MB of memory, %d MB are available: %d relays fit", relays, need>>20, free>>20, free/memoryPerRelay)
 	}
 	return nil
 }
 
-// availableKB is MemAvailable of /proc/meminfo, in kilobytes; 0: the system does not report it.
+// availableKB returns MemAvailable of /proc/meminfo, in kilobytes, or 0 if the system does not report it.
 func availableKB() int64 {
 	text, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
--- a/internal/testcluster/membership_test.go
+++ b/internal/testcluster/membership_test.go
@@ -13,7 +13,7 @@
 	"aspenbarrow/internal/simulation"
 )
 
-// memberViews polls some relays for the states that they hold of all members.
+// memberViews polls some relays for the state of each member in their views.
 type memberViews struct {
 	mu        sync.Mutex
 	relays    []int // polled
@@ -22,7 +22,7 @@
 	each      func(v *memberViews, now time.Duration)
 }
 
-// observe polls all of them and then calls each with the lock held.
+// observe polls these relays and then calls each with the lock held.
 func (views *memberViews) observe(view *View) {
 	var wg sync.WaitGroup
 	for _, i := range views.relays {
@@ -35,10 +35,10 @@
 				return
 			}
 			var states []string
-			for _, l := range lines[2:] {
-				for _, f := range strings.Fields(l) {
-					if name, st, _ := strings.Cut(f, "="); name == "state" {
-						states = append(states, st)
+			for _, line := range lines[2:] {
+				for _, field := range strings.Fields(line) {
+					if name, value, _ := strings.Cut(field, "="); name == "state" {
+						states = append(states, value)
 					}
 				}
 			}
@@ -53,136 +53,137 @@
 	views.each(views, view.Elapsed())
 }
 
-// countState counts the polled relays that hold a member in a state, leaving out the member itself.
-func (views *memberViews) countState(of int, state string) (n, asked int) {
+// countState returns how many of the polled relays, except the member itself, have the member in a state, and how many
+// of them have returned their view.
+func (views *memberViews) countState(member int, state string) (n, answered int) {
 	for _, i := range views.relays {
-		if st := views.states[i]; i != of && len(st) > of {
-			asked++
-			if st[of] == state {
+		if states := views.states[i]; i != member && len(states) > member {
+			answered++
+			if states[member] == state {
 				n++
 			}
 		}
 	}
-	return n, asked
+	return n, answered
 }
 
-func spreadIndexes(n, of int) (out []int) {
+func spreadIndexes(n, total int) (indexes []int) {
 	for i := range n {
-		out = append(out, i*of/n)
+		indexes = append(indexes, i*total/n)
 	}
-	return out
+	return indexes
 }
 
-// Relays are killed, paused, partitioned in one direction and drained while others are polled for their views. No
-// relay that runs and can be reached is ever considered dead by another.
+// Relays are killed, paused, drained and partitioned, also in one direction only, while others are polled for their views.
+// No relay that runs and can be reached is ever considered dead by another.
 func TestCluster_MembershipUnderFaults(t *testing.T) {
 	const relays = 24
 	all := func(kind fault.NodeKind) fault.NodeSet { return fault.NodeSet{Kind: kind} }
-	one := func(who ...int) fault.NodeSet { return fault.NodeSet{Kind: fault.Relays, Indexes: who} }
+	relaySet := func(who ...int) fault.NodeSet { return fault.NodeSet{Kind: fault.Relays, Indexes: who} }
 	for _, tc := range []struct {
-		name   string
-		fault  fault.Fault
-		of     int           // member that the case is about
-		during string        // state in which all others hold it during the fault; empty: not checked
-		within time.Duration // deadline for that, from the start of the fault
-		back   time.Duration // deadline for all others to hold it alive again, from the end of the fault; 0: not checked
-		more   []fault.Fault
-		apart  func(i, j int) bool // whether two relays cannot reach each other; nil: all can
+		name          string
+		fault         fault.Fault
+		member        int           // affected relay
+		wantState     string        // state of the member at all others during the fault; empty: not checked
+		within        time.Duration // deadline for that, from the start of the fault
+		recoverWithin time.Duration // deadline for it to be alive again at all others, from the end of the fault; 0: not checked
+		moreFaults    []fault.Fault
+		unreachable   func(i, j int) bool // whether two relays cannot reach each other; nil: all can
 	}{
-		{name: "killed", fault: fault.Fault{Kind: "relay killed", Targets: []int{1}}, of: 1, during: "dead", within: 6500 * time.Millisecond, back: 5 * time.Second},
-		{name: "leaves", fault: fault.Fault{Kind: "relays leave", Targets: []int{1}}, of: 1, during: "left", within: 4 * time.Second, back: 5 * time.Second},
-		{name: "stopped", fault: fault.Fault{Kind: "relays paused", Targets: []int{1}}, of: 1, during: "dead", within: 6500 * time.Millisecond, back: 4 * time.Second},
-		{name: "heard by nobody", fault: fault.Fault{Kind: "link", Link: &fault.Link{From: one(1), To: all(fault.Relays), Partitioned: true}}, of: 1, during: "dead", within: 7 * time.Second, back: 5 * time.Second},
-		{name: "hears nobody", fault: fault.Fault{Kind: "link", Link: &fault.Link{From: all(fault.Relays), To: one(1), Partitioned: true}}, of: 1, back: 5 * time.Second},
-		{name: "a fifth lost, doubled, half a second late", fault: fault.Fault{Kind: "link", Link: &fault.Link{From: all(fault.Relays), To: all(fault.Relays),
-			LossRate: 0.2, DuplicateRate: 0.1, Jitter: 500 * time.Millisecond}}, of: 1},
-		{name: "a chain", fault: fault.Fault{Kind: "link", Link: &fault.Link{From: one(0, 1, 2, 3, 4, 5, 6, 7), To: one(16, 17, 18, 19, 20, 21, 22, 23), Bidirectional: true, Partitioned: true}},
-			of: 10, back: 5 * time.Second, apart: func(i, j int) bool { return i < 8 && j >= 16 || j < 8 && i >= 16 }},
-		{name: "a third hears one", fault: fault.Fault{Kind: "link", Link: &fault.Link{From: one(1), To: one(8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23), Partitioned: true}},
-			of: 1, back: 5 * time.Second},
-		{name: "a way that flaps", fault: fault.Fault{Kind: "link", Link: &fault.Link{From: one(1), To: all(fault.Relays), Bidirectional: true, Partitioned: true}}, of: 1, back: 6 * time.Second,
-			more: []fault.Fault{{Kind: "link", Start: 15500 * time.Millisecond, Duration: time.Second, Link: &fault.Link{From: one(1), To: all(fault.Relays), Bidirectional: true, Partitioned: true}}}},
-		{name: "two halves", fault: fault.Fault{Kind: "link", Link: &fault.Link{From: one(0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11),
-			To: one(12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23), Bidirectional: true, Partitioned: true}}, of: 3, back: 6 * time.Second, apart: func(i, j int) bool { return (i < 12) != (j < 12) }},
+		{name: "killed", fault: fault.Fault{Kind: "relay killed", Targets: []int{1}}, member: 1, wantState: "dead", within: 6500 * time.Millisecond, recoverWithin: 5 * time.Second},
+		{name: "leaves", fault: fault.Fault{Kind: "relays leave", Targets: []int{1}}, member: 1, wantState: "left", within: 4 * time.Second, recoverWithin: 5 * time.Second},
+		{name: "paused", fault: fault.Fault{Kind: "relays paused", Targets: []int{1}}, member: 1, wantState: "dead", within: 6500 * time.Millisecond, recoverWithin: 4 * time.Second},
+		{name: "outgoing datagrams lost", fault: fault.Fault{Kind: "link", Link: &fault.Link{From: relaySet(1), To: all(fault.Relays), Partitioned: true}}, member: 1, wantState: "dead", within: 7 * time.Second, recoverWithin: 5 * time.Second},
+		{name: "incoming datagrams lost", fault: fault.Fault{Kind: "link", Link: &fault.Link{From: all(fault.Relays), To: relaySet(1), Partitioned: true}}, member: 1, recoverWithin: 5 * time.Second},
+		{name: "datagram loss, duplicates and jitter", fault: fault.Fault{Kind: "link", Link: &fault.Link{From: all(fault.Relays), To: all(fault.Relays),
+			LossRate: 0.2, DuplicateRate: 0.1, Jitter: 500 * time.Millisecond}}, member: 1},
+		{name: "two groups connected through a third", fault: fault.Fault{Kind: "link", Link: &fault.Link{From: relaySet(0, 1, 2, 3, 4, 5, 6, 7), To: relaySet(16, 17, 18, 19, 20, 21, 22, 23), Bidirectional: true, Partitioned: true}},
+			member: 10, recoverWithin: 5 * time.Second, unreachable: func(i, j int) bool { return i < 8 && j >= 16 || j < 8 && i >= 16 }},
+		{name: "one relay reaches a third of the others", fault: fault.Fault{Kind: "link", Link: &fault.Link{From: relaySet(1), To: relaySet(8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23), Partitioned: true}},
+			member: 1, recoverWithin: 5 * time.Second},
+		{name: "flapping links", fault: fault.Fault{Kind: "link", Link: &fault.Link{From: relaySet(1), To: all(fault.Relays), Bidirectional: true, Partitioned: true}}, member: 1, recoverWithin: 6 * time.Second,
+			moreFaults: []fault.Fault{{Kind: "link", Start: 15500 * time.Millisecond, Duration: time.Second, Link: &fault.Link{From: relaySet(1), To: all(fault.Relays), Bidirectional: true, Partitioned: true}}}},
+		{name: "partition into two halves", fault: fault.Fault{Kind: "link", Link: &fault.Link{From: relaySet(0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11),
+			To: relaySet(12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23), Bidirectional: true, Partitioned: true}}, member: 3, recoverWithin: 6 * time.Second, unreachable: func(i, j int) bool { return (i < 12) != (j < 12) }},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			f := tc.fault
 			f.Start, f.Duration = 6*time.Second, 9*time.Second
-			fl := smallCluster(relays, 4, 24)
-			fl.Membership = true
-			var known, back time.Duration
+			fleet := smallCluster(relays, 4, 24)
+			fleet.Membership = true
+			var detectedAfter, recoveredAfter time.Duration
 			views := &memberViews{relays: spreadIndexes(8, relays), states: map[int][]string{}, queriedAt: map[int]time.Duration{}}
-			wrong := map[string]bool{}
+			falseDeaths := map[string]bool{}
 			views.each = func(views *memberViews, now time.Duration) {
-				if n, asked := views.countState(tc.of, tc.during); known == 0 && tc.during != "" && asked >= 7 && n == asked && now > f.Start {
-					known = now - f.Start
+				if n, answered := views.countState(tc.member, tc.wantState); detectedAfter == 0 && tc.wantState != "" && answered >= 7 && n == answered && now > f.Start {
+					detectedAfter = now - f.Start
 				}
-				if n, asked := views.countState(tc.of, "alive"); back == 0 && asked >= 7 && n == asked && now > f.Start+f.Duration {
-					back = now - f.Start - f.Duration
+				if n, answered := views.countState(tc.member, "alive"); recoveredAfter == 0 && answered >= 7 && n == answered && now > f.Start+f.Duration {
+					recoveredAfter = now - f.Start - f.Duration
 				}
 				for i, states := range views.states {
 					for j, st := range states {
-						if st == "dead" && j != tc.of && i != tc.of && (tc.apart == nil || !tc.apart(i, j)) {
-							wrong[fmt.Sprintf("%d holds %d dead", i, j)] = true
+						if st == "dead" && j != tc.member && i != tc.member && (tc.unreachable == nil || !tc.unreachable(i, j)) {
+							falseDeaths[fmt.Sprintf("relay %d considers relay %d dead", i, j)] = true
 						}
 					}
 				}
 			}
-			res := runCluster(t, Options{Duration: 22 * time.Second, Fleet: fl, Faults: append([]fault.Fault{f}, tc.more...), Observe: views.observe})
-			t.Logf("known after %v, back after %v; %.0f datagrams a second, a relay %.2f%% of a core", known, back, res.Rates.Datagrams, 100*res.Usage.CPUMedian)
-			for w := range wrong {
-				t.Error(w)
+			res := runCluster(t, Options{Duration: 22 * time.Second, Fleet: fleet, Faults: append([]fault.Fault{f}, tc.moreFaults...), Observe: views.observe})
+			t.Logf("detected after %v, recovered after %v; %.0f datagrams per second, %.2f%% of a core per relay", detectedAfter, recoveredAfter, res.Rates.Datagrams, 100*res.Usage.CPUMedian)
+			for message := range falseDeaths {
+				t.Error(message)
 			}
-			if tc.during != "" && (known == 0 || known > tc.within) {
-				t.Errorf("%s to all after %v, wanted is within %v", tc.during, known, tc.within)
+			if tc.wantState != "" && (detectedAfter == 0 || detectedAfter > tc.within) {
+				t.Errorf("%s at all others after %v, want within %v", tc.wantState, detectedAfter, tc.within)
 			}
-			if tc.back > 0 && (back == 0 || back > tc.back) {
-				t.Errorf("alive again to all after %v, wanted is within %v", back, tc.back)
+			if tc.recoverWithin > 0 && (recoveredAfter == 0 || recoveredAfter > tc.recoverWithin) {
+				t.Errorf("alive again at all others after %v, want within %v", recoveredAfter, tc.recoverWithin)
 			}
 		})
 	}
 }
 
-// TestCluster_ManyMembers is a measurement with hundreds of relays, run on request by MEMBERS=200.
+// TestCluster_ManyMembers measures membership with hundreds of relays. It runs only if MEMBERS is set, as in MEMBERS=200.
 func TestCluster_ManyMembers(t *testing.T) {
 	relays, err := strconv.Atoi(os.Getenv("MEMBERS"))
 	if err != nil {
-		t.Skip("a measurement, asked for by MEMBERS=200")
+		t.Skip("a measurement that runs only if MEMBERS is set, as in MEMBERS=200")
 	}
-	var most, every, first []time.Duration
-	var fl simulation.Installation
+	var deadAt99Percent, deadAtAll, converged []time.Duration
+	var fleet simulation.Installation
 	for seed := range uint64(3) {
-		fl = smallCluster(relays, 10, 100)
-		fl.Membership = true
+		fleet = smallCluster(relays, 10, 100)
+		fleet.Membership = true
 		views := &memberViews{relays: spreadIndexes(50, relays), states: map[int][]string{}, queriedAt: map[int]time.Duration{}}
-		var a, b, c time.Duration
+		var most, all, aliveAtAll time.Duration
 		views.each = func(views *memberViews, now time.Duration) {
-			n, asked := views.countState(1, "dead")
-			if now > 12*time.Second && asked >= 49 {
-				if a == 0 && float64(n) >= 0.99*float64(asked) {
-					a = now - 12*time.Second
+			n, answered := views.countState(1, "dead")
+			if now > 12*time.Second && answered >= 49 {
+				if most == 0 && float64(n) >= 0.99*float64(answered) {
+					most = now - 12*time.Second
 				}
-				if b == 0 && n == asked {
-					b = now - 12*time.Second
+				if all == 0 && n == answered {
+					all = now - 12*time.Second
 				}
 			}
-			if c == 0 && len(views.states) == 50 {
-				one := true
+			if aliveAtAll == 0 && len(views.states) == 50 {
+				agree := true
 				for _, states := range views.states {
 					for _, st := range states {
-						one = one && st == "alive"
+						agree = agree && st == "alive"
 					}
 				}
-				if one {
-					c = now
+				if agree {
+					aliveAtAll = now
 				}
 			}
 		}
-		res := runCluster(t, Options{Duration: 24 * time.Second, Fleet: fl, Seed: seed + 1, Observe: views.observe, Faults: []fault.Fault{{Kind: "relay killed", Targets: []int{1}, Start: 12 * time.Second, Duration: 10 * time.Second}}})
-		t.Logf("one view %v after the run's beginning, dead to 99%% after %v, to all asked after %v; %.0f datagrams a second, a relay %.2f%% of a core (%.2f%%), ready %v",
-			c, a, b, res.Rates.Datagrams, 100*res.Usage.CPUMedian, 100*res.Usage.CPUMax, res.ReadyAfter)
-		most, every, first = append(most, a), append(every, b), append(first, c)
+		res := runCluster(t, Options{Duration: 24 * time.Second, Fleet: fleet, Seed: seed + 1, Observe: views.observe, Faults: []fault.Fault{{Kind: "relay killed", Targets: []int{1}, Start: 12 * time.Second, Duration: 10 * time.Second}}})
+		t.Logf("all views agree %v after the start of the run, dead at 99%% after %v, at all polled after %v; %.0f datagrams per second, a relay uses %.2f%% of a core (at most %.2f%%), ready after %v",
+			aliveAtAll, most, all, res.Rates.Datagrams, 100*res.Usage.CPUMedian, 100*res.Usage.CPUMax, res.ReadyAfter)
+		deadAt99Percent, deadAtAll, converged = append(deadAt99Percent, most), append(deadAtAll, all), append(converged, aliveAtAll)
 	}
-	t.Log(first, most, every)
+	t.Log(converged, deadAt99Percent, deadAtAll)
 }
--- a/internal/testcluster/mixed_versions_test.go
+++ b/internal/testcluster/mixed_versions_test.go
@@ -38,14 +38,14 @@
 	isolated       []int // relays that are partitioned from all others for a while
 	mu             sync.Mutex
 	rounds         int           // polls that all relays answered
-	convergedAt    time.Duration // since when all relays have agreed that all are alive; 0: they do not
+	convergedAt    time.Duration // when all relays came to agree that all are alive; 0: they do not
 	views          []string      // of the last poll, by relay
-	isolatedDeadAt time.Duration // when all others first held the isolated relays dead; 0: not yet
-	falseDeaths    map[int]int   // how often a relay that was not isolated was held dead, by relay
+	isolatedDeadAt time.Duration // when the isolated relays were first dead in the views of all others; 0: not yet
+	falseDeaths    map[int]int   // number of views in which a relay that was not isolated was dead, by relay
 }
 
-// parseMembers parses a relay's answer to MEMBERS: the states by member, and as text what has to be the same at all
-// relays, which is index, name, state and incarnation.
+// parseMembers parses a relay's answer to MEMBERS. It returns the states by member, and as text what has to be the same at
+// all relays: index, name, state and incarnation.
 func parseMembers(lines []string) (text string, states []string) {
 	if len(lines) < 3 || lines[0] != "SUCCESS" {
 		return "", nil
@@ -66,10 +66,10 @@
 	return b.String(), states
 }
 
-func (c *memberPoll) observe(view *View) {
-	views, states := make([]string, c.relays), make([][]string, c.relays)
+func (poll *memberPoll) observe(view *View) {
+	views, states := make([]string, poll.relays), make([][]string, poll.relays)
 	var wg sync.WaitGroup
-	for i := range c.relays {
+	for i := range poll.relays {
 		wg.Go(func() {
 			if view.RelayRunning(i) {
 				if lines, err := view.QueryAdmin(i, "MEMBERS"); err == nil {
@@ -79,35 +79,35 @@
 		})
 	}
 	wg.Wait()
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.views = views
-	one, all, told := true, true, true
-	for i := range c.relays {
-		all = all && views[i] != ""
-		one = one && views[i] == views[0] && len(states[i]) == c.relays
+	poll.mu.Lock()
+	defer poll.mu.Unlock()
+	poll.views = views
+	agree, complete, isolatedDead := true, true, true
+	for i := range poll.relays {
+		complete = complete && views[i] != ""
+		agree = agree && views[i] == views[0] && len(states[i]) == poll.relays
 		for j, state := range states[i] {
-			one = one && state == "alive"
-			switch off := slices.Contains(c.isolated, j); {
-			case slices.Contains(c.isolated, i): // it receives nothing from the others
-			case off:
-				told = told && state == "dead"
+			agree = agree && state == "alive"
+			switch isolated := slices.Contains(poll.isolated, j); {
+			case slices.Contains(poll.isolated, i): // relay i receives nothing from the others
+			case isolated:
+				isolatedDead = isolatedDead && state == "dead"
 			case state == "dead":
-				c.falseDeaths[j]++
+				poll.falseDeaths[j]++
 			}
 		}
 	}
-	if all {
-		c.rounds++
+	if complete {
+		poll.rounds++
 	}
-	if all && told && c.isolatedDeadAt == 0 {
-		c.isolatedDeadAt = view.Elapsed()
+	if complete && isolatedDead && poll.isolatedDeadAt == 0 {
+		poll.isolatedDeadAt = view.Elapsed()
 	}
 	switch {
-	case !one:
-		c.convergedAt = 0
-	case c.convergedAt == 0:
-		c.convergedAt = view.Elapsed()
+	case !agree:
+		poll.convergedAt = 0
+	case poll.convergedAt == 0:
+		poll.convergedAt = view.Elapsed()
 	}
 }
 
@@ -127,38 +127,38 @@
 		starts[version][min(start, 1)]++
 		return []string{program, other}[version]
 	}
-	const cutFrom, cutFor = 13 * time.Second, 8 * time.Second
-	c := &memberPoll{relays: relays, isolated: []int{1, 2}, falseDeaths: map[int]int{}}
+	const partitionStart, partitionLength = 13 * time.Second, 8 * time.Second
+	poll := &memberPoll{relays: relays, isolated: []int{1, 2}, falseDeaths: map[int]int{}}
 	script := []fault.Fault{
 		{Kind: "rolling restart", Start: 3 * time.Second, Duration: 6 * time.Second, Targets: []int{0, 1, 2, 3, 4, 5}},
-		{Kind: "link", Start: cutFrom, Duration: cutFor, Link: &fault.Link{From: fault.NodeSet{Kind: fault.Relays, Indexes: c.isolated},
+		{Kind: "link", Start: partitionStart, Duration: partitionLength, Link: &fault.Link{From: fault.NodeSet{Kind: fault.Relays, Indexes: poll.isolated},
 			To: fault.NodeSet{Kind: fault.Relays}, Bidirectional: true, Partitioned: true}}}
 	f := smallCluster(relays, 6, 96)
 	f.Membership = true
-	res := runCluster(t, Options{Duration: 28 * time.Second, Fleet: f, Faults: script, Observe: c.observe, ProgramFor: programOf})
-	t.Logf("%d and %d relays of the two programs, %d and %d restarts into them; %d connections up, %d moved, %d lost, %d failed, service %.3f; %.0f datagrams a second, faults did %v and %v",
+	res := runCluster(t, Options{Duration: 28 * time.Second, Fleet: f, Faults: script, Observe: poll.observe, ProgramFor: programOf})
+	t.Logf("%d and %d relays start with the two programs, %d and %d restart with them; %d connections established, %d migrated, %d lost, %d failed, served share %.3f; %.0f datagrams per second, fault effects %v and %v",
 		starts[0][0], starts[1][0], starts[0][1], starts[1][1], res.Counts["served"], res.Counts["moved"], res.Counts["connection lost"],
 		res.Counts["failed"], servedShare(res, 3, 28), res.Rates.Datagrams, res.Faults[0].Counts, res.Faults[1].Counts)
-	t.Logf("dead to all others %v after the cut began, one view %v after its end; %d rounds in which all answered", c.isolatedDeadAt-cutFrom, c.convergedAt-cutFrom-cutFor, c.rounds)
+	t.Logf("dead at all others %v after the start of the partition, all views agree %v after its end; %d polls that all relays answered", poll.isolatedDeadAt-partitionStart, poll.convergedAt-partitionStart-partitionLength, poll.rounds)
 	if want := [2][2]int{{relays / 2, restarted / 2}, {relays / 2, restarted / 2}}; starts != want {
-		t.Errorf("starts by program, first and later ones: %v, wanted are %v", starts, want)
+		t.Errorf("first starts and restarts by program %v, want %v", starts, want)
 	}
 	if n := res.Faults[0].Counts["struck"]; n != restarted {
-		t.Errorf("%d relays were restarted, wanted are %d", n, restarted)
+		t.Errorf("%d relays restarted, want %d", n, restarted)
 	}
 	if n := res.Counts["connection lost"]; n > 0 {
 		t.Errorf("%d connections lost", n)
 	}
 	if s := servedShare(res, 3, 28); s < 0.9 {
-		t.Errorf("service %.3f", s)
+		t.Errorf("served share %.3f, want at least 0.9", s)
 	}
-	for i, n := range c.falseDeaths {
-		t.Errorf("relay %d was held dead in %d answers", i, n)
+	for i, n := range poll.falseDeaths {
+		t.Errorf("relay %d was dead in %d views", i, n)
 	}
-	if c.isolatedDeadAt < cutFrom || c.isolatedDeadAt > cutFrom+7*time.Second {
-		t.Errorf("who was cut off from %v on was held dead by all others at %v", cutFrom, c.isolatedDeadAt)
+	if poll.isolatedDeadAt < partitionStart || poll.isolatedDeadAt > partitionStart+7*time.Second {
+		t.Errorf("the relays partitioned from %v on were dead at all others at %v, want within 7 s", partitionStart, poll.isolatedDeadAt)
 	}
-	if c.convergedAt < cutFrom+cutFor || c.convergedAt > cutFrom+cutFor+6*time.Second {
-		t.Errorf("the cut ended at %v, one view since %v; the last views:\n%s", cutFrom+cutFor, c.convergedAt, strings.Join(c.views, "\n"))
+	if poll.convergedAt < partitionStart+partitionLength || poll.convergedAt > partitionStart+partitionLength+6*time.Second {
+		t.Errorf("the partition ended at %v, all views agree since %v, want within 6 s; the last views:\n%s", partitionStart+partitionLength, poll.convergedAt, strings.Join(poll.views, "\n"))
 	}
 }
--- a/internal/testcluster/options.go
+++ b/internal/testcluster/options.go
@@ -10,21 +10,22 @@
 	"aspenbarrow/internal/simulation"
 )
 
-// TimingAllowance is added to each time limit of the rules: here a relay shares the machine with hundreds of others.
+// TimingAllowance is added to each time limit that the invariant checker enforces: a relay of a test cluster shares the
+// machine with hundreds of others.
 const TimingAllowance = 500 * time.Millisecond
 
 // Options configure a run. Program, Duration and the numbers of relays, backends and clients in Fleet are required.
 type Options struct {
 	Program  string                  // path of the relay program
-	Seed     uint64                  // of clients and faults
-	Duration time.Duration           // counted from when all relays are ready
+	Seed     uint64                  // for clients and faults
+	Duration time.Duration           // from the time when all relays are ready
 	Fleet    simulation.Installation // size and properties of the cluster
-	Faults   []fault.Fault           // to be injected
+	Faults   []fault.Fault           // injected during the run
 	Observe  func(v *View)           // called every 100 ms during the run; may be nil
-	WorkDir  string                  // for the relays' files; empty: a temporary directory that is removed
+	WorkDir  string                  // for the relays' files; empty: a temporary directory, removed after the run
 
 	// ProgramFor returns the absolute path of the program that a relay's process runs: start 0 is the relay's first
-	// process, 1 the one after its first restart. It must be safe for concurrent use. nil: Program for all.
+	// process, start 1 the one after its first restart. It must be safe for concurrent use. nil: all run Program.
 	ProgramFor func(relay, start int) string
 }
 
@@ -32,7 +33,7 @@
 func validateOptions(opt Options) (Options, error) {
 	f := &opt.Fleet
 	if f.Relays < 1 || f.Relays > maxRelays || f.Backends < 1 || f.Backends > maxBackends {
-		return opt, fmt.Errorf("%d relays and %d backends: 1 to %d and 1 to %d can be played", f.Relays, f.Backends, maxRelays, maxBackends)
+		return opt, fmt.Errorf("a test cluster has 1 to %d relays and 1 to %d backends, not %d and %d", maxRelays, maxBackends, f.Relays, f.Backends)
 	}
 	if err := checkMachineLimits(f.Relays, f.Clients); err != nil {
 		return opt, err
@@ -42,9 +43,9 @@
 		return opt, err
 	}
 	if info, err := os.Stat(program); err != nil {
-		return opt, fmt.Errorf("the relay's program: %w", err)
+		return opt, fmt.Errorf("relay program: %w", err)
 	} else if info.IsDir() || info.Mode()&0o111 == 0 {
-		return opt, fmt.Errorf("the relay's program: %s cannot be executed", opt.Program)
+		return opt, fmt.Errorf("relay program: %s cannot be executed", opt.Program)
 	}
 	opt.Program = program
 	for i := range opt.Faults {
--- a/internal/testcluster/ports.go
+++ b/internal/testcluster/ports.go
@@ -9,79 +9,80 @@
 	"golang.org/x/sys/unix"
 )
 
-// lentPorts are the ports that this process's clusters have assigned to their relays, which bind them one by one.
-var lentPorts = struct {
+// assignedPorts are the UDP ports that the clusters of this process have assigned to their relays. The system may report
+// them as free, since the relays bind them one by one.
+var assignedPorts = struct {
 	sync.Mutex
 	ports map[int]bool
 }{ports: map[int]bool{}}
 
-// lendDatagramPort finds a UDP port that is free on all addresses, and reserves it among the clusters of this
-// process until ports.release.
-func lendDatagramPort() (port int, err error) {
+// reserveDatagramPort finds a UDP port that is free on all addresses, and keeps other clusters of this process from
+// using it until ports.release.
+func reserveDatagramPort() (port int, err error) {
 	for range 100 {
-		c, err := net.ListenPacket("udp4", "0.0.0.0:0") // closed again at once: relays bind it on addresses of their own
+		c, err := net.ListenPacket("udp4", "0.0.0.0:0") // closed immediately: each relay binds the port on its own address
 		if err != nil {
 			return 0, err
 		}
 		port = c.LocalAddr().(*net.UDPAddr).Port
 		_ = c.Close()
-		lentPorts.Lock()
-		free := !lentPorts.ports[port]
+		assignedPorts.Lock()
+		free := !assignedPorts.ports[port]
 		if free {
-			lentPorts.ports[port] = true
+			assignedPorts.ports[port] = true
 		}
-		lentPorts.Unlock()
+		assignedPorts.Unlock()
 		if free {
 			return port, nil
 		}
 	}
-	return 0, errors.New("no port is free")
+	return 0, errors.New("no free UDP port found in 100 attempts")
 }
 
-// reservePort binds a TCP port on all addresses without listening: no other process can take it while its owner is
-// down, and connections to it are refused.
-func reservePort() (port int, free func(), err error) {
+// reservePort binds a TCP port on all addresses without listening: no other process can bind it while its owner is down,
+// and connections to it are refused.
+func reservePort() (port int, release func(), err error) {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return 0, nil, err
 	}
-	for _, o := range []int{unix.SO_REUSEADDR, unix.SO_REUSEPORT} {
+	for _, option := range []int{unix.SO_REUSEADDR, unix.SO_REUSEPORT} {
 		if err == nil {
-			err = unix.SetsockoptInt(fd, unix.SOL_SOCKET, o, 1)
+			err = unix.SetsockoptInt(fd, unix.SOL_SOCKET, option, 1)
 		}
 	}
 	if err == nil {
 		err = unix.Bind(fd, &unix.SockaddrInet4{})
 	}
-	var at unix.Sockaddr
+	var bound unix.Sockaddr
 	if err == nil {
-		at, err = unix.Getsockname(fd)
+		bound, err = unix.Getsockname(fd)
 	}
 	if err != nil {
 		_ = unix.Close(fd)
 		return 0, nil, err
 	}
-	return at.(*unix.SockaddrInet4).Port, func() { _ = unix.Close(fd) }, nil
+	return bound.(*unix.SockaddrInet4).Port, func() { _ = unix.Close(fd) }, nil
 }
 
-// release returns the ports that newPorts reserved.
+// release releases the ports that newPorts reserved.
 func (p ports) release() {
-	lentPorts.Lock()
-	defer lentPorts.Unlock()
+	assignedPorts.Lock()
+	defer assignedPorts.Unlock()
 	if p.releaseRelay != nil {
 		p.releaseRelay()
 	}
-	delete(lentPorts.ports, p.peer)
+	delete(assignedPorts.ports, p.peer)
 }
 
 // newPorts chooses the ports of the relays. The ports of the cluster's own wildcard sockets are chosen when these
 // are bound.
 func newPorts() (p ports, err error) {
 	if p.relay, p.releaseRelay, err = reservePort(); err == nil {
-		p.peer, err = lendDatagramPort()
+		p.peer, err = reserveDatagramPort()
 	}
 	if err != nil {
-		return p, fmt.Errorf("a free port: %w", err)
+		return p, fmt.Errorf("reserving a port for the relays: %w", err)
 	}
 	return p, nil
 }
--- a/internal/testcluster/processes.go
+++ b/internal/testcluster/processes.go
@@ -17,8 +17,8 @@
 	relay  int
 	log    string
 	ended  chan struct{} // closed after Wait has returned
-	err    error         // of Wait; valid once ended is closed
-	killed bool          // its end is expected
+	err    error         // result of Wait; valid once ended is closed
+	killed bool          // its exit is expected
 }
 
 // processLauncher starts processes from a single thread that lives as long as the cluster. The kernel kills them
@@ -42,9 +42,9 @@
 	return launcher
 }
 
-// start starts a program. Its standard output and error are appended to the file log in dir.
-func (launcher *processLauncher) start(program, dir string, number int, env []string) (*process, error) {
-	p := &process{relay: number, log: filepath.Join(dir, "log"), ended: make(chan struct{})}
+// start starts a program for a relay. Its standard output and error are appended to the file named log in dir.
+func (launcher *processLauncher) start(program, dir string, relayIndex int, env []string) (*process, error) {
+	p := &process{relay: relayIndex, log: filepath.Join(dir, "log"), ended: make(chan struct{})}
 	f, err := os.OpenFile(p.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, err
@@ -56,7 +56,7 @@
 	started := make(chan error, 1)
 	launcher.requests <- func() { started <- p.cmd.Start() }
 	if err := <-started; err != nil {
-		return nil, fmt.Errorf("relay %d: %w", number, err)
+		return nil, fmt.Errorf("relay %d: %w", relayIndex, err)
 	}
 	launcher.mu.Lock()
 	launcher.processes = append(launcher.processes, p)
@@ -88,7 +88,7 @@
 	path := filepath.Join(dir, "aspenbarrow")
 	c := exec.CommandContext(ctx, "go", "build", "-o", path, "aspenbarrow/cmd/aspenbarrow")
 	if out, err := c.CombinedOutput(); err != nil {
-		return "", fmt.Errorf("building the relay: %w: %s", err, out)
+		return "", fmt.Errorf("building the relay program: %w: %s", err, out)
 	}
 	return path, nil
 }
@@ -104,7 +104,7 @@
 }
 
 func (p *process) signal(s syscall.Signal) {
-	if p.running() { // Process.Signal refuses one that has ended too, so no other process can be hit
+	if p.running() { // Process.Signal fails for a process that has just ended, so no other process with its ID is signalled
 		_ = p.cmd.Process.Signal(s)
 	}
 }
--- a/internal/testcluster/processes_test.go
+++ b/internal/testcluster/processes_test.go
@@ -13,33 +13,33 @@
 	"aspenbarrow/internal/fault"
 )
 
-// processesRunning finds the processes that run a program.
-func processesRunning(t *testing.T, program string) (pids []string) {
+// processesRunning returns the /proc entries of the processes that run a program.
+func processesRunning(t *testing.T, program string) (entries []string) {
 	t.Helper()
 	links, err := filepath.Glob("/proc/[0-9]*/exe")
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, l := range links {
-		if to, err := os.Readlink(l); err == nil && to == program {
-			pids = append(pids, l)
+	for _, link := range links {
+		if target, err := os.Readlink(link); err == nil && target == program {
+			entries = append(entries, link)
 		}
 	}
-	return pids
+	return entries
 }
 
-// waitFor polls until a condition holds, for ten seconds at most.
-func waitFor(t *testing.T, what string, ok func() bool) {
+// waitFor polls until a condition holds, and fails the test with a message after ten seconds.
+func waitFor(t *testing.T, message string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(10 * time.Second); !ok(); {
-		if time.Now().After(end) {
-			t.Fatal(what)
+	for deadline := time.Now().Add(10 * time.Second); !condition(); {
+		if time.Now().After(deadline) {
+			t.Fatal(message)
 		}
 		sleepContext(context.Background(), 20*time.Millisecond)
 	}
 }
 
-// copyProgram copies the program, so that a test does not see the processes of others.
+// copyProgram copies the relay program, so that a test does not count the processes of other tests.
 func copyProgram(t *testing.T) string {
 	t.Helper()
 	text, err := os.ReadFile(program)
@@ -65,13 +65,13 @@
 				Faults: []fault.Fault{{Kind: "relays paused", Start: 100 * time.Millisecond, Duration: 30 * time.Second, Targets: []int{1, 2}}}})
 			ended <- err
 		}()
-		waitFor(t, "six relays do not run", func() bool { return len(processesRunning(t, p)) == 6 })
+		waitFor(t, "the six relays are not running", func() bool { return len(processesRunning(t, p)) == 6 })
 		cancel()
 		if err := <-ended; !errors.Is(err, context.Canceled) {
-			t.Errorf("a cancelled run: %v", err)
+			t.Errorf("a cancelled run returned %v, want context.Canceled", err)
 		}
 		if n := processesRunning(t, p); len(n) != 0 {
-			t.Errorf("left: %v", n)
+			t.Errorf("processes left running: %v", n)
 		}
 	})
 	t.Run("the cluster is killed", func(t *testing.T) {
@@ -82,11 +82,11 @@
 		if err := c.Start(); err != nil {
 			t.Fatal(err)
 		}
-		waitFor(t, "six relays do not run", func() bool { return len(processesRunning(t, p)) == 6 })
+		waitFor(t, "the six relays are not running", func() bool { return len(processesRunning(t, p)) == 6 })
 		if err := c.Process.Signal(syscall.SIGKILL); err != nil {
 			t.Fatal(err)
 		}
 		_ = c.Wait()
-		waitFor(t, "relays run though their cluster was killed", func() bool { return len(processesRunning(t, p)) == 0 })
+		waitFor(t, "relays are still running after their cluster was killed", func() bool { return len(processesRunning(t, p)) == 0 })
 	})
 }
--- a/internal/testcluster/relay_conn.go
+++ b/internal/testcluster/relay_conn.go
@@ -14,18 +14,19 @@
 	"aspenbarrow/internal/invariant"
 )
 
-// How one side of a connection ends, in the terms of package invariant.
+// How one side of a connection ends.
 const (
 	closedCleanly = invariant.Closed
 	closedByReset = invariant.Reset
 )
 
-// connObserver is told what passes on the relay's side of a connection. It is called with the checker locked.
+// connObserver records the data and the ends that pass on the relay's side of a connection. It is called with the invariant
+// checker locked.
 type connObserver interface {
 	Received(b []byte)
-	ReceivedEnd(how invariant.EndKind)
+	ReceivedEnd(kind invariant.EndKind)
 	Written(b []byte)
-	WrittenEnd(how invariant.EndKind)
+	WrittenEnd(kind invariant.EndKind)
 }
 
 // outgoing is an item of a connection's send queue: data, the end of this side, or a request to confirm that
@@ -36,8 +37,8 @@
 	flushed chan struct{} // closed once everything before it has been sent
 }
 
-// relayConn is a connection with a relay, subject to link faults in both directions. The checker is told what the
-// relay sees: of data from the relay when it is read here, of data to the relay when it is written.
+// relayConn is a connection with a relay, subject to link faults in both directions. The invariant checker records the
+// relay's view: data from the relay when it is read here, data to the relay when it is written.
 type relayConn struct {
 	cluster          *cluster
 	conn             *net.TCPConn
@@ -48,24 +49,25 @@
 	cancel           context.CancelFunc
 	queue            chan outgoing
 	mu               sync.Mutex // guards the fields below
-	relayEndRecorded bool       // the observer knows of the relay's end
-	localEndRecorded bool       // the observer knows of this side's end
+	relayEndRecorded bool       // the relay's end was passed to the observer
+	localEndRecorded bool       // this side's end was passed to the observer
 }
 
-// newRelayConn starts sending what is queued. The caller starts receiving by receive or startReading.
-func newRelayConn(c *cluster, conn *net.TCPConn, relay, here node, watch connObserver) *relayConn {
-	rc := &relayConn{cluster: c, conn: conn, relay: relay, local: here, observer: watch, queue: make(chan outgoing, 64)}
+// newRelayConn wraps a connection and starts sending what is queued. The caller starts receiving with receive or
+// startReading.
+func newRelayConn(c *cluster, conn *net.TCPConn, relay, local node, observer connObserver) *relayConn {
+	rc := &relayConn{cluster: c, conn: conn, relay: relay, local: local, observer: observer, queue: make(chan outgoing, 64)}
 	rc.ctx, rc.cancel = context.WithCancel(c.ctx)
 	go rc.writeLoop()
 	return rc
 }
 
-// sendLine queues a line. A connection whose relay does not read is closed once the queue is full.
+// sendLine queues a line. If the queue is full because the relay does not read, the connection is reset.
 func (rc *relayConn) sendLine(line string) { rc.enqueue(outgoing{data: []byte(line + "\r\n")}) }
 
-func (rc *relayConn) enqueue(p outgoing) {
+func (rc *relayConn) enqueue(item outgoing) {
 	select {
-	case rc.queue <- p:
+	case rc.queue <- item:
 	case <-rc.ctx.Done():
 	default: // the queue is full: the relay does not read
 		rc.cluster.incrementCount("unread lines dropped with their connection")
@@ -73,98 +75,99 @@
 	}
 }
 
-// closeWrite ends this side after what is queued; close ends it immediately.
+// closeWrite ends this side after everything queued has been sent; close ends both sides immediately.
 func (rc *relayConn) closeWrite() { rc.enqueue(outgoing{end: closedCleanly}) }
 
-func (rc *relayConn) close(how invariant.EndKind) {
-	rc.recordLocalEnd(how)
-	rc.recordRelayEnd(how) // nothing is read any more
-	if how == closedByReset {
+func (rc *relayConn) close(kind invariant.EndKind) {
+	rc.recordLocalEnd(kind)
+	rc.recordRelayEnd(kind) // nothing is read from here on
+	if kind == closedByReset {
 		_ = rc.conn.SetLinger(0)
 	}
 	rc.cancel()
 	_ = rc.conn.Close()
 }
 
-// recordLocalEnd and recordRelayEnd tell the checker how each side ended, once each.
-func (rc *relayConn) recordLocalEnd(how invariant.EndKind) {
+// recordLocalEnd and recordRelayEnd report to the invariant checker how each side ended, once each.
+func (rc *relayConn) recordLocalEnd(kind invariant.EndKind) {
 	rc.mu.Lock()
 	defer rc.mu.Unlock()
 	if !rc.localEndRecorded {
 		rc.localEndRecorded = true
-		rc.cluster.withChecker(func() { rc.observer.ReceivedEnd(how) })
+		rc.cluster.withChecker(func() { rc.observer.ReceivedEnd(kind) })
 	}
 }
 
-func (rc *relayConn) recordRelayEnd(how invariant.EndKind) {
+func (rc *relayConn) recordRelayEnd(kind invariant.EndKind) {
 	rc.mu.Lock()
 	defer rc.mu.Unlock()
 	if !rc.relayEndRecorded {
 		rc.relayEndRecorded = true
-		rc.cluster.withChecker(func() { rc.observer.WrittenEnd(how) })
+		rc.cluster.withChecker(func() { rc.observer.WrittenEnd(kind) })
 	}
 }
 
-// closeGracefully ends this side and waits for the relay's end, up to closeTimeout. Receiving continues meanwhile.
-func (rc *relayConn) closeGracefully(read <-chan struct{}) {
+// closeGracefully ends this side and waits until the relay's end has been read, for at most closeTimeout. Receiving
+// continues meanwhile.
+func (rc *relayConn) closeGracefully(relayEndRead <-chan struct{}) {
 	rc.closeWrite()
 	select {
-	case <-read:
+	case <-relayEndRead:
 	case <-time.After(closeTimeout):
 	case <-rc.ctx.Done():
 	}
 	rc.close(closedCleanly)
 }
 
-// flush waits briefly for what is queued to be sent.
+// flush waits until everything queued has been sent, for at most 100 ms.
 func (rc *relayConn) flush() {
-	gone := make(chan struct{})
+	sent := make(chan struct{})
 	select {
-	case rc.queue <- outgoing{flushed: gone}:
+	case rc.queue <- outgoing{flushed: sent}:
 	default:
 		return
 	}
 	select {
-	case <-gone:
+	case <-sent:
 	case <-time.After(100 * time.Millisecond):
 	case <-rc.ctx.Done():
 	}
 }
 
-// closeTimeout is how long to wait for a relay's end. It is longer than the rules allow a relay to take.
+// closeTimeout is how long to wait for a relay's end, longer than the rules allow a relay to take.
 const closeTimeout = 3 * time.Second
 
 func (rc *relayConn) writeLoop() {
 	for {
-		var p outgoing
+		var item outgoing
 		select {
-		case p = <-rc.queue:
+		case item = <-rc.queue:
 		case <-rc.ctx.Done():
 			return
 		}
-		if p.flushed != nil {
-			close(p.flushed)
+		if item.flushed != nil {
+			close(item.flushed)
 			continue
 		}
 		if !rc.cluster.links.passStream(rc.ctx, rc.local, rc.relay) {
 			return
 		}
-		if p.data == nil {
-			rc.recordLocalEnd(p.end)
+		if item.data == nil {
+			rc.recordLocalEnd(item.end)
 			_ = rc.conn.CloseWrite()
 			continue
 		}
-		rc.cluster.withChecker(func() { rc.observer.Received(p.data) })
-		if _, err := rc.conn.Write(p.data); err != nil {
+		rc.cluster.withChecker(func() { rc.observer.Received(item.data) })
+		if _, err := rc.conn.Write(item.data); err != nil {
 			return
 		}
 	}
 }
 
-// receive reads until either side ends, and calls each with every chunk after its delay on the link.
-func (rc *relayConn) receive(each func(b []byte)) { rc.deliver(rc.startReading(), each) }
+// receive reads until either side ends, and calls handle with every chunk after its delay on the link.
+func (rc *relayConn) receive(handle func(b []byte)) { rc.deliver(rc.startReading(), handle) }
 
-// startReading starts reading, until either side ends. The checker is told of data when it is read, even if a link
+// startReading starts reading, until either side ends. The invariant checker records data when it is read, even if a link
 // fault delays its delivery.
 func (rc *relayConn) startReading() <-chan []byte {
 	chunks := make(chan []byte, 1024)
@@ -194,7 +197,7 @@
 	}
 }
 
-// recordWritten tells the checker of what the relay wrote, line by line: several writes may have come as one chunk.
+// recordWritten passes what the relay wrote to the invariant checker line by line: one read may return several writes.
 func (rc *relayConn) recordWritten(chunk []byte) {
 	rc.cluster.withChecker(func() {
 		for line := range bytes.Lines(chunk) {
@@ -207,20 +210,20 @@
 	if rc.ctx.Err() != nil {
 		return
 	}
-	how := closedCleanly
+	kind := closedCleanly
 	if !errors.Is(err, io.EOF) {
-		how = closedByReset
+		kind = closedByReset
 	}
-	rc.recordRelayEnd(how)
+	rc.recordRelayEnd(kind)
 }
 
-// deliver calls each with every chunk after its delay on the link.
-func (rc *relayConn) deliver(way <-chan []byte, each func(b []byte)) {
-	for b := range way {
+// deliver calls handle with every chunk after its delay on the link.
+func (rc *relayConn) deliver(chunks <-chan []byte, handle func(b []byte)) {
+	for b := range chunks {
 		if !rc.cluster.links.passStream(rc.ctx, rc.relay, rc.local) {
 			return
 		}
-		each(b)
+		handle(b)
 	}
 	rc.cluster.links.passStream(rc.ctx, rc.relay, rc.local) // the end is subject to the link's delay too
 }
@@ -231,11 +234,11 @@
 	if err != nil {
 		return true
 	}
-	up := false
+	hungUp := false
 	err = raw.Control(func(fd uintptr) {
-		p := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
-		n, err := unix.Poll(p, 0)
-		up = err == nil && n > 0 && p[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
+		poll := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
+		n, err := unix.Poll(poll, 0)
+		hungUp = err == nil && n > 0 && poll[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 	})
-	return err != nil || up
+	return err != nil || hungUp
 }
--- a/internal/testcluster/relay_faults.go
+++ b/internal/testcluster/relay_faults.go
@@ -7,16 +7,16 @@
 	"aspenbarrow/internal/fault"
 )
 
-// relayFault returns an injector that applies begin to each relay affected, and end to those that it succeeded for.
+// relayFault returns an injector that applies begin to each relay affected, and end to those for which begin returned true.
 func relayFault(begin func(c *cluster, target *relay, f *fault.Fault) bool, end func(c *cluster, target *relay)) faultInjector {
 	return func(c *cluster, f *fault.Fault, effects *effectCounters) func() {
 		var affected []*relay
 		var mu sync.Mutex
 		var wg sync.WaitGroup
 		for _, i := range targetIndexes(f, len(c.relays)) {
-			wg.Go(func() { // at the same time, not one after another
+			wg.Go(func() { // concurrently, not one relay after another
 				if target := c.relays[i]; begin(c, target, f) {
-					effects.struck.Add(1)
+					effects.affected.Add(1)
 					mu.Lock()
 					affected = append(affected, target)
 					mu.Unlock()
@@ -34,18 +34,18 @@
 
 // rollingRestart restarts relays one after another, spread over the duration of the fault.
 func rollingRestart(c *cluster, f *fault.Fault, effects *effectCounters) func() {
-	which := targetIndexes(f, len(c.relays))
+	targets := targetIndexes(f, len(c.relays))
 	if f.Targets == nil {
-		which = make([]int, len(c.relays))
-		for i := range which {
-			which[i] = (f.Target + i) % len(c.relays)
+		targets = make([]int, len(c.relays))
+		for i := range targets {
+			targets[i] = (f.Target + i) % len(c.relays)
 		}
 	}
-	for k, i := range which {
-		c.runAfter(time.Duration(k)*f.Duration/time.Duration(len(which)), func() {
+	for k, i := range targets {
+		c.runAfter(time.Duration(k)*f.Duration/time.Duration(len(targets)), func() {
 			target := c.relays[i]
 			if c.drainRelay(target, func() { c.restartRelay(target) }) {
-				effects.struck.Add(1)
+				effects.affected.Add(1)
 			}
 		})
 	}
--- a/internal/testcluster/relays.go
+++ b/internal/testcluster/relays.go
@@ -68,7 +68,7 @@
 func (c *cluster) waitUntilReady(target *relay, began time.Time) error {
 	for !c.relayReady(target) {
 		if !target.process.running() {
-			return fmt.Errorf("relay %d ended before it was ready: %w; its log ends with %s", target.index, target.process.err, logTail(target.process.log))
+			return fmt.Errorf("relay %d exited before it was ready: %w; its log ends with %s", target.index, target.process.err, logTail(target.process.log))
 		}
 		if time.Since(began) > readyTimeout {
 			return fmt.Errorf("relay %d is not ready after %v; its log ends with %s", target.index, readyTimeout, logTail(target.process.log))
@@ -85,7 +85,7 @@
 	return respondsToPing(c.ports.relayAddr(target.index), time.Second)
 }
 
-// logTail is the last part of a log file, for error messages.
+// logTail returns the last part of a log file, for error messages.
 func logTail(path string) string {
 	text, err := os.ReadFile(path)
 	if err != nil || len(text) == 0 {
@@ -116,7 +116,7 @@
 	return nil
 }
 
-// relayConfig is the content of a relay's configuration file.
+// relayConfig returns the content of a relay's configuration file.
 func (c *cluster) relayConfig(target *relay) map[string]any {
 	f := &c.options.Fleet
 	var peers []string
@@ -145,7 +145,7 @@
 	return config
 }
 
-// reportUnexpectedExit waits for the end of a relay's process, which is an error unless a fault ended it.
+// reportUnexpectedExit waits until a relay's process exits, and reports an error unless a fault caused the exit.
 func (c *cluster) reportUnexpectedExit(target *relay, p *process) {
 	<-p.ended
 	c.mu.Lock()
@@ -155,10 +155,10 @@
 		return
 	}
 	c.withChecker(func() { c.checker.RelayStopped(target.index) })
-	c.reportError(fmt.Errorf("relay %d ended by itself: %w; its log ends with %s", target.index, p.err, logTail(p.log)))
+	c.reportError(fmt.Errorf("relay %d exited unexpectedly: %w; its log ends with %s", target.index, p.err, logTail(p.log)))
 }
 
-// programFor is the program that the next process of a relay runs.
+// programFor returns the path of the program for the next process of a relay.
 func (c *cluster) programFor(target *relay) string {
 	c.mu.Lock()
 	start := target.starts
@@ -170,7 +170,8 @@
 	return c.options.ProgramFor(target.index, start)
 }
 
-// markStopping marks a running relay as down, so that its exit is expected, and returns its process; nil: it is not running.
+// markStopping marks a running relay as down, so that its exit is expected, and returns its process; nil if it is not
+// running.
 func (c *cluster) markStopping(target *relay) *process {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -182,7 +183,7 @@
 	return p
 }
 
-// killRelay kills a relay's process and waits for its end. It returns false if the relay was not running.
+// killRelay kills a relay's process and waits for its exit. It returns false if the relay was not running.
 func (c *cluster) killRelay(target *relay) bool {
 	p := c.markStopping(target)
 	if p == nil {
@@ -195,7 +196,8 @@
 	return true
 }
 
-// drainRelay asks a relay to shut down gracefully and calls then once it has. It returns false if the relay was not running.
+// drainRelay asks a relay to shut down gracefully and calls then after its exit. It returns false if the relay was not
+// running.
 func (c *cluster) drainRelay(target *relay, then func()) bool {
 	p := c.markStopping(target)
 	if p == nil {
@@ -223,7 +225,7 @@
 	began := time.Now()
 	for !c.relayReady(target) {
 		if time.Since(began) > readyTimeout {
-			c.reportError(fmt.Errorf("relay %d is not ready %v after it was started again; its log ends with %s", target.index, readyTimeout, logTail(target.process.log)))
+			c.reportError(fmt.Errorf("relay %d is not ready %v after its restart; its log ends with %s", target.index, readyTimeout, logTail(target.process.log)))
 			return
 		}
 		if !sleepContext(c.ctx, 50*time.Millisecond) {
@@ -233,19 +235,19 @@
 	c.frontend.setAvailable(target.index, true)
 }
 
-// setRelayPaused stops a relay's process with SIGSTOP, or continues it. It returns false if nothing changed.
-func (c *cluster) setRelayPaused(target *relay, on bool) bool {
+// setRelayPaused pauses a relay's process with SIGSTOP, or resumes it with SIGCONT. It returns false if nothing changed.
+func (c *cluster) setRelayPaused(target *relay, paused bool) bool {
 	c.mu.Lock()
 	p := target.process
-	ok := p != nil && !target.down && target.paused != on
-	if ok {
-		target.paused = on
+	changed := p != nil && !target.down && target.paused != paused
+	if changed {
+		target.paused = paused
 	}
 	c.mu.Unlock()
-	if !ok {
+	if !changed {
 		return false
 	}
-	if on {
+	if paused {
 		c.withChecker(func() { c.checker.SetRelayPaused(target.index, true) })
 		p.signal(syscall.SIGSTOP)
 		c.frontend.noticeLoss(target.index)
@@ -257,7 +259,7 @@
 	return true
 }
 
-// relayUsages is the resource usage so far of the relay processes that are running.
+// relayUsages returns the resource usage so far of the relay processes that are running.
 func (c *cluster) relayUsages() map[*process]processUsage {
 	out := map[*process]processUsage{}
 	c.mu.Lock()
@@ -272,7 +274,7 @@
 	return out
 }
 
-// totalCPUTime is the CPU time used so far by all relay processes that are running.
+// totalCPUTime returns the CPU time used so far by all relay processes that are running.
 func (c *cluster) totalCPUTime() (sum time.Duration) {
 	for _, u := range c.relayUsages() {
 		sum += u.cpu
@@ -281,8 +283,8 @@
 }
 
 // writeConfig writes a relay's configuration file and returns its path.
-func writeConfig(dir string, c map[string]any) (string, error) {
-	text, err := json.Marshal(c)
+func writeConfig(dir string, config map[string]any) (string, error) {
+	text, err := json.Marshal(config)
 	if err != nil {
 		return "", err
 	}
@@ -291,17 +293,17 @@
 }
 
 // respondsToPing reports whether a relay answers a PING of the line protocol.
-func respondsToPing(addr string, within time.Duration) bool {
-	c, err := net.DialTimeout("tcp", addr, within)
+func respondsToPing(addr string, timeout time.Duration) bool {
+	conn, err := net.DialTimeout("tcp", addr, timeout)
 	if err != nil {
 		return false
 	}
-	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(within))
-	if _, err := c.Write([]byte("PING\r\n")); err != nil {
+	defer conn.Close()
+	_ = conn.SetDeadline(time.Now().Add(timeout))
+	if _, err := conn.Write([]byte("PING\r\n")); err != nil {
 		return false
 	}
-	var b [64]byte
-	n, err := c.Read(b[:])
-	return err == nil && bytes.HasPrefix(b[:n], []byte("PONG"))
+	var answer [64]byte
+	n, err := conn.Read(answer[:])
+	return err == nil && bytes.HasPrefix(answer[:n], []byte("PONG"))
 }
--- a/internal/testcluster/result.go
+++ b/internal/testcluster/result.go
@@ -28,7 +28,7 @@
 	Attempts       []int                      `json:"attempts"` // by backend
 }
 
-// FaultEffect is a fault with the times and the effects it really had.
+// FaultEffect is a fault with its actual times and effects.
 type FaultEffect struct {
 	fault.Fault
 	StartedAt time.Duration  `json:"began_ns"` // since the run began
@@ -46,8 +46,8 @@
 	Max   float64 `json:"max_ms"`
 }
 
-// TrafficRates are the rates of what relays send beside the lines of clients: means over the run, and peaks in any
-// one second.
+// TrafficRates are the rates of what relays send besides the lines of clients: means over the run, and peaks in any one
+// second.
 type TrafficRates struct {
 	HealthChecks               float64 `json:"probes_per_s"` // of all relays
 	PeakHealthChecksPerBackend int     `json:"probes_at_one_backend_in_a_second"`
@@ -72,13 +72,13 @@
 func checkFaultsTookEffect(faults []FaultEffect) (err error) {
 	for i := range faults {
 		if f := &faults[i]; len(f.Counts) == 0 {
-			err = errors.Join(err, fmt.Errorf("%s: the fault %q at %v did nothing", scriptPosition(&f.Fault), f.Kind, f.Start))
+			err = errors.Join(err, fmt.Errorf("%s: the fault %q at %v had no effect", scriptPosition(&f.Fault), f.Kind, f.Start))
 		}
 	}
 	return err
 }
 
-// scriptPosition names the line of the script that a fault came from, for error messages.
+// scriptPosition returns the line of the script that a fault came from, for error messages.
 func scriptPosition(f *fault.Fault) string {
 	if f.ScriptLine == 0 {
 		return "script"
@@ -96,27 +96,27 @@
 	c.mu.Unlock()
 	c.withLoadRecorder(func(l *loadstats.Recorder) { res.Evenness = l.PerSecond(length.Truncate(time.Second)) })
 	c.withChecker(func() {
-		for _, b := range c.checker.Violations {
-			res.Violations = append(res.Violations, b.String())
+		for _, violation := range c.checker.Violations {
+			res.Violations = append(res.Violations, violation.String())
 		}
-		for what, n := range c.checker.Counts {
-			res.Counts[what] += n
+		for name, n := range c.checker.Counts {
+			res.Counts[name] += n
 		}
 	})
 	res.Rates = c.traffic.rates(length)
 }
 
 // summarizeUsage summarizes the resource usage of the processes that were running at both times.
-func summarizeUsage(before, after map[*process]processUsage, length time.Duration) (u ResourceUsage) {
+func summarizeUsage(before, after map[*process]processUsage, length time.Duration) (usage ResourceUsage) {
 	var cpu []float64
 	var mem []int64
-	for p, a := range after {
-		if b, ok := before[p]; ok {
-			cpu, mem = append(cpu, (a.cpu-b.cpu).Seconds()/length.Seconds()), append(mem, a.memory)
+	for p, end := range after {
+		if start, ok := before[p]; ok {
+			cpu, mem = append(cpu, (end.cpu-start.cpu).Seconds()/length.Seconds()), append(mem, end.memory)
 		}
 	}
 	if len(cpu) == 0 {
-		return u
+		return usage
 	}
 	slices.Sort(cpu)
 	slices.Sort(mem)
--- a/internal/testcluster/settings.go
+++ b/internal/testcluster/settings.go
@@ -8,7 +8,7 @@
 	"aspenbarrow/internal/simulation"
 )
 
-// requestClass is a class of requests. relaySettings configures relays with it, invariantLimits the checker.
+// requestClass is a class of requests. relaySettings configures the relays with it, invariantLimits the invariant checker.
 type requestClass struct {
 	name               string
 	clientTimeout      time.Duration
@@ -39,14 +39,14 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// relaySettings is the settings object in the configuration file of the relay with index me.
-func relaySettings(f *simulation.Installation, me int) map[string]any {
-	var list []map[string]any
-	var aims []float64
+// relaySettings returns the settings object for the configuration file of the relay with the given index.
+func relaySettings(f *simulation.Installation, index int) map[string]any {
+	var classes []map[string]any
+	var latencyObjectives []float64
 	for _, c := range requestClasses {
-		list = append(list, map[string]any{"name": c.name, "on-time-ms": milliseconds(c.latencyObjective), "give-up-ms": milliseconds(c.clientTimeout), "effect": c.idempotency,
+		classes = append(classes, map[string]any{"name": c.name, "on-time-ms": milliseconds(c.latencyObjective), "give-up-ms": milliseconds(c.clientTimeout), "effect": c.idempotency,
 			"dedup-scope": "cell", "dedup-window-ms": milliseconds(dedupWindow), "worth": c.priorityWeight})
-		aims = append(aims, milliseconds(messageLatencyObjective))
+		latencyObjectives = append(latencyObjectives, milliseconds(messageLatencyObjective))
 	}
 	stats := map[string]any{"how": "on_probe", "fields": []string{"x0", "errors_per_s"}}
 	if f.NoLoadReports {
@@ -56,9 +56,9 @@
 	if f.ListsWeights {
 		weights = "nominal"
 	}
-	return map[string]any{"azs": zones, "kinds": []string{"k"}, "classes": list, "me": me, "n-instances": f.Relays, "zone": me % len(zones),
+	return map[string]any{"azs": zones, "kinds": []string{"k"}, "classes": classes, "me": index, "n-instances": f.Relays, "zone": index % len(zones),
 		"tick-ms": 4, "registry-mode": "pushed", "weights": weights, "over-share-worth": 1, "stats": stats,
-		"family-info": map[string]any{"mode": "proxy", "message-aim-ms": aims},
+		"family-info": map[string]any{"mode": "proxy", "message-aim-ms": latencyObjectives},
 		"limits": map[string]any{"probes": true, "cancelling": true, "retry-after": true, "peers": f.Gossip,
 			"dial-timeout-ms": milliseconds(cmp.Or(f.ConnectTimeout, 250*time.Millisecond)),
 			"idle-close-ms":   5000, "max-retry-after-ms": 1500, "try-limit": maxAttempts},
@@ -66,16 +66,17 @@
 			"warm-up-ms": milliseconds(warmUpTime), "fall-multiple": overloadFactor, "fall-ms": milliseconds(overloadWindow), "ask-every-ms": 10000}}
 }
 
-// invariantLimits are the same limits for the checker, plus what an observer on a busy machine has to allow.
+// invariantLimits returns the same limits for the invariant checker, plus allowances for observation delays on a busy
+// machine.
 func invariantLimits(f *simulation.Installation) invariant.Limits {
-	const sockets = 50 * time.Millisecond
-	allowed := sockets + TimingAllowance
-	rules := invariant.Limits{MaxAttempts: maxAttempts, AnswerSlack: answerSlack + allowed, DrainGrace: drainGrace + allowed, DiscoveryDelay: 6 * time.Second,
-		MaxLineDelay: time.Second + allowed, SilenceTimeout: 7*time.Second + allowed, DepartureGrace: 100*time.Millisecond + TimingAllowance, FirstLineTimeout: 2*time.Second + answerSlack + allowed,
+	const socketDelay = 50 * time.Millisecond
+	allowance := socketDelay + TimingAllowance
+	limits := invariant.Limits{MaxAttempts: maxAttempts, AnswerSlack: answerSlack + allowance, DrainGrace: drainGrace + allowance, DiscoveryDelay: 6 * time.Second,
+		MaxLineDelay: time.Second + allowance, SilenceTimeout: 7*time.Second + allowance, DepartureGrace: 100*time.Millisecond + TimingAllowance, FirstLineTimeout: 2*time.Second + answerSlack + allowance,
 		ColdCapacity: coldCapacity, WarmUp: warmUpTime, OverloadFactor: overloadFactor, OverloadWindow: overloadWindow, WarmRate: f.Server.WarmRequestRate, ObservationDelay: TimingAllowance}
 	for _, c := range requestClasses {
-		rules.Classes = append(rules.Classes, invariant.Class{Name: c.name, ClientTimeout: c.clientTimeout, LatencyObjective: c.latencyObjective, Idempotency: c.checkerIdempotency,
+		limits.Classes = append(limits.Classes, invariant.Class{Name: c.name, ClientTimeout: c.clientTimeout, LatencyObjective: c.latencyObjective, Idempotency: c.checkerIdempotency,
 			ScopedToCell: c.checkerIdempotency == invariant.IdempotentWithKey, DedupWindow: dedupWindow})
 	}
-	return rules
+	return limits
 }
--- a/internal/testcluster/setup.go
+++ b/internal/testcluster/setup.go
@@ -37,9 +37,9 @@
 	c.ports.release()
 	for _, b := range c.backends {
 		b.stop(false)
-		for _, end := range []func(){b.removeBlackhole, b.releasePort} {
-			if end != nil {
-				end()
+		for _, release := range []func(){b.removeBlackhole, b.releasePort} {
+			if release != nil {
+				release()
 			}
 		}
 	}
@@ -57,12 +57,12 @@
 	}
 	c.ports.datagram = port
 	lc := net.ListenConfig{Control: prepareWildcardSocket}
-	agents, err := lc.Listen(c.ctx, "tcp4", "0.0.0.0:0")
+	discoveryListener, err := lc.Listen(c.ctx, "tcp4", "0.0.0.0:0")
 	if err != nil {
 		forwarder.close()
 		return err
 	}
-	c.ports.discovery = agents.Addr().(*net.TCPAddr).Port
+	c.ports.discovery = discoveryListener.Addr().(*net.TCPAddr).Port
 	c.traffic = newTrafficCounters(f.Relays, f.Backends+16, c)
 	c.checker = invariant.New(invariantLimits(f), f.Relays, c.now, func(d time.Duration, do func()) { c.runAfter(d, func() { c.withChecker(do) }) })
 	for i := range f.Relays {
@@ -70,7 +70,7 @@
 	}
 	c.discovery = newDiscoveryService(c, f.Relays)
 	c.frontend = newFrontBalancer(c)
-	c.serveUntilDone(forwarder, agents)
+	c.serveUntilDone(forwarder, discoveryListener)
 	for range f.Backends {
 		c.addBackend(false)
 	}
@@ -78,10 +78,10 @@
 }
 
 // serveUntilDone serves datagrams and discovery until the cluster's context is done.
-func (c *cluster) serveUntilDone(forwarder *datagramForwarder, agents net.Listener) {
+func (c *cluster) serveUntilDone(forwarder *datagramForwarder, discoveryListener net.Listener) {
 	go forwarder.serve(c.ctx)
 	go func() {
-		if err := c.discovery.server.Serve(agents); !errors.Is(err, http.ErrServerClosed) && c.ctx.Err() == nil {
+		if err := c.discovery.server.Serve(discoveryListener); !errors.Is(err, http.ErrServerClosed) && c.ctx.Err() == nil {
 			c.reportError(fmt.Errorf("discovery: %w", err))
 		}
 	}()
--- a/internal/testcluster/sockets.go
+++ b/internal/testcluster/sockets.go
@@ -24,7 +24,7 @@
 	}
 	sockets = append(sockets, listener)
 	err = listenWithoutQueue(listener, addr)
-	for range 2 { // the queue holds one more than its length
+	for range 2 { // the queue holds one connection more than its length
 		if err != nil {
 			break
 		}
@@ -37,7 +37,7 @@
 	}
 	if err != nil {
 		end()
-		return nil, fmt.Errorf("a cut at %v: %w", addr, err)
+		return nil, fmt.Errorf("making %v unreachable: %w", addr, err)
 	}
 	return end, nil
 }
@@ -47,7 +47,7 @@
 }
 
 func listenWithoutQueue(fd int, addr netip.AddrPort) error {
-	loopbackOnly(uintptr(fd))
+	bindToLoopback(uintptr(fd))
 	if err := unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEPORT, 1); err != nil {
 		return err
 	}
@@ -58,28 +58,29 @@
 }
 
 func startConnecting(fd int, addr netip.AddrPort) error {
-	to := addr.Addr()
-	if to.IsUnspecified() {
-		to = netip.AddrFrom4([4]byte{127, 0, 0, 1})
+	target := addr.Addr()
+	if target.IsUnspecified() {
+		target = netip.AddrFrom4([4]byte{127, 0, 0, 1})
 	}
-	err := unix.Connect(fd, &unix.SockaddrInet4{Port: int(addr.Port()), Addr: to.As4()})
+	err := unix.Connect(fd, &unix.SockaddrInet4{Port: int(addr.Port()), Addr: target.As4()})
 	if err == unix.EINPROGRESS {
 		return nil
 	}
 	return err
 }
 
-// loopbackOnly binds a socket to the loopback device, if the system permits it, which drops traffic from elsewhere.
-func loopbackOnly(fd uintptr) {
+// bindToLoopback binds a socket to the loopback device, if the system permits it, so that traffic from other devices is
+// dropped.
+func bindToLoopback(fd uintptr) {
 	_ = unix.BindToDevice(int(fd), "lo")
 }
 
 // prepareWildcardSocket restricts a wildcard socket to this machine and lets blackhole bind one of its addresses.
 func prepareWildcardSocket(_, _ string, c syscall.RawConn) error {
-	var failed error
+	var optionErr error
 	err := c.Control(func(fd uintptr) {
-		loopbackOnly(fd)
-		failed = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
+		bindToLoopback(fd)
+		optionErr = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
 	})
-	return errors.Join(err, failed)
+	return errors.Join(err, optionErr)
 }
--- a/internal/testcluster/sockets_test.go
+++ b/internal/testcluster/sockets_test.go
@@ -10,31 +10,31 @@
 
 func TestBlackhole_AcceptsNoConnections(t *testing.T) {
 	lc := net.ListenConfig{Control: prepareWildcardSocket}
-	l, err := lc.Listen(context.Background(), "tcp4", "0.0.0.0:0")
+	listener, err := lc.Listen(context.Background(), "tcp4", "0.0.0.0:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	port := l.Addr().(*net.TCPAddr).Port
-	behind := netip.AddrPortFrom(loopbackAddress(backendNet, 7<<backendBits|3), uint16(port))
-	end, err := blackhole(behind)
+	defer listener.Close()
+	port := listener.Addr().(*net.TCPAddr).Port
+	unreachable := netip.AddrPortFrom(loopbackAddress(backendNet, 7<<backendBits|3), uint16(port))
+	remove, err := blackhole(unreachable)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c, err := net.DialTimeout("tcp", behind.String(), 300*time.Millisecond); err == nil {
+	if c, err := net.DialTimeout("tcp", unreachable.String(), 300*time.Millisecond); err == nil {
 		c.Close()
-		t.Error("a connection came up across a cut")
+		t.Error("a connection to the unreachable address was established")
 	}
 	other := hostPort(loopbackAddress(backendNet, 7<<backendBits|4), port)
 	c, err := net.DialTimeout("tcp", other, time.Second)
 	if err != nil {
-		t.Errorf("the next pair is cut as well: %v", err)
+		t.Errorf("the address of another pair is unreachable as well: %v", err)
 	} else {
 		c.Close()
 	}
-	end()
-	if c, err = net.DialTimeout("tcp", behind.String(), time.Second); err != nil {
-		t.Errorf("after the cut: %v", err)
+	remove()
+	if c, err = net.DialTimeout("tcp", unreachable.String(), time.Second); err != nil {
+		t.Errorf("the address is still unreachable after the blackhole was removed: %v", err)
 	} else {
 		c.Close()
 	}
--- a/internal/testcluster/traffic.go
+++ b/internal/testcluster/traffic.go
@@ -17,25 +17,25 @@
 	return &peakCounter{counts: make([]atomic.Int64, n), seconds: make([]atomic.Int64, n)}
 }
 
-func (counter *peakCounter) add(who int, at time.Duration) {
-	if who >= len(counter.counts) {
+func (counter *peakCounter) add(party int, now time.Duration) {
+	if party >= len(counter.counts) {
 		return
 	}
 	counter.total.Add(1)
-	s := int64(at / time.Second)
-	if counter.seconds[who].Swap(s) != s {
-		counter.counts[who].Store(0)
+	second := int64(now / time.Second)
+	if counter.seconds[party].Swap(second) != second {
+		counter.counts[party].Store(0)
 	}
-	n := counter.counts[who].Add(1)
+	n := counter.counts[party].Add(1)
 	for {
-		most := counter.peak.Load()
-		if n <= most || counter.peak.CompareAndSwap(most, n) {
+		peak := counter.peak.Load()
+		if n <= peak || counter.peak.CompareAndSwap(peak, n) {
 			return
 		}
 	}
 }
 
-// trafficCounters count what relays send beside the lines of clients. They are lock-free, so that counting delays no
+// trafficCounters count what relays send besides the lines of clients. They are lock-free, so that counting delays no
 // traffic.
 type trafficCounters struct {
 	cluster        *cluster
@@ -51,9 +51,9 @@
 }
 
 // countTraffic counts one event of a party, once the run has begun.
-func (c *cluster) countTraffic(who int, what **peakCounter) {
+func (c *cluster) countTraffic(party int, counter **peakCounter) {
 	if c.elapsed() > 0 {
-		(*what).add(who, c.elapsed())
+		(*counter).add(party, c.elapsed())
 	}
 }
 
@@ -63,9 +63,9 @@
 
 // rates converts the counts into rates over a run of the given length.
 func (traffic *trafficCounters) rates(length time.Duration) TrafficRates {
-	s := length.Seconds()
-	per := func(counter *peakCounter) float64 { return float64(counter.total.Load()) / s }
-	return TrafficRates{HealthChecks: per(traffic.healthChecks), PeakHealthChecksPerBackend: int(traffic.healthChecks.peak.Load()), Handshakes: per(traffic.handshakes),
-		PeakHandshakesPerBackend: int(traffic.handshakes.peak.Load()), Datagrams: per(traffic.datagrams), PeakDatagramsPerRelay: int(traffic.datagrams.peak.Load()),
-		DiscoveryCalls: per(traffic.discoveryCalls)}
+	seconds := length.Seconds()
+	perSecond := func(counter *peakCounter) float64 { return float64(counter.total.Load()) / seconds }
+	return TrafficRates{HealthChecks: perSecond(traffic.healthChecks), PeakHealthChecksPerBackend: int(traffic.healthChecks.peak.Load()), Handshakes: perSecond(traffic.handshakes),
+		PeakHandshakesPerBackend: int(traffic.handshakes.peak.Load()), Datagrams: perSecond(traffic.datagrams), PeakDatagramsPerRelay: int(traffic.datagrams.peak.Load()),
+		DiscoveryCalls: perSecond(traffic.discoveryCalls)}
 }
--- a/internal/testcluster/usage.go
+++ b/internal/testcluster/usage.go
@@ -2,7 +2,7 @@
 
 import (
 	"bytes"
-	"errors"
+	"fmt"
 	"os"
 	"strconv"
 	"strings"
@@ -21,18 +21,18 @@
 	if err != nil {
 		return u, err
 	}
-	rest := stat[bytes.LastIndexByte(stat, ')')+1:] // the name before it may contain anything
+	rest := stat[bytes.LastIndexByte(stat, ')')+1:] // the process name before it may itself contain parentheses and spaces
 	fields := strings.Fields(string(rest))
 	if len(fields) < 13 {
-		return u, errors.New("stat is short")
+		return u, fmt.Errorf("%s/stat has %d fields after the process name, expected at least 13", dir, len(fields))
 	}
-	const ticksASecond = 100
+	const ticksPerSecond = 100
 	for _, f := range fields[11:13] {
 		ticks, err := strconv.ParseInt(f, 10, 64)
 		if err != nil {
 			return u, err
 		}
-		u.cpu += time.Duration(ticks) * time.Second / ticksASecond
+		u.cpu += time.Duration(ticks) * time.Second / ticksPerSecond
 	}
 	status, err := os.ReadFile(dir + "/status")
 	if err != nil {
--- a/internal/testcluster/view.go
+++ b/internal/testcluster/view.go
@@ -22,29 +22,29 @@
 }
 
 // QueryAdmin sends a command to a relay's admin endpoint and returns the lines of the answer.
-func (view *View) QueryAdmin(relay int, call string) ([]string, error) {
-	c, err := net.DialTimeout("tcp", view.cluster.ports.adminAddr(relay), time.Second)
+func (view *View) QueryAdmin(relay int, command string) ([]string, error) {
+	conn, err := net.DialTimeout("tcp", view.cluster.ports.adminAddr(relay), time.Second)
 	if err != nil {
 		return nil, err
 	}
-	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(2 * time.Second))
-	if _, err := io.WriteString(c, call+"\n"); err != nil {
+	defer conn.Close()
+	_ = conn.SetDeadline(time.Now().Add(2 * time.Second))
+	if _, err := io.WriteString(conn, command+"\n"); err != nil {
 		return nil, err
 	}
-	text, err := io.ReadAll(c)
-	return strings.Split(strings.TrimSpace(string(text)), "\n"), err
+	answer, err := io.ReadAll(conn)
+	return strings.Split(strings.TrimSpace(string(answer)), "\n"), err
 }
 
 // startObserver calls Options.Observe repeatedly during the run. The function it returns waits for the last call to
 // end.
-func (c *cluster) startObserver() (ended func()) {
-	looked := make(chan struct{})
+func (c *cluster) startObserver() (wait func()) {
+	done := make(chan struct{})
 	go func() {
-		defer close(looked)
+		defer close(done)
 		for sleepContext(c.ctx, 100*time.Millisecond) && c.elapsed() < c.options.Duration {
 			c.options.Observe(&View{c})
 		}
 	}()
-	return func() { <-looked }
+	return func() { <-done }
 }
--- a/internal/testcluster/visits.go
+++ b/internal/testcluster/visits.go
@@ -7,7 +7,7 @@
 	"aspenbarrow/internal/simulation"
 )
 
-// visit is the time during which one client wants a connection.
+// visit is the period during which one client needs a connection.
 type visit struct {
 	key   uint64
 	class int
@@ -16,36 +16,36 @@
 	seed  uint64
 }
 
-// planVisits draws all visits of a run: the initial clients, who connect within Fleet.ArrivalWindow, and later arrivals that
-// keep their number constant on average.
+// planVisits draws all visits of a run: the initial clients, which connect within Fleet.ArrivalWindow, and later arrivals
+// that keep the number of clients constant on average.
 func planVisits(f *simulation.Installation, seed uint64, length time.Duration) []visit {
 	rng := rand.New(rand.NewPCG(seed, 0xc11e))
 	stay := func() time.Duration {
-		least, most := f.StayRange[0], f.StayRange[1]
-		return least + time.Duration(rng.Float64()*float64(most-least))
+		shortest, longest := f.StayRange[0], f.StayRange[1]
+		return shortest + time.Duration(rng.Float64()*float64(longest-shortest))
 	}
-	hot := rng.Uint64()
-	draw := func(from time.Duration, stays time.Duration) visit {
-		v := visit{key: rng.Uint64(), class: []int{0, 0, 1, 1, 2}[rng.IntN(5)], start: from, end: from + stays, seed: rng.Uint64()}
+	hotKey := rng.Uint64()
+	draw := func(arrival time.Duration, duration time.Duration) visit {
+		v := visit{key: rng.Uint64(), class: []int{0, 0, 1, 1, 2}[rng.IntN(5)], start: arrival, end: arrival + duration, seed: rng.Uint64()}
 		if rng.Float64() < f.HotKeyShare {
-			v.key = hot
+			v.key = hotKey
 		}
 		return v
 	}
-	var out []visit
-	for range f.Clients { // the remaining time of a visit in progress, where long visits are more likely
+	var visits []visit
+	for range f.Clients { // draws the remaining time of a visit in progress, which is more likely a long visit
 		s := stay()
 		for rng.Float64() > float64(s)/float64(f.StayRange[1]) {
 			s = stay()
 		}
-		out = append(out, draw(time.Duration(rng.Float64()*float64(f.ArrivalWindow)), time.Duration(rng.Float64()*float64(s))))
+		visits = append(visits, draw(time.Duration(rng.Float64()*float64(f.ArrivalWindow)), time.Duration(rng.Float64()*float64(s))))
 	}
 	mean := (f.StayRange[0] + f.StayRange[1]).Seconds() / 2
 	for t := f.ArrivalWindow.Seconds(); ; {
 		t += rng.ExpFloat64() * mean / float64(f.Clients)
 		if t >= length.Seconds() {
-			return out
+			return visits
 		}
-		out = append(out, draw(time.Duration(t*float64(time.Second)), stay()))
+		visits = append(visits, draw(time.Duration(t*float64(time.Second)), stay()))
 	}
 }
