--- a/balance/concurrency.go
+++ b/balance/concurrency.go
@@ -44,7 +44,8 @@
 	overloadRecoveryTime = 2 * time.Second
 
 	// limitGrowth is the factor by which a limit rises each second. limitGrowthNearOverload applies for nearOverloadTime
-	// after an overload, from nearOverloadFraction of the load at which the backend was overloaded.
+	// after an overload, from nearOverloadFraction of the load at which the backend was overloaded, unless load reports
+	// contain the utilization.
 	limitGrowth             = 1.1
 	limitGrowthNearOverload = 1.02
 	nearOverloadFraction    = 0.8
@@ -69,8 +70,8 @@
 }
 
 // raise raises the limit after a second without overload.
-func (c *concurrencyLimit) raise(now time.Duration, hasReports bool) {
-	if c.limit < nearOverloadFraction*c.loadAtOverload || now-c.lastOverload > nearOverloadTime || hasReports {
+func (c *concurrencyLimit) raise(now time.Duration, reportsUtilization bool) {
+	if c.limit < nearOverloadFraction*c.loadAtOverload || now-c.lastOverload > nearOverloadTime || reportsUtilization {
 		c.limit *= limitGrowth
 	} else {
 		c.limit *= limitGrowthNearOverload
@@ -135,7 +136,7 @@
 }
 
 // isFleetOverloaded reports whether at least half of the backends that this relay maintains were overloaded recently
-// and are enough to represent the fleet. A single one is not: the cause may be the backend itself.
+// and are enough to represent the fleet. A single one is never enough: the cause may be the backend itself.
 func (b *Balancer) isFleetOverloaded(now time.Duration) bool {
 	overloaded := 0
 	for _, target := range b.concurrency.maintained {
@@ -179,7 +180,7 @@
 		return
 	}
 	// Load reports set the limit here, and late messages would lower it to the floor while all backends are slow.
-	// They lower it only if there is no limit yet, if the load report shows spare capacity and so is stale or
+	// A late message therefore lowers it only if there is no limit yet, if the load report shows spare capacity and so is stale or
 	// wrong, or if the backlog demands it.
 	if target.concurrency.limit == 0 || target.health.utilization < fillTarget || backlogFactor < latenessFactor {
 		b.lowerLimit(now, target, max(minBacklogLimitFactor, factor))
@@ -217,8 +218,8 @@
 
 // reportThresholds returns the utilization above which connections are migrated off a backend, and the one that
 // its limit then aims at. Both are lower if load reports alone show overload, since reports lag behind. They are
-// not lowered while the mean utilization of the fleet is higher: the other backends have no capacity to spare then,
-// and migrated clients would be rejected.
+// not lowered while the mean utilization of the fleet exceeds fillTargetByReports: the other backends have no
+// capacity to spare then, and migrated clients would be rejected.
 func (b *Balancer) reportThresholds() (migrateAbove, fillTo float64) {
 	if b.settings.ReportsMessageDelay {
 		return migrateAboveUtilization, fillTarget
--- a/balance/endpoints.go
+++ b/balance/endpoints.go
@@ -8,7 +8,8 @@
 )
 
 const (
-	// removedLifetime is how long the record of a backend is kept after it has been removed from the endpoint list.
+	// removedLifetime is how long the record of a backend without connections is kept after the backend has been removed
+	// from the endpoint list.
 	removedLifetime = 10 * time.Minute
 
 	// minPollBackoff is the minimum backoff between two requests for the endpoint list.
@@ -52,8 +53,8 @@
 	}
 }
 
-// collectReady rebuilds the sorted list of ready backends and deletes backends that were removed more than
-// removedLifetime ago.
+// collectReady rebuilds the sorted list of ready backends and deletes backends without connections that were removed more
+// than removedLifetime ago.
 func (t *endpointTable) collectReady(now time.Duration) {
 	t.ready = t.ready[:0]
 	for id, target := range t.byID {
@@ -77,8 +78,8 @@
 	b.endpoints.collectReady(now)
 }
 
-// updateEndpoint applies one entry of the endpoint list. The ejection and the limit of a backend do not apply to it
-// any more once it has been restarted.
+// updateEndpoint applies one entry of the endpoint list. A backend that has been restarted, or is ready again after
+// draining, loses its ejection, its limit and its other history.
 func (b *Balancer) updateEndpoint(now time.Duration, entry Backend) *backend {
 	target := b.endpoints.byID[entry.ID]
 	if target == nil {
@@ -132,7 +133,7 @@
 	p.retryAt = now + time.Duration(float64(p.backoff)*(0.5+rng.Float64()))
 }
 
-// reset ends the retries once the list has been read.
+// reset cancels the scheduled retry and resets the backoff.
 func (p *endpointPolling) reset() { *p = endpointPolling{} }
 
 // isDue reports whether it is time to poll.
--- a/balance/healthcheck.go
+++ b/balance/healthcheck.go
@@ -127,7 +127,7 @@
 	}
 }
 
-// minLateExcess returns by how much a late answer to a health check exceeds the latency baseline at least.
+// minLateExcess returns the minimum by which a late answer to a health check exceeds the latency baseline.
 func (h *healthChecker) minLateExcess() time.Duration {
 	return time.Duration(h.lateMessageMillis*float64(time.Millisecond)) / lateExcessDivisor
 }
@@ -250,8 +250,8 @@
 // leavesCapacityToOthers draws whether this relay leaves the spare capacity of a backend to the other relays. After the
 // loss of a backend, its clients reconnect through all relays at once, and all relays see the same spare capacity
 // in an outdated load report. The probability that a relay uses the backend is therefore its own share of that
-// capacity, in connections. How many connections of this relay fill a backend follows from their mean number on a
-// backend and the mean utilization.
+// capacity, in connections. The number of connections of this relay that fill a backend is their mean number
+// on a backend over the mean utilization.
 func (b *Balancer) leavesCapacityToOthers(now time.Duration, target *backend, utilization float64) bool {
 	if !b.endpoints.lostBackendWithin(now, reconnectWindow) || !b.hasReconnectingClientFor(target) {
 		return false
--- a/balance/inspect_test.go
+++ b/balance/inspect_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// The counts by backend, list, group and tenant agree whichever way a connection ends; one left behind in
-// a count is reported.
+// The connections counted in all, by backend, in the backends' lists, by group and by tenant agree whichever way a
+// connection ends. A tenant's count that still includes an ended connection is reported.
 func TestCheckInvariants_CountsAgree(t *testing.T) {
 	balancer, rec := newReportingBalancer(t, 5, 1, func(settings *Settings) { settings.Groups = true })
 	openConnections(t, balancer, rec, 20)
--- a/balance/outlier.go
+++ b/balance/outlier.go
@@ -32,8 +32,8 @@
 	// occur by chance.
 	lateAnswersToConfirm = 3
 
-	// bypassFactor times the lateness of a backend's kind is the probability that a reconnecting client
-	// bypasses the backend.
+	// bypassFactor times the late-message rate of a backend's kind is the probability that a reconnecting client
+	// bypasses the backend; without health checks it is twice that.
 	bypassFactor = 4
 
 	// maxBypasses bounds the backends that a request bypasses if backends are health checked before they get
@@ -44,8 +44,8 @@
 	// attemptsPerError is the number of attempts per reported error below which a backend is bypassed.
 	attemptsPerError = 20
 
-	// latenessPriorSeconds is added to the seconds that the lateness of a kind is divided by, since a rate over the
-	// first few seconds is unreliable.
+	// latenessPriorSeconds is added to the seconds by which the late-message reports of a kind are divided, since a rate
+	// over the first few seconds is unreliable.
 	latenessPriorSeconds = 5
 )
 
@@ -88,8 +88,8 @@
 	seconds float64 // seconds in which this relay had connections, summed over the backends of the kind
 }
 
-// share is the number of late-message reports per second with connections on a backend of the kind.
-func (k *kindLateness) share() float64 { return k.reports / (latenessPriorSeconds + k.seconds) }
+// rate is the number of late-message reports per second in which this relay had connections on a backend of the kind.
+func (k *kindLateness) rate() float64 { return k.reports / (latenessPriorSeconds + k.seconds) }
 
 // outlierDetector finds backends that perform worse than the others.
 type outlierDetector struct {
@@ -178,7 +178,7 @@
 }
 
 // isBackendFailure reports whether the end of an attempt may be a failure of its backend. For an established
-// connection only a reset is, and only if there are no reports of message delay, which show a failing backend
+// connection only a reset counts, and only if there are no reports of message delay: those show a failing backend
 // earlier.
 func (b *Balancer) isBackendFailure(req *request, status Status) bool {
 	return !req.established || status == StatusReset && !b.settings.ReportsMessageDelay
@@ -197,10 +197,10 @@
 }
 
 // bypass reports whether a request bypasses a backend that could accept it, and records that. For a reconnecting
-// client, the probability rises with the lateness of the backend's kind: a relay without connections on the
+// client, the probability rises with the late-message rate of the backend's kind: a relay without connections on the
 // backend that the client has left sees it as empty and would send the client back.
 func (b *Balancer) bypass(now time.Duration, target *backend, req *request) bool {
-	chance, limit := bypassFactor*b.outliers.latenessFor(target).share(), maxBypasses
+	chance, limit := bypassFactor*b.outliers.latenessFor(target).rate(), maxBypasses
 	if !b.settings.HealthChecks {
 		chance, limit = 2*chance, maxBypassesUnchecked
 	}
--- a/balance/placement.go
+++ b/balance/placement.go
@@ -6,8 +6,7 @@
 )
 
 const (
-	// backupLifetime is how long a backup is kept; B and F of the paper are cleared at this interval (section
-	// III-C).
+	// backupLifetime is the interval at which the backups and their flags are cleared (B and F in Maat, section III-C).
 	backupLifetime = 10 * time.Second
 
 	// imbalanceConnections is the imbalance threshold Δ in connections of this relay's mean load.
--- a/balance/rendezvous.go
+++ b/balance/rendezvous.go
@@ -43,7 +43,7 @@
 	meanSize float64
 }
 
-// rebuild computes the sizes relative to the median weight.
+// rebuild replaces the backends of the table. If weights are used, it sets the sizes relative to the median weight.
 func (r *rendezvousTable) rebuild(ready []*backend, weights WeightMode) {
 	sum, median := 0.0, max(medianWeight(ready), math.SmallestNonzeroFloat32)
 	r.backends, r.slots = ready, r.slots[:0]
@@ -83,7 +83,7 @@
 	return weights[len(weights)/2]
 }
 
-// mixBits hashes a number by the finalizer of SplitMix64, with the same result on all relays.
+// mixBits hashes a number with the finalizer of SplitMix64, with the same result on all relays.
 func mixBits(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
--- a/cmd/aspenbarrow/descriptors_test.go
+++ b/cmd/aspenbarrow/descriptors_test.go
@@ -146,7 +146,7 @@
 	for len(backend.OpenLines()) == 0 {
 		connection := process.dialOpen()
 		if got, err := connection.reader.ReadString('\n'); err != nil {
-			process.t.Fatalf("instead of an answer to OPEN: %q, %v", got, err)
+			process.t.Fatalf("no answer to OPEN: got %q, %v", got, err)
 		}
 		_ = connection.Close()
 		if time.Since(resumedAt) > testTimeout {
--- a/cmd/aspenbarrow/session_load_test.go
+++ b/cmd/aspenbarrow/session_load_test.go
@@ -29,14 +29,14 @@
 
 // sessionCounts counts the events of a load.
 type sessionCounts struct {
-	up         int // connections answered with UP
-	lines      int // lines answered
-	migrated   int // connections that got MOVE
-	repeated   int // lines sent again on the client's next connection, since MOVE came before their answer
-	refused    int // connections that could not be opened
-	unanswered int // connections whose OPEN had another answer than UP
-	lost       int // connections that ended without MOVE before the client closed them, or by a reset
-	wrong      int // lines other than the expected answer
+	up       int // connections answered with UP
+	lines    int // lines answered
+	migrated int // connections that got MOVE
+	repeated int // lines sent again on the client's next connection, since MOVE came before their answer
+	refused  int // connections that could not be opened
+	rejected int // connections whose OPEN had an answer other than UP
+	lost     int // connections that ended without MOVE before the client closed them, or by a reset
+	wrong    int // lines other than the expected answer
 }
 
 // run starts the clients: some close after a few lines, the others stay until they get MOVE.
@@ -101,7 +101,7 @@
 	return load.ids
 }
 
-// waitForMore waits until the given numbers of further connections answered with UP and of further lines are reached.
+// waitForMore waits for at least that many further connections answered with UP and further lines answered.
 func (load *sessionLoad) waitForMore(t *testing.T, up, lines int) {
 	t.Helper()
 	before := load.counts()
@@ -122,7 +122,7 @@
 	load     *sessionLoad
 	number   int
 	answered int  // lines answered
-	pending  bool // whether the next line was sent on an earlier connection
+	pending  bool // the next line has been sent and not answered
 }
 
 // runSession opens a connection, exchanges the given number of lines, or lines until MOVE if it is negative, and closes
@@ -140,10 +140,10 @@
 	fmt.Fprintf(connection, "OPEN %016x %016x c=%s,d=2000\r\n", id, c.number, class)
 	switch answer, err := reader.ReadString('\n'); {
 	case err != nil:
-		load.countFailure(func(n *sessionCounts) { n.lost++ }, fmt.Errorf("instead of an answer to OPEN: %w", err))
+		load.countFailure(func(n *sessionCounts) { n.lost++ }, fmt.Errorf("no answer to OPEN: %w", err))
 		return
 	case answer != fmt.Sprintf("UP %016x\r\n", id):
-		load.countFailure(func(n *sessionCounts) { n.unanswered++ }, fmt.Errorf("answer %q to OPEN %016x", answer, id))
+		load.countFailure(func(n *sessionCounts) { n.rejected++ }, fmt.Errorf("answer %q to OPEN %016x", answer, id))
 		return
 	}
 	load.count(func(n *sessionCounts) { n.up++ })
@@ -174,7 +174,7 @@
 	answer, readErr := reader.ReadString('\n')
 	switch {
 	case readErr != nil:
-		return false, fmt.Errorf("instead of the answer to %q: %w", text, errors.Join(err, readErr))
+		return false, fmt.Errorf("no answer to %q: %w", text, errors.Join(err, readErr))
 	case answer == "MOVE\r\n":
 		return true, nil
 	case answer != "echo "+text+"\r\n":
@@ -194,7 +194,7 @@
 	}
 	rest, err := io.ReadAll(reader)
 	if err != nil {
-		load.countFailure(func(n *sessionCounts) { n.lost++ }, fmt.Errorf("instead of a close by the relay: %w", err))
+		load.countFailure(func(n *sessionCounts) { n.lost++ }, fmt.Errorf("connection not closed by the relay: %w", err))
 		return
 	}
 	if text := string(rest); text != "" && text != "MOVE\r\n" {
@@ -217,13 +217,13 @@
 }
 
 // check logs the counts. It fails the test on any failure, on a repeated non-idempotent request and if the number of
-// requests at the backends differs from that of the answers.
+// requests that reached backends differs from that of the UP answers.
 func (load *sessionLoad) check(t *testing.T, attempts map[string]map[string]int) {
 	t.Helper()
 	counts := load.counts()
 	t.Logf("%d connections up, %d lines answered, %d connections migrated, %d lines repeated after a migration, %d attempts for %d idempotent requests; %d lost, %d refused, %d not answered with UP, %d wrong lines",
-		counts.up, counts.lines, counts.migrated, counts.repeated, total(attempts["chat"]), len(attempts["chat"]), counts.lost, counts.refused, counts.unanswered, counts.wrong)
-	if counts.lost+counts.refused+counts.unanswered+counts.wrong > 0 {
+		counts.up, counts.lines, counts.migrated, counts.repeated, total(attempts["chat"]), len(attempts["chat"]), counts.lost, counts.refused, counts.rejected, counts.wrong)
+	if counts.lost+counts.refused+counts.rejected+counts.wrong > 0 {
 		t.Errorf("first failure: %v", load.firstError)
 	}
 	for id, n := range attempts["order"] {
--- a/internal/config/explain.go
+++ b/internal/config/explain.go
@@ -63,11 +63,11 @@
 	return request, err
 }
 
-// findName returns the index of a name among the known ones.
-func findName(part, name, where string, known []string) (int, error) {
+// findName returns the index of a name among the known ones; its error calls these by the description.
+func findName(part, name, description string, known []string) (int, error) {
 	index := slices.Index(known, name)
 	if index < 0 {
-		return index, &DescriptionError{Part: part, Value: name, Reason: notOneOf(name, where, known), Err: ErrUnknownValue}
+		return index, &DescriptionError{Part: part, Value: name, Reason: notOneOf(name, description, known), Err: ErrUnknownValue}
 	}
 	return index, nil
 }
@@ -111,8 +111,8 @@
 	return explanation
 }
 
-// effectivePolicy lists the values of a policy. A value that it does not set comes from the class or the rules; backoff,
-// budget and hedge delay are listed only if the policy sets them.
+// effectivePolicy lists the values of a policy. A value that it does not set comes from the class or the rules, which also
+// bound the request time-out and the attempts; backoff, budget and hedge delay are listed only if the policy sets them.
 func effectivePolicy(policy balance.RetryPolicy, rules *balance.Settings, class int) []Setting {
 	connectTimeout := rules.DialTimeout
 	if policy.ConnectTimeout > 0 {
--- a/internal/config/suggest.go
+++ b/internal/config/suggest.go
@@ -21,9 +21,9 @@
 	return reason
 }
 
-// notOneOf returns the reason that a name is not one of the known ones; where describes these.
-func notOneOf(name, where string, known []string) string {
-	return withSuggestion(fmt.Sprintf("%q is not one of %s", name, where), name, known)
+// notOneOf returns the reason that a name is not one of the known ones; description says what these are.
+func notOneOf(name, description string, known []string) string {
+	return withSuggestion(fmt.Sprintf("%q is not one of %s", name, description), name, known)
 }
 
 // nearest returns the known name that a misspelt one probably means, empty if there is none.
--- a/internal/controller/driver.go
+++ b/internal/controller/driver.go
@@ -13,13 +13,13 @@
 	MigrateSession(session uint64)               // asks an established session's client to reconnect elsewhere
 	ReportClientError(session uint64, err error) // the session's client has violated the protocol
 	StartHealthCheck(b *upstream.Backend)
-	ReleaseHealthCheck(id balance.BackendID) // the connection kept for its health checks is no longer needed
+	ReleaseHealthCheck(id balance.BackendID) // closes the idle connection for the backend's health checks
 	SendDatagram(to string, data []byte)
-	RequestEndpoints(watch bool)        // a watch of the endpoint list, or the whole list once
-	SetDiscoveryAddress(address string) // of the discovery agent from now on
+	RequestEndpoints(watch bool)        // true: subscribes to the endpoint list; false: requests the whole list once
+	SetDiscoveryAddress(address string) // changes the address of the discovery agent
 	SetLimits(limits Limits)
 	SetSettings(s *settings.Settings) // for new sessions; open ones keep theirs
 	EndpointsReceived()               // the first endpoint list has been received
-	StopAccepting()                   // shutdown is near; may be called more than once
+	StopAccepting()                   // closes the listener shortly before the end; may be called more than once
 	Stopped()                         // the graceful shutdown is complete: the relay may end
 }
--- a/internal/protocol/client_reader.go
+++ b/internal/protocol/client_reader.go
@@ -16,8 +16,8 @@
 	Opened   bool
 }
 
-// Feed parses the bytes that are not consumed yet, all of which are passed in. It returns what comes first among them and
-// how many bytes long that is; 0 with KindIncomplete. An error is a LineError.
+// Feed parses b, which holds all bytes that have been received and not consumed yet. It returns the kind and the length of
+// the first line or, after OPEN, of all whole lines; the length is 0 with KindIncomplete. An error is a LineError.
 func (r *ClientReader) Feed(b []byte) (kind LineKind, length int, err error) {
 	if r.Opened {
 		return feedWholeLines(b)
--- a/internal/relay/healthcheck_test.go
+++ b/internal/relay/healthcheck_test.go
@@ -13,15 +13,16 @@
 	"aspenbarrow/internal/fake"
 )
 
-// A second answer arrives on an idle connection some milliseconds late: it is not taken for the answer to the next request.
+// An answer is followed by a second one, by part of one or by a FIN. The connection is not used again, so the second answer
+// is not taken for the answer to the next request.
 func TestHealthChecker_LateAnswerNotTakenForNext(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
 		name    string
 		extra   string
 		sendFIN bool
-	}{{"in the same segment", "PONG x0=0.9\r\n", false}, {"half a line", "PON", false}, {"answer and FIN", "PONG x0=0.9\r\n", true},
-		{"FIN alone", "", true}} {
+	}{{"second answer", "PONG x0=0.9\r\n", false}, {"part of a second answer", "PON", false},
+		{"second answer and FIN", "PONG x0=0.9\r\n", true}, {"FIN alone", "", true}} {
 		t.Run(tc.name, func(t *testing.T) {
 			backend := newScriptedBackend(t)
 			r, _, a := newAttempt(t, backend.listener.Addr().String(), testTimeout)
@@ -40,7 +41,7 @@
 				if tc.sendFIN {
 					_ = conn.Close()
 				}
-				t.Cleanup(func() { // one request was sent on it
+				t.Cleanup(func() { // the one request has been read: nothing may follow
 					if b, _ := io.ReadAll(conn.reader); len(b) != 0 {
 						t.Errorf("the backend received %q on a connection that is not to be used again", b)
 					}
@@ -50,7 +51,7 @@
 	}
 }
 
-// An idle connection that the backend has closed meanwhile does not fail a health check: it is repeated on a new connection.
+// An idle connection that the backend has closed meanwhile does not fail a health check: the request is repeated on a new connection.
 func TestHealthChecker_RetriesOnClosedIdleConnection(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -87,7 +88,8 @@
 	}
 }
 
-// A health check without a free connection is abandoned, which says nothing about the backend; an idle connection is closed first.
+// At the limit of connections, a health check closes an idle one. If there is none, the check is abandoned and not counted as
+// a failure of the backend.
 func TestHealthChecker_AbandonsWithoutFreeConnection(t *testing.T) {
 	release := make(chan struct{})
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -27,7 +27,7 @@
 	CloseTimeout = time.Second
 	// ClientWriteTimeout is how long a client may accept no bytes before it is considered gone.
 	ClientWriteTimeout = 30 * time.Second
-	// ResumeTimeout is how long after the relay's start connections from before the start may be resumed.
+	// ResumeTimeout is how long after its start the relay resumes sessions that were established before the start.
 	ResumeTimeout = 38 * time.Second
 )
 
@@ -46,14 +46,14 @@
 type Session struct {
 	Seq       uint64 // the relay's own number for the session
 	Open      protocol.Open
-	ArrivedAt time.Duration // when its OPEN line was complete, or the earliest time at which it may have been sent
+	ArrivedAt time.Duration // when its OPEN line was complete, less the time that it may have been in the accept queue
 	settings  *settings.Settings
 	metrics   *metrics.Registry
 
 	acceptedAt     time.Duration // when the connection was taken out of the accept queue
 	queuedFor      time.Duration // how long the connection may have been in the accept queue
-	pings          int
-	answered       bool // the final answer has been given, or the client has left
+	pings          int           // PING and STATS lines received before OPEN
+	answered       bool          // the final answer has been given, or the client has left
 	attemptPending bool
 	attempts       int
 	attempt        *Attempt // the one that established the session
@@ -72,9 +72,9 @@
 	return &Session{Seq: seq, settings: initial, metrics: registry}
 }
 
-// Accepted records when the connection was taken out of the accept queue and how long it may have been there. Data that
-// was in the queue with it was sent earlier: the client's time-out counts from then, although the relay could not measure
-// when the data arrived.
+// Accepted records when the connection was taken out of the accept queue and how long it may have been there. An
+// OPEN line that is complete soon afterwards may have arrived in the queue, at a time that the relay could not measure: the
+// client's time-out then counts from that much earlier.
 func (s *Session) Accepted(c *handshake.Connection) {
 	s.acceptedAt, s.queuedFor = c.AcceptedAt, c.QueuedFor
 }
