--- a/internal/emulator/capacity.go
+++ b/internal/emulator/capacity.go
@@ -13,11 +13,11 @@
 	minSlowdown = 1e-3
 )
 
-// capacity is what the process's age and its faults make of its cores.
+// capacity holds what determines the speed of the cores: the age of the process, its slowdown and its degradation.
 type capacity struct {
 	started       time.Duration
-	slowdown      float64 // factor by which everything takes longer
-	degradation   float64 // per second from degradedSince on, as a share of the speed then
+	slowdown      float64 // factor by which work takes longer
+	degradation   float64 // growth of the time that work takes, per second from degradedSince on, as a share of the undegraded time
 	degradedSince time.Duration
 	coldArrivals  []time.Duration // of requests within the last ColdCrashWindow
 }
@@ -40,12 +40,12 @@
 	return cfg.Speed * c.warmth(cfg, at) / c.slowdown / (1 + c.degradation*(at-c.degradedSince).Seconds())
 }
 
-// varies says whether the speed changes continuously.
+// varies reports whether the speed changes continuously.
 func (c *capacity) varies(cfg *Config, at time.Duration) bool {
 	return c.degradation > 0 || c.warmth(cfg, at) < 1
 }
 
-// overloadedCold counts a request and says whether a cold server crashes on it.
+// overloadedCold counts a request and reports whether a cold server crashes on it.
 func (c *capacity) overloadedCold(cfg *Config, now time.Duration) bool {
 	warmth := c.warmth(cfg, now)
 	if warmth >= 1 || cfg.WarmRequestRate <= 0 {
@@ -58,13 +58,13 @@
 	return float64(len(c.coldArrivals)) > cfg.ColdCrashFactor*warmth*cfg.WarmRequestRate*cfg.ColdCrashWindow.Seconds()
 }
 
-// SetSlowdown makes everything take a number of times as long; 1 ends it.
+// SetSlowdown makes all work take factor times as long; a factor of 1 ends the slowdown.
 func (s *Server) SetSlowdown(now time.Duration, factor float64) {
 	s.advance(now)
 	s.capacity.slowdown = max(factor, minSlowdown)
 }
 
-// SetDegradation makes the server slower by a share of its present speed every second; 0 ends it.
+// SetDegradation makes the time that work takes grow every second by a share of the undegraded time; 0 ends the degradation.
 func (s *Server) SetDegradation(now time.Duration, sharePerSecond float64) {
 	s.advance(now)
 	s.capacity.degradation, s.capacity.degradedSince = sharePerSecond, now
--- a/internal/emulator/connections.go
+++ b/internal/emulator/connections.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	// requestInterference is the part of the load by requests in flight that messages on connections wait for.
+	// requestInterference is the share of the load by requests in flight that delays messages on connections.
 	requestInterference = 0.5
 
 	// minCapacity keeps quotients finite, in cores.
@@ -65,8 +65,8 @@
 	}
 }
 
-// SetConnection opens a standing connection, or changes the load of one: cores that it uses. Connections of one group
-// share work that is done once; group 0 is none.
+// SetConnection opens a standing connection, or changes the load of an open one, in cores. The load of a group counts once
+// for all its connections; group 0 is none.
 func (s *Server) SetConnection(now time.Duration, id uint64, load float64, group uint64) {
 	s.advance(now)
 	s.connections.set(id, connection{load, group})
@@ -78,8 +78,8 @@
 	s.connections.remove(id)
 }
 
-// MessageLatency returns how long the server takes to handle a message on a standing connection: its own work, in
-// core-seconds, longer the more is asked of the server, and all that is behind already.
+// MessageLatency returns how long the server takes to handle a message on a standing connection: the time for its
+// work, in core-seconds, multiplied by the utilization where that is above 1, plus the present lag.
 func (s *Server) MessageLatency(now time.Duration, work float64) time.Duration {
 	s.advance(now)
 	core := s.coreSpeed()
@@ -89,7 +89,7 @@
 	return time.Duration((work/core*max(1, utilization) + s.lag) * 1e9)
 }
 
-// Utilization returns the load asked of the server relative to its present capacity, exactly and without delay. It is
+// Utilization returns the offered load relative to the server's present capacity, exactly and without delay. It is
 // infinite for a server that is down.
 func (s *Server) Utilization(now time.Duration) float64 {
 	s.advance(now)
--- a/internal/emulator/connections_test.go
+++ b/internal/emulator/connections_test.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// TestConnections_LagGrowsAndRecovers checks that an overloaded server falls behind for as long as the overload lasts, and
-// needs spare capacity to catch up.
+// TestConnections_LagGrowsAndRecovers checks that the lag of an overloaded server grows for as long as the overload lasts, and
+// shrinks only with spare capacity.
 func TestConnections_LagGrowsAndRecovers(t *testing.T) {
 	s := New(testConfig(), 1, 0)
 	s.SetConnection(0, 1, 3, 0) // of two cores
@@ -50,6 +50,6 @@
 	}
 	s.SetConnection(3*time.Second, 1, 100, 0)
 	if d := s.MessageLatency(time.Minute, 0.002); d > 11*time.Second {
-		t.Errorf("latency %v: the lag has no bound", d)
+		t.Errorf("latency %v under lasting overload, want at most 11s", d)
 	}
 }
--- a/internal/emulator/dependency.go
+++ b/internal/emulator/dependency.go
@@ -6,7 +6,7 @@
 )
 
 // Dependency is a resource that several servers share, such as a database: a number of slots, and a first-come,
-// first-served queue of those that wait for one. It isn't safe for concurrent use.
+// first-served queue for them. It isn't safe for concurrent use.
 type Dependency struct {
 	slots    int
 	slowdown float64
@@ -26,14 +26,14 @@
 // NewDependency returns a dependency with a number of slots.
 func NewDependency(slots int) *Dependency { return &Dependency{slots: slots, slowdown: 1} }
 
-// Acquire asks for a slot, to be held for a time from when it is granted.
+// Acquire enters the queue for a slot, which is held for a time after it is granted.
 func (d *Dependency) Acquire(now time.Duration, id uint64, hold time.Duration) {
 	d.sequence++
 	d.queue = append(d.queue, holder{id: id, hold: hold, sequence: d.sequence})
 	d.grant(now)
 }
 
-// grant gives free slots to those who have waited longest.
+// grant assigns free slots to the holders that have waited longest.
 func (d *Dependency) grant(now time.Duration) {
 	for len(d.busy) < d.slots && len(d.queue) > 0 {
 		h := d.queue[0]
@@ -43,10 +43,10 @@
 	}
 }
 
-// SetSlowdown makes slots granted from now on be held a number of times as long; 1 ends it.
+// SetSlowdown multiplies the hold time of slots granted from now on; a factor of 1 ends the slowdown.
 func (d *Dependency) SetSlowdown(factor float64) { d.slowdown = max(factor, minSlowdown) }
 
-// NextRelease returns when the next slot becomes free, or false if all are.
+// NextRelease returns when the next slot becomes free, or false if all slots are free.
 func (d *Dependency) NextRelease() (time.Duration, bool) {
 	if len(d.busy) == 0 {
 		return 0, false
@@ -54,7 +54,7 @@
 	return d.busy[0].end, true
 }
 
-// Release frees the slots whose time has ended, and returns the IDs of their holders in that order.
+// Release frees the slots whose hold time has ended, and returns the IDs of their holders in that order.
 func (d *Dependency) Release(now time.Duration) (ids []uint64) {
 	for len(d.busy) > 0 && d.busy[0].end <= now {
 		h := heap.Pop(&d.busy).(holder)
@@ -64,7 +64,7 @@
 	return ids
 }
 
-// Waiting returns how many wait for a slot.
+// Waiting returns how many holders wait for a slot.
 func (d *Dependency) Waiting() int { return len(d.queue) }
 
 // holderHeap implements heap.Interface, ordered by end, then by arrival.
--- a/internal/emulator/dependency_test.go
+++ b/internal/emulator/dependency_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// TestDependency_SlowsByQueueing checks that waiting for slots, and not a factor, slows those that use the dependency.
+// TestDependency_SlowsByQueueing checks that the dependency slows its users by the wait for a slot, not by a factor.
 func TestDependency_SlowsByQueueing(t *testing.T) {
 	d := NewDependency(2)
 	for i := range uint64(6) {
@@ -25,7 +25,7 @@
 		}
 	}
 	if !slices.Equal(order, []uint64{0, 1, 2, 3, 4, 5}) {
-		t.Errorf("%v", order)
+		t.Errorf("released in the order %v, want 0 to 5", order)
 	}
 	d.SetSlowdown(10)
 	d.Acquire(time.Second, 9, 100*ms)
@@ -33,6 +33,6 @@
 		t.Errorf("next release at %v at a slowdown of 10, want 2s", at)
 	}
 	if done := d.Release(5 * time.Second); !slices.Equal(done, []uint64{9}) {
-		t.Errorf("%v", done)
+		t.Errorf("released %v, want [9]", done)
 	}
 }
--- a/internal/emulator/helpers_test.go
+++ b/internal/emulator/helpers_test.go
@@ -30,5 +30,5 @@
 	}
 }
 
-// withinMillisecond says whether two times differ by at most a millisecond.
+// withinMillisecond reports whether two times differ by at most a millisecond.
 func withinMillisecond(got, want time.Duration) bool { return got >= want-ms && got <= want+ms }
--- a/internal/emulator/processor.go
+++ b/internal/emulator/processor.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	minWork          = 1e-9  // core-seconds of a request, so that none is done before it arrives
+	minWork          = 1e-9  // core-seconds; a request has at least this much, so that none is done before it arrives
 	serviceTolerance = 1e-12 // core-seconds by which rounding may make a request look unfinished
 )
 
 // processor shares the cores among requests (processor sharing). Each request in flight gets the same service per second,
-// so one counter of the service given to a request that was always there is enough: a request is done when the counter
+// so one counter of the service given to a request that was always in flight is enough: a request is done when the counter
 // has risen by its work.
 type processor struct {
 	service  float64 // core-seconds given to a request that was always in flight
@@ -33,7 +33,7 @@
 	heap.Push(&p.running, runningRequest{r, p.service + max(r.Work, minWork), p.sequence})
 }
 
-// advance gives service for some seconds, and returns the work done on all requests together.
+// advance serves the requests at a rate for some seconds, and returns the work done on all requests together.
 func (p *processor) advance(rate, seconds float64) float64 {
 	given := rate * seconds
 	p.service += given
@@ -49,7 +49,7 @@
 }
 
 // NextCompletion returns when the next request is done if nothing else happens, or false if none will be. While the
-// service rate varies it may return an earlier time, at which to ask again.
+// service rate varies it may return an earlier time, at which the caller asks again.
 func (s *Server) NextCompletion() (time.Duration, bool) {
 	rate := s.requestRate()
 	if rate <= 0 {
@@ -63,7 +63,7 @@
 	return at, true
 }
 
-// Complete lets time pass, and returns the IDs of the requests that are done by then, in the order of completion.
+// Complete advances the server to now, and returns the IDs of the requests that are done by then, in the order of completion.
 func (s *Server) Complete(now time.Duration) (ids []uint64) {
 	for {
 		at, ok := s.NextCompletion()
--- a/internal/emulator/report.go
+++ b/internal/emulator/report.go
@@ -13,9 +13,9 @@
 	delivered  float64      // load of the newest report delivered
 }
 
-// loadReport is a report on its way.
+// loadReport is a load report that is made and not yet delivered.
 type loadReport struct {
-	at   time.Duration
+	at   time.Duration // when it was made
 	load float64
 }
 
@@ -30,7 +30,7 @@
 	return s.reporter.deliver(now, s.cfg.ReportDelay)
 }
 
-// measureLoad returns the load over the last interval as a report shows it.
+// measureLoad returns the load over the last interval, with the configured noise and rounding.
 func (s *Server) measureLoad(interval time.Duration) float64 {
 	load := (s.connectionLoad() + s.reporter.workDone/interval.Seconds()) / max(s.totalSpeed(), minCapacity)
 	load *= 1 + s.cfg.ReportNoise*s.rng.NormFloat64()
--- a/internal/emulator/report_test.go
+++ b/internal/emulator/report_test.go
@@ -26,6 +26,6 @@
 	a.SetConnection(0, 1, 1, 0)
 	b.SetConnection(0, 1, 1, 0)
 	if x, y := a.LoadReport(time.Second), b.LoadReport(time.Second); x == y || x < 0.1 || x > 0.9 {
-		t.Errorf("two seeds report %v and %v", x, y)
+		t.Errorf("two seeds report %v and %v, want different loads, the first one from 0.1 to 0.9", x, y)
 	}
 }
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -6,13 +6,13 @@
 )
 
 const (
-	// rateStep is how long a service rate that changes continuously (warming up, degrading) is taken as constant.
+	// rateStep is how long a service rate that changes continuously (warming up, degrading) is treated as constant.
 	rateStep = 50 * time.Millisecond
 
-	// maxLag is how far, in seconds, connections' messages can fall behind: clients give up what is older.
+	// maxLag is the upper bound of the lag, in seconds: clients give up on messages that are older.
 	maxLag = 10.0
 
-	// rngStream tells this package's random numbers apart from those of others seeded alike.
+	// rngStream makes this package's random numbers differ from those of other packages with the same seed.
 	rngStream = 0xe1
 )
 
@@ -22,14 +22,14 @@
 	Work float64 // core-seconds of a nominal core
 }
 
-// Admission is what happens to a request that arrives.
+// Admission is the outcome of a request's arrival.
 type Admission uint8
 
-// The admissions.
+// The outcomes of an arrival.
 const (
 	Accepted Admission = iota // the server works on it
 	Queued                    // the process is paused; Resume decides
-	Rejected                  // the server is at MaxRequests and says so
+	Rejected                  // MaxRequests are in flight; the server answers with a rejection
 	Dropped                   // no answer: the server is down, or the backlog of a paused process is full
 	Crashed                   // this request made a cold server crash
 )
@@ -44,10 +44,10 @@
 	paused      bool
 	capacity    capacity
 	processor   processor
-	backlog     []Request // that arrived during a pause
+	backlog     []Request // requests that arrived during a pause
 	connections connectionTable
 	leaked      float64 // connection-seconds
-	lag         float64 // seconds that connections' messages are behind
+	lag         float64 // delay of messages on connections, in seconds
 	reporter    loadReporter
 }
 
@@ -71,7 +71,7 @@
 	}
 }
 
-// Down says whether the process has crashed.
+// Down reports whether the process has crashed.
 func (s *Server) Down() bool { return s.down }
 
 // Crash ends the process. All requests are lost.
@@ -109,7 +109,7 @@
 	return accepted, rejected
 }
 
-// Arrive takes in a request.
+// Arrive handles the arrival of a request.
 func (s *Server) Arrive(now time.Duration, r Request) Admission {
 	s.advance(now)
 	switch {
@@ -133,7 +133,7 @@
 // InFlight returns how many requests the server works on.
 func (s *Server) InFlight() int { return len(s.processor.running) }
 
-// advance lets time pass without an event.
+// advance updates the model to now, with no event until then.
 func (s *Server) advance(now time.Duration) {
 	for s.now < now {
 		next := now
@@ -148,7 +148,7 @@
 	}
 }
 
-// rateVaries says whether the service rate changes without an event.
+// rateVaries reports whether the service rate changes without an event.
 func (s *Server) rateVaries() bool { return s.capacity.varies(&s.cfg, s.now) }
 
 // coreSpeed returns the present speed of one core.
@@ -160,21 +160,21 @@
 // connectionLoad returns the cores used by standing connections and their groups.
 func (s *Server) connectionLoad() float64 { return s.connections.totalLoad(s.cfg.GroupLoad) }
 
-// requestRate returns the service that each request in flight gets per second: an equal share of what connections leave
-// over, at most one core. An overloaded server still makes some progress.
+// requestRate returns the service that each request in flight gets per second: an equal share of the capacity that
+// connections don't use, at most one core. An overloaded server still makes some progress.
 func (s *Server) requestRate() float64 {
-	const minRequestShare = 20 // requests get a twentieth of the capacity at least
+	const minShareDivisor = 20 // requests get at least a twentieth of the capacity
 	if s.paused || s.down || s.InFlight() == 0 {
 		return 0
 	}
 	core := s.coreSpeed()
 	total := core * s.cfg.Cores
-	available := max(total/minRequestShare, total-s.connectionLoad())
+	available := max(total/minShareDivisor, total-s.connectionLoad())
 	return min(core, available/float64(s.InFlight()))
 }
 
-// advanceLag accumulates what connections ask for and the server can't do: their messages come whether or not earlier
-// ones are done.
+// advanceLag updates the lag. It grows while connections need more than the capacity, because messages arrive whether or
+// not earlier ones have been handled, and while the process is paused.
 func (s *Server) advanceLag(elapsed float64) {
 	total := s.totalSpeed()
 	if s.paused || total <= 0 {
@@ -184,7 +184,7 @@
 	s.lag = min(maxLag, max(0, s.lag+(s.connectionLoad()/total-1)*elapsed))
 }
 
-// advanceLeak accumulates leaked memory, and crashes the server when it is used up.
+// advanceLeak accumulates leaked memory, and crashes the server at LeakLimit.
 func (s *Server) advanceLeak(elapsed float64) {
 	if s.cfg.LeakLimit <= 0 || s.down {
 		return
--- a/internal/emulator/server_test.go
+++ b/internal/emulator/server_test.go
@@ -12,24 +12,24 @@
 	"pgregory.net/rapid"
 )
 
-// TestServer_PauseReleasesBacklogAtOnce checks that requests that arrive during a pause are all there when it ends, up to the
-// backlog, and that the cores work them off.
+// TestServer_PauseReleasesBacklogAtOnce checks that requests that arrive during a pause, up to the backlog, are all started
+// when it ends, and that the cores share them.
 func TestServer_PauseReleasesBacklogAtOnce(t *testing.T) {
 	s := New(testConfig(), 1, 0)
 	s.Arrive(0, Request{100, 0.2})
 	s.Pause(100 * ms)
-	lost := 0
+	dropped := 0
 	for i := range uint64(14) {
 		if s.Arrive(200*ms, Request{i, 0.1}) == Dropped {
-			lost++
+			dropped++
 		}
 	}
-	if _, ok := s.NextCompletion(); ok || lost != 4 {
-		t.Fatalf("%d dropped, want 4; a completion during the pause: %v", lost, ok)
+	if _, ok := s.NextCompletion(); ok || dropped != 4 {
+		t.Fatalf("%d dropped, want 4; a completion during the pause: %v", dropped, ok)
 	}
 	accepted, rejected := s.Resume(time.Second)
 	if len(accepted) != 10 || len(rejected) != 0 {
-		t.Fatalf("%d accepted, %d rejected", len(accepted), len(rejected))
+		t.Fatalf("%d accepted, %d rejected, want 10 and 0", len(accepted), len(rejected))
 	}
 	at := completionTimes(s, time.Minute)
 	if !withinMillisecond(at[0], 1550*ms) || !withinMillisecond(at[100], 1550*ms) { // 11 requests of 0.1 left on two cores
@@ -43,12 +43,12 @@
 		s.Arrive(0, Request{i, 0.1})
 	}
 	if accepted, rejected := s.Resume(ms); len(accepted) != 3 || !slices.Equal(rejected, []uint64{3, 4}) {
-		t.Errorf("%v accepted, %v rejected", accepted, rejected)
+		t.Errorf("%v accepted, %v rejected, want three and [3 4]", accepted, rejected)
 	}
 }
 
-// TestServer_ConservesWork checks that every accepted request ends exactly once, whatever happens, and that no more work is done than
-// the cores can do.
+// TestServer_ConservesWork checks that every accepted request ends exactly once, with any pauses and slowdowns, and that no more
+// work is done than the cores can do.
 func TestServer_ConservesWork(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := testConfig()
@@ -101,7 +101,7 @@
 			now = at
 		}
 		if len(outstanding) > 0 {
-			t.Fatalf("%d requests never end", len(outstanding))
+			t.Fatalf("%d accepted requests never end", len(outstanding))
 		}
 		if s.reporter.workDone > work+1e-6 || s.reporter.workDone > cfg.Cores*(now-paused).Seconds()+1e-6 {
 			t.Fatalf("%v of work done; %v accepted, %v cores for %v", s.reporter.workDone, work, cfg.Cores, now-paused)
@@ -110,7 +110,7 @@
 }
 
 func TestServer_ImportsNoIO(t *testing.T) {
-	alloutstanding := []string{"container/heap", "math", "math/rand/v2", "time"}
+	allowed := []string{"container/heap", "math", "math/rand/v2", "time"}
 	files, err := filepath.Glob("*.go")
 	if err != nil || len(files) == 0 {
 		t.Fatalf("%d files: %v", len(files), err)
@@ -124,14 +124,14 @@
 			t.Fatal(err)
 		}
 		for _, i := range f.Imports {
-			if p := strings.Trim(i.Path.Value, `"`); !slices.Contains(alloutstanding, p) {
-				t.Errorf("%s imports %s", name, p)
+			if p := strings.Trim(i.Path.Value, `"`); !slices.Contains(allowed, p) {
+				t.Errorf("%s imports %s, want only %v", name, p, allowed)
 			}
 		}
 	}
 }
 
-// BenchmarkServer_Requests measures what a request costs the model with 200 in flight.
+// BenchmarkServer_Requests measures the cost of modelling a request with 200 in flight.
 func BenchmarkServer_Requests(b *testing.B) {
 	cfg := testConfig()
 	cfg.MaxRequests = 1 << 20
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -19,9 +19,9 @@
 	fileMode = 0o644
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// Updating reports whether golden files are to be written anew.
+// Updating reports whether golden files are to be rewritten.
 func Updating() bool { return *update }
 
 // Compare fails the test at the first line in which got differs from the golden file of that name.
--- a/internal/loadstats/herd.go
+++ b/internal/loadstats/herd.go
@@ -8,14 +8,14 @@
 
 const (
 	// HerdWindow is the span in which new connections count as one herd: relays that act on the same old load reports
-	// send what they have to the same backend.
+	// send their new connections to the same backend.
 	HerdWindow = 500 * time.Millisecond
 
-	// MinExpectedArrivals is a backend's fair share of a window's new connections, below which the share that it gets
-	// is mostly chance.
+	// MinExpectedArrivals is the least fair share of a window's new connections, by backend, for which the figures
+	// count: below it the number that a backend gets is mostly chance.
 	MinExpectedArrivals = 8.0
 
-	// herdWindowStep is the time between the beginnings of two windows.
+	// herdWindowStep is the time between the starts of two windows.
 	herdWindowStep = 50 * time.Millisecond
 )
 
@@ -35,8 +35,9 @@
 	return out
 }
 
-// visitHerds calls visit for every backend and every window that begins within a number of seconds, where the backend's
-// fair share is large enough, with the new connections that it got over that share, and the share.
+// visitHerds calls visit for every backend and every window that starts within a number of seconds of the run, if the
+// backend's fair share is at least MinExpectedArrivals. The arguments are the second in which the window starts, the ratio
+// of the backend's new connections to its fair share, and that share in connections.
 func (r *Recorder) visitHerds(seconds int, p placement, visit func(second int, ratio, expected float64)) {
 	arrivals := r.arrivals(p)
 	counts := make([]int, r.backendCount())
--- a/internal/loadstats/imbalance_test.go
+++ b/internal/loadstats/imbalance_test.go
@@ -9,9 +9,9 @@
 func TestImbalance_EvenAndUneven(t *testing.T) {
 	const n, backends = 1000, 20
 	for _, c := range []struct {
-		name  string
-		where func(i int) int
-		check func(Summary) bool
+		name      string
+		backendOf func(i int) int
+		check     func(Summary) bool
 	}{
 		{"even", func(i int) int { return i % backends }, func(s Summary) bool {
 			return s.Variation < 1e-9 && s.JainIndex > 0.999 && s.MinOverMean > 0.999 && s.IdleSeconds == 0 && math.Abs(s.MeanLoad-0.25) < 1e-9
@@ -22,13 +22,13 @@
 		{"one is empty", func(i int) int { return i % (backends - 1) }, func(s Summary) bool { return s.LowestOverMean == 0 && s.IdleSeconds == 9 }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := Summarize(recordConnections(n, backends, c.where).PerSecond(10*time.Second), 1)
+			s := Summarize(recordConnections(n, backends, c.backendOf).PerSecond(10*time.Second), 1)
 			if !c.check(s) {
 				t.Errorf("%+v", s)
 			}
 			// Hashing 50 connections to each backend gives a variation of about 1/sqrt(50), a greedy placement none.
 			if s.HashingVariation < 0.1 || s.HashingVariation > 0.18 || s.GreedyVariation > 1e-9 {
-				t.Errorf("hashing %.3f, greedy %.3f", s.HashingVariation, s.GreedyVariation)
+				t.Errorf("variation of hashing %.3f, of greedy placement %.3f, want 0.1 to 0.18 and 0", s.HashingVariation, s.GreedyVariation)
 			}
 		})
 	}
--- a/internal/loadstats/placement.go
+++ b/internal/loadstats/placement.go
@@ -60,8 +60,8 @@
 	return x ^ x>>31
 }
 
-// greedyPlacement returns where a placement would have put the connections that knows every load at every moment and
-// always takes the backend with the least load after it, relative to capacity.
+// greedyPlacement returns where a greedy placement based on the exact loads would have put the connections: each one at the
+// backend whose load relative to capacity is then the lowest.
 func (r *Recorder) greedyPlacement() placement {
 	p := make(placement, len(r.connections))
 	opened, closed := r.indexesBy(connectionOpened), r.indexesBy(connectionClosed)
@@ -97,7 +97,7 @@
 	return indexes
 }
 
-// leastLoaded returns the backend that has the least load relative to its capacity once it holds a connection, among
+// leastLoaded returns the backend that has the lowest load relative to its capacity once it holds a connection, among
 // those that were up when it opened, or the actual one if none was.
 func (r *Recorder) leastLoaded(c *Connection, loads []float64) int {
 	best, backend := math.Inf(1), c.Backend
--- a/internal/loadstats/recorder.go
+++ b/internal/loadstats/recorder.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// forever is the end of what has not ended.
+// forever is the end of spans and connections that have not ended.
 const forever time.Duration = 1 << 62
 
 // Connection is one connection and the backend that held it.
@@ -15,14 +15,14 @@
 	Closed  time.Duration // likewise; set by the Recorder
 }
 
-// backendSpan is a time in which a backend was up.
+// backendSpan is a period during which a backend was up.
 type backendSpan struct {
 	backend  int
 	capacity float64 // cores
 	up, down time.Duration
 }
 
-// includes says whether the backend was up at a time.
+// includes reports whether the backend was up at a time.
 func (s *backendSpan) includes(at time.Duration) bool { return s.up <= at && s.down > at }
 
 // Recorder records which backends were up and which connections they held. The zero value is an empty one. It isn't safe
@@ -33,12 +33,12 @@
 	spans       []backendSpan
 }
 
-// BackendUp records that a backend is up from now on, with a number of cores of which connections may use all.
+// BackendUp records that a backend is up from a time on, with a capacity in cores, all of which connections may use.
 func (r *Recorder) BackendUp(at time.Duration, backend int, capacity float64) {
 	r.spans = append(r.spans, backendSpan{backend, capacity, at, forever})
 }
 
-// BackendDown records that a backend is down, or is to have no connections any more. Its connections close.
+// BackendDown records that a backend is down, or should hold no more connections. Its connections count as closed.
 func (r *Recorder) BackendDown(at time.Duration, backend int) {
 	for i := range r.spans {
 		if s := &r.spans[i]; s.backend == backend && s.down == forever {
@@ -53,7 +53,7 @@
 	}
 }
 
-// ConnectionOpened records that a backend holds a connection from its Opened on. The ID is the caller's.
+// ConnectionOpened records that a backend holds a connection from its Opened on. The caller chooses the ID.
 func (r *Recorder) ConnectionOpened(id uint64, c Connection) {
 	if r.open == nil {
 		r.open = map[uint64]int{}
--- a/internal/loadstats/recorder_test.go
+++ b/internal/loadstats/recorder_test.go
@@ -11,7 +11,7 @@
 	r.BackendUp(6*time.Second, 0, 2)
 	s := r.PerSecond(8 * time.Second)
 	if s[3].IdleSeconds != 0 || s[3].Loads[0] != -1 || s[3].Variation > 1e-9 {
-		t.Errorf("while down: %+v", s[3])
+		t.Errorf("second 3, one backend down: %+v", s[3])
 	}
 	if s[7].IdleSeconds != 1 || s[7].MinOverMean != 0 {
 		t.Errorf("up again without connections: %+v", s[7])
--- a/internal/loadstats/samples.go
+++ b/internal/loadstats/samples.go
@@ -9,10 +9,10 @@
 // SampleInterval is the time between two samples of the loads.
 const SampleInterval = 250 * time.Millisecond
 
-// samplesPerSecond samples make a second's figures.
+// samplesPerSecond is how many samples are averaged for a second's figures.
 const samplesPerSecond = int(time.Second / SampleInterval)
 
-// backendDown stands in a sample for the load of a backend that is down; all real loads are at least 0.
+// backendDown is the load in a sample of a backend that is down; all real loads are at least 0.
 const backendDown = -1.0
 
 // loadChange is the opening or the closing of a connection.
--- a/internal/loadstats/second.go
+++ b/internal/loadstats/second.go
@@ -3,13 +3,13 @@
 import "time"
 
 const (
-	// hashSalts is how many hash functions the figures of hashing are averaged over: one alone may be lucky.
+	// hashSalts is how many hash functions the figures of hashing are averaged over: a single one may be even by chance.
 	hashSalts = 8
 
 	// idleShare is the part of the mean load below which a backend counts as idle.
 	idleShare = 0.5
 
-	// sampleWeight is a sample's part of its second.
+	// sampleWeight is the weight of a sample in the mean of its second.
 	sampleWeight = 1.0 / float64(samplesPerSecond)
 )
 
@@ -18,7 +18,7 @@
 	Imbalance
 	MeanLoad         float64   `json:"mean"`         // over backends, relative to capacity
 	HashingVariation float64   `json:"hashing"`      // Variation that hashing alone would give
-	GreedyVariation  float64   `json:"even"`         // Variation that a greedy placement with full knowledge would give
+	GreedyVariation  float64   `json:"even"`         // Variation that a greedy placement based on exact loads would give
 	IdleSeconds      float64   `json:"idle_s"`       // backend-seconds below half of the mean load, in total
 	HerdRatio        float64   `json:"herd"`         // largest: new connections at a backend in a HerdWindow over its fair share; 0: no share was large enough
 	HerdExpected     float64   `json:"herd_part"`    // that fair share, in connections
@@ -65,7 +65,7 @@
 	return out
 }
 
-// addSample adds one sample's part to its second.
+// addSample adds one sample, with its weight, to the means of its second.
 func (s *runSamples) addSample(out *Second, i int) {
 	imbalance, mean := measureImbalance(s.actual[i])
 	out.Variation += imbalance.Variation * sampleWeight
@@ -96,7 +96,7 @@
 	}
 }
 
-// addHerds finds the largest herd of each second, and that which hashing alone would have made.
+// addHerds sets the largest herd of each second, and the largest one that hashing alone would have caused.
 func (r *Recorder) addHerds(seconds []Second, hashing []placement) {
 	r.visitHerds(len(seconds), r.actualPlacement(), func(s int, ratio, expected float64) {
 		if ratio > seconds[s].HerdRatio {
--- a/internal/loadstats/summary.go
+++ b/internal/loadstats/summary.go
@@ -8,7 +8,7 @@
 // minVariation keeps RelativeVariation finite.
 const minVariation = 1e-9
 
-// Summary condenses a run from some second on: medians over seconds, except as noted.
+// Summary summarizes a run from some second on: medians over seconds, except as noted.
 type Summary struct {
 	Imbalance
 	MeanLoad          float64 `json:"mean"`         // over backends, relative to capacity
@@ -22,7 +22,7 @@
 	HashingHerdRatio  float64 `json:"herd_hashing"` // of the second with the largest HerdRatio
 }
 
-// Summarize condenses the seconds from an index on. It returns a zero Summary if there are none.
+// Summarize summarizes the seconds from an index on. It returns a zero Summary if there are none.
 func Summarize(seconds []Second, from int) Summary {
 	if from >= len(seconds) {
 		return Summary{}
--- a/internal/report/csv.go
+++ b/internal/report/csv.go
@@ -16,7 +16,7 @@
 func CSV(outcomes []scenario.Outcome) []byte {
 	var out bytes.Buffer
 	w := csv.NewWriter(&out)
-	_ = w.Write(csvHeader) // a buffer's errors are none
+	_ = w.Write(csvHeader) // writing to a buffer never fails
 	for i := range outcomes {
 		for second := range outcomes[i].Seconds {
 			_ = w.Write(csvLine(&outcomes[i], second))
@@ -26,7 +26,7 @@
 	return out.Bytes()
 }
 
-// csvLine returns the fields of one second, in the order of csvHeader. What was not measured is 0.
+// csvLine returns the fields of one second, in the order of csvHeader. Figures that were not measured are 0.
 func csvLine(o *scenario.Outcome, second int) []string {
 	var e loadstats.Second
 	if second < len(o.Evenness) {
--- a/internal/report/html.go
+++ b/internal/report/html.go
@@ -14,11 +14,12 @@
 )
 
 const (
-	// maxViolations is how many violations of a run the page names.
+	// maxViolations is how many violations of a run the page lists.
 	maxViolations = 8
-	// warmUpSeconds are left out where evenness is summed up: an installation that starts empty has to fill first.
+	// warmUpSeconds are excluded from the summary of evenness: an installation starts without connections and has to fill first.
 	warmUpSeconds = 10
-	// The load counts as uneven as hashing alone from this ratio to its deviation on, and as hardly better from half.
+	// Ratios to the deviation of hashing alone: above unevenRatio the load counts as equally uneven, above halfRatio as
+	// only somewhat more even.
 	unevenRatio = 0.9
 	halfRatio   = 0.5
 )
@@ -80,7 +81,7 @@
 func violationsOf(o *scenario.Outcome) (lines []string) {
 	for i, violation := range o.Violations {
 		if i == maxViolations {
-			return append(lines, fmt.Sprintf("%s: and %d more; the JSON has all", runName(o), len(o.Violations)-i))
+			return append(lines, fmt.Sprintf("%s: and %d more; the JSON file lists all", runName(o), len(o.Violations)-i))
 		}
 		lines = append(lines, runName(o)+": "+violation)
 	}
@@ -89,11 +90,11 @@
 
 func faultsOf(o *scenario.Outcome) (faults []faultData) {
 	for _, f := range o.Faults {
-		did := ""
-		for what, n := range f.Counts {
-			did += fmt.Sprintf("%s: %d ", what, n)
+		effects := ""
+		for name, n := range f.Counts {
+			effects += fmt.Sprintf("%s: %d ", name, n)
 		}
-		faults = append(faults, faultData{f.Kind, formatSeconds(f.StartedAt), formatSeconds(f.EndedAt), did, strconv.Itoa(f.ScriptLine)})
+		faults = append(faults, faultData{f.Kind, formatSeconds(f.StartedAt), formatSeconds(f.EndedAt), effects, strconv.Itoa(f.ScriptLine)})
 	}
 	return faults
 }
@@ -118,7 +119,7 @@
 	return fmt.Sprintf("%s, seed %d", filepath.Base(o.Program), o.Seed)
 }
 
-// verdict says in words how even the load was, for readers who skip the figures.
+// verdict describes in words how even the load was, for readers who skip the figures.
 func verdict(o *scenario.Outcome) string {
 	e := o.EvennessFrom(warmUpSeconds)
 	switch {
--- a/internal/report/plots.go
+++ b/internal/report/plots.go
@@ -9,7 +9,7 @@
 	"aspenbarrow/internal/scenario"
 )
 
-// Colours that differ in lightness too, for readers who see few of them.
+// Colours that also differ in lightness, for readers who can't tell the hues apart.
 var (
 	lineColours = []color.Color{color.RGBA{0x0b, 0x3c, 0x8c, 0xff}, color.RGBA{0xd5, 0x6a, 0x00, 0xff}}
 	hashColour  = color.RGBA{0x88, 0x88, 0x88, 0xff}
@@ -21,11 +21,11 @@
 	label   string
 	colour  color.Color
 	dashed  bool
-	seconds int // how many there are
+	seconds int // number of points, one a second
 	value   func(second int) float64
 }
 
-// seriesFunc makes the series of one run in its colour. A run without such figures has one of no seconds.
+// seriesFunc makes the series of one run in its colour. A run without such figures gets a series without points.
 type seriesFunc func(o *scenario.Outcome, colour color.Color) series
 
 // plots draws the runs. Plots of one figure share one scale.
@@ -33,14 +33,14 @@
 	d := drawing{runs: runs}
 	d.addHeatMaps()
 	d.addEvenness()
-	d.addLines("Service by second", "Worth of the clients whose lines come back in time over that of all who wanted a connection.", false, serviceSeries)
-	d.addLines("Herds", "The most new connections at one backend in half a second over its part of them; only where that part is eight or more.", true,
+	d.addLines("Service by second", "Weight of the clients whose lines are answered in time, over that of all clients that request a connection.", false, serviceSeries)
+	d.addLines("Herds", "The most new connections at one backend in half a second, over its fair share of them; only where that share is eight or more.", true,
 		evennessSeries(func(s *loadstats.Second) float64 { return s.HerdRatio }))
 	d.addLines("Processor time of all relays", "Cores, by second.", true, coresSeries)
 	return d.plots, d.err
 }
 
-// drawing collects the plots of some runs, up to the first that cannot be drawn.
+// drawing collects the plots of some runs. It stops at the first error.
 type drawing struct {
 	runs  []*scenario.Outcome
 	plots []plotData
@@ -57,7 +57,7 @@
 	}
 }
 
-// addHeatMaps adds a map of the load of every backend for each run.
+// addHeatMaps adds a heat map of the load of every backend for each run.
 func (d *drawing) addHeatMaps() {
 	highest := 0.0
 	for _, o := range d.runs {
@@ -76,7 +76,7 @@
 	}
 }
 
-// addEvenness adds the plots of how far the load is from its mean.
+// addEvenness adds the plots of how far the loads are from their mean.
 func (d *drawing) addEvenness() {
 	d.addLines("Unevenness by second", "Deviation of the load over its mean; grey is hashing alone on the same connections. Lower is better.", true,
 		evennessSeries(func(s *loadstats.Second) float64 { return s.Variation }),
@@ -132,11 +132,11 @@
 	}
 }
 
-// dashed is labelled with a dashed line, in a colour of its own unless that is nil.
-func dashed(prefix string, own color.Color, f seriesFunc) seriesFunc {
+// dashed is like labelled, with a dashed line in the override colour; nil: in the run's.
+func dashed(prefix string, override color.Color, f seriesFunc) seriesFunc {
 	return func(o *scenario.Outcome, colour color.Color) series {
-		if own != nil {
-			colour = own
+		if override != nil {
+			colour = override
 		}
 		s := labelled(prefix, f)(o, colour)
 		s.dashed = true
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -1,8 +1,8 @@
 // Package report writes the outcomes of scenarios as one self-contained HTML page with plots, and as JSON and CSV.
 //
 // The page's table has every run; the plots are of the first run of each of the first two programs. Values that
-// were not measured are left out, not drawn as zero. The package plays nothing and judges nothing beyond a word on
-// how even the load was.
+// were not measured are left out, not drawn as zero. The package plays no scenario; its only assessment is a
+// short verdict on how even the load was.
 package report
 
 import (
@@ -25,7 +25,7 @@
 // Write writes report.html, report.json and report.csv into a folder, which is created if it is missing.
 func Write(dir string, outcomes []scenario.Outcome) error {
 	if len(outcomes) == 0 {
-		return errors.New("report: there is no run")
+		return errors.New("report: got no outcomes, expected at least 1")
 	}
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return fmt.Errorf("report: %w", err)
@@ -47,7 +47,7 @@
 }
 
 // Read reads a report.json, or the one outcome that "aspenlab scenario --json" prints. It returns an error if the
-// file holds no run.
+// file contains no outcome, or one without seconds comes first.
 func Read(path string) ([]scenario.Outcome, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -62,7 +62,7 @@
 		outcomes = []scenario.Outcome{one}
 	}
 	if len(outcomes) == 0 || len(outcomes[0].Seconds) == 0 {
-		return nil, fmt.Errorf("%s: holds no run", path)
+		return nil, fmt.Errorf("%s: got %d outcomes, expected at least 1, the first of them with seconds", path, len(outcomes))
 	}
 	return outcomes, nil
 }
--- a/internal/scenario/experiment.go
+++ b/internal/scenario/experiment.go
@@ -12,9 +12,9 @@
 	// confidence95 is the number of standard deviations on either side of a mean that hold 95% of a normal
 	// distribution.
 	confidence95 = 1.96
-	// relevantDifference of the service is what an experiment should be able to tell from chance.
+	// relevantDifference is the difference in service that an experiment should be able to distinguish from chance.
 	relevantDifference = 0.01
-	// ownPolicy is what results call package balance, whose name among policies is empty.
+	// ownPolicy is the name in results of package balance, whose policy name is empty.
 	ownPolicy = "module"
 )
 
@@ -22,7 +22,7 @@
 type Experiment struct {
 	Scripts  []Script
 	Seeds    int      // of each script: 1 to this
-	Policies []string // the others are compared with the first; empty: package balance
+	Policies []string // the others are compared with the first; an empty name is package balance
 	Workers  int      // concurrent runs
 }
 
@@ -44,11 +44,11 @@
 	outcomes := e.play(progress)
 	var cells []Cell
 	for s := range e.Scripts {
-		ofScript := outcomes[s*len(e.Policies)*e.Seeds:]
-		ofFirstPolicy := ofScript[:e.Seeds]
+		scriptOutcomes := outcomes[s*len(e.Policies)*e.Seeds:]
+		firstOutcomes := scriptOutcomes[:e.Seeds]
 		for p, policy := range e.Policies {
-			own := ofScript[p*e.Seeds : (p+1)*e.Seeds]
-			cells = append(cells, newCell(e.Scripts[s].Name, policy, ofFirstPolicy, own))
+			policyOutcomes := scriptOutcomes[p*e.Seeds : (p+1)*e.Seeds]
+			cells = append(cells, newCell(e.Scripts[s].Name, policy, firstOutcomes, policyOutcomes))
 		}
 	}
 	return cells
@@ -78,7 +78,7 @@
 	outcomes := make([]Outcome, len(tasks))
 	var next, done atomic.Int64
 	var wg sync.WaitGroup
-	var mu sync.Mutex // of progress
+	var mu sync.Mutex // serializes calls of progress
 	for range max(1, e.Workers) {
 		wg.Go(func() {
 			for i := next.Add(1) - 1; i < int64(len(tasks)); i = next.Add(1) - 1 {
@@ -96,7 +96,7 @@
 	return outcomes
 }
 
-// newCell sums up one policy's runs of a script against the first policy's, which are of the same seeds.
+// newCell summarizes one policy's runs of a script and compares them with the first policy's runs on the same seeds.
 func newCell(script, policy string, first, own []Outcome) Cell {
 	c := Cell{Script: script, Policy: policy}
 	if policy == "" {
@@ -122,12 +122,12 @@
 	return c
 }
 
-// Verdict says how a policy compares with the first: better or worse by so much, or, where the difference lies
-// within its 95% confidence interval, not to be told apart.
+// Verdict describes how a policy compares with the first: better or worse, and by how much, or not distinguishable, if the
+// difference lies within its 95% confidence interval.
 func (c *Cell) Verdict(first string) string {
 	switch {
 	case math.Abs(c.Difference) <= c.ConfidenceBound:
-		return fmt.Sprintf("no difference from %s that chance would not make", first)
+		return fmt.Sprintf("no difference from %s that is statistically significant", first)
 	case c.Difference > 0:
 		return fmt.Sprintf("better than %s by %.4f", first, c.Difference)
 	}
--- a/internal/scenario/experiment_test.go
+++ b/internal/scenario/experiment_test.go
@@ -31,7 +31,7 @@
 	many := e.Run(func(int, int) { reports++ })
 	for i := range one {
 		if one[i] != many[i] {
-			t.Errorf("%+v and %+v", one[i], many[i])
+			t.Errorf("one worker: %+v, four workers: %+v", one[i], many[i])
 		}
 	}
 	var out bytes.Buffer
--- a/internal/scenario/golden_test.go
+++ b/internal/scenario/golden_test.go
@@ -12,9 +12,9 @@
 	"aspenbarrow/internal/fault"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// everything is a script with every key that there is and an incident of every kind.
+// everything returns a script with every key and an incident of every kind.
 func everything() []byte {
 	var b bytes.Buffer
 	b.WriteString(`name = "everything"
@@ -63,7 +63,8 @@
 	return b.Bytes()
 }
 
-// A stored script with every key comes to the stored faults, and those are read and written again to the same bytes.
+// TestParse_IncidentsMatchGolden checks that the stored script, with every key, resolves to the stored faults, and that these
+// decode and encode again to the same bytes.
 func TestParse_IncidentsMatchGolden(t *testing.T) {
 	const script, faults = "testdata/everything.golden.toml", "testdata/incidents.golden.json"
 	if *update {
@@ -76,7 +77,7 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(text, everything()) {
-		t.Errorf("%s has not every kind of incident that there is, or others", script)
+		t.Errorf("%s differs from the generated script with every kind of incident", script)
 	}
 	s, err := Parse("s", text)
 	if err != nil {
@@ -96,41 +97,41 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(got, want) {
-		t.Errorf("the script comes to\n%s\nstored is\n%s", got, want)
+		t.Errorf("faults of the script\n%s\nwant\n%s", got, want)
 	}
-	var kept []fault.Fault
+	var decoded []fault.Fault
 	d := json.NewDecoder(bytes.NewReader(want))
 	d.DisallowUnknownFields()
-	if err := d.Decode(&kept); err != nil {
+	if err := d.Decode(&decoded); err != nil {
 		t.Fatal(err)
 	}
-	if back, err := json.MarshalIndent(kept, "", " "); err != nil || !bytes.Equal(back, want) || !reflect.DeepEqual(kept, s.faults()) {
-		t.Errorf("%v, read and written again it is\n%s", err, back)
+	if encoded, err := json.MarshalIndent(decoded, "", " "); err != nil || !bytes.Equal(encoded, want) || !reflect.DeepEqual(decoded, s.faults()) {
+		t.Errorf("%v; decoded and encoded again\n%s", err, encoded)
 	}
 
-	// Every key of the script's tables is in the stored one.
+	// The stored script sets every key of its tables.
 	for name, v := range map[string]any{"fleet": s.Fleet, "server": s.Server, "shared": s.Shared, "group": s.Groups[0]} {
 		r := reflect.ValueOf(v)
 		for i := range r.NumField() {
 			if r.Field(i).IsZero() {
-				t.Errorf("%s: %s is not given", name, r.Type().Field(i).Name)
+				t.Errorf("%s: %s is not set", name, r.Type().Field(i).Name)
 			}
 		}
 	}
-	linked := false
+	hasLink := false
 	for _, in := range s.Incidents {
 		if in.Kind != "link" {
 			continue
 		}
-		linked = true
+		hasLink = true
 		r := reflect.ValueOf(in)
 		for i := range r.NumField() {
 			if f := r.Type().Field(i); f.IsExported() && r.Field(i).IsZero() {
-				t.Errorf("incident: %s is not given", f.Name)
+				t.Errorf("incident: %s is not set", f.Name)
 			}
 		}
 	}
-	if !linked || len(kept) != len(Kinds()) {
-		t.Errorf("a link: %v, %d faults for %d kinds", linked, len(kept), len(Kinds()))
+	if !hasLink || len(decoded) != len(Kinds()) {
+		t.Errorf("contains a link: %v, %d faults for %d kinds", hasLink, len(decoded), len(Kinds()))
 	}
 }
--- a/internal/scenario/incident.go
+++ b/internal/scenario/incident.go
@@ -12,7 +12,7 @@
 	"aspenbarrow/internal/testcluster"
 )
 
-// Kinds of incidents that are handled apart.
+// Kinds of incidents that need special handling.
 const (
 	kindLink             = "link"
 	kindSharedDependency = "shared dependency slow"
@@ -25,7 +25,7 @@
 	return slices.Compact(all)
 }
 
-// CheckPlayable returns an error for each thing in the script that the chosen driver cannot do: processes on sockets,
+// CheckPlayable returns an error for each part of the script that the chosen driver cannot play: processes on sockets,
 // or else the virtual clock. The errors begin with the script's name, as given, and the line.
 func (s *Script) CheckPlayable(name string, processes bool) (errs []error) {
 	for i := range s.Incidents {
@@ -39,10 +39,10 @@
 		}
 	}
 	if !processes && s.Fleet.Membership {
-		errs = append(errs, fmt.Errorf("%s: fleet.membership: relays on the virtual clock don't find out who is there", name))
+		errs = append(errs, fmt.Errorf("%s: fleet.membership: is true, expected false: relays on the virtual clock don't detect which relays are running", name))
 	}
-	if processes && s.Shared.Places > 0 {
-		errs = append(errs, fmt.Errorf("%s: shared: processes have no shared dependency", name))
+	if processes && s.Shared.Slots > 0 {
+		errs = append(errs, fmt.Errorf("%s: shared.places: %d, expected 0: processes have no shared dependency", name, s.Shared.Slots))
 	}
 	return errs
 }
@@ -53,18 +53,18 @@
 	case !slices.Contains(simulation.ScriptableFaultKinds(), f.Kind):
 		return fmt.Errorf("the virtual clock can't play %q", f.Kind)
 	case f.Targets != nil && !simulation.AcceptsTargets(f.Kind):
-		return fmt.Errorf("the virtual clock can't strike a group with %q", f.Kind)
+		return fmt.Errorf("the virtual clock can't apply %q to a group", f.Kind)
 	}
 	return nil
 }
 
-// rejectFunc records what is wrong with one table of a script.
+// rejectFunc records an error in one table of a script.
 type rejectFunc func(format string, args ...any)
 
-// members are the relays and backends of a group; nil: the group names none.
+// members are the relays and backends of a group; nil: the group lists none.
 type members struct{ relays, backends []int }
 
-// resolveIncidents turns the incidents into faults and returns an error for everything that is wrong with them.
+// resolveIncidents turns the incidents into faults and returns an error for each invalid value in groups and incidents.
 func (s *Script) resolveIncidents(name string, text []byte) (errs []error) {
 	groups := map[string]members{}
 	lines := tableLines(text, "[[group]]")
@@ -73,7 +73,7 @@
 			errs = append(errs, fmt.Errorf("%s:%d: group %q: %s", name, lineOf(lines, i), g.Name, fmt.Sprintf(format, args...)))
 		}
 		if _, ok := groups[g.Name]; ok || g.Name == "" {
-			reject("a name of its own is wanted")
+			reject("empty or duplicate name, expected a unique one")
 		}
 		groups[g.Name] = s.parseGroup(&g, reject)
 	}
@@ -103,7 +103,7 @@
 		*part.indexes = indexes
 	}
 	if m.relays == nil && m.backends == nil {
-		reject("neither relays nor backends")
+		reject("neither relays nor backends, expected at least one of them")
 	}
 	return m
 }
@@ -116,7 +116,7 @@
 			return nil, err
 		}
 		if last >= count {
-			return nil, fmt.Errorf("there is no number %d, the last one is %d", last, count-1)
+			return nil, fmt.Errorf("index %d, expected 0 to %d", last, count-1)
 		}
 		for i := first; i <= last; i++ {
 			if !slices.Contains(indexes, i) {
@@ -136,7 +136,7 @@
 		last, err = strconv.Atoi(to)
 	}
 	if err != nil || first < 0 || last < first {
-		return 0, 0, fmt.Errorf("%q is no number from 0 and no span of them", text)
+		return 0, 0, fmt.Errorf("%q, expected an index from 0 or a range such as 0-39", text)
 	}
 	return first, last, nil
 }
@@ -152,27 +152,27 @@
 	if in.Kind == kindLink {
 		f.Link = in.link(groups, reject)
 	} else if in.hasLinkKeys() {
-		reject("kind: only a link has from, to, both, cut, hold, loss, double, reorder, delay and jitter")
+		reject("kind: %q, expected \"link\": only a link has from, to, both, cut, hold, loss, double, reorder, delay and jitter", in.Kind)
 	}
 	in.fault = f
 }
 
-// validateIncident rejects an unknown kind and figures out of their range.
+// validateIncident rejects an unknown kind and values out of range.
 func (s *Script) validateIncident(in *Incident, reject rejectFunc) {
 	if !slices.Contains(Kinds(), in.Kind) {
-		reject("kind: there is no %q; one of %s", in.Kind, strings.Join(Kinds(), ", "))
+		reject("kind: unknown kind %q, expected one of %s", in.Kind, strings.Join(Kinds(), ", "))
 	}
 	switch end := in.Start + in.Duration; {
 	case in.Start >= s.Length:
-		reject("at: %v is past the end, %v", time.Duration(in.Start), time.Duration(s.Length))
+		reject("at: %v, expected a time before the run's end at %v", time.Duration(in.Start), time.Duration(s.Length))
 	case end > s.Length:
-		reject("for: it would end at %v, after the run's end at %v", time.Duration(end), time.Duration(s.Length))
+		reject("for: the incident ends at %v, expected at most the run's end at %v", time.Duration(end), time.Duration(s.Length))
 	}
 	if in.Severity < 0 || in.Severity > 1 || in.Target < 0 {
-		reject("much is from 0 to 1, who from 0")
+		reject("much is %v, expected 0 to 1; who is %d, expected at least 0", in.Severity, in.Target)
 	}
-	if in.Kind == kindSharedDependency && s.Shared.Places == 0 {
-		reject("kind: nothing is shared (shared.places)")
+	if in.Kind == kindSharedDependency && s.Shared.Slots == 0 {
+		reject("kind: %q needs a shared dependency, but shared.places is 0", in.Kind)
 	}
 }
 
@@ -180,7 +180,7 @@
 func (in *Incident) targets(groups map[string]members, reject rejectFunc) (targets []int) {
 	group, ok := groups[in.Group]
 	if !ok {
-		reject("group: there is none of the name %q", in.Group)
+		reject("group: there is no group %q", in.Group)
 		return nil
 	}
 	targets = group.relays
@@ -188,7 +188,7 @@
 		targets = group.backends
 	}
 	if targets == nil {
-		reject("group: %q has none of those that are struck", in.Group)
+		reject("group: %q has no nodes that %q affects", in.Group, in.Kind)
 	}
 	return targets
 }
@@ -212,29 +212,29 @@
 		Delay: time.Duration(in.Delay), Jitter: time.Duration(in.Jitter),
 	}
 	if l.From.Kind != fault.Relays && l.To.Kind != fault.Relays {
-		reject("from, to: nothing passes between %s and %s", l.From.Kind, l.To.Kind)
+		reject("from, to: no link between %s and %s, expected relays at one end", l.From.Kind, l.To.Kind)
 	}
 	for _, rate := range []float64{in.LossRate, in.DuplicateRate, in.ReorderRate} {
 		if rate < 0 || rate > 1 {
-			reject("loss, double, reorder are from 0 to 1")
+			reject("loss, double, reorder: %v, expected 0 to 1", rate)
 		}
 	}
 	betweenRelays := l.From.Kind == fault.Relays && l.To.Kind == fault.Relays
 	if !betweenRelays && (in.DuplicateRate != 0 || in.ReorderRate != 0) {
-		reject("double, reorder: only datagrams between relays come twice or overtake one another")
+		reject("double, reorder: %v and %v, expected 0: only datagrams between relays are duplicated or reordered", in.DuplicateRate, in.ReorderRate)
 	}
 	if !in.changesLink() {
-		reject("kind: a link wants one of cut, hold, loss, double, reorder, delay, jitter")
+		reject("kind: a link needs at least one of cut, hold, loss, double, reorder, delay, jitter")
 	}
 	return l
 }
 
-// parseNodes reads one end of a link: a kind of nodes, perhaps with a group behind a colon.
+// parseNodes reads one end of a link: a kind of nodes, optionally followed by a colon and a group.
 func parseNodes(key, text string, groups map[string]members, reject rejectFunc) (nodes fault.NodeSet) {
 	word, name, named := strings.Cut(text, ":")
 	kind := fault.NodeKind(word)
 	if !slices.Contains([]fault.NodeKind{fault.Relays, fault.Backends, fault.Discovery, fault.Clients}, kind) {
-		reject("%s: %q; one of relays, backends, discovery, clients is wanted, perhaps with a group behind a colon", key, text)
+		reject("%s: %q, expected relays, backends, discovery or clients, optionally with a colon and a group", key, text)
 		return nodes
 	}
 	nodes.Kind = kind
@@ -242,7 +242,7 @@
 		return nodes
 	}
 	group, ok := groups[name]
-	nodes.Indexes = group.relays // for discovery and clients too: those of these relays
+	nodes.Indexes = group.relays // also for discovery and clients: the group selects those of its relays
 	if kind == fault.Backends {
 		nodes.Indexes = group.backends
 	}
@@ -252,7 +252,7 @@
 	return nodes
 }
 
-// tableLines returns the lines of a table's headers, in their order.
+// tableLines returns the line numbers of a table's headers, in order.
 func tableLines(text []byte, header string) (lines []int) {
 	n := 0
 	for line := range strings.Lines(string(text)) {
@@ -264,7 +264,7 @@
 	return lines
 }
 
-// lineOf returns the line of the i-th table; 0: unknown.
+// lineOf returns the line number of the i-th table; 0: unknown.
 func lineOf(lines []int, i int) int {
 	if i < len(lines) {
 		return lines[i]
--- a/internal/scenario/outcome.go
+++ b/internal/scenario/outcome.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// warmUpSeconds are left out where the evenness of a run is summed up: an installation that starts empty has to
-	// fill first.
+	// warmUpSeconds are excluded from the summary of a run's evenness: an installation starts without connections and
+	// has to fill first.
 	warmUpSeconds = 10
 	// worstWindowSeconds is the length of the window of worst service.
 	worstWindowSeconds = 10
@@ -27,15 +27,15 @@
 	Classes          map[string]float64         `json:"classes"`    // service by class; empty for processes
 	Seconds          []simulation.ServiceSecond `json:"seconds"`    // service by second
 	Evenness         []loadstats.Second         `json:"evenness"`   // of the load, by second
-	Counts           map[string]int             `json:"counts"`     // how often what came up
+	Counts           map[string]int             `json:"counts"`     // number of events, by name
 
-	// Of processes only; a run on the virtual clock has none of these.
+	// Only for runs on processes; a run on the virtual clock has none of these.
 	Program string                      `json:"program,omitempty"` // the relays'
-	Faults  []testcluster.FaultEffect   `json:"faults,omitempty"`  // what each really did
-	Waits   *testcluster.LatencySummary `json:"waits,omitempty"`   // of the clients for their answers
-	Rates   *testcluster.TrafficRates   `json:"rates,omitempty"`   // of what the relays send beside the clients' lines
+	Faults  []testcluster.FaultEffect   `json:"faults,omitempty"`  // the faults as played, with their effects
+	Waits   *testcluster.LatencySummary `json:"waits,omitempty"`   // how long clients waited for their answers
+	Rates   *testcluster.TrafficRates   `json:"rates,omitempty"`   // of what the relays send beside the lines of clients
 	Usage   *testcluster.ResourceUsage  `json:"usage,omitempty"`   // of processor and memory
-	Cores   []float64                   `json:"machine,omitempty"` // that all relays used, by second
+	Cores   []float64                   `json:"machine,omitempty"` // processor cores used by all relays, by second
 
 	Violations []string `json:"broken,omitempty"` // of rules
 }
@@ -50,24 +50,25 @@
 	}
 }
 
-// serviceOf returns the service over some seconds: the worth served over the worth asked for.
+// serviceOf returns the service over some seconds: the weight of the clients served over that of the clients that requested
+// a connection.
 func serviceOf(seconds []simulation.ServiceSecond) float64 {
-	asked, served := 0.0, 0.0
+	requested, served := 0.0, 0.0
 	for _, s := range seconds {
-		asked, served = asked+s.Requested, served+s.Served
+		requested, served = requested+s.Requested, served+s.Served
 	}
-	if asked == 0 {
+	if requested == 0 {
 		return 1
 	}
-	return served / asked
+	return served / requested
 }
 
-// EvennessFrom sums up the evenness of the load from a second on.
+// EvennessFrom summarizes the evenness of the load from a second on.
 func (o *Outcome) EvennessFrom(second int) loadstats.Summary {
 	return loadstats.Summarize(o.Evenness, second)
 }
 
-// Herd returns the worst herd of a run from its first second on, and what hashing alone makes of that second.
+// Herd returns the worst herd of a run from its first second on, and that of hashing alone in that second.
 func (o *Outcome) Herd() (worst, hashing float64) {
 	e := o.EvennessFrom(0)
 	return e.HerdRatio, e.HashingHerdRatio
--- a/internal/scenario/play.go
+++ b/internal/scenario/play.go
@@ -12,8 +12,8 @@
 // Play plays a script on the virtual clock with a seed, or with the script's own if seed is 0.
 func Play(s Script, seed uint64) Outcome { return PlayWithPolicy(s, seed, "") }
 
-// PlayWithPolicy is Play with relays that decide by a policy of baseline.Names instead of package balance. An empty
-// name is package balance.
+// PlayWithPolicy is like Play, with relays that use a policy of baseline.Names instead of package balance. An empty name
+// means package balance.
 func PlayWithPolicy(s Script, seed uint64, policy string) Outcome {
 	if seed == 0 {
 		seed = s.Seed
@@ -31,7 +31,7 @@
 }
 
 // PlayOnProcesses plays a script with a seed, its own if 0, on processes of a program. It returns an error if the run
-// could not be played or a fault did nothing.
+// could not be played or a fault had no effect.
 func PlayOnProcesses(ctx context.Context, s Script, program string, seed uint64) (Outcome, error) {
 	if seed == 0 {
 		seed = s.Seed
@@ -44,9 +44,9 @@
 	return o, err
 }
 
-// Alternate plays a script on processes of each program by turns, on consecutive seeds from the first one on, so that
-// each seed is played with every program. progress is called after each run. On an error the runs up to then are
-// returned too, with the one that failed if it has figures.
+// Alternate plays a script on processes of each program in turn, on consecutive seeds from firstSeed on, so that
+// each seed is played with every program. progress is called after each run. On an error it also returns
+// the outcomes up to then, with that of the failed run if it has figures.
 func Alternate(ctx context.Context, s Script, programs []string, firstSeed uint64, seeds int, progress func(Outcome)) (outcomes []Outcome, err error) {
 	for i := range seeds {
 		for _, program := range programs {
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -31,9 +31,9 @@
 	return all
 }
 
-// Each shipped script gives the same bytes twice, measures from the first second, breaks no rule, and its incident
-// costs something: what costs nothing is not modelled.
-func TestPlay_ShippedScriptsRepeatAndCost(t *testing.T) {
+// TestPlay_ShippedScriptsRepeatAndLowerService checks that each shipped script gives the same outcome twice, is measured from the
+// first second and violates no rule, and that its incident lowers the service: one that doesn't is not modelled.
+func TestPlay_ShippedScriptsRepeatAndLowerService(t *testing.T) {
 	for name, s := range scripts(t) {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -47,27 +47,27 @@
 				t.Error("two runs differ")
 			}
 			if len(o.Seconds) < 58 || o.Seconds[0].Requested == 0 && o.Seconds[3].Requested == 0 || len(o.Violations) > 0 {
-				t.Errorf("%d seconds, broken %v", len(o.Seconds), o.Violations)
+				t.Errorf("%d seconds, want at least 58; violations %v", len(o.Seconds), o.Violations)
 			}
-			calm := s
-			calm.Incidents = nil
-			// Over the ten seconds from its begin on, paired, of the module or of hashing alone.
+			undisturbed := s
+			undisturbed.Incidents = nil
+			// Loss of service over the ten seconds from the incident's start, paired by seed, with package balance and with hashing alone.
 			const seeds = 4
 			at := int(time.Duration(s.Incidents[0].Start) / time.Second)
-			cost := map[string]float64{}
+			serviceLoss := map[string]float64{}
 			for _, policy := range []string{"", "hash"} {
 				for seed := uint64(1); seed <= seeds; seed++ {
-					with, without := PlayWithPolicy(s, seed, policy), PlayWithPolicy(calm, seed, policy)
+					with, without := PlayWithPolicy(s, seed, policy), PlayWithPolicy(undisturbed, seed, policy)
 					if without.Service < 0.9 {
-						t.Errorf("seed %d: service %.4f where nothing happens", seed, without.Service)
+						t.Errorf("seed %d: service %.4f without incidents, want at least 0.9", seed, without.Service)
 					}
-					cost[policy] += (serviceOf(without.Seconds[at:at+10]) - serviceOf(with.Seconds[at:at+10])) / seeds
+					serviceLoss[policy] += (serviceOf(without.Seconds[at:at+10]) - serviceOf(with.Seconds[at:at+10])) / seeds
 				}
 			}
-			if max(cost[""], cost["hash"]) < 0.01 {
-				t.Errorf("the incident costs the module %.4f, hashing %.4f: it is not modelled", cost[""], cost["hash"])
+			if max(serviceLoss[""], serviceLoss["hash"]) < 0.01 {
+				t.Errorf("the incident lowers the service of package balance by %.4f, of hashing by %.4f, want 0.01 for one of them: it is not modelled", serviceLoss[""], serviceLoss["hash"])
 			}
-			t.Logf("%s: over %d seeds the incident costs the module %.4f, hashing alone %.4f", name, seeds, cost[""], cost["hash"])
+			t.Logf("%s: over %d seeds the incident lowers the service of package balance by %.4f, of hashing alone by %.4f", name, seeds, serviceLoss[""], serviceLoss["hash"])
 		})
 	}
 }
@@ -80,17 +80,17 @@
 	for _, tc := range []struct{ from, to, want string }{
 		{`relays = 3`, `relais = 3`, "fleet.relais: no such key"},
 		{`relays = 3`, `relays = 0`, "fleet.relays is 0"},
-		{`at = "20s"`, `at = "2m"`, "past the end"},
+		{`at = "20s"`, `at = "2m"`, "expected a time before the run's end"},
 		{`at = "20s"`, `at = "soon"`, "soon"},
-		{`kind = "backends slow"`, `kind = "backends vanish"`, `there is no "backends vanish"`},
-		{`kind = "backends slow"`, `kind = "shared dependency slow"`, "nothing is shared (shared.places)"},
-		{`much = 0.8`, `much = 3`, "much is from 0 to 1"},
+		{`kind = "backends slow"`, `kind = "backends vanish"`, `unknown kind "backends vanish"`},
+		{`kind = "backends slow"`, `kind = "shared dependency slow"`, `"shared dependency slow" needs a shared dependency, but shared.places is 0`},
+		{`much = 0.8`, `much = 3`, "much is 3, expected 0 to 1"},
 		{`cores = 4`, `cores = "four"`, ":"},
 		{`length = "60s"`, `length = "1s"`, "length in seconds is 1"},
 	} {
 		_, err := Parse("s.toml", []byte(strings.Replace(string(text), tc.from, tc.to, 1)))
 		if err == nil || !strings.Contains(err.Error(), tc.want) || !strings.HasPrefix(err.Error(), "s.toml:") {
-			t.Errorf("%s: %v", tc.to, err)
+			t.Errorf("%s: got error %v, want %q", tc.to, err, tc.want)
 		}
 	}
 }
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -28,7 +28,7 @@
 func (d *duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	if err == nil && v < 0 {
-		err = errors.New("less than nothing")
+		err = fmt.Errorf("negative duration %q, expected 0 or more", text)
 	}
 	*d = duration(v)
 	return err
@@ -53,21 +53,21 @@
 	Clients  int `toml:"clients"`
 
 	ArrivalPeriod    duration   `toml:"rush"`      // the first clients connect within this; 0: defaultArrivalPeriod
-	SessionDuration  []duration `toml:"stay"`      // the shortest and the longest; none: shortestSession and longestSession
+	SessionDuration  []duration `toml:"stay"`      // the shortest and the longest; empty: shortestSession and longestSession
 	ReconnectDelay   duration   `toml:"return"`    // a client whose connection broke reconnects within this; 0: 300 ms
-	HotKeyShare      float64    `toml:"hot-key"`   // share of the clients that have one key
+	HotKeyShare      float64    `toml:"hot-key"`   // share of the clients that use the same key
 	HotRelayShare    float64    `toml:"hot-relay"` // share of the clients that connect to the first relay
 	NoLoadReports    bool       `toml:"no-reports"`
 	NoGossip         bool       `toml:"no-peers"`
-	Membership       bool       `toml:"membership"` // relays find out which of them are running
-	AdvertiseWeights bool       `toml:"weights"`    // the endpoint list has the servers' sizes
+	Membership       bool       `toml:"membership"` // relays detect which of them are running
+	AdvertiseWeights bool       `toml:"weights"`    // the endpoint list has the servers' sizes as weights
 }
 
-// Server is the table [server]: what the backends' machines can do.
+// Server is the table [server]: the capacity of the backends' machines.
 type Server struct {
 	Cores          float64  `toml:"cores"`
 	Speed          float64  `toml:"speed"`
-	Queue          int      `toml:"queue"`
+	MaxRequests    int      `toml:"queue"`
 	Backlog        int      `toml:"backlog"`
 	SessionWork    duration `toml:"set-up-work"`     // to establish a session, on a nominal core
 	LineWork       duration `toml:"line-work"`       // to answer a line, on a nominal core
@@ -75,15 +75,15 @@
 	ReportEvery    duration `toml:"report-every"`
 	ReportNoise    float64  `toml:"report-noise"`
 
-	Sizes           []float64 `toml:"sizes"`      // by turns, as multiples of Cores
+	Sizes           []float64 `toml:"sizes"`      // of the servers in turn, as multiples of Cores
 	LateReportShare float64   `toml:"late-share"` // share of the servers whose reports are late by ReportDelay as well
 	ReportDelay     duration  `toml:"late-by"`
 }
 
 // Dependency is the table [shared]: a dependency that all servers share.
 type Dependency struct {
-	Places int      `toml:"places"` // concurrent uses; 0: there is no such dependency
-	Hold   duration `toml:"hold"`   // of a place, by one use
+	Slots    int      `toml:"places"` // 0: there is no shared dependency
+	HoldTime duration `toml:"hold"`   // how long one use holds a slot
 }
 
 // Group is one table [[group]]: relays and backends under a name.
@@ -102,7 +102,7 @@
 	Severity float64  `toml:"much"`
 	Group    string   `toml:"group"` // the relays or backends of this group, in place of Target and Severity
 
-	// Of a link: relays, backends, discovery or clients, perhaps with a group: "relays:east".
+	// Of a link: relays, backends, discovery or clients, optionally with a group: "relays:east".
 	From          string   `toml:"from"`
 	To            string   `toml:"to"`
 	Bidirectional bool     `toml:"both"`
@@ -117,8 +117,8 @@
 	fault fault.Fault // with groups resolved
 }
 
-// Parse reads a script. The error joins all that is wrong with it, each with the script's name and, where it is known,
-// the line.
+// Parse reads a script. The error joins one error for each invalid value, each with the script's name and, where it is
+// known, the line.
 func Parse(name string, text []byte) (Script, error) {
 	var s Script
 	decoder := toml.NewDecoder(bytes.NewReader(text))
@@ -150,26 +150,26 @@
 	return fmt.Errorf("%s: %w", name, err)
 }
 
-// validate returns an error for each figure of the installation that is out of its range.
+// validate returns an error for each value of the installation that is out of its range.
 func (s *Script) validate(name string) (errs []error) {
 	reject := func(format string, args ...any) { errs = append(errs, fmt.Errorf(name+": "+format, args...)) }
 	for _, f := range s.ranges() {
 		if f.value < f.least || f.value > f.most {
-			reject("%s is %v, wanted is %v to %v", f.key, f.value, f.least, f.most)
+			reject("%s is %v, expected %v to %v", f.key, f.value, f.least, f.most)
 		}
 	}
 	if d := s.Fleet.SessionDuration; len(d) != 0 && (len(d) != 2 || d[0] > d[1] || d[1] == 0) {
-		reject("fleet.stay: two times are wanted, the shorter one first")
+		reject("fleet.stay: %d ns, expected two times, the shorter one first, the longer one above 0", d)
 	}
 	for _, size := range s.Server.Sizes {
 		if size < 0.01 || size > 100 {
-			reject("server.sizes: %v, wanted is 0.01 to 100", size)
+			reject("server.sizes: %v, expected 0.01 to 100", size)
 		}
 	}
 	return errs
 }
 
-// valueRange is a figure of a script and the range it may be in.
+// valueRange is a value of a script and its allowed range.
 type valueRange struct {
 	key         string
 	value       float64
@@ -184,7 +184,7 @@
 		{"fleet.clients", float64(s.Fleet.Clients), 1, 1e6},
 		{"server.cores", s.Server.Cores, 0.1, 1024},
 		{"server.speed", s.Server.Speed, 0.01, 100},
-		{"server.queue", float64(s.Server.Queue), 1, 1e6},
+		{"server.queue", float64(s.Server.MaxRequests), 1, 1e6},
 		{"server.backlog", float64(s.Server.Backlog), 0, 1e6},
 		{"server.set-up-work in seconds", time.Duration(s.Server.SessionWork).Seconds(), 1e-6, 60},
 		{"server.connection-load", s.Server.ConnectionLoad, 0, 1024},
@@ -192,43 +192,44 @@
 		{"fleet.hot-key", s.Fleet.HotKeyShare, 0, 1},
 		{"fleet.hot-relay", s.Fleet.HotRelayShare, 0, 1},
 		{"server.late-share", s.Server.LateReportShare, 0, 1},
-		{"shared.places", float64(s.Shared.Places), 0, 1e6},
+		{"shared.places", float64(s.Shared.Slots), 0, 1e6},
 	}
 }
 
-// What scripts need not say of an installation.
+// Settings of an installation that scripts may omit or can't change.
 const (
 	defaultArrivalPeriod = 2500 * time.Millisecond
 	shortestSession      = 2 * time.Second
 	longestSession       = 25 * time.Second
 
-	// A backend that has just started can do coldCapacity of what it can do after warmUp, and falls over if it gets
-	// overloadFactor of that for overloadSpan, as the service's backends do.
+	// A backend starts with the share coldCapacity of the capacity that it has after warmUp. Until then it crashes if
+	// it gets, over overloadSpan, more than overloadFactor times the requests that it can serve, as the service's
+	// backends do.
 	coldCapacity   = 0.3
 	warmUp         = 8 * time.Second
 	overloadFactor = 2.5
 	overloadSpan   = 3 * time.Second
 
-	// minWarmRate is the least rate of requests, by second, that a warm backend is taken to bear.
+	// minWarmRate is the least rate, in requests per second, that a warm backend is assumed to serve.
 	minWarmRate = 4
-	// clientsPerOpen is how many clients of a backend make up one request a second.
-	clientsPerOpen = 3
+	// clientsPerRequestRate is how many clients of a backend together make one request per second.
+	clientsPerRequestRate = 3
 )
 
-// installation returns the installation that the script describes, as both drivers take it.
+// installation returns the installation that the script describes, in the form that both drivers use.
 func (s *Script) installation() *simulation.Installation {
 	server, fleet := &s.Server, &s.Fleet
 	return &simulation.Installation{
 		Relays: fleet.Relays, Backends: fleet.Backends, Clients: fleet.Clients,
 		Server: emulator.Config{
-			Cores: server.Cores, Speed: server.Speed, MaxRequests: server.Queue, Backlog: server.Backlog,
+			Cores: server.Cores, Speed: server.Speed, MaxRequests: server.MaxRequests, Backlog: server.Backlog,
 			ColdCapacity: coldCapacity, WarmUpTime: warmUp, ColdCrashFactor: overloadFactor, ColdCrashWindow: overloadSpan,
 			ReportInterval: time.Duration(server.ReportEvery), ReportNoise: server.ReportNoise,
-			WarmRequestRate: max(minWarmRate, float64(fleet.Clients)/float64(fleet.Backends)/clientsPerOpen),
+			WarmRequestRate: max(minWarmRate, float64(fleet.Clients)/float64(fleet.Backends)/clientsPerRequestRate),
 		},
 		SetupWork: time.Duration(server.SessionWork).Seconds(), LineWork: time.Duration(server.LineWork).Seconds(),
 		ConnectionLoad:  server.ConnectionLoad,
-		DependencySlots: s.Shared.Places, DependencyHoldTime: time.Duration(s.Shared.Hold),
+		DependencySlots: s.Shared.Slots, DependencyHoldTime: time.Duration(s.Shared.HoldTime),
 		ArrivalWindow: fleet.arrivalPeriod(), StayRange: fleet.sessionDuration(), ReconnectWindow: time.Duration(fleet.ReconnectDelay),
 		HotKeyShare: fleet.HotKeyShare, HotRelayShare: fleet.HotRelayShare,
 		LateReportShare: server.LateReportShare, LateReportDelay: time.Duration(server.ReportDelay), BackendSizes: server.Sizes,
@@ -250,7 +251,7 @@
 	return [2]time.Duration{time.Duration(f.SessionDuration[0]), time.Duration(f.SessionDuration[1])}
 }
 
-// faults returns the incidents as drivers play them. It is never nil, with which a driver would draw faults itself.
+// faults returns the incidents as faults for a driver. The result is never nil: given nil, a driver draws faults itself.
 func (s *Script) faults() []fault.Fault {
 	faults := make([]fault.Fault, len(s.Incidents))
 	for i := range s.Incidents {
--- a/internal/scenario/text.go
+++ b/internal/scenario/text.go
@@ -9,22 +9,22 @@
 )
 
 const (
-	barWidth   = 40  // characters of the bar of a second with full service
-	bytesPerMB = 1e6 // of a megabyte
+	barWidth   = 40 // characters of the bar of a second with full service
+	bytesPerMB = 1e6
 )
 
-// reportedCounts are the counts that a report names, in their order.
+// reportedCounts are the counts that a report lists, in this order.
 var reportedCounts = []string{"answer UP", "answer BUSY", "answer ERR", "attempt", "moved", "connection lost", "cold backend fell over"}
 
 // WriteReport writes an outcome as text: the service of each second with the incidents of the script beside it, then
-// the sums. Errors of out are ignored.
+// the totals. Errors of out are ignored.
 func (o *Outcome) WriteReport(out io.Writer, s Script) {
 	fmt.Fprintf(out, "%s, seed %d\n", o.Script, o.Seed)
 	o.writeSeconds(out, s)
 	fmt.Fprintf(out, "service %.4f, worst ten seconds %.4f from second %d\n", o.Service, o.WorstWindow, o.WorstWindowStart+1)
-	even := o.EvennessFrom(warmUpSeconds)
+	evenness := o.EvennessFrom(warmUpSeconds)
 	fmt.Fprintf(out, "load %.2f of capacity; deviation %.3f of it after %d s (hashing alone %.3f, an even hand %.3f), least %.2f, most %.2f, idle %.1f backend-s, herd %.1f\n",
-		even.MeanLoad, even.Variation, warmUpSeconds, even.HashingVariation, even.GreedyVariation, even.MinOverMean, even.MaxOverMean, even.IdleSeconds, o.EvennessFrom(0).HerdRatio)
+		evenness.MeanLoad, evenness.Variation, warmUpSeconds, evenness.HashingVariation, evenness.GreedyVariation, evenness.MinOverMean, evenness.MaxOverMean, evenness.IdleSeconds, o.EvennessFrom(0).HerdRatio)
 	for _, class := range classNames {
 		if service, ok := o.Classes[class]; ok {
 			fmt.Fprintf(out, "class %-7s %.4f\n", class, service)
@@ -53,7 +53,7 @@
 	}
 }
 
-// incidentsAt returns the kinds of the incidents that take place in a second.
+// incidentsAt returns the kinds of the incidents that are active in a second.
 func (s *Script) incidentsAt(second int) (kinds []string) {
 	from := time.Duration(second) * time.Second
 	to := from + time.Second
@@ -67,7 +67,7 @@
 	return kinds
 }
 
-// writeProcessFigures writes what only runs on processes measure.
+// writeProcessFigures writes the figures that only runs on processes measure.
 func (o *Outcome) writeProcessFigures(out io.Writer) {
 	waits, rates, usage := o.Waits, o.Rates, o.Usage
 	fmt.Fprintf(out, "waits of %d: median %.1f ms, 99%% %.0f ms, 99.9%% %.0f ms, longest %.0f ms\n", waits.Count, waits.P50, waits.P99, waits.P999, waits.Max)
@@ -80,15 +80,15 @@
 // Summary returns the figures of a run on processes in one line.
 func (o *Outcome) Summary() string {
 	e := o.EvennessFrom(warmUpSeconds)
-	herd, herdOfHashing := o.Herd()
+	herd, hashingHerd := o.Herd()
 	return fmt.Sprintf("%s seed %d: service %.4f, deviation %.3f (hashing %.3f, an even hand %.3f, ratio %.2f), least %.2f, most %.2f, idle %.1f backend-s, herd %.2f (hashing %.2f), moved %d, refused %d, broken %d",
-		o.Program, o.Seed, o.Service, e.Variation, e.HashingVariation, e.GreedyVariation, e.RelativeVariation, e.LowestOverMean, e.MaxOverMean, e.IdleSeconds, herd, herdOfHashing, o.Counts["moved"], o.Counts["refused"], len(o.Violations))
+		o.Program, o.Seed, o.Service, e.Variation, e.HashingVariation, e.GreedyVariation, e.RelativeVariation, e.LowestOverMean, e.MaxOverMean, e.IdleSeconds, herd, hashingHerd, o.Counts["moved"], o.Counts["refused"], len(o.Violations))
 }
 
-// comparedFigures are what WriteComparison sets side by side, in its order.
+// comparedFigures are the figures that WriteComparison lists, in this order.
 var comparedFigures = []struct {
-	name string
-	of   func(o *Outcome) float64
+	name  string
+	value func(o *Outcome) float64
 }{
 	{"service", func(o *Outcome) float64 { return o.Service }},
 	{"worst ten seconds", func(o *Outcome) float64 { return o.WorstWindow }},
@@ -111,7 +111,7 @@
 	{"rules broken", func(o *Outcome) float64 { return float64(len(o.Violations)) }},
 }
 
-// WriteComparison writes medians and ranges of the figures by program. All outcomes are of processes and of one
+// WriteComparison writes medians and ranges of the figures by program. All outcomes are of runs on processes and of one
 // script. Errors of out are ignored.
 func WriteComparison(out io.Writer, outcomes []Outcome) {
 	programs, byProgram := groupByProgram(outcomes)
@@ -124,7 +124,7 @@
 		for _, program := range programs {
 			var values []float64
 			for _, o := range byProgram[program] {
-				values = append(values, figure.of(o))
+				values = append(values, figure.value(o))
 			}
 			slices.Sort(values)
 			fmt.Fprintf(out, "  %9.3f (%.3f to %.3f)", values[len(values)/2], values[0], values[len(values)-1])
