--- a/balance/snapshot.go
+++ b/balance/snapshot.go
@@ -88,10 +88,10 @@
 	}
 }
 
-// UpdateOtherProcess records the state of the relay's predecessor process while both run: the predecessor's tracked
+// UpdatePredecessor records the state of the relay's predecessor process while both run: the predecessor's tracked
 // load is added to this process's own, and its later ejections and overloads are adopted. Otherwise one process would
 // send the clients that the other migrates off a backend back to it. An empty Snapshot ends this.
-func (b *Balancer) UpdateOtherProcess(now time.Duration, snapshot Snapshot) {
+func (b *Balancer) UpdatePredecessor(now time.Duration, snapshot Snapshot) {
 	for _, target := range b.endpoints.byID {
 		target.predecessorLoad = 0
 	}
--- a/balance/snapshot_test.go
+++ b/balance/snapshot_test.go
@@ -22,7 +22,7 @@
 	balancer := New(now, 2, settings, rec)
 	balancer.EndpointsUpdated(now, UpdateCached, readyBackends(n))
 	balancer.Restore(now, decoded)
-	balancer.UpdateOtherProcess(now, decoded)
+	balancer.UpdatePredecessor(now, decoded)
 	rec.clear()
 	return balancer, rec
 }
@@ -58,19 +58,19 @@
 // While both processes run, the successor counts the tracked load T of the predecessor. The predecessor migrates
 // clients off a full backend; they reconnect through the successor, which would otherwise send them back to it.
 // An empty snapshot ends this.
-func TestSnapshot_OtherProcessCountsAsOwnLoad(t *testing.T) {
+func TestSnapshot_PredecessorCountsAsOwnLoad(t *testing.T) {
 	balancer, rec := newTestBalancer(t, defaultSettings(), 2)
 	openConnections(t, balancer, rec, 40)
 	successor, successorRec := restart(t, defaultSettings(), 2, 2*sec, balancer.Snapshot())
 	full := balancer.endpoints.byID[1]
 	balancer.lowerLimit(2*sec, full, 0.5)
-	successor.UpdateOtherProcess(2*sec+100*ms, balancer.Snapshot())
+	successor.UpdatePredecessor(2*sec+100*ms, balancer.Snapshot())
 	for id := uint64(1); id <= 30; id++ {
 		if to := mustSend(t, successor, successorRec, 2*sec+200*ms, Request{ID: id, Key: id}); to == 1 {
 			t.Fatalf("request %d goes to the backend that the predecessor migrates clients off", id)
 		}
 	}
-	successor.UpdateOtherProcess(3*sec, Snapshot{})
+	successor.UpdatePredecessor(3*sec, Snapshot{})
 	if successor.endpoints.byID[1].predecessorLoad != 0 || successor.endpoints.byID[2].predecessorLoad != 0 {
 		t.Error("the predecessor's load still counts though it has ended")
 	}
--- a/cmd/aspenlab/golden_test.go
+++ b/cmd/aspenlab/golden_test.go
@@ -122,7 +122,7 @@
 		return batch.ClassResult{Requests: n + 4, Served: n + 3, OnTime: n + 2, Attempts: n + 5}
 	}
 	seed := func(n int) batch.SeedResult {
-		return batch.SeedResult{Seed: uint64(n), Worth: float64(n) + 0.1, Answers: 30, Rejected: n, Failed: n + 1, Attempts: 40, Steps: 9000,
+		return batch.SeedResult{Seed: uint64(n), ServedWeight: float64(n) + 0.1, Answers: 30, Rejected: n, Failed: n + 1, Attempts: 40, Events: 9000,
 			Violations: []string{"drain at 3.000000: sent <late> & twice"},
 			Classes:    map[string]batch.ClassResult{"watch": class(10), "fetch": class(20), "submit": class(30)}}
 	}
@@ -156,7 +156,7 @@
 	later := sampleBatch()
 	for i := range later.Results {
 		s := &later.Results[i]
-		s.Worth, s.Rejected, s.Failed, s.Attempts = s.Worth+1, s.Rejected+3, s.Failed+6, s.Attempts+9
+		s.ServedWeight, s.Rejected, s.Failed, s.Attempts = s.ServedWeight+1, s.Rejected+3, s.Failed+6, s.Attempts+9
 		for name, c := range s.Classes {
 			s.Classes[name] = batch.ClassResult{Requests: c.Requests, Served: c.Served + 1, OnTime: c.OnTime + 2, Attempts: c.Attempts + 3}
 		}
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -31,7 +31,7 @@
 }
 func (f *fakeRelay) Metrics() metrics.Snapshot {
 	return metrics.Snapshot{Classes: []metrics.ClassCounts{{Name: "chat", Success: 812, Overload: 3, Error: 1}}, Dispatches: 820,
-		Concurrent: 14, Targets: 9, TargetsDisabled: 2, ReloadSuccess: 4, ReloadFailure: 5}
+		Concurrent: 14, Backends: 9, UnavailableBackends: 2, ReloadSuccess: 4, ReloadFailure: 5}
 }
 
 func TestExecute(t *testing.T) {
--- a/internal/admin/format.go
+++ b/internal/admin/format.go
@@ -44,8 +44,8 @@
 	}
 	r.value("dispatches", snapshot.Dispatches)
 	r.value("concurrent", snapshot.Concurrent)
-	r.value("targets", snapshot.Targets)
-	r.value("targets_disabled", snapshot.TargetsDisabled)
+	r.value("targets", snapshot.Backends)
+	r.value("targets_disabled", snapshot.UnavailableBackends)
 	r.value("reload_success", snapshot.ReloadSuccess)
 	r.value("reload_failure", snapshot.ReloadFailure)
 	if snapshot.Membership != nil {
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -29,7 +29,7 @@
 func (f *goldenRelay) SetDrained(on bool) { f.drainCall = fmt.Sprintf(" (Drain %v)", on) }
 func (f *goldenRelay) Metrics() metrics.Snapshot {
 	out := metrics.Snapshot{Classes: []metrics.ClassCounts{{Name: "chat", Success: 812, Overload: 3, Error: 1}, {Name: "bulk", Success: 90, Overload: 31, Error: 11}},
-		Dispatches: 820, Concurrent: 14, Targets: 9, TargetsDisabled: 2, ReloadSuccess: 4, ReloadFailure: 5}
+		Dispatches: 820, Concurrent: 14, Backends: 9, UnavailableBackends: 2, ReloadSuccess: 4, ReloadFailure: 5}
 	if f.quiet {
 		return out
 	}
--- a/internal/controller/driver.go
+++ b/internal/controller/driver.go
@@ -21,5 +21,5 @@
 	SetSettings(s *settings.Settings) // for new sessions; open ones keep theirs
 	EndpointsReceived()               // the first endpoint list has been received
 	StopAccepting()                   // shutdown is near; may be called more than once
-	Stopped()                         // the graceful shutdown is complete: the relay may end
+	ShutdownFinished()                // the graceful shutdown is complete: the relay may end
 }
--- a/internal/controller/fake_test.go
+++ b/internal/controller/fake_test.go
@@ -64,7 +64,7 @@
 
 func (d *fakeDriver) SetLimits(limits Limits) { d.limits = append(d.limits, limits) }
 func (d *fakeDriver) StopAccepting()          { d.stoppedAccepting++ }
-func (d *fakeDriver) Stopped()                { d.stopped++ }
+func (d *fakeDriver) ShutdownFinished()       { d.stopped++ }
 
 // lastBackend returns the backend of the session's last command; nil if it has none.
 func (d *fakeDriver) lastBackend(sequence uint64) *upstream.Backend {
--- a/internal/controller/hotrestart.go
+++ b/internal/controller/hotrestart.go
@@ -28,7 +28,7 @@
 		return err
 	}
 	if snapshotter, ok := c.balancer.(decision.Snapshotter); ok {
-		c.deliver(now, func() { snapshotter.UpdateOtherProcess(c.now, load) })
+		c.deliver(now, func() { snapshotter.UpdatePredecessor(c.now, load) })
 	}
 	return nil
 }
@@ -67,7 +67,7 @@
 		}
 		if snapshotter, ok := c.balancer.(decision.Snapshotter); ok {
 			snapshotter.Restore(c.now, document.Snapshot)
-			snapshotter.UpdateOtherProcess(c.now, document.Snapshot)
+			snapshotter.UpdatePredecessor(c.now, document.Snapshot)
 		}
 	})
 	if document.Drained {
--- a/internal/controller/shutdown.go
+++ b/internal/controller/shutdown.go
@@ -99,7 +99,7 @@
 	}
 	c.shutdown.finished = true
 	c.log.Info("graceful shutdown finished")
-	c.driver.Stopped()
+	c.driver.ShutdownFinished()
 }
 
 // endRemainingSessions answers waiting requests and, except in pass-through mode, migrates established sessions, since
--- a/internal/decision/decider.go
+++ b/internal/decision/decider.go
@@ -58,8 +58,8 @@
 	Snapshot() balance.Snapshot
 	// Restore restores the state of the predecessor process.
 	Restore(now time.Duration, snapshot balance.Snapshot)
-	// UpdateOtherProcess records the load that the relay's other process tracks while both run.
-	UpdateOtherProcess(now time.Duration, snapshot balance.Snapshot)
+	// UpdatePredecessor records the predecessor's state while both processes run; an empty snapshot ends this.
+	UpdatePredecessor(now time.Duration, snapshot balance.Snapshot)
 }
 
 var _ Snapshotter = (*balance.Balancer)(nil)
--- a/internal/invariant/discovery.go
+++ b/internal/invariant/discovery.go
@@ -94,8 +94,8 @@
 	}
 }
 
-// AgentLearned reports that a discovery agent has received a backend's state.
-func (c *Checker) AgentLearned(relay int, agent, backend, state string) {
+// AgentStateChanged reports that a discovery agent has received a backend's state.
+func (c *Checker) AgentStateChanged(relay int, agent, backend, state string) {
 	r := &c.relays[relay]
 	if r.agentStates[agent] == nil {
 		r.agentStates[agent] = map[string]endpointState{}
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -169,7 +169,7 @@
 		n.send(0, openRead)
 	}, []string{RuleDrain}},
 	{"a request to a backend that the agent reports as gone", func(n *network) {
-		n.AgentLearned(0, "agent", "s-0", "gone")
+		n.AgentStateChanged(0, "agent", "s-0", "gone")
 		n.clock += 1251 * time.Millisecond
 		n.client(openRead)
 		n.send(0, openRead)
@@ -262,7 +262,7 @@
 	if got := n.Observed(0); got.MinConnections != 0 || got.MaxConnections != 1 {
 		t.Errorf("after the client has closed: observed %+v", got)
 	}
-	n.RelayUpgraded(0)
+	n.RelayHotRestarted(0)
 	if got := n.Observed(0); got.Success["read"] != 0 || got.MaxConnections != 0 {
 		t.Errorf("after a hot restart: observed %+v", got)
 	}
--- a/internal/invariant/relay.go
+++ b/internal/invariant/relay.go
@@ -55,9 +55,9 @@
 	}
 }
 
-// RelayUpgraded reports that the successor in a hot restart accepts a relay's connections from now on. The rules
+// RelayHotRestarted reports that the successor in a hot restart accepts a relay's connections from now on. The rules
 // treat both processes as one relay; Observed counts each process separately.
-func (c *Checker) RelayUpgraded(relay int) {
+func (c *Checker) RelayHotRestarted(relay int) {
 	r := &c.relays[relay]
 	r.process++
 	r.observed = newObserved()
--- a/internal/metrics/registry.go
+++ b/internal/metrics/registry.go
@@ -33,15 +33,15 @@
 
 // Snapshot is one reading of a Registry.
 type Snapshot struct {
-	Classes         []ClassCounts   // each name once, in the order of the class numbers
-	Dispatches      int64           // attempts whose request was written completely
-	Concurrent      int64           // sessions that were admitted and have not ended
-	Targets         int64           // backends in the endpoint list
-	TargetsDisabled int64           // of those, unavailable now
-	ReloadSuccess   int64           // configurations applied on SIGHUP
-	ReloadFailure   int64           // configurations rejected on SIGHUP
-	Membership      *Membership     // nil: membership is off
-	Shadow          *ShadowSnapshot // nil: there is no shadow evaluation
+	Classes             []ClassCounts   // each name once, in the order of the class numbers
+	Dispatches          int64           // attempts whose request was written completely
+	Concurrent          int64           // sessions that were admitted and have not ended
+	Backends            int64           // backends in the endpoint list
+	UnavailableBackends int64           // of those, unavailable now
+	ReloadSuccess       int64           // configurations applied on SIGHUP
+	ReloadFailure       int64           // configurations rejected on SIGHUP
+	Membership          *Membership     // nil: membership is off
+	Shadow              *ShadowSnapshot // nil: there is no shadow evaluation
 }
 
 // ClassCounts is the reading of one class.
@@ -129,14 +129,14 @@
 
 func (r *Registry) readOnce() Snapshot {
 	snapshot := Snapshot{
-		Dispatches:      r.Dispatches.Load(),
-		Concurrent:      r.ActiveSessions.Load(),
-		Targets:         r.backends.Load(),
-		TargetsDisabled: r.unavailable.Load(),
-		ReloadSuccess:   r.reloadSuccess.Load(),
-		ReloadFailure:   r.reloadFailure.Load(),
-		Membership:      r.membership.Load(),
-		Classes:         r.readClasses(),
+		Dispatches:          r.Dispatches.Load(),
+		Concurrent:          r.ActiveSessions.Load(),
+		Backends:            r.backends.Load(),
+		UnavailableBackends: r.unavailable.Load(),
+		ReloadSuccess:       r.reloadSuccess.Load(),
+		ReloadFailure:       r.reloadFailure.Load(),
+		Membership:          r.membership.Load(),
+		Classes:             r.readClasses(),
 	}
 	if counters := r.shadow.Load(); counters != nil {
 		snapshot.Shadow = counters.Snapshot()
--- a/internal/metrics/registry_test.go
+++ b/internal/metrics/registry_test.go
@@ -28,7 +28,7 @@
 	registry.Reloaded(false)
 	registry.Reloaded(false)
 	got := registry.Snapshot()
-	if got.Dispatches != 5 || got.Concurrent != 2 || got.Targets != 7 || got.TargetsDisabled != 1 || got.ReloadSuccess != 1 ||
+	if got.Dispatches != 5 || got.Concurrent != 2 || got.Backends != 7 || got.UnavailableBackends != 1 || got.ReloadSuccess != 1 ||
 		got.ReloadFailure != 2 || got.Shadow != nil || got.Membership != nil {
 		t.Errorf("got %+v", got)
 	}
--- a/internal/relay/driver.go
+++ b/internal/relay/driver.go
@@ -63,8 +63,8 @@
 // StopAccepting closes the listener in the background, once.
 func (d driver) StopAccepting() { d.stopAcceptingOnce.Do(func() { go d.stopAccepting() }) }
 
-// Stopped signals that the shutdown is finished: no answer is pending.
-func (d driver) Stopped() { close(d.shutdownFinished) }
+// ShutdownFinished signals that the shutdown is finished: no answer is pending.
+func (d driver) ShutdownFinished() { close(d.shutdownFinished) }
 
 // SetSettings publishes the settings in force.
 func (d driver) SetSettings(s *settings.Settings) {
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -229,7 +229,7 @@
 		SetupWork: time.Duration(server.SessionWork).Seconds(), LineWork: time.Duration(server.LineWork).Seconds(),
 		ConnectionLoad:  server.ConnectionLoad,
 		DependencySlots: s.Shared.Places, DependencyHoldTime: time.Duration(s.Shared.Hold),
-		ArrivalWindow: fleet.arrivalPeriod(), StayRange: fleet.sessionDuration(), ReconnectWindow: time.Duration(fleet.ReconnectDelay),
+		ArrivalWindow: fleet.arrivalPeriod(), SessionDurationRange: fleet.sessionDuration(), ReconnectWindow: time.Duration(fleet.ReconnectDelay),
 		HotKeyShare: fleet.HotKeyShare, HotRelayShare: fleet.HotRelayShare,
 		LateReportShare: server.LateReportShare, LateReportDelay: time.Duration(server.ReportDelay), BackendSizes: server.Sizes,
 		ListsWeights: fleet.AdvertiseWeights, NoLoadReports: fleet.NoLoadReports, Gossip: !fleet.NoGossip, Membership: fleet.Membership,
--- a/internal/shadow/events.go
+++ b/internal/shadow/events.go
@@ -162,10 +162,10 @@
 	e.runGuarded(func() { e.shadow.Restore(now, snapshot) })
 }
 
-// UpdateOtherProcess passes the load that the relay's other process tracks to both sides.
-func (e *Evaluator) UpdateOtherProcess(now time.Duration, snapshot balance.Snapshot) {
+// UpdatePredecessor passes the state of the relay's predecessor process to both sides.
+func (e *Evaluator) UpdatePredecessor(now time.Duration, snapshot balance.Snapshot) {
 	if snapshotter, ok := e.actual.(decision.Snapshotter); ok {
-		snapshotter.UpdateOtherProcess(now, snapshot)
+		snapshotter.UpdatePredecessor(now, snapshot)
 	}
-	e.runGuarded(func() { e.shadow.UpdateOtherProcess(now, snapshot) })
+	e.runGuarded(func() { e.shadow.UpdatePredecessor(now, snapshot) })
 }
--- a/internal/simulation/audit.go
+++ b/internal/simulation/audit.go
@@ -54,10 +54,10 @@
 		run.reportViolation("figures", "%s reports %d sessions, the checker observed %d to %d", r.name, reported.Concurrent,
 			observed.MinConnections, observed.MaxConnections)
 	}
-	if observed.ListStable && (int(reported.Targets) != observed.Listed || reported.TargetsDisabled > reported.Targets ||
-		int(reported.TargetsDisabled) < observed.Draining) {
-		run.reportViolation("figures", "%s reports %d backends, %d avoided; its endpoint list has %d, %d draining", r.name, reported.Targets,
-			reported.TargetsDisabled, observed.Listed, observed.Draining)
+	if observed.ListStable && (int(reported.Backends) != observed.Listed || reported.UnavailableBackends > reported.Backends ||
+		int(reported.UnavailableBackends) < observed.Draining) {
+		run.reportViolation("figures", "%s reports %d backends, %d avoided; its endpoint list has %d, %d draining", r.name, reported.Backends,
+			reported.UnavailableBackends, observed.Listed, observed.Draining)
 	}
 	if int(reported.ReloadSuccess) != r.reloadCount || int(reported.ReloadFailure) != r.rejectedReloads {
 		run.reportViolation("figures", "%s reports %d accepted and %d rejected reloads, there were %d and %d", r.name, reported.ReloadSuccess,
--- a/internal/simulation/batch/batch.go
+++ b/internal/simulation/batch/batch.go
@@ -41,15 +41,15 @@
 
 // SeedResult is the result of one seed, without the counts that the batch sums up.
 type SeedResult struct {
-	Seed       uint64                 `json:"seed"`
-	Worth      float64                `json:"worth"`            // simulation.Result.ServedWeight
-	Answers    int                    `json:"answers"`          // final ones
-	Rejected   int                    `json:"refused"`          // answers BUSY
-	Failed     int                    `json:"failed"`           // answers ERR
-	Attempts   int                    `json:"attempts"`         // at backends
-	Steps      int                    `json:"steps"`            // events of the run
-	Violations []string               `json:"broken,omitempty"` // of rules
-	Classes    map[string]ClassResult `json:"classes"`          // by name
+	Seed         uint64                 `json:"seed"`
+	ServedWeight float64                `json:"worth"`            // simulation.Result.ServedWeight
+	Answers      int                    `json:"answers"`          // final ones
+	Rejected     int                    `json:"refused"`          // answers BUSY
+	Failed       int                    `json:"failed"`           // answers ERR
+	Attempts     int                    `json:"attempts"`         // at backends
+	Events       int                    `json:"steps"`            // events of the run
+	Violations   []string               `json:"broken,omitempty"` // of rules
+	Classes      map[string]ClassResult `json:"classes"`          // by name
 }
 
 // ClassResult counts the requests of one class.
@@ -114,8 +114,8 @@
 }
 
 func seedResult(result *simulation.Result) SeedResult {
-	s := SeedResult{Seed: result.Seed, Worth: result.ServedWeight, Answers: result.Answered, Rejected: result.Refused, Failed: result.Failed,
-		Attempts: result.Attempts, Steps: result.Events, Classes: map[string]ClassResult{}}
+	s := SeedResult{Seed: result.Seed, ServedWeight: result.ServedWeight, Answers: result.Answered, Rejected: result.Refused,
+		Failed: result.Failed, Attempts: result.Attempts, Events: result.Events, Classes: map[string]ClassResult{}}
 	for _, class := range classNames {
 		s.Classes[class] = ClassResult{
 			Requests: result.Counts["request "+class],
@@ -170,7 +170,7 @@
 	answers, steps := 0, 0
 	for _, result := range b.Results {
 		answers += result.Answers
-		steps += result.Steps
+		steps += result.Events
 	}
 	return fmt.Sprintf("%d seeds, %d failed, %d answers, %d million steps, %.1f s, %.0f seeds a second",
 		b.SeedCount, b.FailedSeeds, answers, steps/1e6, b.Elapsed.Seconds(), float64(b.SeedCount)/b.Elapsed.Seconds())
--- a/internal/simulation/batch/batch_test.go
+++ b/internal/simulation/batch/batch_test.go
@@ -15,7 +15,7 @@
 	many := Run(5, 6, 4, simulation.Options{Duration: 20 * time.Second}, nil)
 	for i := range one.Results {
 		a, b := one.Results[i], many.Results[i]
-		if a.Seed != uint64(5+i) || a.Seed != b.Seed || a.Steps != b.Steps || a.Worth != b.Worth || a.Worth == 0 {
+		if a.Seed != uint64(5+i) || a.Seed != b.Seed || a.Events != b.Events || a.ServedWeight != b.ServedWeight || a.ServedWeight == 0 {
 			t.Errorf("with one worker: %+v, with four: %+v", a, b)
 		}
 	}
@@ -27,9 +27,9 @@
 }
 
 func TestCompare_PairsSeedsOfStoredBatch(t *testing.T) {
-	before := Batch{RunLength: time.Minute, Results: []SeedResult{{Seed: 1, Worth: 10, Answers: 10, Rejected: 1}, {Seed: 2, Worth: 20, Answers: 10},
-		{Seed: 3, Worth: 30, Answers: 10}}}
-	after := Batch{RunLength: time.Minute, Results: []SeedResult{{Seed: 2, Worth: 23, Answers: 10}, {Seed: 3, Worth: 31, Answers: 10}, {Seed: 4, Worth: 9}}}
+	before := Batch{RunLength: time.Minute, Results: []SeedResult{{Seed: 1, ServedWeight: 10, Answers: 10, Rejected: 1}, {Seed: 2, ServedWeight: 20, Answers: 10},
+		{Seed: 3, ServedWeight: 30, Answers: 10}}}
+	after := Batch{RunLength: time.Minute, Results: []SeedResult{{Seed: 2, ServedWeight: 23, Answers: 10}, {Seed: 3, ServedWeight: 31, Answers: 10}, {Seed: 4, ServedWeight: 9}}}
 	path := filepath.Join(t.TempDir(), "b.json")
 	if err := before.WriteFile(path); err != nil {
 		t.Fatal(err)
--- a/internal/simulation/batch/compare.go
+++ b/internal/simulation/batch/compare.go
@@ -33,7 +33,7 @@
 		return func(r *SeedResult) float64 { return ratio(n(r), r.Answers) }
 	}
 	all := []measure{
-		{"worth served", func(r *SeedResult) float64 { return r.Worth }},
+		{"worth served", func(r *SeedResult) float64 { return r.ServedWeight }},
 		{"share refused", perAnswer(func(r *SeedResult) int { return r.Rejected })},
 		{"share failed", perAnswer(func(r *SeedResult) int { return r.Failed })},
 		{"attempts an answer", perAnswer(func(r *SeedResult) int { return r.Attempts })},
--- a/internal/simulation/discovery.go
+++ b/internal/simulation/discovery.go
@@ -94,7 +94,7 @@
 	}
 	a.version++
 	engine := a.catalog.run.engine
-	a.catalog.run.checker.AgentLearned(a.relay, a.address, e.id, e.state)
+	a.catalog.run.checker.AgentStateChanged(a.relay, a.address, e.id, e.state)
 	entry := agentEntry{e, a.version, engine.now}
 	for i := range a.entries {
 		if a.entries[i].id == e.id {
--- a/internal/simulation/options.go
+++ b/internal/simulation/options.go
@@ -30,7 +30,7 @@
 	DependencySlots           int              // concurrency of a dependency that every request uses; 0: none
 	DependencyHoldTime        time.Duration    // how long a request holds its slot
 	ArrivalWindow             time.Duration    // the clients first connect within this time
-	StayRange                 [2]time.Duration // shortest and longest session of a client
+	SessionDurationRange      [2]time.Duration // shortest and longest session of a client
 	ReconnectWindow           time.Duration    // a client whose connection broke reconnects within this time
 	HotKeyShare               float64          // share of the clients that use the same key
 	HotRelayShare             float64          // share of the connections sent to the first relay; the others go to all relays evenly
--- a/internal/simulation/relay.go
+++ b/internal/simulation/relay.go
@@ -154,8 +154,8 @@
 // StopAccepting does nothing: a relay serves connections that arrive during its shutdown, which waits for them.
 func (r *relay) StopAccepting() {}
 
-// Stopped ends the process. Its open sessions are reset, which the checker counts as cut off.
-func (r *relay) Stopped() {
+// ShutdownFinished ends the process. Its open sessions are reset, which the checker counts as cut off.
+func (r *relay) ShutdownFinished() {
 	if r.engine.trace != nil {
 		r.engine.tracef("%s left", r.name)
 	}
--- a/internal/simulation/relay_upgrade.go
+++ b/internal/simulation/relay_upgrade.go
@@ -50,7 +50,7 @@
 	if len(successor.knownEndpoints) > 0 {
 		successor.cfg.CachedEndpoints = encodeEndpoints(0, true, successor.knownEndpoints)
 	}
-	run.checker.RelayUpgraded(r.number)
+	run.checker.RelayHotRestarted(r.number)
 	successor.boot()
 	if err := successor.controller.RestoreState(run.engine.now, state); err != nil {
 		panic(fmt.Sprintf("simulation: relay %s cannot restore the state of its predecessor: %v", r.name, err))
--- a/internal/simulation/topology.go
+++ b/internal/simulation/topology.go
@@ -174,7 +174,7 @@
 	rng := run.engine.rng
 	sessionRange := [2]time.Duration{2 * time.Second, 25 * time.Second}
 	if run.options.Installation != nil {
-		sessionRange = run.options.Installation.StayRange
+		sessionRange = run.options.Installation.SessionDurationRange
 	}
 	classes := []int{0, 0, 1, 1, 2} // a class's share of the clients is its share of this list
 	c := &client{
--- a/internal/testcluster/balance_test.go
+++ b/internal/testcluster/balance_test.go
@@ -73,7 +73,7 @@
 	// A connection takes four times the delay: a round trip to connect, and one for the request and its answer.
 	far := &fault.Link{From: fault.NodeSet{Kind: fault.Relays}, To: fault.NodeSet{Kind: fault.Backends}, Bidirectional: true, Delay: 52 * time.Millisecond}
 	fleet := smallCluster(10, 8, 120)
-	fleet.StayRange = [2]time.Duration{time.Second, 3 * time.Second}
+	fleet.SessionDurationRange = [2]time.Duration{time.Second, 3 * time.Second}
 	res := runCluster(t, Options{Duration: 15 * time.Second, Fleet: fleet, Faults: []fault.Fault{{Kind: "link", Start: time.Second, Duration: 13 * time.Second, Link: far}}})
 	t.Logf("%d served, %d refused, %d failed", res.Counts["served"], res.Counts["refused"], res.Counts["failed"])
 	if served, refused := res.Counts["served"], res.Counts["refused"]; served < 500 || 2*refused > served {
@@ -113,7 +113,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			f := smallCluster(40, 12, 360)
-			f.StayRange, f.ConnectTimeout = [2]time.Duration{2 * time.Second, 6 * time.Second}, tc.connect
+			f.SessionDurationRange, f.ConnectTimeout = [2]time.Duration{2 * time.Second, 6 * time.Second}, tc.connect
 			res := runCluster(t, Options{Duration: 20 * time.Second, Fleet: f, Faults: []fault.Fault{
 				{Kind: "backends failing fast", Start: 4 * time.Second, Duration: 14 * time.Second, Targets: []int{2, 5, 9}, Severity: 0.3}}})
 			lost, asked, errs := res.Counts["failed submit"], res.Counts["request submit"], res.Counts["backend said ERR"]
--- a/internal/testcluster/cluster_test.go
+++ b/internal/testcluster/cluster_test.go
@@ -37,7 +37,7 @@
 // smallCluster is a cluster small enough for a test; its clients load its backends to 60 percent.
 func smallCluster(relays, backends, clients int) simulation.Installation {
 	f := simulation.Installation{Relays: relays, Backends: backends, Clients: clients, SetupWork: 0.004, LineWork: 0.0005, Gossip: true,
-		ArrivalWindow: time.Second, StayRange: [2]time.Duration{8 * time.Second, 30 * time.Second}, ReconnectWindow: 200 * time.Millisecond,
+		ArrivalWindow: time.Second, SessionDurationRange: [2]time.Duration{8 * time.Second, 30 * time.Second}, ReconnectWindow: 200 * time.Millisecond,
 		Server: emulator.Config{Cores: 4, Speed: 1, MaxRequests: 200, Backlog: 128, ColdCapacity: coldCapacity, WarmUpTime: warmUpTime, ColdCrashFactor: overloadFactor,
 			ColdCrashWindow: overloadWindow, ReportInterval: 500 * time.Millisecond, ReportNoise: 0.03}}
 	usual := float64(clients) / float64(backends)
--- a/internal/testcluster/discovery.go
+++ b/internal/testcluster/discovery.go
@@ -115,7 +115,7 @@
 	} else {
 		agent.endpoints = append(agent.endpoints, e)
 	}
-	c.withChecker(func() { c.checker.AgentLearned(agent.relay, c.ports.discoveryAddr(agent.relay), e.ID, e.State) })
+	c.withChecker(func() { c.checker.AgentStateChanged(agent.relay, c.ports.discoveryAddr(agent.relay), e.ID, e.State) })
 	if !agent.silent {
 		agent.notifyWatchers()
 	}
--- a/internal/testcluster/slow_start_test.go
+++ b/internal/testcluster/slow_start_test.go
@@ -31,7 +31,7 @@
 func TestCluster_ColdBackendsTakeOverflow(t *testing.T) {
 	t.Parallel()
 	f := smallCluster(60, 10, 300)
-	f.StayRange = [2]time.Duration{4 * time.Second, 12 * time.Second}
+	f.SessionDurationRange = [2]time.Duration{4 * time.Second, 12 * time.Second}
 	res := runCluster(t, Options{Duration: 14 * time.Second, Fleet: f, Faults: []fault.Fault{
 		{Kind: "backends start", Start: 4 * time.Second, Duration: 9 * time.Second, Severity: 0.5},
 		{Kind: "backends drain", Start: 4500 * time.Millisecond, Duration: 9 * time.Second, Targets: []int{0, 1, 2, 3, 4}}}})
@@ -61,7 +61,7 @@
 			opens := tc.calls / (overloadFactor * coldCapacity * overloadWindow.Seconds())
 			f := smallCluster(tc.relays, backends, int(3*opens*backends))
 			f.Server.WarmRequestRate = opens
-			f.StayRange = [2]time.Duration{400 * time.Millisecond, 1600 * time.Millisecond} // many clients reconnect while the backends are cold
+			f.SessionDurationRange = [2]time.Duration{400 * time.Millisecond, 1600 * time.Millisecond} // many clients reconnect while the backends are cold
 			var half []int
 			for i := range tc.relays {
 				if i%2 == 1 {
--- a/internal/testcluster/visits.go
+++ b/internal/testcluster/visits.go
@@ -21,7 +21,7 @@
 func planVisits(f *simulation.Installation, seed uint64, length time.Duration) []visit {
 	rng := rand.New(rand.NewPCG(seed, 0xc11e))
 	stay := func() time.Duration {
-		least, most := f.StayRange[0], f.StayRange[1]
+		least, most := f.SessionDurationRange[0], f.SessionDurationRange[1]
 		return least + time.Duration(rng.Float64()*float64(most-least))
 	}
 	hot := rng.Uint64()
@@ -35,12 +35,12 @@
 	var out []visit
 	for range f.Clients { // the remaining time of a visit in progress, where long visits are more likely
 		s := stay()
-		for rng.Float64() > float64(s)/float64(f.StayRange[1]) {
+		for rng.Float64() > float64(s)/float64(f.SessionDurationRange[1]) {
 			s = stay()
 		}
 		out = append(out, draw(time.Duration(rng.Float64()*float64(f.ArrivalWindow)), time.Duration(rng.Float64()*float64(s))))
 	}
-	mean := (f.StayRange[0] + f.StayRange[1]).Seconds() / 2
+	mean := (f.SessionDurationRange[0] + f.SessionDurationRange[1]).Seconds() / 2
 	for t := f.ArrivalWindow.Seconds(); ; {
 		t += rng.ExpFloat64() * mean / float64(f.Clients)
 		if t >= length.Seconds() {
