--- a/balance/admission.go
+++ b/balance/admission.go
@@ -36,8 +36,8 @@
 	return total
 }
 
-// isOverQuota reports whether the tenant of a request has reached its quota on this relay while half of the backends
-// are near their limit. Only then do connections over the quota take capacity from other tenants.
+// isOverQuota reports whether the tenant of a request has reached its quota on this relay while at least half of
+// the backends are near their limit. Only then do connections over the quota take capacity from other tenants.
 func (b *Balancer) isOverQuota(req *request) bool {
 	if req.Tenant >= len(b.settings.Tenants) || b.settings.OverQuotaPriority >= 1 || req.MidStream {
 		return false
@@ -92,7 +92,7 @@
 	g.total++
 }
 
-// share returns the fraction of the recent requests that belong to a group.
+// share returns the fraction of the recent requests of all groups that belong to one group.
 func (g *groupDemand) share(key uint64) float64 { return g.requests[key] / max(1, g.total) }
 
 // decay halves the weight of the requests counted so far. The total is a sum of binary fractions, so it is exact
--- a/balance/admission_test.go
+++ b/balance/admission_test.go
@@ -11,7 +11,7 @@
 	settings.OverQuotaPriority = 0.1
 	settings.Tenants = []Tenant{{Share: 0.5, ConnectionQuota: 20}, {Share: 0.5, ConnectionQuota: 20}}
 	balancer, rec := newTestBalancer(t, settings, 4)
-	for id := uint64(1); id <= 15; id++ { // its quota on one of two relays is ten
+	for id := uint64(1); id <= 15; id++ { // the tenant's quota of 20 is ten on each of two relays
 		mustSend(t, balancer, rec, sec, Request{ID: id, Key: id})
 		balancer.AttemptSucceeded(sec, AttemptResult{ID: id})
 	}
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -19,7 +19,7 @@
 	rngStream = 0x9e3779b97f4a7c15
 )
 
-// Balancer holds the decisions of one relay.
+// Balancer makes the decisions of one relay.
 type Balancer struct {
 	settings     Settings
 	activeRelays int // number of relays running now; 0: unknown, Settings.RelayCount applies
--- a/balance/balancer_test.go
+++ b/balance/balancer_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// Without a ready backend a request is held, and answered before its client gives up.
+// Without a ready backend a request is held, and answered before its client times out.
 func TestBalancer_HoldsRequestWithoutBackendsAndAnswersInTime(t *testing.T) {
 	rec := &recorder{}
 	balancer := New(sec, 1, defaultSettings(), rec)
--- a/balance/concurrency.go
+++ b/balance/concurrency.go
@@ -37,7 +37,8 @@
 	// backlogDrainTime is the time within which a backend has to finish its queued work.
 	backlogDrainTime = time.Second
 
-	// minLimitCutInterval is the minimum time between two cuts of a limit.
+	// minLimitCutInterval is the minimum time between two cuts of a limit, except those by the utilization in a load
+	// report.
 	minLimitCutInterval = time.Second
 
 	// overloadRecoveryTime is the time without overload after which an overload has ended and the limit may rise again.
@@ -69,7 +70,7 @@
 	maintained     bool // the backend is in concurrencyLimiter.maintained
 }
 
-// raise raises the limit after a second without overload.
+// raise raises the limit by the growth of one second.
 func (c *concurrencyLimit) raise(now time.Duration, reportsUtilization bool) {
 	if c.limit < nearOverloadFraction*c.loadAtOverload || now-c.lastOverload > nearOverloadTime || reportsUtilization {
 		c.limit *= limitGrowth
@@ -181,7 +182,7 @@
 	}
 	// Load reports set the limit here, and late messages would lower it to the floor while all backends are slow.
 	// A late message therefore lowers it only if there is no limit yet, if the load report shows spare capacity and so is stale or
-	// wrong, or if the backlog demands it.
+	// wrong, or if the backlog requires a lower limit.
 	if target.concurrency.limit == 0 || target.health.utilization < fillTarget || backlogFactor < latenessFactor {
 		b.lowerLimit(now, target, max(minBacklogLimitFactor, factor))
 	}
@@ -300,7 +301,7 @@
 	return costliest
 }
 
-// maintainBackends does the periodic work on the backends with connections or a limit.
+// maintainBackends does the periodic work on the backends with connections or a recent overload.
 func (b *Balancer) maintainBackends(now time.Duration) {
 	b.concurrency.dropIdle(now)
 	for _, target := range b.concurrency.maintained {
--- a/balance/concurrency_test.go
+++ b/balance/concurrency_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// A backend with late messages serves no connection in time: its heaviest connections are migrated.
+// A backend with late messages serves no connection in time: its heaviest connections are migrated first.
 func TestConcurrency_OverloadMigratesHeaviestFirst(t *testing.T) {
 	settings := defaultSettings()
 	settings.Groups = true
@@ -43,7 +43,7 @@
 	}
 }
 
-// A group that is migrated as a whole takes its shared work along. Splitting a large group adds work.
+// When a group is migrated as a whole, its shared work moves with it. Splitting a large group adds work.
 func TestConcurrency_MigratesSmallGroupsFirst(t *testing.T) {
 	settings := defaultSettings()
 	settings.Groups = true
@@ -143,7 +143,8 @@
 		balancer.EndpointsUpdated(sec, UpdateCached, readyBackends(20))
 		mustSend(t, balancer, rec, sec, Request{ID: 1, Key: 1})
 		balancer.AttemptSucceeded(sec, AttemptResult{ID: 1})
-		balancer.LoadReported(2*sec, 1, SignalMessageDelay, 80) // four times the late-message threshold of a third of the objective: 20% too much
+		// 80 ms is four times the late-message threshold, a third of the objective: the load is 20% too high.
+		balancer.LoadReported(2*sec, 1, SignalMessageDelay, 80)
 		migrated += len(rec.take(actionMigrate))
 	}
 	if migrated < 40 || migrated > 140 {
@@ -189,7 +190,7 @@
 	}
 }
 
-// Without reports of message delay, connections are migrated by the load report of a full backend.
+// Without reports of message delay, the load report of a full backend causes connections to be migrated.
 func TestConcurrency_LoadReportRelievesWithoutMessageDelayReports(t *testing.T) {
 	for _, tc := range []struct {
 		messageDelay bool
@@ -230,7 +231,8 @@
 }
 
 // The limit of a late backend holds for the first connection of a relay, too. Otherwise each of many relays
-// without a connection there sends it one more, and it stays late. With health checks, one is made first instead.
+// without a connection there sends it one more, and it stays late. With health checks, the backend is checked
+// first instead.
 func TestConcurrency_LimitHoldsForFirstConnectionWithoutHealthChecks(t *testing.T) {
 	balancer, rec := newTestBalancer(t, defaultSettings(), 2)
 	target := mustSend(t, balancer, rec, sec, Request{ID: 1, Key: 1})
@@ -242,8 +244,8 @@
 	}
 }
 
-// Where no load report raises the limit, a cut halves it at most; it is soon back at most of the load at
-// overload, and then rises slowly. With the limit cut to a tenth by every relay at once, backends that are
+// Where no load report raises the limit, a cut halves it at most; within seconds the limit is back just below
+// the load at overload, and then rises slowly. With the limit cut to a tenth by every relay at once, backends that are
 // slightly overloaded stay half empty for half a minute while a quarter of all requests are rejected.
 func TestConcurrency_LimitRecoversNearLoadAtOverload(t *testing.T) {
 	settings := defaultSettings()
--- a/balance/doc.go
+++ b/balance/doc.go
@@ -1,9 +1,9 @@
 // Package balance decides which backend serves each long-lived connection.
 //
-// A Balancer holds the decisions of one relay: placement, admission, retries,
+// A Balancer makes the decisions of one relay: placement, admission, retries,
 // outlier ejection, concurrency limits, slow start, health checks and draining.
-// Events are methods on Balancer, each given the current time; decisions leave
-// through the Actions interface.
+// Events are method calls on Balancer with the current time; decisions are calls
+// of the Actions interface.
 //
 // The package does no I/O. It starts no goroutines, reads no clock and does not
 // depend on wire formats, sockets or files; randomness comes from a generator
--- a/balance/drain_test.go
+++ b/balance/drain_test.go
@@ -29,7 +29,7 @@
 	for seconds := time.Duration(1); seconds <= backendDrainTime/maintenanceInterval; seconds++ {
 		n := maintainAndCloseMigrated(balancer, rec, 2*sec+seconds*sec)
 		left, most = left-n, max(most, n)
-		// Migrating early loads other backends though this one still serves.
+		// Early migrations load the other backends while this one still serves.
 		if seconds == backendDrainTime/maintenanceInterval/2 && left < opened[1]/3 {
 			t.Errorf("only %d of %d connections are left at half time", left, opened[1])
 		}
@@ -150,7 +150,7 @@
 	}
 }
 
-// A backend that is ready again after draining has no limit left from it.
+// A backend that is ready again after draining has no limit left from the drain.
 func TestDrain_BackendReadyAgainHasNoLimit(t *testing.T) {
 	balancer, rec := newTestBalancer(t, defaultSettings(), 2)
 	openConnections(t, balancer, rec, 20)
--- a/balance/endpoints.go
+++ b/balance/endpoints.go
@@ -12,7 +12,7 @@
 	// from the endpoint list.
 	removedLifetime = 10 * time.Minute
 
-	// minPollBackoff is the minimum backoff between two requests for the endpoint list.
+	// minPollBackoff is the minimum backoff between two requests for the endpoint list, before jitter.
 	minPollBackoff = time.Second
 )
 
@@ -139,8 +139,8 @@
 // isDue reports whether it is time to poll.
 func (p *endpointPolling) isDue(now time.Duration) bool { return p.retryAt > 0 && now >= p.retryAt }
 
-// requestEndpoints subscribes to the endpoint list. The request is repeated after the poll interval if it has no
-// answer by then.
+// requestEndpoints subscribes to the endpoint list. The request is repeated after the poll interval, at least
+// minPollBackoff, if it has no answer by then.
 func (b *Balancer) requestEndpoints(now time.Duration) {
 	b.actions.WatchEndpoints(true)
 	b.endpoints.polling.retryAt = now + max(minPollBackoff, b.settings.PollInterval)
--- a/balance/endpoints_test.go
+++ b/balance/endpoints_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// A backend that restarts under the same ID is cold and inherits neither ejection nor limit.
+// A backend that restarts under the same ID is cold and keeps neither its ejection nor its limit.
 func TestEndpoints_RestartUnderSameIDForgetsHistory(t *testing.T) {
 	balancer, rec := newTestBalancer(t, defaultSettings(), 4)
 	target := balancer.endpoints.byID[1]
--- a/balance/healthcheck.go
+++ b/balance/healthcheck.go
@@ -211,8 +211,8 @@
 }
 
 // awaitHealthCheck holds a request until its backend has been checked, if that is needed and enough time is left,
-// and reports whether it did. With many relays, each has connections on few backends only, and cannot see whether
-// the other backends are full.
+// and reports whether it did. With many relays, each has connections on few backends only, and cannot detect without
+// a check whether the others are full.
 func (b *Balancer) awaitHealthCheck(now time.Duration, target *backend, req *request) bool {
 	if !b.needsHealthCheck(now, target) || req.MidStream || req.checks == maxChecksPerRequest {
 		return false
@@ -250,7 +250,7 @@
 // leavesCapacityToOthers draws whether this relay leaves the spare capacity of a backend to the other relays. After the
 // loss of a backend, its clients reconnect through all relays at once, and all relays see the same spare capacity
 // in an outdated load report. The probability that a relay uses the backend is therefore its own share of that
-// capacity, in connections. The number of connections of this relay that fill a backend is their mean number
+// capacity, in connections, times spareCapacityFactor. The number of connections of this relay that fill a backend is their mean number
 // on a backend over the mean utilization.
 func (b *Balancer) leavesCapacityToOthers(now time.Duration, target *backend, utilization float64) bool {
 	if !b.endpoints.lostBackendWithin(now, reconnectWindow) || !b.hasReconnectingClientFor(target) {
--- a/balance/outlier.go
+++ b/balance/outlier.go
@@ -52,7 +52,7 @@
 // ejection is the outlier ejection of one backend.
 type ejection struct {
 	until     time.Duration // no new request is sent before this time
-	duration  time.Duration // of the last ejection; 0: an attempt has succeeded since
+	duration  time.Duration // of the last ejection; 0: none, or an attempt has succeeded since
 	lastReset time.Duration // when it last reset a connection; 0: never
 }
 
@@ -184,8 +184,9 @@
 	return !req.established || status == StatusReset && !b.settings.ReportsMessageDelay
 }
 
-// ejectOnFailure ejects a backend after a failed attempt. A single failure is enough: quick failures lower the
-// load of a backend and so attract requests, and each of many relays may see only one of them.
+// ejectOnFailure ejects a backend after a failed attempt, and resets the length of its next ejection after a successful
+// one. A single failure is enough: quick failures lower the load of a backend and so attract requests, and each of many
+// relays may meet only one of them.
 func (b *Balancer) ejectOnFailure(now time.Duration, target *backend, status Status) {
 	switch status {
 	case StatusOK:
@@ -198,7 +199,7 @@
 
 // bypass reports whether a request bypasses a backend that could accept it, and records that. For a reconnecting
 // client, the probability rises with the late-message rate of the backend's kind: a relay without connections on the
-// backend that the client has left sees it as empty and would send the client back.
+// backend that the client has left counts it as empty and would send the client back.
 func (b *Balancer) bypass(now time.Duration, target *backend, req *request) bool {
 	chance, limit := bypassFactor*b.outliers.latenessFor(target).rate(), maxBypasses
 	if !b.settings.HealthChecks {
--- a/balance/outlier_test.go
+++ b/balance/outlier_test.go
@@ -24,7 +24,7 @@
 }
 
 // A client that was migrated off a slow backend would be sent back to it by every relay in turn, as none of them
-// has connections there.
+// has connections there. Reconnecting clients therefore bypass some backends of a kind that is often late.
 func TestOutlier_ReconnectingClientsBypassLateKinds(t *testing.T) {
 	countSameKind := func(reconnecting bool, lateSeconds int) int {
 		list := readyBackends(20)
@@ -46,7 +46,7 @@
 				balancer.TimerFired(now, maintenanceTimer)
 			}
 			balancer.AttemptEnded(32*sec, AttemptResult{ID: 1, Backend: slow.ID, Status: StatusCancelled})
-			balancer.TimerFired(43*sec, maintenanceTimer) // its limit has expired, the lateness of its kind has not
+			balancer.TimerFired(43*sec, maintenanceTimer) // the backend's limit has expired, the lateness of its kind has not
 			to := mustSend(t, balancer, rec, 43*sec, Request{ID: 2, Key: seed, Reconnecting: reconnecting})
 			if balancer.endpoints.byID[to].Kind == slow.Kind {
 				n++
@@ -167,9 +167,9 @@
 	}
 }
 
-// Each of many relays would lose a request to find out that a backend fails. A request that must not be repeated
-// therefore bypasses a backend that reports errors and goes to the next in its rendezvous order. It bypasses two
-// backends at most, so that it is still sent where all fail.
+// If only failed requests showed that a backend fails, each of many relays would lose one there. A request that
+// must not be repeated therefore bypasses a backend that reports errors and goes to the next in its rendezvous
+// order. It bypasses two backends at most, so that it is still sent where all fail.
 func TestOutlier_NonIdempotentBypassesBackendsReportingErrors(t *testing.T) {
 	const n = 8
 	for _, tc := range []struct {
--- a/balance/placement.go
+++ b/balance/placement.go
@@ -239,7 +239,7 @@
 }
 
 // canAccept reports whether a backend can accept a request, slow start included. Slow start applies to mid-stream
-// requests as well: when a relay dies, all of its connections arrive at once.
+// requests as well: when a relay fails, all of its connections arrive at once.
 func (b *Balancer) canAccept(now time.Duration, target *backend, req *request) bool {
 	return b.isEligible(now, target, req) && b.slowStartAccepts(now, target, req)
 }
--- a/balance/placement_test.go
+++ b/balance/placement_test.go
@@ -112,9 +112,9 @@
 	}
 }
 
-// With many relays, the tracked load T of one relay on a backend is a connection or none. Where backends report
-// their utilization, a request goes to the random backup if the primary reports a higher load; without that
-// report, requests stay where hashing places them.
+// With many relays, the tracked load T of one relay on a backend is that of one connection or none. Where
+// backends report their utilization, a request goes to the random backup if the primary reports a higher load;
+// without that report, requests stay where hashing places them.
 func TestPlacement_ReportedLoadDivertsFromPrimary(t *testing.T) {
 	utilization := func(id BackendID) float64 { return 0.4 + 0.3*float64(id%2) } // 0.7 for odd IDs, 0.4 for even ones
 	for _, tc := range []struct {
--- a/balance/rendezvous.go
+++ b/balance/rendezvous.go
@@ -38,7 +38,7 @@
 // rendezvousTable orders the ready backends for each key by weighted rendezvous hashing. All relays
 // compute the same order (Maat, section III-B).
 type rendezvousTable struct {
-	slots    []rendezvousSlot // of backends, in the same order; contiguous, since placement scans all of them
+	slots    []rendezvousSlot // one for each of the backends, in the same order; contiguous, since placement scans all of them
 	backends []*backend
 	meanSize float64
 }
--- a/balance/request.go
+++ b/balance/request.go
@@ -13,7 +13,7 @@
 	arrivalWindow = time.Second
 )
 
-// request is a request from its arrival until its last attempt has ended.
+// request is a request from its arrival until its last attempt, or the connection established by it, has ended.
 type request struct {
 	Request
 	hashKey  uint64 // the rendezvous order of the backends is computed from this key
@@ -51,7 +51,7 @@
 	executedBackend *backend
 }
 
-// defaultRetryPolicy leaves everything to the Settings.
+// defaultRetryPolicy has the default of each field.
 var defaultRetryPolicy RetryPolicy
 
 // newRequest records a request that has arrived.
--- a/balance/retry.go
+++ b/balance/retry.go
@@ -11,7 +11,7 @@
 	// defaultRetryDeposit is the fraction of a retry that each request adds to the budget.
 	defaultRetryDeposit = 0.2
 
-	// maxAttemptInterval bounds the time between paced attempts, so that a recovery is noticed.
+	// maxAttemptInterval bounds the time between paced attempts, before jitter, so that a recovery is detected.
 	maxAttemptInterval = 16 * time.Second
 
 	// attemptIntervalSamples is the weight of past intervals in the mean interval between attempts, in samples.
--- a/balance/retry_test.go
+++ b/balance/retry_test.go
@@ -148,8 +148,8 @@
 
 // Network latency alone does not slow attempts down. With zones 20 ms apart, each connection to another zone
 // takes longer than half of a latency objective of 60 ms though all backends are healthy: pacing for that
-// causes nine in ten rejections of 300 relays, 9,200 of 10,700. A class with a short timeout gives up on
-// healthy backends before they can answer.
+// causes nine in ten rejections of 300 relays, 9,200 of 10,700. The attempts of a class with a short
+// timeout end before healthy backends can answer.
 func TestPacing_IgnoresNetworkLatency(t *testing.T) {
 	for _, c := range []struct {
 		name   string
--- a/balance/settings.go
+++ b/balance/settings.go
@@ -36,13 +36,13 @@
 }
 
 // RetryPolicy tells how long a request may take and how often it is attempted. It must not be
-// changed while a request uses it. A zero field means the value of the Settings.
+// changed while a request uses it. A zero field means the default given at the field.
 type RetryPolicy struct {
 	ConnectTimeout time.Duration // for a connection to be established; 0: Settings.DialTimeout
 	AttemptTimeout time.Duration // for one attempt, connecting included; 0: all the time left
 	RequestTimeout time.Duration // for all attempts together; 0: as long as the client waits
 	MaxAttempts    int           // 0: Settings.MaxAttempts, which is never exceeded
-	BaseBackoff    time.Duration // before the second attempt; doubles with each further one, with jitter
+	BaseBackoff    time.Duration // before the second attempt; doubles with each further one, with jitter; 0: none
 	MaxBackoff     time.Duration // upper bound of the backoff; 0: none
 	RetryBudget    float64       // retries that a request adds to the relay's budget; 0: the default
 	HedgeDelay     time.Duration // time without an answer after which another attempt replaces the first; 0: never
--- a/balance/slowstart.go
+++ b/balance/slowstart.go
@@ -8,7 +8,8 @@
 
 const (
 	// idleFleetConnections is the number of connections on each backend that all relays together assume if they
-	// have none. If each relay assumed one, the sum would grow with the number of relays.
+	// have none; each relay assumes its part, at most one connection in total. If each relay assumed one, the sum
+	// would grow with the number of relays.
 	idleFleetConnections = 8.0
 
 	// maxSlowStartTokens bounds the tokens that a snapshot may hold. It is more than any cold backend ever gets in
--- a/balance/slowstart_test.go
+++ b/balance/slowstart_test.go
@@ -184,8 +184,8 @@
 }
 
 // The requests that all relays together send a cold backend stay within its slow start, however many relays
-// there are and whatever connections they have. Beyond the N requests allowed in a window, only 2 x root of
-// N + 2 are put down to chance. The room that slow start leaves is used.
+// there are and whatever connections they have. A window may by chance have 2*sqrt(N) + 2 requests
+// more than the N allowed in it. The room that slow start leaves is used.
 func TestSlowStart_RampHoldsAcrossRelays(t *testing.T) {
 	for name, c := range map[string]coldFleet{
 		"a rush right after its start":              {rushAfter: 500 * ms, minFilled: 0.15},
@@ -349,7 +349,8 @@
 }
 
 // All backends have just started, as after a power cut, and no warm one shows how many connections fill a
-// backend. The connections that relays without any count as are per backend, not for the whole fleet.
+// backend. The number of connections that relays without any assume together is that of each backend, not of the
+// whole fleet.
 func TestSlowStart_AllBackendsColdAreNotOverloaded(t *testing.T) {
 	const relays, backends, capacity = 300, 20, 20.0
 	settings := defaultSettings()
--- a/balance/sticky_test.go
+++ b/balance/sticky_test.go
@@ -6,7 +6,7 @@
 )
 
 // Packets of a flow with a sticky override reach its backend after the index of their class has changed, by a
-// reload or in the next process.
+// reload or in the successor.
 func TestSticky_OverrideSurvivesClassRenumbering(t *testing.T) {
 	settings := defaultSettings()
 	settings.PassThrough, settings.Classes[0].NameHash = true, 0xc0ffee
--- a/balance/types.go
+++ b/balance/types.go
@@ -33,7 +33,7 @@
 	Tenant       int           // index into Settings.Tenants
 	Key          uint64        // the client's key; 0: none
 	Group        uint64        // connections of one group share work; 0: none
-	TimeLeft     time.Duration // until the client gives up
+	TimeLeft     time.Duration // until the client's timeout
 	ExpectedLoad float64       // in microseconds of work a second; 0: unknown
 	ClientRetry  bool          // the client repeats an earlier request
 	MidStream    bool          // packets of an open connection that another relay placed
--- a/cmd/aspenbarrow/codec_test.go
+++ b/cmd/aspenbarrow/codec_test.go
@@ -15,7 +15,7 @@
 	"aspenbarrow/internal/config"
 )
 
-// writeGoldenInputs writes valid and invalid files into a temporary directory and returns it.
+// writeGoldenInputs writes valid and invalid files into a temporary directory and returns its path.
 func writeGoldenInputs(t *testing.T) string {
 	t.Helper()
 	every, err := os.ReadFile("../../internal/config/testdata/every.toml")
--- a/cmd/aspenbarrow/command_serve.go
+++ b/cmd/aspenbarrow/command_serve.go
@@ -38,7 +38,7 @@
 	return command
 }
 
-// serveFromFlag serves the file given on the command line. An invalid file is a usageError.
+// serveFromFlag serves the file given on the command line. An invalid TOML file is a usageError, one in the platform's JSON is not.
 func serveFromFlag(path string) error {
 	if path == "" {
 		return usageError{errServeWithoutConfig}
--- a/cmd/aspenbarrow/hotrestart_test.go
+++ b/cmd/aspenbarrow/hotrestart_test.go
@@ -109,7 +109,7 @@
 		pending.send(openRequest(",held=1"))
 		waitFor(t, "the pending request reaches the backend", func() bool { return len(backend.OpenLines()) == 1 })
 		successor := sequence.startNext()
-		predecessor.signal(syscall.SIGTERM) // it stays until the pending request is answered
+		predecessor.signal(syscall.SIGTERM) // it runs until the pending request is answered
 		predecessor.waitForLog(logShutdownStarted, 1)
 		successor.signal(sig)
 		if err := successor.waitForExit(); (err == nil) != (sig == syscall.SIGTERM) {
--- a/cmd/aspenbarrow/main.go
+++ b/cmd/aspenbarrow/main.go
@@ -2,7 +2,8 @@
 // a backend of its choice. Further commands check and show a configuration and query a running relay for its members.
 //
 // Results go to standard output, errors and the log to standard error. The configuration is validated in full before
-// the relay serves. The exit code is 2 for an invalid command line or file and 1 for any other failure.
+// the relay serves. The exit code is 2 for an invalid command line or file and 1 for any other failure. It is 1 as
+// well if the relay itself is started with an invalid file that PROXY_CONFIG names, or one in the platform's JSON.
 package main
 
 import (
--- a/cmd/aspenbarrow/session_load_test.go
+++ b/cmd/aspenbarrow/session_load_test.go
@@ -101,7 +101,7 @@
 	return load.ids
 }
 
-// waitForMore waits for at least that many further connections answered with UP and further lines answered.
+// waitForMore waits for at least the given numbers of further connections answered with UP and further lines answered.
 func (load *sessionLoad) waitForMore(t *testing.T, up, lines int) {
 	t.Helper()
 	before := load.counts()
--- a/cmd/aspenbarrow/start_test.go
+++ b/cmd/aspenbarrow/start_test.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// TestServe_LargeFleetFitsSmallestLimits runs a relay with 1,024 relays and 2,000 backends within the smallest limits
+// TestServe_LargeFleetFitsSmallestLimits runs a relay with 1,024 peers and 2,000 backends within the smallest limits
 // of the platform: at the start, after reloads and with complete lists from discovery.
 func TestServe_LargeFleetFitsSmallestLimits(t *testing.T) {
 	discovery := newChangingDiscovery(t)
--- a/cmd/aspenbarrow/versions_test.go
+++ b/cmd/aspenbarrow/versions_test.go
@@ -92,7 +92,7 @@
 // peerAddresses returns free datagram addresses for n relays of a fleet.
 func peerAddresses(t *testing.T, n int) (addresses []string) {
 	t.Helper()
-	for i := range n { // a distinct IP address for each, so that no other program takes the port in between
+	for i := range n { // a distinct IP address for each, so that no other program binds the port in between
 		connection, err := net.ListenPacket("udp4", fmt.Sprintf("127.77.0.%d:0", i+1))
 		if err != nil {
 			t.Fatal(err)
@@ -143,7 +143,7 @@
 	}
 }
 
-// waitForConvergence waits until a relay and its observers see all members alive and agree on the relay's
+// waitForConvergence waits until a relay and its observers report all members alive and agree on the relay's
 // incarnation, which it returns.
 func (process *relayProcess) waitForConvergence(observers []*relayProcess) uint64 {
 	process.t.Helper()
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -13,7 +13,7 @@
 
 // The states. READY succeeds only in Serving.
 const (
-	Starting     State = iota // there is no endpoint list yet, or the relay does not listen
+	Starting     State = iota // there is no endpoint list yet, or the relay does not accept connections yet
 	Serving                   // clients are accepted
 	Drained                   // a drain is requested: sessions are migrated away, until an undrain
 	ShuttingDown              // the process is about to exit
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -189,8 +189,8 @@
 	return line, "\n", nil
 }
 
-// send sends a response and waits for the client to close: closing a connection with unread bytes resets it, and the
-// client might lose the response.
+// send sends a response and waits, at most for LingerTimeout, for the client to close: closing a connection with unread
+// bytes resets it, and the client might lose the response.
 func send(conn net.Conn, response string) {
 	_ = conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := io.WriteString(conn, response); err != nil {
--- a/internal/config/builder.go
+++ b/internal/config/builder.go
@@ -181,7 +181,7 @@
 	}
 }
 
-// isSpecificAddress reports whether an address has a host, rather than stand for all addresses of this machine.
+// isSpecificAddress reports whether an address has a host other than 0.0.0.0 and ::, which mean all addresses of this machine.
 func isSpecificAddress(address string) bool {
 	host, _, err := net.SplitHostPort(address)
 	return err == nil && host != "" && host != net.IPv4zero.String() && host != net.IPv6zero.String()
--- a/internal/config/builder_routes.go
+++ b/internal/config/builder_routes.go
@@ -94,7 +94,7 @@
 }
 
 // resolveClassPolicies determines and checks the policy of each class. A class without one of its own has that of
-// [retries], which is checked, and its problems are reported, for each such class.
+// [retries], which is checked for each such class; if it is empty, only for the first class of the file.
 func (r *routeBuilder) resolveClassPolicies() {
 	retries := r.doc.Retries.policy()
 	for i := range r.doc.Classes {
--- a/internal/config/decoder.go
+++ b/internal/config/decoder.go
@@ -19,8 +19,9 @@
 // durationFormat describes, in errors, how a time is written.
 const durationFormat = `with a unit, such as "1.8s" or "250ms"`
 
-// decode reads the text. Keys that it does not contain get their defaults. It returns nil if the text is not TOML; all
-// other problems are reported, and their keys get their defaults as well.
+// decode reads the text. Keys that it does not contain get their defaults. All problems are reported: if the text is not
+// TOML, decode returns nil; after any other problem the key gets its default as well, but a list keeps the items before
+// the invalid one.
 func (s *source) decode() *document {
 	var values map[string]any
 	if err := toml.Unmarshal(s.text, &values); err != nil {
--- a/internal/config/effective.go
+++ b/internal/config/effective.go
@@ -12,7 +12,7 @@
 type Setting struct {
 	Key    string `json:"key"`
 	Value  string `json:"value"`          // as written in a TOML file
-	Source string `json:"from,omitempty"` // "default", "file", or "environment" and a variable; empty: not known
+	Source string `json:"from,omitempty"` // "default", "file", or "environment" and a variable; empty in an Explanation
 }
 
 // Values of Setting.Source.
@@ -67,8 +67,8 @@
 	return list
 }
 
-// FormatTOML returns a TOML file with every key that parses to the same configuration; empty for a configuration in the
-// platform's JSON.
+// FormatTOML returns a TOML file that parses to the same configuration and has every key but optional ones with an empty
+// text. For a configuration in the platform's JSON it returns an empty text.
 func (c *Config) FormatTOML() string {
 	if c.document == nil {
 		return ""
--- a/internal/config/explain.go
+++ b/internal/config/explain.go
@@ -63,7 +63,7 @@
 	return request, err
 }
 
-// findName returns the index of a name among the known ones; its error calls these by the description.
+// findName returns the index of a name among the known ones; its error uses the description for these.
 func findName(part, name, description string, known []string) (int, error) {
 	index := slices.Index(known, name)
 	if index < 0 {
@@ -112,7 +112,7 @@
 }
 
 // effectivePolicy lists the values of a policy. A value that it does not set comes from the class or the rules, which also
-// bound the request time-out and the attempts; backoff, budget and hedge delay are listed only if the policy sets them.
+// bound the request timeout and the attempts; backoff, budget and hedge delay are listed only if the policy sets them.
 func effectivePolicy(policy balance.RetryPolicy, rules *balance.Settings, class int) []Setting {
 	connectTimeout := rules.DialTimeout
 	if policy.ConnectTimeout > 0 {
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -33,7 +33,7 @@
 	PeersAll   string            `json:"peers_all"`
 	Known      json.RawMessage   `json:"known"` // endpoint list, in discovery's form
 	Settings   json.RawMessage   `json:"settings"`
-	Watch      json.RawMessage   `json:"watch"` // settings whose shape is evaluated without acting on it
+	Watch      json.RawMessage   `json:"watch"` // settings of the shadow evaluation
 	Membership *membershipObject `json:"membership"`
 }
 
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -29,7 +29,7 @@
 func (e *ReplacementError) Unwrap() error { return ErrIncompleteReplacement }
 
 // optionalKeys are the keys that a valid file need not have: the cached endpoint list, the settings of the shadow
-// evaluation, and the keys that only classes of some idempotency have, for which settings.Validate requires them.
+// evaluation, and the keys that only classes of some idempotency have, for which package settings requires them.
 var optionalKeys = map[string]bool{"known": true, "watch": true, "dedup-scope": true, "dedup-window-ms": true}
 
 // CheckReplacement checks whether a file that was read again may replace the one in force: it must have all keys of the
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -23,7 +23,8 @@
 	Type                 string                 `json:"type"`
 }
 
-// durationPattern matches what time.ParseDuration accepts, except signs and the second spelling of a microsecond.
+// durationPattern matches what time.ParseDuration accepts, except signs, 0 without a unit, numbers that begin or end with
+// the decimal point, and the second spelling of a microsecond.
 const durationPattern = `^([0-9]+(\.[0-9]+)?(ns|us|µs|ms|s|m|h))+$`
 
 // JSONSchema returns a JSON Schema of the TOML file, for editors.
--- a/internal/controller/actions.go
+++ b/internal/controller/actions.go
@@ -77,7 +77,7 @@
 	}
 }
 
-// SendGossip sends to one peer, or to all for a negative index. The data is copied: the balancer reuses its buffer.
+// SendGossip sends to one peer, or to all for a negative index. The data is copied: a Decider may reuse its buffer.
 func (a balancerActions) SendGossip(peer int, data []byte) {
 	cfg := &a.controller.config
 	if !a.controller.settings.Gossip || len(data) > MaxDatagramBytes || peer >= len(cfg.Peers) {
--- a/internal/controller/config.go
+++ b/internal/controller/config.go
@@ -48,7 +48,7 @@
 	maxAdminConnections = 32
 	// descriptorsPerSession counts one connection to the client and one to the backend.
 	descriptorsPerSession = 2
-	// Each other use may take at most the number of all descriptors divided by its divisor.
+	// Each other use gets at most the number of all descriptors divided by its divisor.
 	handshakeDivisor   = 9
 	healthCheckDivisor = 10
 	adminDivisor       = 20
@@ -62,8 +62,9 @@
 type Limits struct{ Sessions, Handshakes, HealthChecks, AdminConnections int }
 
 // AllocateDescriptors divides the descriptors of a relay among its uses; memoryMB is its memory limit in MiB (0: none). A
-// session takes two descriptors, any other connection one. Clients may hold a third of all descriptors for requests, so
-// two thirds are always left to sessions. The admin endpoint has a part of its own, to answer when all others are used up.
+// session uses two descriptors, any other connection one. Clients may hold a third of all descriptors for requests, so
+// from 256 descriptors on two thirds are left to sessions, unless the memory limit allows fewer sessions. The admin endpoint
+// has a part of its own, to answer when all others are used up.
 func AllocateDescriptors(descriptors, memoryMB int, adminEndpoint bool) Limits {
 	limits := Limits{
 		Handshakes:   max(1, min(maxHandshakes, descriptors/handshakeDivisor)),
@@ -97,7 +98,7 @@
 
 func (e *CachedEndpointsError) Error() string { return fmt.Sprintf("cached endpoint list: %v", e.Err) }
 
-// Unwrap returns what is wrong with the list.
+// Unwrap returns the parse error.
 func (e *CachedEndpointsError) Unwrap() error { return e.Err }
 
 // cachedEndpoints parses the cached endpoint list, if any, with the zone and kind names in force. Entries that cannot be
@@ -113,7 +114,7 @@
 	return list, malformed, nil
 }
 
-// resolveLoadSignal determines what LOAD lines measure, since the lines do not say it: the delay of a message if the
+// resolveLoadSignal determines what LOAD lines measure, since the lines do not contain it: the delay of a message if the
 // settings specify that and not the connection's load, otherwise the connection's load.
 func resolveLoadSignal(s settings.Settings) settings.Settings {
 	s.ReportsMessageDelay = s.ReportsMessageDelay && !s.ReportsConnectionLoad
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -39,8 +39,8 @@
 	"aspenbarrow/internal/upstream"
 )
 
-// Controller is the core of one relay. Its methods are called one at a time, except those that say that they may be
-// called from any goroutine. Times are on the driver's clock; they never decrease.
+// Controller is the core of one relay. Its methods are called one at a time, except those that are documented as
+// callable from any goroutine. Times are on the driver's clock; they never decrease.
 type Controller struct {
 	config     Config             // in force
 	settings   *settings.Settings // in force; immutable, replaced by a reload
--- a/internal/controller/drain.go
+++ b/internal/controller/drain.go
@@ -22,8 +22,8 @@
 	generation uint64 // counts changes of applied, to recognize a timer of an earlier drain
 }
 
-// SetDrained requests a drain or cancels the request. It affects Ready at once, and sessions with ApplyDrain. It may be
-// called from any goroutine.
+// SetDrained requests a drain or cancels the request. It affects Ready at once, and the sessions once ApplyDrain is
+// called. It may be called from any goroutine.
 func (c *Controller) SetDrained(drained bool) { c.drain.requested.Store(drained) }
 
 // Drained reports whether a drain is requested. It may be called from any goroutine.
--- a/internal/controller/hotrestart.go
+++ b/internal/controller/hotrestart.go
@@ -20,8 +20,8 @@
 	return hotrestart.EncodeLoad(snapshotter.Snapshot())
 }
 
-// ImportLoad passes the tracked load of the other process of this relay to the balancer; an empty text means that the
-// other process has ended. All its errors match hotrestart.ErrUnusable.
+// ImportLoad passes the tracked load of the predecessor process to the balancer; an empty text means that the predecessor
+// has exited. All its errors match hotrestart.ErrUnusable.
 func (c *Controller) ImportLoad(now time.Duration, text []byte) error {
 	load, err := hotrestart.DecodeLoad(text)
 	if err != nil {
--- a/internal/controller/session_events.go
+++ b/internal/controller/session_events.go
@@ -64,8 +64,9 @@
 }
 
 // checkOpening refuses an ID that is in use, since the answers of the two sessions could not be distinguished, and a
-// session that can no longer be resumed: sessions from before the start are all resumed before any new one opens. To
-// resume a session may take half a minute, and for that time a client that asks for it later would occupy a session slot.
+// session that can no longer be resumed: sessions from before the start are all resumed before any new one opens.
+// Resuming a session may take up to session.ResumeTimeout, more than half a minute, and for that time a client that asks
+// for it later would occupy a session slot.
 func (c *Controller) checkOpening(record *sessionRecord) error {
 	if c.sessions.byID[record.id] != nil {
 		return &DuplicateIDError{record.id}
--- a/internal/controller/session_events_test.go
+++ b/internal/controller/session_events_test.go
@@ -56,7 +56,7 @@
 	d.Decider.UpdateSettings(s)
 }
 
-// A LOAD line does not say what it measures; the settings do. A message delay in milliseconds, read as a connection's load,
+// A LOAD line does not state what it measures; the settings do. A message delay in milliseconds, read as a connection's load,
 // would raise the tracked load of the slow backend. The balancer expects message delay only once one has been reported: if the
 // settings alone decided, every overloaded backend that reports none would be treated as healthy.
 func TestController_LoadLineSignalFollowsSettings(t *testing.T) {
@@ -104,7 +104,7 @@
 	}
 }
 
-// Backends over their capacity report no message delay although the settings say that backends do. Their load reports alone show
+// Backends over their capacity report no message delay although the settings state that backends do. Their load reports alone show
 // the overload, and this relay must migrate its sessions there.
 func TestController_OverloadedBackendsAreRelievedWithoutLoadSignals(t *testing.T) {
 	cfg := testConfig()
--- a/internal/controller/shutdown.go
+++ b/internal/controller/shutdown.go
@@ -40,7 +40,7 @@
 
 // Shutdown begins a graceful shutdown: new clients are served, every request is answered, and sessions are migrated.
 // In pass-through mode, other relays take sessions over without a break once this relay is stopped from outside. If it
-// ended by itself it would cut its sessions off, and if another relay were down as well no relay could take them over.
+// ended by itself it would interrupt its sessions, and if another relay were down as well no relay could take them over.
 func (c *Controller) Shutdown(now time.Duration) {
 	answerTime := min(c.longestClientTimeout(), maxClientTimeout) + answerMargin
 	shutdownTime := answerTime + finalWriteTime
--- a/internal/decision/decider.go
+++ b/internal/decision/decider.go
@@ -8,7 +8,8 @@
 	"aspenbarrow/balance"
 )
 
-// Factory returns a new Decider that acts through the given actions. Two with the same seed and events make the same decisions.
+// Factory returns a new Decider that acts through the given actions. Two Deciders with the same seed and events make the
+// same decisions.
 type Factory = func(now time.Duration, seed uint64, settings balance.Settings, actions balance.Actions) Decider
 
 // Decider makes a relay's decisions. Each method but the last four is an event; now is its time on the relay's clock, which
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -143,7 +143,7 @@
 // HandleFailure processes a call without a usable response. It is repeated soon: a watch that is renewed within 200 ms misses
 // no change, and one that has timed out is renewed at once, since its own time limit bounds the rate. However many calls fail
 // in a row, the delay stays below maxRetryDelay, on which maxStaleness depends. A relay whose calls fail at once makes one
-// call a second.
+// call a second on average.
 func (c *Client) HandleFailure(timedOut bool) Update {
 	c.retry()
 	if timedOut {
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -18,7 +18,7 @@
 	return settings.Settings{ZoneNames: []string{"east"}, KindNames: []string{"k"}}
 }
 
-// newTestClient returns a client whose lists are polled, or pushed.
+// newTestClient returns a client that polls for lists, or else one to which lists are pushed.
 func newTestClient(poll bool) *Client {
 	s := clientSettings()
 	s.PollEndpoints = poll
@@ -51,8 +51,9 @@
 	}
 }
 
-// Guards against a fault with polled lists: each starting relay made two calls, one for the whole list and then a watch.
-// Discovery has capacity for one call per relay and refused half of the watches, so drains were not received.
+// With polled lists, the first call of a starting relay is a watch from the version of its cached list. If it made two calls,
+// one for the whole list and then a watch, discovery, which has capacity for one call per relay, would refuse half of the
+// watches, and drains would not be received.
 func TestClient_ResumesFromKnownVersion(t *testing.T) {
 	client := newTestClient(true)
 	client.ResumeFrom(41)
@@ -195,8 +196,8 @@
 	return client
 }
 
-// Guards against the fault of seed 284: a watch that was scheduled during a call that then failed was lost, and no further
-// change was received.
+// A watch that is scheduled during a call that then fails is not lost: otherwise no further change is received, as in
+// seed 284.
 func TestClient_WatchScheduledDuringFailingCall(t *testing.T) {
 	s := clientSettings()
 	s.PollEndpoints = true
--- a/internal/discovery/endpoint_list_test.go
+++ b/internal/discovery/endpoint_list_test.go
@@ -50,7 +50,7 @@
 	})
 }
 
-// The result of parsing lists as discovery writes them is that of the golden file.
+// The results of parsing valid and invalid lists are those of the golden file.
 func TestParseEndpoints_Golden(t *testing.T) {
 	var out strings.Builder
 	for _, text := range []string{`{"version":41,"full":true,"servers":[` +
--- a/internal/emulator/doc.go
+++ b/internal/emulator/doc.go
@@ -2,8 +2,8 @@
 // standing connections, cold starts, pauses, slowdowns, leaks, load reports, and a dependency that several servers share.
 // Servers that wait for a [Dependency] get slower by queueing, not by a factor.
 //
-// The model has no clock, sockets or goroutines: callers pass the time, which must never decrease, and ask with
-// [Server.NextCompletion] when to call again. The simulation on a virtual clock and the test cluster on real sockets
+// The model has no clock, sockets or goroutines: callers pass the time, which must never decrease, and get the time of the
+// next call from [Server.NextCompletion]. The simulation on a virtual clock and the test cluster on real sockets
 // therefore run the same model. All randomness comes from the seed given to [New].
 //
 // The package doesn't speak any protocol, doesn't decide when faults happen, and isn't calibrated against any real
--- a/internal/emulator/processor.go
+++ b/internal/emulator/processor.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	minWork          = 1e-9  // core-seconds; a request has at least this much, so that none is done before it arrives
+	minWork          = 1e-9  // core-seconds; a request has at least this much, so that none is done at the time of its arrival
 	serviceTolerance = 1e-12 // core-seconds by which rounding may make a request look unfinished
 )
 
@@ -49,7 +49,7 @@
 }
 
 // NextCompletion returns when the next request is done if nothing else happens, or false if none will be. While the
-// service rate varies it may return an earlier time, at which the caller asks again.
+// service rate varies it may return an earlier time, at which it must be called again.
 func (s *Server) NextCompletion() (time.Duration, bool) {
 	rate := s.requestRate()
 	if rate <= 0 {
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -9,7 +9,7 @@
 	// rateStep is how long a service rate that changes continuously (warming up, degrading) is treated as constant.
 	rateStep = 50 * time.Millisecond
 
-	// maxLag is the upper bound of the lag, in seconds: clients give up on messages that are older.
+	// maxLag is the upper bound of the lag of a process that is not paused, in seconds: clients give up on messages that are older.
 	maxLag = 10.0
 
 	// rngStream makes this package's random numbers differ from those of other packages with the same seed.
@@ -28,7 +28,7 @@
 // The outcomes of an arrival.
 const (
 	Accepted Admission = iota // the server works on it
-	Queued                    // the process is paused; Resume decides
+	Queued                    // the process is paused; Resume accepts or rejects it
 	Rejected                  // MaxRequests are in flight; the server answers with a rejection
 	Dropped                   // no answer: the server is down, or the backlog of a paused process is full
 	Crashed                   // this request made a cold server crash
--- a/internal/handshake/pool.go
+++ b/internal/handshake/pool.go
@@ -1,6 +1,6 @@
 // Package handshake provides a bounded pool of connections that have not completed the handshake, or that have been sent
-// their final answer and are read until they close. A full pool evicts its oldest connection, so that silent connections
-// cannot block new ones.
+// their final answer and are read until they close. A full pool evicts an answered connection or, if there is none, its
+// oldest one, so that silent connections cannot block new ones.
 package handshake
 
 import (
@@ -20,13 +20,13 @@
 	// MaxQueueTime bounds Connection.QueuedFor.
 	MaxQueueTime = 500 * time.Millisecond
 
-	// idleAcceptTime is how long after the last accepted connection the accept queue is assumed to be empty.
+	// idleAcceptTime is the time without an accepted connection after which the accept queue is assumed to be empty.
 	idleAcceptTime = 5 * time.Millisecond
 )
 
 // Pool is a bounded pool of connections. Its methods must not be called concurrently.
 type Pool struct {
-	connections   list.List // of *Connection: answered ones first, then the others, oldest first
+	connections   list.List // of *Connection: answered ones, the last answered first, then the others, the oldest first
 	capacity      int
 	acceptPending bool          // a connection is waiting for room
 	lastAccepted  time.Duration // when the last connection was added
@@ -65,7 +65,7 @@
 	return added, nil, 0
 }
 
-// evict removes the oldest connection, or returns how long it cannot be evicted yet.
+// evict removes the first connection of the list, or returns how long that one cannot be evicted yet.
 func (p *Pool) evict(now time.Duration) (evicted *Connection, wait time.Duration) {
 	oldest := p.oldest()
 	wait = EvictionGrace - (now - oldest.AcceptedAt)
--- a/internal/healthcheck/check.go
+++ b/internal/healthcheck/check.go
@@ -24,9 +24,9 @@
 // Step tells the caller what to do next, in the order of the fields.
 type Step struct {
 	Close []any           // close these connections
-	Dial  bool            // connect to the check's address, within the settings' dial timeout
+	Dial  bool            // connect to the check's address, within the settings' dial time-out
 	Send  any             // send the request line on this connection, and read one line
-	Keep  *IdleConnection // keep this connection until it is in use again or the checker's idle timeout is over
+	Keep  *IdleConnection // keep this connection until it is in use again or the checker's idle time-out has passed
 	Done  bool            // the check has its result
 }
 
@@ -38,7 +38,7 @@
 		step.Close = append(step.Close, checker.takeIdle(0).Conn)
 		checker.open--
 	}
-	if checker.open >= checker.capacity { // no request is sent: the result says nothing about the backend
+	if checker.open >= checker.capacity { // no request is sent, so the result does not concern the backend
 		step.Done = true
 		c.finish(now, balance.StatusAbandoned)
 		return step
--- a/internal/healthcheck/checker.go
+++ b/internal/healthcheck/checker.go
@@ -14,7 +14,7 @@
 )
 
 // Checker manages a relay's health checks and the connections that are kept for them. Its methods and those of its checks
-// must not be called concurrently.
+// must not be called concurrently, except for RequestLine and IdleTimeout.
 type Checker struct {
 	settings atomic.Pointer[settings.Settings]
 	capacity int               // maximum number of connections
@@ -74,7 +74,7 @@
 		return check, check.dial(now)
 	}
 	idle := c.takeIdle(i)
-	isFresh := now-idle.since < c.IdleTimeout() // a reload may have shortened the timeout
+	isFresh := now-idle.since < c.IdleTimeout() // a reload may have shortened the time-out
 	if idle.address == check.Address && isFresh {
 		check.conn, check.reused = idle.Conn, true
 		return check, Step{Send: idle.Conn}
--- a/internal/hotrestart/document.go
+++ b/internal/hotrestart/document.go
@@ -97,7 +97,8 @@
 }
 
 // RemapClasses reorders the snapshot's class loads by this process's class numbers. The entry after the last class is the
-// load over all classes; it stays last. Class loads whose number does not match the document's classes are dropped.
+// load over all classes; it stays last. If the number of class loads does not
+// match the number of the document's classes, all class loads are dropped.
 func (d *Document) RemapClasses(names []string) {
 	s := &d.Snapshot
 	if len(s.ClassLoads) != len(d.Classes)+1 || len(s.ClassLoadSamples) != len(s.ClassLoads) {
--- a/internal/hotrestart/errors.go
+++ b/internal/hotrestart/errors.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// ErrUnusable matches every error of a rejected document.
+// ErrUnusable is matched by every error of a rejected document.
 var ErrUnusable = errors.New("state of the predecessor process cannot be used")
 
 // SyntaxError is a document that is not JSON of the expected form.
--- a/internal/hotrestart/load.go
+++ b/internal/hotrestart/load.go
@@ -6,14 +6,14 @@
 	"aspenbarrow/balance"
 )
 
-// EncodeLoad encodes the loads that a process still tracks after the handover, for its successor while both run. State
-// that the document has already handed over is omitted.
+// EncodeLoad encodes the state of a process's backends, such as the tracked loads, for its successor while both run. Sticky
+// overrides, class loads and the lateness of kinds, which the document has already handed over, are omitted.
 func EncodeLoad(s balance.Snapshot) ([]byte, error) {
 	s.StickyOverrides, s.ClassLoads, s.ClassLoadSamples, s.KindLateness = nil, nil, nil, nil
 	return json.Marshal(s)
 }
 
-// DecodeLoad parses the output of EncodeLoad; an empty text means that the other process has exited. Its error is a
+// DecodeLoad parses the output of EncodeLoad; an empty text means that the predecessor has exited. Its error is a
 // *SyntaxError.
 func DecodeLoad(text []byte) (balance.Snapshot, error) {
 	var s balance.Snapshot
--- a/internal/invariant/backend.go
+++ b/internal/invariant/backend.go
@@ -47,7 +47,7 @@
 	return b
 }
 
-// recentlyBlocked reports whether the backend is not reading, or was not within blockedGrace.
+// recentlyBlocked reports whether the backend is not reading, or was not reading at some time within the last blockedGrace.
 func (b *BackendConn) recentlyBlocked() bool {
 	return b.blocked || b.checker.now()-b.blockedAt < blockedGrace
 }
--- a/internal/invariant/client.go
+++ b/internal/invariant/client.go
@@ -78,7 +78,7 @@
 	return !client.answered || client.backend != nil
 }
 
-// recentlyBlocked reports whether the client is not reading, or was not within blockedGrace.
+// recentlyBlocked reports whether the client is not reading, or was not reading at some time within the last blockedGrace.
 func (client *ClientConn) recentlyBlocked() bool {
 	return client.blocked || client.checker.now()-client.blockedAt < blockedGrace
 }
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -70,7 +70,7 @@
 	MaxAttempts      int           // of one request
 	AnswerSlack      time.Duration // how much later than its deadline a final answer may come
 	DrainGrace       time.Duration // how long after a relay received a backend's drain it may still send requests there
-	DiscoveryDelay   time.Duration // time after which a relay must have received what its discovery agent knows
+	DiscoveryDelay   time.Duration // time after which a relay must have received what its discovery agent has received
 	MaxLineDelay     time.Duration // how long a line may be held back
 	SilenceTimeout   time.Duration // how long a client may stay with a backend that does not answer
 	DepartureGrace   time.Duration // how long after its client left an attempt may still start
--- a/internal/invariant/overdue.go
+++ b/internal/invariant/overdue.go
@@ -30,8 +30,8 @@
 	return true
 }
 
-// excused reports whether the relay is not responsible for delays: the client has no session, the connection has
-// ended, the client is not reading or was not until recently, or the relay's process was paused.
+// excused reports whether the relay is not responsible for delays: the client has no session with a known backend, the
+// connection has ended, the client is not reading or was not until recently, or the relay's process was paused.
 func (client *ClientConn) excused() bool {
 	return client.backend == nil || client.backend.unknown || !client.open() || client.recentlyBlocked() ||
 		client.checker.recentlyPaused(client.relay)
--- a/internal/invariant/relay.go
+++ b/internal/invariant/relay.go
@@ -30,7 +30,7 @@
 
 	agent              string                              // address of the discovery agent that the relay uses
 	agentFollowedSince time.Duration                       // when the relay began to use it
-	agentStates        map[string]map[string]endpointState // by agent and backend, as the agent knows them
+	agentStates        map[string]map[string]endpointState // by agent and backend, as the agent received them
 	agentRespondsSince map[string]time.Duration            // by agent, when it last resumed answering; forever: it does not answer
 	endpoints          map[string]endpointState            // by backend, as the relay received them
 	backendStarts      map[string]time.Duration            // by backend, as the relay received them
--- a/internal/invariant/request.go
+++ b/internal/invariant/request.go
@@ -51,7 +51,8 @@
 	return class, maxAttempts
 }
 
-// mergeClasses returns a class that allows what either the current or the previous one allows.
+// mergeClasses returns a class that allows what either the current or the previous one allows. The attempt limit and the
+// total timeout are those of the current one.
 func mergeClasses(class, previous *Class) *Class {
 	merged := *class
 	merged.Idempotency = Idempotent
@@ -90,7 +91,7 @@
 	}
 }
 
-// checkColdBackend records a request to a backend. While the backend is warming up, it checks their number within the
+// checkColdBackend records a request to a backend that is warming up, and checks the number of such requests within the
 // overload window.
 func (c *Checker) checkColdBackend(backend *backendState, relay int) {
 	now, limits := c.now(), &c.limits
--- a/internal/loadstats/second.go
+++ b/internal/loadstats/second.go
@@ -22,7 +22,7 @@
 	IdleSeconds      float64   `json:"idle_s"`       // backend-seconds below half of the mean load, in total
 	HerdRatio        float64   `json:"herd"`         // largest: new connections at a backend in a HerdWindow over its fair share; 0: no share was large enough
 	HerdExpected     float64   `json:"herd_part"`    // that fair share, in connections
-	Loads            []float64 `json:"loads"`        // relative to capacity, by backend; below 0: down
+	Loads            []float64 `json:"loads"`        // relative to capacity, by backend; a sample while it is down counts as -1
 	HashingHerdRatio float64   `json:"herd_hashing"` // HerdRatio that hashing alone would give
 	Arrivals         int       `json:"arrivals"`     // connections that opened, in total
 }
--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -11,8 +11,8 @@
 	// cause.
 	maxRelayedProbes = 64
 
-	// indirectTimeoutFactor times the probe timeout is the timeout of an indirect probe: two round trips, from this relay to
-	// the helper and from the helper to the target, and the helper's own probe timeout.
+	// indirectTimeoutFactor is the timeout of an indirect probe as a multiple of the probe timeout. It allows for two round
+	// trips, from this relay to the helper and from the helper to the target, and for the helper's own probe timeout.
 	indirectTimeoutFactor = 3
 
 	// joiningGracePeriods is for how many protocol periods after the start joining members are not probed: they are likely
--- a/internal/membership/errors.go
+++ b/internal/membership/errors.go
@@ -24,7 +24,7 @@
 type decodeError struct {
 	reason error            // one of the reasons above
 	field  protowire.Number // 0: the datagram as a whole, or a field whose number can't be read
-	offset int              // bytes from the datagram's start to the field, or to the update within it
+	offset int              // bytes to the field, or to the update within it, from the datagram's start; its length if a field is missing
 	detail error            // text of the error, with the values found
 }
 
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -6,17 +6,18 @@
 )
 
 const (
-	// retransmitFactor times the binary logarithm of the fleet's size is how many times an update is sent (SWIM's lambda).
+	// retransmitFactor is how many times an update is sent, as a multiple of the number of binary digits of the fleet's size,
+	// which is about its binary logarithm (SWIM's lambda).
 	retransmitFactor = 3
 
 	// maxTransmissions bounds the transmissions of an update, so that the count fits a byte.
 	maxTransmissions = 250
 
-	// maxUpdateCandidates is how many queued updates are passed to the encoder for a datagram: more than fit into one.
+	// maxUpdateCandidates is how many queued updates are passed to the encoder for a datagram: about as many as fit into one.
 	maxUpdateCandidates = 24
 
-	// tableSegmentSize is how many members a ping covers in the walk over the table while the queue is empty. It makes views
-	// converge whatever made them differ.
+	// tableSegmentSize is how many members a ping covers in the walk over the table while the queue is empty. The walk makes
+	// views converge whatever made them differ.
 	tableSegmentSize = 6
 )
 
@@ -94,8 +95,8 @@
 	msg.health = m.health.score
 }
 
-// updateForRecipient returns the update about a datagram's recipient, if the recipient is suspect, dead or left here and
-// should refute it. It is sent before all other updates.
+// updateForRecipient returns the update about a datagram's recipient if this relay has a running suspicion of it, or has it
+// as suspect, dead or left in its view, so that the recipient can refute the update. It is sent before all other updates.
 func (m *Memberlist) updateForRecipient(to int) (memberUpdate, bool) {
 	if s := m.suspicions.byMember[to]; s != nil {
 		return s.claim, true
--- a/internal/membership/localhealth.go
+++ b/internal/membership/localhealth.go
@@ -3,7 +3,8 @@
 import "time"
 
 const (
-	// maxHealthScore bounds the local health score. Lifeguard's paper uses 8: timeouts grow threefold at most.
+	// maxHealthScore bounds the local health score. Lifeguard's paper uses 8: probe timeouts grow threefold at most,
+	// suspicion timeouts fivefold.
 	maxHealthScore = 8
 
 	// stallPenalty is added to the score after a stall, because the process is likely to be stopped again.
--- a/internal/membership/members.go
+++ b/internal/membership/members.go
@@ -34,8 +34,8 @@
 	// milliseconds, up to the year 2109.
 	maxClockIncarnation = 1 << 42
 
-	// duplicateNamePeriods is for how many protocol periods two processes under one name are reported after they were last
-	// seen to alternate.
+	// duplicateNamePeriods is for how many protocol periods two processes under one name are reported after their datagrams
+	// last alternated.
 	duplicateNamePeriods = 10
 )
 
@@ -62,7 +62,7 @@
 	name             string
 	startMillis      uint64        // start of its process, Unix time in milliseconds
 	otherStartMillis uint64        // start of another process that sends under the same index, in the same unit; 0: none
-	lastAlternation  time.Duration // when the two were last seen to alternate
+	lastAlternation  time.Duration // when datagrams of the two last alternated
 	roundTrip        time.Duration
 	health           int
 }
@@ -80,8 +80,8 @@
 	return incarnation > max(r.incarnation+maxIncarnationJump, maxClockIncarnation)
 }
 
-// observeStart records the start time of the process that sent a datagram. If datagrams of two processes alternate, both
-// are running; after an ordinary restart only the new process sends.
+// observeStart records the start time of the process that sent a datagram, and when that last changed. If datagrams of two
+// processes alternate, both are running; after an ordinary restart only the new process sends.
 func (r *memberRecord) observeStart(startMillis uint64, now, retention time.Duration) {
 	if r.startMillis != 0 && startMillis != r.startMillis {
 		if startMillis == r.otherStartMillis && now-r.lastAlternation < retention {
@@ -182,9 +182,9 @@
 	return out
 }
 
-// ActiveCount returns how many relays are running, this one included; callers divide limits among them by it. It
-// overestimates in doubt: while no more than half of the members that have not left are active, the others may be alive
-// beyond a network partition, and all members that have not left are counted.
+// ActiveCount returns how many relays are running, this one included; callers divide limits among them by it. When in
+// doubt it overestimates: while no more than half of the members that have not left are active, the others may be running
+// on the other side of a network partition, so all members that have not left are counted.
 func (m *Memberlist) ActiveCount() int { return m.members.activeCount() }
 
 // IsActive reports whether a member is alive or suspect. It is false for indexes outside the list of peers.
@@ -205,7 +205,7 @@
 	return out
 }
 
-// duplicateRetention returns for how long two processes under one name are reported after they were last seen to alternate.
+// duplicateRetention returns for how long two processes under one name are reported after their datagrams last alternated.
 func (m *Memberlist) duplicateRetention() time.Duration {
 	return duplicateNamePeriods * m.settings.ProtocolPeriod
 }
--- a/internal/membership/settings.go
+++ b/internal/membership/settings.go
@@ -22,7 +22,7 @@
 	ProtocolPeriod      time.Duration // ProbesPerPeriod members are probed in each period
 	ProbesPerPeriod     int           // members probed in a period, 1 to 10
 	IndirectProbes      int           // members asked to probe a target that did not answer, 0 to 16
-	MinSuspicionTimeout time.Duration // shortest time from the start of a suspicion to this relay's confirmation pings
+	MinSuspicionTimeout time.Duration // shortest time from the start of a suspicion to the confirmation pings; none after a reported death
 	ForgetAfter         time.Duration // time for which a dead member is still pinged occasionally
 
 	plainSWIM bool // for tests only: no Lifeguard extensions, no confirmation pings before a member is marked dead
--- a/internal/membership/simulation_test.go
+++ b/internal/membership/simulation_test.go
@@ -206,8 +206,8 @@
 	s.now = end
 }
 
-// runUntil runs in steps until a condition holds. It returns the time that took, or the limit, and whether the condition
-// holds.
+// runUntil runs in steps until a condition holds. It returns the time until then, or the limit, and whether the
+// condition holds.
 func (s *simulation) runUntil(limit time.Duration, ok func() bool) (time.Duration, bool) {
 	start := s.now
 	for s.now-start < limit {
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// maxSuspicionFactor times the shortest suspicion timeout is the longest, which applies while no other member confirms
-	// the suspicion (Lifeguard's beta).
+	// maxSuspicionFactor is the longest suspicion timeout as a multiple of the shortest (Lifeguard's beta). The longest
+	// applies while other members could confirm the suspicion and none has.
 	maxSuspicionFactor = 4
 
 	// maxConfirmations is how many members, the first included, have to suspect a member for the timeout to reach its
@@ -19,13 +19,13 @@
 	// the member dead.
 	confirmationPings = 3
 
-	// recentlyHeardFactor times the probe timeout is the age below which a datagram from the member dismisses a suspicion at
-	// its end.
+	// recentlyHeardFactor is the age below which a datagram from the member dismisses a suspicion at its end, as a multiple
+	// of the probe timeout.
 	recentlyHeardFactor = 3
 )
 
 // suspicion is a running suspicion of one member. It starts with a failed probe, or with a report that the member is suspect
-// or dead, and ends with a refutation, a dismissal or the member being marked dead.
+// or dead, and ends with a refutation, a dismissal or the member being marked dead or left.
 type suspicion struct {
 	startedAt             time.Duration
 	minTimeout            time.Duration
@@ -33,7 +33,7 @@
 	confirmers            [maxConfirmations]int // members that suspect it, in the order of their reports
 	confirmations         int                   // how many of confirmers are set
 	possibleConfirmations int                   // other members that could confirm it, at most maxConfirmations-1
-	claim                 memberUpdate          // update sent to the member, so that it can refute it
+	claim                 memberUpdate          // update sent to the suspected member, which can refute it
 	pings                 int                   // sent by this relay at the end of the suspicion
 	pingDeadline          time.Duration         // when the last of these pings times out; 0: none was sent
 }
@@ -92,7 +92,8 @@
 	running.confirmations++
 }
 
-// postpone delays all suspicions by the time in which this relay received nothing, and discards the pings sent before it.
+// postpone delays all suspicions by the length of a stall, in which this relay received nothing, and discards the
+// confirmation pings sent before the stall.
 func (s *suspicionSet) postpone(delay time.Duration) {
 	for _, i := range s.active {
 		running := s.byMember[i]
@@ -101,7 +102,7 @@
 	}
 }
 
-// suspect marks a member suspect, because of a failed probe of this relay or a report of another member.
+// suspect marks a member suspect, because of a failed probe by this relay or a report by another member.
 func (m *Memberlist) suspect(i, reporter int, incarnation uint64) {
 	m.members.records[i].setState(Suspect, incarnation, m.now, reporter)
 	m.stats.Suspicions++
--- a/internal/membership/updates.go
+++ b/internal/membership/updates.go
@@ -21,7 +21,7 @@
 	case r.state == Joining || msg.incarnation > r.incarnation:
 		m.markAlive(from, msg.incarnation, from)
 	case r.state != Alive:
-		m.send(from, message{kind: kindGossip}) // carries the sender's state here, so that it can refute it
+		m.send(from, message{kind: kindGossip}) // carries the sender's state in this relay's view, which the sender can refute
 	}
 }
 
@@ -100,8 +100,8 @@
 	m.startSuspicion(u.member, from, u)
 }
 
-// applyLeft applies a report that a member has left. It ignores a report by another member, with the known incarnation, if
-// a datagram from the member itself arrived within the last protocol period.
+// applyLeft applies a report that a member has left. It ignores a report by another member, without a higher incarnation,
+// if a datagram from the member itself arrived within the last protocol period.
 func (m *Memberlist) applyLeft(from int, u memberUpdate, newer bool) {
 	r := &m.members.records[u.member]
 	recentlyHeard := r.lastHeard > 0 && m.now-r.lastHeard < m.settings.ProtocolPeriod
--- a/internal/metrics/registry.go
+++ b/internal/metrics/registry.go
@@ -54,8 +54,8 @@
 
 // Membership is the relay's view of the other relays.
 type Membership struct {
-	ActiveRelays   int // this one included
-	Health         int
+	ActiveRelays   int   // this one included
+	Health         int   // 0 is healthy, 8 the worst
 	RejectedGossip int64 // gossip messages from relays that are not active
 	Members        []membership.Member
 	Counters       membership.Stats
--- a/internal/protocol/open.go
+++ b/internal/protocol/open.go
@@ -155,8 +155,8 @@
 	return err
 }
 
-// parseMidStream parses the flag of an open connection that another relay has placed. It can arrive here only where packets
-// pass through the relay.
+// parseMidStream parses the flag of an open connection that another relay has placed. Such a connection can reach this relay
+// only if packets pass through it (PassThrough); otherwise the flag is refused.
 func (p *openParser) parseMidStream(value []byte) (bool, error) {
 	if !p.settings.PassThrough {
 		return false, ErrSyntax
--- a/internal/relay/acceptor.go
+++ b/internal/relay/acceptor.go
@@ -19,8 +19,8 @@
 	commandQueueLength = 16
 )
 
-// accept accepts all connections until the listener is closed. Connections without a whole OPEN line are held in the
-// handshake pool, whose capacity keeps the process below its descriptor limit (EMFILE).
+// accept accepts all connections until the listener is closed or the relay stops during a pause. Connections without a
+// complete OPEN line are held in the handshake pool, whose capacity keeps the process below its descriptor limit (EMFILE).
 func (r *Relay) accept() error {
 	for {
 		conn, err := r.listener.AcceptTCP()
--- a/internal/relay/admin.go
+++ b/internal/relay/admin.go
@@ -27,7 +27,7 @@
 // Metrics returns the counters and gauges.
 func (a adminRelay) Metrics() metrics.Snapshot { return a.controller.Metrics().Snapshot() }
 
-// SetDrained drains the relay, or ends the drain, in both processes while a hot restart lasts.
+// SetDrained drains the relay or ends the drain; during a hot restart it does so in both processes.
 func (a adminRelay) SetDrained(on bool) {
 	a.setDrained(on)
 	line := lineUndrain
--- a/internal/relay/admin_test.go
+++ b/internal/relay/admin_test.go
@@ -26,7 +26,7 @@
 	return startAdminRelayWith(t, "x0=0.1", func(*Config) {})
 }
 
-// startAdminRelayWith does the same with a changed configuration and another load report.
+// startAdminRelayWith starts such a relay with a changed configuration and the given load report of the backend.
 func startAdminRelayWith(t *testing.T, report string, change func(*Config)) *Relay {
 	t.Helper()
 	b := &fake.Backend{LoadReport: report}
--- a/internal/relay/bufferedconn.go
+++ b/internal/relay/bufferedconn.go
@@ -20,7 +20,7 @@
 	reader *textproto.Reader
 }
 
-// readerPool holds the buffers of ended connections: an established session uses two.
+// readerPool holds the buffers of ended connections for reuse. An established session uses two buffers.
 var readerPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, protocol.MaxLineLength+bufferReserveBytes) }}
 
 func newBufferedConn(conn *net.TCPConn) *bufferedConn {
@@ -29,7 +29,7 @@
 	return &bufferedConn{conn, textproto.NewReader(r)}
 }
 
-// recycle returns the buffer to the pool; nothing may be read after it.
+// recycle returns the buffer to the pool. The connection must not be read afterwards.
 func (c *bufferedConn) recycle() {
 	c.reader.R.Reset(nil)
 	readerPool.Put(c.reader.R)
@@ -47,8 +47,8 @@
 // discard consumes n buffered bytes.
 func (c *bufferedConn) discard(n int) { _, _ = c.reader.R.Discard(n) }
 
-// hasPendingInput reports whether a client that waits for its answer has closed its connection or sent more. It asks the
-// system, since the goroutine that reads the client may not be scheduled yet: on a saturated core that can take longer
+// hasPendingInput reports whether a client that waits for its answer has closed its connection or sent more. It peeks at
+// the socket, since the goroutine that reads the client may not be scheduled yet: on a saturated core that can take longer
 // than the time within which an attempt may still start. It does not block and consumes nothing. Errors that do not
 // show the client's end are left to that goroutine.
 func (c *bufferedConn) hasPendingInput() bool {
@@ -65,7 +65,7 @@
 	return err != nil || pending
 }
 
-// isTimeout reports whether a read, write or accept ended by its deadline rather than by the connection's end.
+// isTimeout reports whether a read, write, accept or HTTP request ended by its deadline rather than by the connection's end.
 func isTimeout(err error) bool {
 	var netError net.Error
 	return errors.As(err, &netError) && netError.Timeout()
--- a/internal/relay/discovery.go
+++ b/internal/relay/discovery.go
@@ -106,7 +106,7 @@
 	transport.CloseIdleConnections()
 }
 
-// follow makes the requests that the state machine asks for.
+// follow makes the requests that client returns, one at a time, until ctx is done.
 func (d *discoveryConn) follow(ctx context.Context, client *discovery.Client, httpClient *http.Client) {
 	for ctx.Err() == nil {
 		select {
@@ -163,7 +163,7 @@
 	}
 }
 
-// fetch makes one request and returns the body. A body returned with an error is incomplete or has a status other than 200.
+// fetch makes one request and returns the body. A body returned with an error is incomplete or came with a status other than 200.
 func fetch(ctx context.Context, client *http.Client, address string, request discovery.Request) ([]byte, error) {
 	u := url.URL{Scheme: "http", Host: address, Path: request.Path, RawQuery: request.Query}
 	ctx, cancel := context.WithTimeout(ctx, request.Timeout)
--- a/internal/relay/driver.go
+++ b/internal/relay/driver.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// MigrateSession asks a session's client to move to another relay.
+// MigrateSession migrates a session: its client is sent MOVE and is to reconnect.
 func (d driver) MigrateSession(id uint64) {
 	if s := d.sessions[id]; s != nil {
 		s.migrate()
--- a/internal/relay/forward.go
+++ b/internal/relay/forward.go
@@ -116,7 +116,8 @@
 	s.terminate(backend, termination)
 }
 
-// terminate closes both connections.
+// terminate ends the client's side as termination states, closes the backend's connection and waits for the goroutine that
+// reads the client.
 func (s *clientSession) terminate(backend *bufferedConn, termination session.Termination) {
 	if termination.BackendSilent {
 		s.relay.log.Warn("backend silent, client migrated", zap.Stringer("backend", backend.conn.RemoteAddr()))
@@ -182,7 +183,7 @@
 	return termination
 }
 
-// migrate has the session end with MOVE at the end of the next line. The event loop calls it.
+// migrate has the session end with MOVE at the next line boundary. The event loop calls it.
 func (s *clientSession) migrate() {
 	s.state.Migrate()
 	s.mu.Lock()
--- a/internal/relay/handshake.go
+++ b/internal/relay/handshake.go
@@ -17,7 +17,8 @@
 	lingerReadInterval = handshake.LingerTimeout / 16
 )
 
-// handshakePool holds the connections that have not sent a whole OPEN line.
+// handshakePool holds the connections that have not sent a complete OPEN line, and those whose input is discarded after the
+// final answer.
 type handshakePool struct {
 	mu         sync.Mutex
 	pool       *handshake.Pool
@@ -69,7 +70,7 @@
 	return added, wait
 }
 
-// remove removes a connection; false: it was evicted before.
+// remove removes a connection; false: it was evicted or removed before.
 func (p *handshakePool) remove(connection *handshake.Connection) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -85,7 +86,7 @@
 
 // discardInput reads what a client still sends after the relay's last line. Closing with unread bytes would reset the
 // connection and lose that line, and every answer before it that the client has not acknowledged. A client that keeps
-// sending is read slowly after MaxLingerBytes and cut off at LingerTimeout.
+// sending is read slowly after MaxLingerBytes, and no longer than LingerTimeout.
 func (p *handshakePool) discardInput(connection *handshake.Connection) {
 	p.mu.Lock()
 	p.pool.MarkAnswered(connection)
--- a/internal/relay/healthcheck.go
+++ b/internal/relay/healthcheck.go
@@ -131,9 +131,9 @@
 	})
 }
 
-// exchange sends one request and reads one line. A kept connection is checked first: if the backend has
-// closed it the request would be lost, and unrequested bytes would be read as the answer to this request, and the
-// answer to this request as the next one's.
+// exchange sends one request and reads one line. A kept connection is checked first: if the backend has closed it, the
+// request would be lost; if it holds unrequested bytes, they would be read as the answer to this request, and the answer to
+// this request as the answer to the next one.
 func (h *healthChecker) exchange(conn *healthCheckConn, deadline time.Time) (string, error) {
 	if err := conn.SetDeadline(deadline); err != nil {
 		return "", err
--- a/internal/relay/helpers_test.go
+++ b/internal/relay/helpers_test.go
@@ -24,7 +24,7 @@
 )
 
 // The tests hold two events that may meet in either order at barriers and release them in a chosen order: each backend,
-// discovery agent and client acts only when the test tells it to. docs/crossings.md names the pairs of events.
+// discovery agent and client acts only when the test triggers it. docs/crossings.md names the pairs of events.
 
 // disconnectCleanupTimeout is how long after a client has disconnected the relay may hold its session or start anything for it.
 const disconnectCleanupTimeout = 100 * time.Millisecond
@@ -408,7 +408,7 @@
 	return fmt.Appendf(nil, `{"version":%d,"full":false,"servers":[{"id":%q,"addr":"127.0.0.1:9","state":%q}]}`, version, id, state)
 }
 
-// isUnavailable returns a condition: a backend of the list takes no new sessions.
+// isUnavailable returns a condition: a backend of the list gets no new sessions.
 func isUnavailable(r *Relay, id string) func() bool {
 	return func() bool {
 		return onEventLoop(r, func() bool {
@@ -438,7 +438,7 @@
 		PeerListen: "127.0.0.1:0", Peers: []string{"127.0.0.1:9"}, CachedEndpoints: fake.EncodeList(1, list), Settings: s}
 }
 
-// eventually waits for a condition. It sleeps between two checks, to leave the cores to what it waits for.
+// eventually waits for a condition. It sleeps between two checks, to leave CPU time to what it waits for.
 func eventually(t *testing.T, condition string, ok func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(testTimeout); !ok(); <-time.After(time.Millisecond) {
--- a/internal/relay/hotrestart.go
+++ b/internal/relay/hotrestart.go
@@ -30,22 +30,24 @@
 
 	lineServing     = "SERVING" // successor to predecessor: the successor accepts connections from now on
 	lineDescriptors = "HELD"    // predecessor to successor: the number of descriptors the predecessor still uses
-	lineLoad        = "SEEN"    // predecessor to successor: the load of its remaining sessions
+	lineLoad        = "SEEN"    // predecessor to successor: the tracked load of its remaining sessions
 	lineDrain       = "DRAIN"   // both ways: a drain was requested at the admin endpoint
 	lineUndrain     = "UNDRAIN" // both ways: the end of the drain was requested
 )
 
 const (
-	// handOverTimeout bounds the whole hand-over; after it the successor starts without a predecessor.
+	// handOverTimeout bounds the whole hand-over once the processes are connected; after it the successor starts without a
+	// predecessor. It also bounds writing one line.
 	handOverTimeout = time.Second
 
-	// predecessorDialTimeout leaves most of handOverTimeout for receiving the state.
+	// predecessorDialTimeout bounds connecting to the predecessor, before handOverTimeout starts: most of the time is for
+	// receiving the state.
 	predecessorDialTimeout = handOverTimeout / 4
 
 	// exportTimeout bounds how long the event loop takes to export the state, and separately how long sending the state takes.
 	exportTimeout = handOverTimeout / 2
 
-	// reportInterval is how often the predecessor reports its descriptors and its load.
+	// reportInterval is how often the predecessor reports its descriptors and its tracked load.
 	reportInterval = 100 * time.Millisecond
 )
 
--- a/internal/relay/peers.go
+++ b/internal/relay/peers.go
@@ -116,7 +116,7 @@
 	}
 }
 
-// receive posts datagrams until the socket is closed. Those over the limit are dropped.
+// receive posts datagrams until the socket is closed. Datagrams over MaxDatagramBytes are dropped.
 func (p *peerSocket) receive(ctx context.Context, conn net.PacketConn) {
 	buffer := make([]byte, controller.MaxDatagramBytes+1)
 	for {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -49,7 +49,7 @@
 	listener             *net.TCPListener
 	sessionCount         atomic.Int64 // sessions that use descriptors now
 	maxSessions          atomic.Int64
-	auxiliaryDescriptors atomic.Int64   // descriptors of health checks and of the admin endpoint
+	auxiliaryDescriptors atomic.Int64   // descriptors reserved for health checks and the admin endpoint
 	connections          sync.WaitGroup // client connections from accept to close
 	lastSessionID        atomic.Uint64
 
@@ -69,7 +69,7 @@
 	predecessor  *predecessor // nil: this process took over from none
 	processLinks processLinks
 
-	// Used by the event loop only.
+	// Used by the event loop only, except for the controller's methods that any goroutine may call.
 	controller *controller.Controller
 	sessions   map[uint64]*clientSession
 }
--- a/internal/relay/session.go
+++ b/internal/relay/session.go
@@ -114,7 +114,7 @@
 	return true
 }
 
-// readHandshake reads up to the OPEN line and answers PING; an error is a protocol error of the client. The deadline
+// readHandshake reads up to the OPEN line and answers PING and STATS; an error is a protocol error of the client. The deadline
 // was set when the connection was accepted; lines before OPEN do not extend it.
 func (s *clientSession) readHandshake() (opened bool, err error) {
 	for seen := 0; ; {
@@ -258,8 +258,9 @@
 	}
 }
 
-// sendFinalAnswer sends the last line to the client and closes the relay's side. What the client still sends is read
-// by others until CloseTimeout: closing with unread bytes would reset the connection and lose that line.
+// sendFinalAnswer sends the last line to the client and closes the relay's side. The caller does not close the connection
+// at once: forwardClient or discardInput still reads it, for at most CloseTimeout, since closing with unread bytes would
+// reset the connection and lose that line.
 func (s *clientSession) sendFinalAnswer(answer string) {
 	conn := s.client.conn
 	_ = conn.SetWriteDeadline(time.Now().Add(session.CloseTimeout))
--- a/internal/relay/session_test.go
+++ b/internal/relay/session_test.go
@@ -207,7 +207,7 @@
 				_ = conn.Close()
 			}
 			disconnectAndAwaitCleanup(t, r, c, mode.disconnect)
-			_ = b.listener.SetDeadline(time.Now().Add(600 * time.Millisecond)) // more than twice the delay between two tries
+			_ = b.listener.SetDeadline(time.Now().Add(600 * time.Millisecond)) // more than twice the delay between two attempts
 			if conn, err := b.listener.Accept(); err == nil {
 				got, _ := bufio.NewReader(conn).ReadString('\n')
 				t.Errorf("the backend received %q", got)
--- a/internal/relay/shutdown.go
+++ b/internal/relay/shutdown.go
@@ -7,7 +7,7 @@
 
 const (
 	// finalWriteGrace is how long the process waits for connections that have just been sent their last line: exiting
-	// with unread bytes resets the connection and loses that line.
+	// with unread bytes resets the connection and loses that line. It also bounds the wait until the acceptor has paused.
 	finalWriteGrace = 50 * time.Millisecond
 
 	// acceptQueueDrainTime bounds how long the accept queue is emptied at the end: clients may keep arriving.
--- a/internal/relay/shutdown_test.go
+++ b/internal/relay/shutdown_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// A dial is still pending when the time is up: the request has not run, so even a non-idempotent one gets BUSY, not ERR.
+// A dial is still pending when the relay must answer: the request has not run, so even a non-idempotent one gets BUSY, not ERR.
 func TestShutdown_RefusesRequestsDuringDial(t *testing.T) {
 	t.Parallel()
 	for _, passThrough := range []bool{false, true} {
@@ -88,7 +88,7 @@
 	}
 }
 
-// With short deadlines every established client is migrated before SIGKILL, which comes a second after SIGTERM.
+// With a client timeout of 300 ms, every established client is migrated before SIGKILL, which comes a second after SIGTERM.
 func TestShutdown_MovesAllClientsWithShortDeadlines(t *testing.T) {
 	t.Parallel()
 	b := &fake.Backend{}
--- a/internal/relay/successor.go
+++ b/internal/relay/successor.go
@@ -17,7 +17,7 @@
 // descriptorsPerSession counts the client's connection and the backend's.
 const descriptorsPerSession = 2
 
-// successorListener waits for the next process of this relay.
+// successorListener waits for a successor at the hot restart socket.
 type successorListener struct {
 	relay    *Relay
 	path     string
@@ -212,7 +212,7 @@
 	return fds, release, nil
 }
 
-// reportToSuccessor reports the descriptors and the load of this process until the successor has exited.
+// reportToSuccessor reports the descriptors and the tracked load of this process until the successor has exited.
 func (r *Relay) reportToSuccessor(l *processLink, ended <-chan struct{}) {
 	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
--- a/internal/relay/timing_test.go
+++ b/internal/relay/timing_test.go
@@ -152,7 +152,7 @@
 total = "250ms"
 `
 
-// Every class and route keeps the timing of its file with backends that answer late, never or with errors.
+// Every class and route has the timing of the configuration file when backends answer late, never or with errors.
 func TestRelay_RouteTimingFromFile(t *testing.T) {
 	for _, tc := range []struct {
 		name, class, key string
--- a/internal/routing/policy.go
+++ b/internal/routing/policy.go
@@ -57,7 +57,7 @@
 // maxRetryBudget bounds the retries that each request adds to the budget: at 1 or more, retries would allow further retries without end.
 const maxRetryBudget = 1
 
-// Limits are the bounds that the installation sets to every retry policy.
+// Limits are the bounds that the installation sets on every retry policy.
 type Limits struct {
 	MaxAttempts  int           // attempts at one request, the first included
 	Cancellation bool          // whether an attempt can be cancelled
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -1,5 +1,5 @@
 // Package routing chooses the route of a request by its class, tenant, group, key and protocol and by the zone of the
-// relay. A route names the retry policy of its requests, and the first route that matches is used. The package also
+// relay. Each route has the retry policy of its requests, and the first route that matches is used. The package also
 // checks a retry policy against the class of its requests and the limits of the installation.
 //
 // It reads no files and does no I/O: package config turns names into the indexes used here and adds to each
--- a/internal/scenario/outcome.go
+++ b/internal/scenario/outcome.go
@@ -32,7 +32,7 @@
 	// Only for runs on processes; a run on the virtual clock has none of these.
 	Program string                      `json:"program,omitempty"` // the relays'
 	Faults  []testcluster.FaultEffect   `json:"faults,omitempty"`  // the faults as played, with their effects
-	Waits   *testcluster.LatencySummary `json:"waits,omitempty"`   // how long clients waited for their answers
+	Waits   *testcluster.LatencySummary `json:"waits,omitempty"`   // how long clients waited for a connection
 	Rates   *testcluster.TrafficRates   `json:"rates,omitempty"`   // of what the relays send beside the lines of clients
 	Usage   *testcluster.ResourceUsage  `json:"usage,omitempty"`   // of processor and memory
 	Cores   []float64                   `json:"machine,omitempty"` // processor cores used by all relays, by second
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -54,9 +54,9 @@
 
 	ArrivalPeriod    duration   `toml:"rush"`      // the first clients connect within this; 0: defaultArrivalPeriod
 	SessionDuration  []duration `toml:"stay"`      // the shortest and the longest; empty: shortestSession and longestSession
-	ReconnectDelay   duration   `toml:"return"`    // a client whose connection broke reconnects within this; 0: 300 ms
+	ReconnectDelay   duration   `toml:"return"`    // on processes, a client whose connection broke reconnects within this; 0: 300 ms
 	HotKeyShare      float64    `toml:"hot-key"`   // share of the clients that use the same key
-	HotRelayShare    float64    `toml:"hot-relay"` // share of the clients that connect to the first relay
+	HotRelayShare    float64    `toml:"hot-relay"` // share of the connections sent to the first relay; the others go to all evenly
 	NoLoadReports    bool       `toml:"no-reports"`
 	NoGossip         bool       `toml:"no-peers"`
 	Membership       bool       `toml:"membership"` // relays detect which of them are running
@@ -76,7 +76,7 @@
 	ReportNoise    float64  `toml:"report-noise"`
 
 	Sizes           []float64 `toml:"sizes"`      // of the servers in turn, as multiples of Cores
-	LateReportShare float64   `toml:"late-share"` // share of the servers whose reports are late by ReportDelay as well
+	LateReportShare float64   `toml:"late-share"` // share of the servers whose reports are late by ReportDelay
 	ReportDelay     duration  `toml:"late-by"`
 }
 
--- a/internal/session/attempt.go
+++ b/internal/session/attempt.go
@@ -37,7 +37,8 @@
 	digits      [maxIntegerDigits]byte // buffer for the time-out that is written into the request
 }
 
-// DialFailed returns the error of an attempt that got no connection; abandoned is set if this relay cancelled it.
+// DialFailed returns the error of an attempt that got no connection or has not used it; abandoned is set if this relay
+// cancelled the attempt.
 func (a *Attempt) DialFailed(err error, abandoned bool) *AttemptError {
 	return &AttemptError{stage: stageNotSent, abandoned: abandoned, err: err}
 }
@@ -50,7 +51,7 @@
 		return request, &AttemptError{stage: stageNotSent, err: fmt.Errorf("%w: %v left, expected at least %v", ErrDeadlineExceeded,
 			timeout, minTimeout)}
 	}
-	// The dial may have lasted beyond a drain's grace period: a request sent now would count as new work at the backend.
+	// The dial may have lasted beyond half of a drain's grace period: a request sent now would count as new work at the backend.
 	if closedAt := a.Backend.ClosedAt(); closedAt != 0 && now-closedAt > a.settings.DrainGrace/2 {
 		return request, &AttemptError{stage: stageNotSent, err: fmt.Errorf("%w: for %v, expected at most %v", ErrBackendDraining,
 			now-closedAt, a.settings.DrainGrace/2)}
--- a/internal/session/command.go
+++ b/internal/session/command.go
@@ -46,7 +46,7 @@
 }
 
 // AwaitsCommands reports whether the session still expects commands and ends of attempts. They result in one final answer
-// only: if a refusal and an UP race, one of them wins.
+// only: if a refusal and an UP race, the first one that the session processes counts.
 func (s *Session) AwaitsCommands() bool { return !s.answered || s.attemptPending }
 
 // Execute processes a command of the controller.
@@ -97,7 +97,7 @@
 	return attempt
 }
 
-// ClientClosed records that the client has left before its answer or, if sentMore is set, has sent more data before it.
+// ClientClosed records that the client has disconnected before its answer or, if sentMore is set, has sent more data before it.
 func (s *Session) ClientClosed(sentMore bool) Actions {
 	if s.answered {
 		return Actions{}
--- a/internal/session/established.go
+++ b/internal/session/established.go
@@ -11,7 +11,7 @@
 func (s *Session) Established() bool { return s.established.Load() }
 
 // Migrate requests that the session end with MOVE at the next line boundary. The caller then wakes the goroutine that reads
-// the backend.
+// the backend. Any goroutine may call Migrate.
 func (s *Session) Migrate() { s.migrating.Store(true) }
 
 // FromClient processes all bytes of the client that are not forwarded yet and returns how many of them are whole lines,
@@ -93,7 +93,7 @@
 	return Termination{}, false
 }
 
-// Idle reports whether CheckIdle cannot end the session until something else happens to it.
+// Idle reports whether CheckIdle cannot end the session until the session's state changes.
 func (s *Session) Idle() bool {
 	return s.unansweredSince.Load() == 0 && !s.hasClientEnded() && !s.backendBlocked.Load()
 }
--- a/internal/session/handshake.go
+++ b/internal/session/handshake.go
@@ -21,7 +21,7 @@
 }
 
 // ReadHandshake parses the first line among the bytes that the client has sent and that are not consumed yet. The answer
-// to PING and STATS depends on ready, which tells whether the relay accepts sessions.
+// to PING and STATS depends on ready, which is set if the relay accepts sessions.
 func (s *Session) ReadHandshake(now time.Duration, b []byte, ready bool) (Handshake, error) {
 	reader := protocol.ClientReader{Settings: s.settings}
 	kind, length, err := reader.Feed(b)
--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -53,7 +53,7 @@
 	acceptedAt     time.Duration // when the connection was taken out of the accept queue
 	queuedFor      time.Duration // how long the connection may have been in the accept queue
 	pings          int           // PING and STATS lines received before OPEN
-	answered       bool          // the final answer has been given, or the client has left
+	answered       bool          // the final answer has been given, or the client has disconnected
 	attemptPending bool
 	attempts       int
 	attempt        *Attempt // the one that established the session
@@ -62,7 +62,7 @@
 	established     atomic.Bool
 	migrating       atomic.Bool
 	backendBlocked  atomic.Bool  // the backend accepts no more of the client's lines
-	unansweredSince atomic.Int64 // when the oldest unanswered line was sent to the backend; 0: there is none
+	unansweredSince atomic.Int64 // when the oldest unanswered line was sent to the backend, in ns on the relay's clock; 0: there is none
 	clientEnd       atomic.Int32 // an EndKind
 	counted         atomic.Bool  // included in the ActiveSessions metric
 }
@@ -74,7 +74,7 @@
 
 // Accepted records when the connection was taken out of the accept queue and how long it may have been there. An
 // OPEN line that is complete soon afterwards may have arrived in the queue, at a time that the relay could not measure: the
-// client's time-out then counts from that much earlier.
+// client's time-out then starts earlier by c.QueuedFor.
 func (s *Session) Accepted(c *handshake.Connection) {
 	s.acceptedAt, s.queuedFor = c.AcceptedAt, c.QueuedFor
 }
@@ -112,7 +112,7 @@
 // The kinds of event.
 const (
 	NoEvent      EventKind = iota
-	ClientLeft             // the client has left before its final answer
+	ClientLeft             // the client has disconnected before its final answer
 	AttemptEnded           // an attempt has failed, or an established session has ended
 	Established
 	LoadReported // the backend has sent a LOAD line
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -144,8 +144,8 @@
 	return n
 }
 
-// A client whose connection was in the accept queue has waited for a time that the relay cannot measure: its time-out
-// counts from when the queue began to fill, but from half a second before the accept at most. The queue counts as empty
+// A client whose connection was in the accept queue has waited for a time that the relay cannot measure: its timeout
+// counts from the time when the queue began to fill, but at most half a second before the accept. The queue counts as empty
 // once the acceptor finds no connection.
 func TestSession_TimeoutCountsFromAcceptQueue(t *testing.T) {
 	pool, now := handshake.NewPool(1), time.Second
@@ -158,7 +158,7 @@
 			}
 		}
 	}
-	// waited returns for how long a client has waited that sends its OPEN line with this delay after it was accepted.
+	// waited returns how long a client has waited that sends its OPEN line with the given delay after the accept.
 	waited := func(c *handshake.Connection, delay time.Duration) time.Duration {
 		s := newTestSession(1)
 		s.Accepted(c)
--- a/internal/settings/merge.go
+++ b/internal/settings/merge.go
@@ -59,8 +59,9 @@
 }
 
 // keepRestartOnly returns new settings in which every value that changes only at a restart is the one in force: the relay's
-// index and zone, the number of relays, the names and formats by which endpoint lists, load reports and protocol lines are
-// parsed, and whether packets are passed through.
+// index and zone, the number of relays, the tick, the tenants, the names and formats by which endpoint lists, load reports
+// and protocol lines are parsed, what the weights in endpoint lists mean, and whether connections have groups, packets are
+// passed through, relays exchange datagrams and endpoint lists are polled.
 func keepRestartOnly(updated, inForce *Settings) Settings {
 	kept := *updated
 	kept.RelayIndex, kept.RelayCount = inForce.RelayIndex, inForce.RelayCount
--- a/internal/settings/object.go
+++ b/internal/settings/object.go
@@ -90,7 +90,7 @@
 	SlowStartWindow  float64 `json:"warm-up-ms"`
 }
 
-// Values of mode, registry-mode and how that select a mode of operation; every other value selects the default one.
+// Values of the keys family-info.mode, registry-mode and stats.how; every other value selects the default of its key.
 const (
 	modePassThrough   = "pass"
 	registryOnRequest = "on_request"
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -6,7 +6,7 @@
 	"aspenbarrow/balance"
 )
 
-// Upper bounds of plausible values; larger ones are mistakes, such as seconds taken for milliseconds.
+// Upper bounds of plausible values; larger ones are mistakes, such as microseconds given as milliseconds.
 const (
 	maxTimeoutMS = float64(24 * time.Hour / time.Millisecond)
 	maxAttempts  = 1 << 16
--- a/internal/shadow/events.go
+++ b/internal/shadow/events.go
@@ -122,7 +122,7 @@
 	})
 }
 
-// EndpointsUpdated passes each side its own copy of the list, since a balancer keeps it.
+// EndpointsUpdated passes each side its own copy of the list, since a Decider may keep it.
 func (e *Evaluator) EndpointsUpdated(now time.Duration, kind balance.EndpointUpdateKind, backends []balance.Backend) {
 	e.onBoth(now, func(d decision.Decider) { d.EndpointsUpdated(now, kind, slices.Clone(backends)) })
 }
--- a/internal/simulation/backend.go
+++ b/internal/simulation/backend.go
@@ -231,7 +231,7 @@
 	}
 }
 
-// overloadsCold records a request during the slow start and terminates the backend if their rate exceeds
+// overloadsCold records a request during the slow start and terminates the backend if the rate of such requests exceeds
 // OverloadMultiple times its current capacity. It reports whether it has done so.
 func (b *backend) overloadsCold() (crashed bool) {
 	now, s := b.engine.now, &b.run.settings
--- a/internal/simulation/client.go
+++ b/internal/simulation/client.go
@@ -228,7 +228,8 @@
 	}
 }
 
-// sendLines sends a line every two seconds, and reconnects if the relay has been silent for over nine seconds.
+// sendLines sends a line every two seconds, and reconnects if the relay has been silent for over nine seconds. The second
+// time, a client with sendsBursts sends 40 lines. After one time in 200 the client stops reading for 1 to 5 s.
 func (c *client) sendLines(conn *connEnd) {
 	if c.conn != conn || conn.closed {
 		return
--- a/internal/simulation/conn.go
+++ b/internal/simulation/conn.go
@@ -68,8 +68,9 @@
 	})
 }
 
-// write sends bytes and calls done with the success. If they do not fit into the peer's receive window, it returns a
-// pending write, which the caller can cancel; done is called when that is sent or has failed.
+// write sends bytes and calls done, with false if the connection no longer accepts any. If they do not fit into the peer's
+// receive window, it returns a pending write, which the caller can cancel; done is called when that is sent or the peer has
+// reset the connection, but not after a cancellation or once this end is closed.
 func (c *connEnd) write(b []byte, done func(ok bool)) *pendingWrite {
 	if c.closed || c.writeClosed || c.remoteEnd == session.EndReset {
 		done(false)
--- a/internal/simulation/load_balancer.go
+++ b/internal/simulation/load_balancer.go
@@ -7,17 +7,17 @@
 	"aspenbarrow/internal/session"
 )
 
-// loadBalancer distributes connections over the relays that it considers healthy. It detects the failure of a relay
+// loadBalancer distributes connections over the relays that are marked as healthy. It detects the failure of a relay
 // with a delay, and sends it connections until then.
 type loadBalancer struct {
 	run     *run
 	healthy []bool // by relay
 }
 
-// checkRelay checks one relay's health, again and again. It sends PING to an unhealthy relay until that answers PONG.
+// checkRelay checks one relay's health repeatedly. It sends PING to an unhealthy relay until that answers PONG.
 // It detects the failure of a healthy one with a delay, as real load balancers do.
 func (lb *loadBalancer) checkRelay(r *relay) {
-	r = lb.run.relays[r.number] // an upgrade may have replaced the process
+	r = lb.run.relays[r.number] // a hot restart may have replaced the process
 	switch {
 	case lb.healthy[r.number]:
 		lb.checkHealthy(r)
--- a/internal/simulation/mutations.go
+++ b/internal/simulation/mutations.go
@@ -18,7 +18,7 @@
 	MutationExtraAttempt              Mutation = "fifth-attempt" // one attempt more than the settings allow
 	MutationOverlappingAttempts       Mutation = "overlap"       // a second attempt before the first has ended
 	MutationRetryNonIdempotent        Mutation = "unsafe-repeat" // requests that are not idempotent are retried
-	MutationRetryOutsideDedupScope    Mutation = "out-of-scope"  // idempotent requests are retried outside their deduplication scope
+	MutationRetryOutsideDedupScope    Mutation = "out-of-scope"  // keyed requests are retried outside their deduplication scope
 	MutationLateDrain                 Mutation = "late-drain"    // a backend's drain takes effect 60 ms after the checker's limit
 	MutationNoSlowStart               Mutation = "cold-flood"    // no backend has a slow start
 	MutationMoveInsideLine            Mutation = "move-in-line"  // MOVE is sent in the middle of a line
@@ -37,7 +37,7 @@
 	MutationShutdownAttemptsUncounted Mutation = "count-leaving" // a relay that shuts down counts no attempts
 	MutationDrainKeepsSessions        Mutation = "drain-holds"   // a drained relay migrates no sessions
 	MutationStaleIdempotency          Mutation = "old-rules"     // the idempotency of classes that a reload adds is ignored
-	MutationUpgradeDropsSessions      Mutation = "hand-over"     // the old process of an upgrade exits with its sessions open
+	MutationUpgradeDropsSessions      Mutation = "hand-over"     // the predecessor in a hot restart exits with its sessions open
 	MutationLateClientClose           Mutation = "left-late"     // a client's close is handled 0.4 s late
 	MutationDrainedReportsReady       Mutation = "drain-yes"     // a drained relay answers PONG
 )
--- a/internal/simulation/options.go
+++ b/internal/simulation/options.go
@@ -31,7 +31,7 @@
 	DependencyHoldTime        time.Duration    // how long a request holds its slot
 	ArrivalWindow             time.Duration    // the clients first connect within this time
 	SessionDurationRange      [2]time.Duration // shortest and longest session of a client
-	ReconnectWindow           time.Duration    // a client whose connection broke reconnects within this time
+	ReconnectWindow           time.Duration    // a client whose connection broke reconnects within this time, in tests on processes; 0: 300 ms
 	HotKeyShare               float64          // share of the clients that use the same key
 	HotRelayShare             float64          // share of the connections sent to the first relay; the others go to all relays evenly
 	LateReportShare           float64          // share of the backends whose load reports are late
@@ -40,7 +40,7 @@
 	ListsWeights              bool             // discovery lists the sizes as weights
 	NoLoadReports             bool             // backends report no load
 	Gossip                    bool             // relays exchange overload notices
-	Membership                bool             // relays detect failed relays
+	Membership                bool             // relays detect failed relays, in tests on processes
 	ConnectTimeout            time.Duration    // for connections to backends, in tests on processes; 0: 250 ms
 }
 
--- a/internal/simulation/relay.go
+++ b/internal/simulation/relay.go
@@ -16,7 +16,7 @@
 )
 
 // relay runs the controller of one relay, as package relay does on sockets. Events take the place of the real
-// program's goroutines; how long one goroutine takes to receive from another is drawn.
+// program's goroutines; the delay of each hand-off between two goroutines is drawn.
 type relay struct {
 	*host
 	run                 *run
--- a/internal/simulation/relay_faults.go
+++ b/internal/simulation/relay_faults.go
@@ -38,8 +38,8 @@
 	return nil
 }
 
-// changeSettingsTemporarily has all relays load other settings, and the original ones again at the end. It does nothing while
-// an earlier change is in force.
+// changeSettingsTemporarily has all relays load other settings, and the original ones again classRolloutDelay after the end.
+// It does nothing with Options.Installation, or while an earlier change is in force.
 func changeSettingsTemporarily(run *run, f Fault) (end func()) {
 	changed := len(run.relays[0].cfg.Settings.Classes) > len(run.settings.Classes)
 	if run.options.Installation != nil || changed {
@@ -59,10 +59,10 @@
 	}
 }
 
-// upgradeRelays upgrades one or several relays, each up to twice in a row.
+// upgradeRelays performs hot restarts of one or several relays, up to two of each in a row.
 func upgradeRelays(run *run, f Fault) (end func()) {
 	for i := range 1 + int(f.Severity*3) {
-		number := (f.Target + i/2) % len(run.relays) // up to two upgrades of each relay
+		number := (f.Target + i/2) % len(run.relays) // up to two hot restarts of each relay
 		run.engine.schedule(time.Duration(i)*(4*time.Second+f.Duration/8), func() {
 			run.upgradeRelay(run.relays[number], f.Duration/10)
 		})
--- a/internal/simulation/relay_lifecycle.go
+++ b/internal/simulation/relay_lifecycle.go
@@ -3,7 +3,7 @@
 import "time"
 
 // shutdownTimeout is how long a process may take to shut down before it is killed. successorSyncInterval is the interval
-// at which the old process of an upgrade sends its descriptor count and load to the new one.
+// at which the predecessor in a hot restart sends its descriptor count and load to the successor.
 const (
 	shutdownTimeout       = 3700 * time.Millisecond
 	successorSyncInterval = 100 * time.Millisecond
@@ -35,7 +35,7 @@
 		return
 	}
 	run.checker.RelayStopped(r.number)
-	if predecessor := r.predecessor; predecessor != nil && predecessor.up { // the old process of an upgrade, on the same machine
+	if predecessor := r.predecessor; predecessor != nil && predecessor.up { // in a hot restart, on the same machine
 		r.predecessor = nil
 		if disconnect {
 			predecessor.disconnect()
@@ -52,7 +52,7 @@
 
 // restartRelay shuts a relay down and starts it again once its process has ended.
 func (run *run) restartRelay(r *relay) {
-	r = run.relays[r.number] // an upgrade may have replaced the process; a replaced one is never started again
+	r = run.relays[r.number] // a hot restart may have replaced the process; a replaced one is never started again
 	if !r.up || r.shuttingDown || run.closing {
 		return
 	}
@@ -78,9 +78,9 @@
 
 // setRelayDrained drains a relay, or ends its drain.
 func (run *run) setRelayDrained(r *relay, on bool) {
-	r = run.relays[r.number] // an upgrade may have replaced the process
+	r = run.relays[r.number] // a hot restart may have replaced the process
 	if predecessor := r.predecessor; predecessor != nil && predecessor.up {
-		predecessor.applyDrain(on) // during an upgrade a drain applies to both processes
+		predecessor.applyDrain(on) // during a hot restart a drain applies to both processes
 	}
 	if !r.up {
 		return
--- a/internal/simulation/relay_reload.go
+++ b/internal/simulation/relay_reload.go
@@ -34,7 +34,7 @@
 
 // reloadRelay has a relay load a configuration with its other discovery agent or with other limits.
 func (run *run) reloadRelay(r *relay, otherAgent bool, descriptors, memoryMB int) {
-	r = run.relays[r.number] // an upgrade may have replaced the process
+	r = run.relays[r.number] // a hot restart may have replaced the process
 	if !r.up || r.lowDescriptors && !otherAgent {
 		return
 	}
--- a/internal/simulation/relay_upgrade.go
+++ b/internal/simulation/relay_upgrade.go
@@ -9,7 +9,7 @@
 )
 
 // upgradeRelay starts another process of a relay beside the running one, as a hot restart of package relay does:
-// the new process takes over the state and all new connections, and the old one shuts down a while later.
+// the successor gets the state and all new connections, and the predecessor shuts down after the given delay.
 func (run *run) upgradeRelay(r *relay, after time.Duration) {
 	if !r.up || r.shuttingDown || r.predecessor != nil || run.closing {
 		return
@@ -31,7 +31,7 @@
 	}))
 }
 
-// startSuccessor starts the new process of an upgrade with the state of the old one.
+// startSuccessor starts the successor in a hot restart with the state of its predecessor.
 func (run *run) startSuccessor(r *relay) {
 	state, err := r.controller.ExportState(run.engine.now)
 	if err != nil {
@@ -61,7 +61,7 @@
 	r.syncSuccessor()
 }
 
-// syncSuccessor sends the old process's descriptor count and load to the new process of an upgrade at regular intervals.
+// syncSuccessor sends the predecessor's descriptor count and load to the successor in a hot restart at regular intervals.
 func (r *relay) syncSuccessor() {
 	successor := r.successor
 	load, err := r.controller.ExportLoad()
@@ -76,7 +76,7 @@
 	r.engine.schedule(successorSyncInterval, r.whileRunning(r.syncSuccessor))
 }
 
-// completeUpgrade clears the old process's descriptors and load in the new process of an upgrade: the old one has ended.
+// completeUpgrade clears the predecessor's descriptors and load in the successor of a hot restart: the predecessor has ended.
 func (r *relay) completeUpgrade() {
 	successor := r.successor
 	successor.predecessor = nil
--- a/internal/simulation/topology.go
+++ b/internal/simulation/topology.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// agentsPerRelay is the number of discovery agents that a relay can follow. It starts with the first.
+// agentsPerRelay is the number of discovery agents that a relay can follow. A relay starts with the first.
 const agentsPerRelay = 2
 
 // scheduleDeployments schedules planned restarts of up to three backends, which are not faults. With
--- a/internal/testcluster/addresses.go
+++ b/internal/testcluster/addresses.go
@@ -28,7 +28,8 @@
 	return netip.AddrFrom4([4]byte{127, byte(net + n>>addressBits), byte(n >> 8), byte(n)})
 }
 
-// indexInNet is the inverse of loopbackAddress. It returns false if the address is below the subnet.
+// indexInNet is the inverse of loopbackAddress. It returns false if the address is below the subnet or not in
+// 127.0.0.0/8.
 func indexInNet(a netip.Addr, net int) (int, bool) {
 	b := a.Unmap().As4()
 	n := (int(b[1])-net)<<addressBits | int(b[2])<<8 | int(b[3])
--- a/internal/testcluster/backends.go
+++ b/internal/testcluster/backends.go
@@ -31,7 +31,7 @@
 	lastJob         uint64
 	timer           *time.Timer
 	sessions        map[*session]bool
-	errorRate       float64 // share of requests answered ERR, at no cost
+	errorRate       float64 // share of requests answered ERR, without work on the model
 	failures        failureRate
 	busyRate        float64 // share of requests answered BUSY
 	resetRate       float64 // share of requests whose connection is reset
--- a/internal/testcluster/faults.go
+++ b/internal/testcluster/faults.go
@@ -116,7 +116,7 @@
 	return finish
 }
 
-// clientBurst adds clients that stay for the duration of the fault.
+// clientBurst adds clients that arrive within one second and stay until the fault ends.
 func clientBurst(c *cluster, f *fault.Fault, effects *effectCounters) func() {
 	n := int((0.2 + f.Severity) * float64(c.options.Fleet.Clients))
 	now := c.elapsed()
--- a/internal/testcluster/front_balancer.go
+++ b/internal/testcluster/front_balancer.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// frontBalancer distributes new connections of clients over the relays that it considers available.
+// frontBalancer distributes new connections of clients over the relays that are marked as available.
 type frontBalancer struct {
 	cluster   *cluster
 	mu        sync.Mutex
--- a/internal/testcluster/relays.go
+++ b/internal/testcluster/relays.go
@@ -196,8 +196,8 @@
 	return true
 }
 
-// drainRelay asks a relay to shut down gracefully and calls then after its exit. It returns false if the relay was not
-// running.
+// drainRelay makes a relay shut down gracefully, kills it if that takes longer than shutdownTimeout, and calls then after its
+// exit. It returns false if the relay was not running.
 func (c *cluster) drainRelay(target *relay, then func()) bool {
 	p := c.markStopping(target)
 	if p == nil {
--- a/internal/upstream/backend.go
+++ b/internal/upstream/backend.go
@@ -1,4 +1,4 @@
-// Package upstream is the state of a backend that sessions and health checks share: its name, its address and whether it
+// Package upstream defines the state of a backend that sessions and health checks share: its name, its address and whether it
 // accepts new work. It does not connect to backends, and it does not choose between them.
 package upstream
 
@@ -9,8 +9,8 @@
 	"aspenbarrow/balance"
 )
 
-// Backend is one backend of the endpoint list. The controller writes it; sessions and health checks may read it from
-// any goroutine, except Listed.
+// Backend is one backend of the endpoint list. The controller writes it; sessions and health checks may read all of it
+// except Listed from any goroutine.
 type Backend struct {
 	ID     balance.BackendID
 	Name   string
@@ -29,7 +29,8 @@
 // SetAddress replaces the address for new connections.
 func (b *Backend) SetAddress(address string) { b.address.Store(&address) }
 
-// SetState records the state in the endpoint list, and the time from which the backend accepts no new work.
+// SetState records the time from which a backend accepts no new work by its state in the endpoint list. StateReady opens
+// the backend again.
 func (b *Backend) SetState(now time.Duration, state balance.BackendState) {
 	if state == balance.StateReady {
 		b.closedAt.Store(0)
