--- a/internal/simulation/client.go
+++ b/internal/simulation/client.go
@@ -105,17 +105,9 @@
 // requestLine returns the client's OPEN line.
 func (c *client) requestLine() string {
 	class := c.run.classes[c.class]
-	line := fmt.Sprintf("OPEN %s %016x c=%s,d=%d", c.requestID, c.key, class.name, class.timeout.Milliseconds())
-	if c.group != 0 {
-		line += fmt.Sprintf(",g=%016x", c.group)
-	}
-	if c.retries > 0 {
-		line += ",r=1"
-	}
-	if c.reconnecting {
-		line += ",again=1"
-	}
-	return line
+	line := OpenLine{ID: c.requestID, Key: c.key, Class: class.name, Timeout: class.timeout, Group: c.group,
+		Retry: c.retries > 0, Reconnecting: c.reconnecting}
+	return line.String()
 }
 
 // disconnect ends a connection from the client's side, one time in four with a reset, and connects again later.
--- a/internal/simulation/options.go
+++ b/internal/simulation/options.go
@@ -32,6 +32,7 @@
 	ArrivalWindow             time.Duration    // the clients first connect within this time
 	SessionDurationRange      [2]time.Duration // shortest and longest session of a client
 	ReconnectWindow           time.Duration    // a client whose connection broke reconnects within this time, in tests on processes; 0: 300 ms
+	MidStreamShare            float64          // share of the connections that survive their relay, in tests on processes: their clients reconnect mid-stream
 	HotKeyShare               float64          // share of the clients that use the same key
 	HotRelayShare             float64          // share of the connections sent to the first relay; the others go to all relays evenly
 	LateReportShare           float64          // share of the backends whose load reports are late
