--- a/internal/scenario/golden_test.go
+++ b/internal/scenario/golden_test.go
@@ -29,6 +29,7 @@
 return = "200ms"
 hot-key = 0.1
 hot-relay = 0.2
+mid-stream = 0.5
 no-reports = true
 no-peers = true
 membership = true
--- a/internal/scenario/incident.go
+++ b/internal/scenario/incident.go
@@ -41,6 +41,9 @@
 	if !processes && s.Fleet.Membership {
 		errs = append(errs, fmt.Errorf("%s: fleet.membership: is true, expected false: relays on the virtual clock don't detect which relays are running", name))
 	}
+	if !processes && s.Fleet.MidStreamShare > 0 {
+		errs = append(errs, fmt.Errorf("%s: fleet.mid-stream: %v, expected 0: connections on the virtual clock end with their relay", name, s.Fleet.MidStreamShare))
+	}
 	if processes && s.Shared.Slots > 0 {
 		errs = append(errs, fmt.Errorf("%s: shared.places: %d, expected 0: processes have no shared dependency", name, s.Shared.Slots))
 	}
--- a/internal/scenario/outcome.go
+++ b/internal/scenario/outcome.go
@@ -37,6 +37,8 @@
 	Usage   *testcluster.ResourceUsage  `json:"usage,omitempty"`   // of processor and memory
 	Cores   []float64                   `json:"machine,omitempty"` // processor cores used by all relays, by second
 
+	ColdStarts []testcluster.ColdStart `json:"cold_starts,omitempty"` // what cold backends took; only for runs on processes
+
 	Violations []string `json:"broken,omitempty"` // of rules
 }
 
--- a/internal/scenario/play.go
+++ b/internal/scenario/play.go
@@ -39,7 +39,7 @@
 	result, err := testcluster.Run(ctx, testcluster.Options{Program: program, Seed: seed, Duration: time.Duration(s.Length), Fleet: *s.installation(), Faults: s.faults()})
 	o := Outcome{Script: s.Name, Seed: seed, Program: filepath.Base(program), Seconds: result.Service, Evenness: result.Evenness,
 		Counts: result.Counts, Faults: result.Faults, Violations: result.Violations, Waits: &result.ConnectLatency, Rates: &result.Rates,
-		Usage: &result.Usage, Cores: result.CPUCores}
+		Usage: &result.Usage, Cores: result.CPUCores, ColdStarts: result.ColdStarts}
 	o.summarize()
 	return o, err
 }
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -52,11 +52,12 @@
 	Backends int `toml:"backends"`
 	Clients  int `toml:"clients"`
 
-	ArrivalPeriod    duration   `toml:"rush"`      // the first clients connect within this; 0: defaultArrivalPeriod
-	SessionDuration  []duration `toml:"stay"`      // the shortest and the longest; empty: shortestSession and longestSession
-	ReconnectDelay   duration   `toml:"return"`    // on processes, a client whose connection broke reconnects within this; 0: 300 ms
-	HotKeyShare      float64    `toml:"hot-key"`   // share of the clients that use the same key
-	HotRelayShare    float64    `toml:"hot-relay"` // share of the connections sent to the first relay; the others go to all evenly
+	ArrivalPeriod    duration   `toml:"rush"`       // the first clients connect within this; 0: defaultArrivalPeriod
+	SessionDuration  []duration `toml:"stay"`       // the shortest and the longest; empty: shortestSession and longestSession
+	ReconnectDelay   duration   `toml:"return"`     // on processes, a client whose connection broke reconnects within this; 0: 300 ms
+	HotKeyShare      float64    `toml:"hot-key"`    // share of the clients that use the same key
+	HotRelayShare    float64    `toml:"hot-relay"`  // share of the connections sent to the first relay; the others go to all evenly
+	MidStreamShare   float64    `toml:"mid-stream"` // on processes, share of the connections that survive their relay and are requested mid-stream
 	NoLoadReports    bool       `toml:"no-reports"`
 	NoGossip         bool       `toml:"no-peers"`
 	Membership       bool       `toml:"membership"` // relays detect which of them are running
@@ -191,6 +192,7 @@
 		{"server.report-noise", s.Server.ReportNoise, 0, 1},
 		{"fleet.hot-key", s.Fleet.HotKeyShare, 0, 1},
 		{"fleet.hot-relay", s.Fleet.HotRelayShare, 0, 1},
+		{"fleet.mid-stream", s.Fleet.MidStreamShare, 0, 1},
 		{"server.late-share", s.Server.LateReportShare, 0, 1},
 		{"shared.places", float64(s.Shared.Slots), 0, 1e6},
 	}
@@ -231,7 +233,7 @@
 		ConnectionLoad:  server.ConnectionLoad,
 		DependencySlots: s.Shared.Slots, DependencyHoldTime: time.Duration(s.Shared.HoldTime),
 		ArrivalWindow: fleet.arrivalPeriod(), SessionDurationRange: fleet.sessionDuration(), ReconnectWindow: time.Duration(fleet.ReconnectDelay),
-		HotKeyShare: fleet.HotKeyShare, HotRelayShare: fleet.HotRelayShare,
+		HotKeyShare: fleet.HotKeyShare, HotRelayShare: fleet.HotRelayShare, MidStreamShare: fleet.MidStreamShare,
 		LateReportShare: server.LateReportShare, LateReportDelay: time.Duration(server.ReportDelay), BackendSizes: server.Sizes,
 		ListsWeights: fleet.AdvertiseWeights, NoLoadReports: fleet.NoLoadReports, Gossip: !fleet.NoGossip, Membership: fleet.Membership,
 	}
--- a/internal/scenario/text.go
+++ b/internal/scenario/text.go
@@ -14,7 +14,7 @@
 )
 
 // reportedCounts are the counts that a report lists, in this order.
-var reportedCounts = []string{"answer UP", "answer BUSY", "answer ERR", "attempt", "moved", "connection lost", "cold backend fell over"}
+var reportedCounts = []string{"answer UP", "answer BUSY", "answer ERR", "attempt", "moved", "connection lost", "mid-stream request", "mid-stream resumed", "cold backend fell over"}
 
 // WriteReport writes an outcome as text: the service of each second with the incidents of the script beside it, then
 // the totals. Errors of out are ignored.
@@ -39,6 +39,9 @@
 	for _, name := range reportedCounts {
 		fmt.Fprintf(out, "%8d %s\n", o.Counts[name], name)
 	}
+	for i := range o.ColdStarts {
+		fmt.Fprintln(out, o.ColdStarts[i].String())
+	}
 	for _, violation := range o.Violations {
 		fmt.Fprintln(out, "broken:", violation)
 	}
--- a/internal/testcluster/backend_session.go
+++ b/internal/testcluster/backend_session.go
@@ -47,6 +47,7 @@
 	receipt       string
 	request       string
 	key           uint64
+	midStream     bool // the request is for an open connection
 	load          float64
 	splitter      lineSplitter
 	linesReceived int
@@ -87,7 +88,7 @@
 		}
 	})
 	b.mu.Lock()
-	s.releaseLoad()
+	s.endOrHold()
 	disconnected := s.disconnected
 	delete(b.sessions, s)
 	b.mu.Unlock()
@@ -152,7 +153,8 @@
 	}
 	s.request = fields[1]
 	s.key, _ = strconv.ParseUint(fields[2], 16, 64)
-	s.load = c.loadOf(fields[1])
+	s.load, s.midStream = c.loadOf(fields[1]), isMidStream(fields[3])
+	b.recordRequest(s.midStream)
 	c.recordAttempt(s)
 	s.opening = true
 	if c.chance(b.errorRate) {
@@ -187,14 +189,11 @@
 		s.answer("BUSY", true)
 	case c.chance(b.resetRate):
 		s.conn.close(closedByReset)
+	case s.midStream && !s.resumeFlow(): // another backend holds the connection, or none
+		s.conn.close(closedByReset)
 	default:
-		s.loadCounted = true
-		b.model.SetConnection(c.now(), s.id, s.load, 0)
-		c.withLoadRecorder(func(l *loadstats.Recorder) {
-			l.ConnectionOpened(s.id, loadstats.Connection{Key: s.key, Relay: s.conn.relay.index, Backend: b.index, Load: s.load, Opened: c.elapsed()})
-		})
-		b.receiptCount++
-		s.receipt = fmt.Sprintf("%d-%d-%d", b.index, b.generation, b.receiptCount)
+		s.countConnection()
+		s.receipt = b.newReceipt()
 		s.answer("UP "+s.receipt, false)
 		b.scheduleCompletion()
 	}
--- a/internal/testcluster/backends.go
+++ b/internal/testcluster/backends.go
@@ -31,7 +31,9 @@
 	lastJob         uint64
 	timer           *time.Timer
 	sessions        map[*session]bool
-	errorRate       float64 // share of requests answered ERR, without work on the model
+	held            []*session          // sessions of flows whose relay has died
+	coldStarts      []coldStartRecorder // the last one is that of the running process
+	errorRate       float64             // share of requests answered ERR, without work on the model
 	failures        failureRate
 	busyRate        float64 // share of requests answered BUSY
 	resetRate       float64 // share of requests whose connection is reset
@@ -95,6 +97,7 @@
 	if cold {
 		b.model.Restart(b.cluster.now())
 		b.started = b.cluster.now().Truncate(time.Millisecond)
+		b.recordColdStart(b.started)
 		b.cluster.withChecker(func() { b.cluster.checker.BackendStarted(b.index, b.started) })
 	}
 	e := b.endpoint()
@@ -144,6 +147,7 @@
 		}
 	}
 	b.jobs = map[uint64]func(bool){}
+	b.held = nil
 	sessions := b.sessions
 	b.sessions = map[*session]bool{}
 	if disconnect { // its connections stay open, but no more data passes
--- a/internal/testcluster/client.go
+++ b/internal/testcluster/client.go
@@ -12,6 +12,7 @@
 
 	"aspenbarrow/internal/fault"
 	"aspenbarrow/internal/invariant"
+	"aspenbarrow/internal/simulation"
 )
 
 // client is one emulated client during its visit.
@@ -20,6 +21,7 @@
 	cluster      *cluster
 	random       *rand.Rand
 	returning    bool
+	flow         string // receipt of the present connection or, between two, of the last one; empty: it does not survive its relay
 	attempts     int
 	connected    atomic.Bool
 	slowResponse atomic.Bool
@@ -74,11 +76,14 @@
 	relayConn := newRelayConn(cluster, conn, node{fault.Relays, relayIndex}, node{fault.Clients, relayIndex}, observer)
 	lines, readDone := receiveLines(relayConn)
 	defer c.closeInBackground(relayConn, lines, readDone)
-	relayConn.sendLine(c.request(id))
+	request := c.request(id)
+	cluster.countMidStreamRequest(&request)
+	relayConn.sendLine(request.String())
 	select {
 	case answer, ok := <-lines:
 		if !ok {
 			cluster.incrementCount("connection ended without an answer")
+			c.failFlow()
 			return c.retryDelay()
 		}
 		return c.handleAnswer(ctx, answer, relayConn, lines, connectStart)
@@ -120,18 +125,11 @@
 	return dialed.(*net.TCPConn), 0
 }
 
-// request returns the OPEN line that requests a connection.
-func (c *client) request(id uint64) string {
-	requestID := fmt.Sprintf("%016x", id*0x9e3779b97f4a7c15+c.cluster.options.Seed)
+// request returns the OPEN line that requests a connection: a mid-stream one while a backend still holds the last one.
+func (c *client) request(id uint64) simulation.OpenLine {
 	class := requestClasses[c.class]
-	line := fmt.Sprintf("OPEN %s %016x c=%s,d=%d", requestID, c.key, class.name, class.clientTimeout.Milliseconds())
-	if c.attempts > 0 {
-		line += ",r=1"
-	}
-	if c.returning {
-		line += ",again=1"
-	}
-	return line
+	return simulation.OpenLine{ID: fmt.Sprintf("%016x", id*0x9e3779b97f4a7c15+c.cluster.options.Seed), Key: c.key, Class: class.name,
+		Timeout: class.clientTimeout, Retry: c.attempts > 0, Reconnecting: c.returning, MidStream: c.flow != ""}
 }
 
 // receiveLines receives lines from a connection in the background. After the last line it closes lines, and then
@@ -176,6 +174,7 @@
 		cluster.incrementCount("served")
 		cluster.recordConnectLatency(time.Since(*connectStart))
 		c.attempts, c.returning = 0, false
+		c.openFlow(rest)
 		c.connected.Store(true)
 		c.slowResponse.Store(false)
 		c.pendingSince.Store(0)
@@ -190,6 +189,7 @@
 		}
 		return c.randomDuration(100*time.Millisecond, 600*time.Millisecond)
 	}
+	c.failFlow()
 	cluster.incrementCount("failed")
 	cluster.incrementCount("failed " + requestClasses[c.class].name)
 	return c.retryDelay()
@@ -213,6 +213,7 @@
 	for {
 		select {
 		case <-ctx.Done():
+			c.closeFlow()
 			return 0
 		case <-ticker.C:
 			if time.Since(lastReceived) > silenceTimeout {
--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -47,6 +47,7 @@
 	effects         []FaultEffect
 	attempts        []int               // by backend
 	pendingAttempts map[string]*session // open attempts, by request
+	flows           map[string]bool     // open ones, by receipt
 	random          *rand.Rand
 	connectLatency  *hdrhistogram.Histogram
 	loadMu          sync.Mutex
--- a/internal/testcluster/result.go
+++ b/internal/testcluster/result.go
@@ -26,6 +26,7 @@
 	Usage          ResourceUsage              `json:"usage"`
 	CPUCores       []float64                  `json:"machine"`  // used by all relays, by second
 	Attempts       []int                      `json:"attempts"` // by backend
+	ColdStarts     []ColdStart                `json:"cold_starts,omitempty"`
 }
 
 // FaultEffect is a fault with its actual times and effects.
@@ -104,6 +105,7 @@
 		}
 	})
 	res.Rates = c.traffic.rates(length)
+	res.ColdStarts = c.summarizeColdStarts()
 }
 
 // summarizeUsage summarizes the resource usage of the processes that were running at both times.
--- a/internal/testcluster/settings.go
+++ b/internal/testcluster/settings.go
@@ -52,13 +52,17 @@
 	if f.NoLoadReports {
 		stats = map[string]any{"how": "off"}
 	}
+	mode := "proxy"
+	if f.MidStreamShare > 0 { // relays accept mid-stream requests only in this mode
+		mode = "pass"
+	}
 	weights := "off"
 	if f.ListsWeights {
 		weights = "nominal"
 	}
 	return map[string]any{"azs": zones, "kinds": []string{"k"}, "classes": classes, "me": index, "n-instances": f.Relays, "zone": index % len(zones),
 		"tick-ms": 4, "registry-mode": "pushed", "weights": weights, "over-share-worth": 1, "stats": stats,
-		"family-info": map[string]any{"mode": "proxy", "message-aim-ms": latencyObjectives},
+		"family-info": map[string]any{"mode": mode, "message-aim-ms": latencyObjectives},
 		"limits": map[string]any{"probes": true, "cancelling": true, "retry-after": true, "peers": f.Gossip,
 			"dial-timeout-ms": milliseconds(cmp.Or(f.ConnectTimeout, 250*time.Millisecond)),
 			"idle-close-ms":   5000, "max-retry-after-ms": 1500, "try-limit": maxAttempts},
--- a/internal/testcluster/setup.go
+++ b/internal/testcluster/setup.go
@@ -17,7 +17,7 @@
 
 // newCluster returns a cluster that has not started anything yet.
 func newCluster(ctx context.Context, opt Options) *cluster {
-	c := &cluster{options: opt, start: time.Now(), links: newLinkFaults(opt.Seed), counts: map[string]int{}, pendingAttempts: map[string]*session{},
+	c := &cluster{options: opt, start: time.Now(), links: newLinkFaults(opt.Seed), counts: map[string]int{}, pendingAttempts: map[string]*session{}, flows: map[string]bool{},
 		random: rand.New(rand.NewPCG(opt.Seed, 0xf1ee7)), errors: make(chan error, 16),
 		connectLatency: hdrhistogram.New(1, 60_000_000, 3), workDir: opt.WorkDir}
 	c.epoch = time.Duration(c.start.UnixNano())
