--- a/internal/protocol/open_test.go
+++ b/internal/protocol/open_test.go
@@ -118,3 +118,16 @@
 		t.Errorf("%v", r)
 	}
 }
+
+// A field that is given twice counted as two fields: the report passed as complete although another field was missing, whose
+// value was then 0, an idle backend; and of two values the last one counted, without a reason to prefer it.
+func TestParseReport_RejectsRepeatedField(t *testing.T) {
+	for _, text := range []string{"x0=1,x0=2", "utilization=1,utilization=1", "x0=1,utilization=0,x0=1", "x0=1,x0=2,utilization=0"} {
+		if r := ParseReport([]byte(text), testSettings.ReportFieldNames); r != nil {
+			t.Errorf("%q: got report %v, want none", text, r)
+		}
+	}
+	if r := ParseReport([]byte("new=7,x0=1,new=x,utilization=2"), testSettings.ReportFieldNames); len(r) != 2 || r[0] != 2 || r[1] != 1 {
+		t.Errorf("a repeated field of another version: got report %v, want [2 1]", r)
+	}
+}
