--- a/cmd/aspenbarrow/admin.go
+++ b/cmd/aspenbarrow/admin.go
@@ -30,17 +30,14 @@
 		return nil, err
 	}
 	lines, complete, err := readAdminAnswer(connection)
-	if err != nil {
-		return nil, err
-	}
 	if !complete {
-		return nil, truncatedAnswerError{Address: address, Command: command}
+		return nil, truncatedAnswerError{Address: address, Command: command, Cause: err}
 	}
-	return lines, nil
+	return lines, err
 }
 
-// readAdminAnswer returns the lines of an answer and whether the answer is complete. A FAILURE line is returned as an
-// adminFailure error.
+// readAdminAnswer returns the lines of an answer and whether the answer is complete. A FAILURE line completes an answer and is
+// returned as an adminFailure error. The error of an incomplete answer is that of reading it, nil if the connection was closed.
 func readAdminAnswer(input io.Reader) (lines []string, complete bool, err error) {
 	scanner := bufio.NewScanner(input)
 	for scanner.Scan() {
@@ -56,7 +53,7 @@
 			lines = append(lines, line)
 		}
 	}
-	return lines, false, nil
+	return lines, false, scanner.Err()
 }
 
 // adminRecord is one line of an answer: its fields by name.
--- a/cmd/aspenbarrow/command_members.go
+++ b/cmd/aspenbarrow/command_members.go
@@ -42,12 +42,12 @@
 	for _, line := range lines {
 		records = append(records, parseRecord(line))
 	}
-	if asJSON {
-		return printJSON(output, records)
-	}
 	if len(records) == 0 {
 		return emptyAnswerError{Address: address}
 	}
+	if asJSON {
+		return printJSON(output, records)
+	}
 	return printMembers(output, records[0], records[1:])
 }
 
--- a/cmd/aspenbarrow/command_members_test.go
+++ b/cmd/aspenbarrow/command_members_test.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"bufio"
 	"bytes"
 	"io"
 	"net"
@@ -30,6 +31,8 @@
 	return listener.Addr().String()
 }
 
+// An answer without records, or without its end, is an error in either form of output: a script that reads JSON must not take
+// it for a fleet without members.
 func TestMembersCommand(t *testing.T) {
 	complete := "SUCCESS\nhere=1 of=2 own_health=0\nmember=0 name=n0 state=alive since_ms=12000 by=0 incarnation=7 round_trip_us=0 health=0 twice=false\n" +
 		"member=1 name=n1 state=dead since_ms=3000 by=0 incarnation=9 round_trip_us=420 health=1 twice=true\nEOT\n"
@@ -44,6 +47,9 @@
 		{"failure", "FAILURE nobody finds out who is there\n", nil, "", "nobody finds out"},
 		{"truncated", complete[:60], nil, "", "answer to MEMBERS truncated"},
 		{"empty", "SUCCESS\nEOT\n", nil, "", "empty answer to MEMBERS"},
+		{"empty, as json", "SUCCESS\nEOT\n", []string{"--json"}, "", "empty answer to MEMBERS"},
+		{"truncated, as json", complete[:60], []string{"--json"}, "", "the final line EOT is missing"},
+		{"line too long", strings.Repeat("x", bufio.MaxScanTokenSize) + "\nEOT\n", nil, "", bufio.ErrTooLong.Error()},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var output bytes.Buffer
@@ -57,6 +63,9 @@
 			if !strings.Contains(output.String(), tc.want) {
 				t.Errorf("output %q does not contain %q", output.String(), tc.want)
 			}
+			if tc.failure != "" && output.Len() > 0 {
+				t.Errorf("output %q beside an error, want none", output.String())
+			}
 		})
 	}
 	root := newRootCommand()
--- a/cmd/aspenbarrow/errors.go
+++ b/cmd/aspenbarrow/errors.go
@@ -46,13 +46,21 @@
 type truncatedAnswerError struct {
 	Address string
 	Command string
+	Cause   error // why reading stopped before the end; nil: the endpoint closed the connection
 }
 
-// Error names the endpoint and the command.
+// Error names the endpoint and the command, and the cause if there is one.
 func (e truncatedAnswerError) Error() string {
-	return fmt.Sprintf("%s: answer to %s truncated: the final line EOT is missing", e.Address, e.Command)
+	text := fmt.Sprintf("%s: answer to %s truncated: the final line EOT is missing", e.Address, e.Command)
+	if e.Cause == nil {
+		return text
+	}
+	return text + ": " + e.Cause.Error()
 }
 
+// Unwrap returns the cause.
+func (e truncatedAnswerError) Unwrap() error { return e.Cause }
+
 // emptyAnswerError means that an admin endpoint answered MEMBERS with success and no records.
 type emptyAnswerError struct{ Address string }
 
