--- a/balance/endpoints.go
+++ b/balance/endpoints.go
@@ -142,6 +142,6 @@
 // requestEndpoints subscribes to the endpoint list. The request is repeated after the poll interval, at least
 // minPollBackoff, if it has no answer by then.
 func (b *Balancer) requestEndpoints(now time.Duration) {
-	b.actions.WatchEndpoints(true)
+	b.actions.WatchEndpoints()
 	b.endpoints.polling.retryAt = now + max(minPollBackoff, b.settings.PollInterval)
 }
--- a/balance/events.go
+++ b/balance/events.go
@@ -61,8 +61,8 @@
 	SendGossip(peer int, data []byte)
 	// SetTimer schedules a call of TimerFired with the token after the duration.
 	SetTimer(token uint64, d time.Duration)
-	// WatchEndpoints subscribes to the endpoint list or ends the subscription.
-	WatchEndpoints(on bool)
+	// WatchEndpoints subscribes to the endpoint list. The subscription has no end.
+	WatchEndpoints()
 	// FetchEndpoints requests the full endpoint list once.
 	FetchEndpoints()
 	// Log writes a line to the relay's log.
--- a/balance/fake_test.go
+++ b/balance/fake_test.go
@@ -71,7 +71,7 @@
 	rec.actions = append(rec.actions, action{kind: actionTimer, id: token, delay: delay})
 }
 
-func (rec *recorder) WatchEndpoints(bool) {
+func (rec *recorder) WatchEndpoints() {
 	rec.actions = append(rec.actions, action{kind: actionWatch})
 }
 
--- a/balance/random_test.go
+++ b/balance/random_test.go
@@ -127,7 +127,7 @@
 	c.timers = append(c.timers, scheduledTimer{token, c.now + delay})
 }
 
-func (c *ruleChecker) WatchEndpoints(bool) { c.logf("watch endpoints") }
+func (c *ruleChecker) WatchEndpoints() { c.logf("watch endpoints") }
 
 func (c *ruleChecker) FetchEndpoints() {}
 
--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -54,7 +54,7 @@
 		}
 		p.rank = p.ranking(name, loadOf)
 		if settings.PollEndpoints {
-			actions.WatchEndpoints(true)
+			actions.WatchEndpoints()
 		}
 		return p
 	}
@@ -220,7 +220,7 @@
 // EndpointsUpdated implements decision.Decider. It migrates the sessions on backends that are no longer ready.
 func (p *policy) EndpointsUpdated(_ time.Duration, kind balance.EndpointUpdateKind, backends []balance.Backend) {
 	if kind == balance.UpdateFailed {
-		p.actions.WatchEndpoints(true)
+		p.actions.WatchEndpoints()
 		return
 	}
 	if kind != balance.UpdateDelta {
--- a/internal/controller/actions.go
+++ b/internal/controller/actions.go
@@ -94,8 +94,8 @@
 	a.controller.setTimer(balancerTimer, token, after)
 }
 
-func (a balancerActions) WatchEndpoints(watch bool) { a.controller.driver.RequestEndpoints(watch) }
-func (a balancerActions) FetchEndpoints()           { a.controller.driver.RequestEndpoints(false) }
+func (a balancerActions) WatchEndpoints() { a.controller.driver.RequestEndpoints(true) }
+func (a balancerActions) FetchEndpoints() { a.controller.driver.RequestEndpoints(false) }
 
 func (a balancerActions) Log(text string) {
 	a.controller.log.Info("balancer message", zap.String("text", text))
--- a/internal/shadow/actions.go
+++ b/internal/shadow/actions.go
@@ -96,6 +96,6 @@
 func (shadowActions) CheckHealth(balance.BackendID)        {}
 func (shadowActions) ReleaseHealthCheck(balance.BackendID) {}
 func (shadowActions) SendGossip(int, []byte)               {}
-func (shadowActions) WatchEndpoints(bool)                  {}
+func (shadowActions) WatchEndpoints()                      {}
 func (shadowActions) FetchEndpoints()                      {}
 func (shadowActions) Log(string)                           {}
--- a/internal/shadow/evaluator_test.go
+++ b/internal/shadow/evaluator_test.go
@@ -37,7 +37,7 @@
 func (a *fakeActions) CheckHealth(balance.BackendID)                 {}
 func (a *fakeActions) ReleaseHealthCheck(balance.BackendID)          {}
 func (a *fakeActions) SendGossip(int, []byte)                        {}
-func (a *fakeActions) WatchEndpoints(bool)                           {}
+func (a *fakeActions) WatchEndpoints()                               {}
 func (a *fakeActions) FetchEndpoints()                               {}
 func (a *fakeActions) Log(string)                                    {}
 
--- a/internal/simwire/codec_test.go
+++ b/internal/simwire/codec_test.go
@@ -344,10 +344,16 @@
 	golden.Compare(t, "refusals.txt", out.String())
 }
 
+// writeWatch writes either form of the record that WatchEndpoints writes with the flag 1.
+func writeWatch(w ActionWriter, on bool) {
+	w.Reply.record(w.Instance, actionWatchEndpoints)
+	w.Reply.flag(on)
+}
+
 // writeEveryAction writes every action, with values other than 0, for several instances in turn.
 func writeEveryAction(r *Reply) {
 	a, b := ActionWriter{r, 3}, ActionWriter{r, 0xfffffffe}
-	a.WatchEndpoints(true)
+	a.WatchEndpoints()
 	a.FetchEndpoints()
 	a.Send(0x98b635d3a91c4, 0x0a124a071b5b, 80*time.Millisecond)
 	a.Cancel(0x98b635d3a91c4, 1)
@@ -360,7 +366,7 @@
 	b.SendGossip(2, nil)
 	a.SetTimer(0x4d, 1500*time.Microsecond)
 	a.Log("two servers known")
-	a.WatchEndpoints(false)
+	writeWatch(a, false)
 	r.Fatal(9, "broken")
 	b.Log(strings.Repeat("x", maxTextSize+1))
 }
@@ -406,7 +412,7 @@
 			token := u64()
 			w.SetTimer(token, milliseconds())
 		case 100:
-			w.WatchEndpoints(take(1)[0] == 1)
+			writeWatch(w, take(1)[0] == 1)
 		case 110:
 			w.CheckHealth(backend())
 		case 120:
--- a/internal/simwire/reply.go
+++ b/internal/simwire/reply.go
@@ -78,6 +78,15 @@
 	r.uint16(uint16(id))
 }
 
+// flag appends a byte, 1 or 0.
+func (r *Reply) flag(on bool) {
+	var v byte
+	if on {
+		v = 1
+	}
+	r.frame = append(r.frame, v)
+}
+
 // text appends a text with its length. It truncates a text that is longer than maxTextSize.
 func (r *Reply) text(s string) {
 	if len(s) > maxTextSize {
@@ -164,14 +173,11 @@
 	w.Reply.milliseconds(d)
 }
 
-// WatchEndpoints starts or ends the subscription to changes of the endpoint list.
-func (w ActionWriter) WatchEndpoints(on bool) {
+// WatchEndpoints starts the subscription to changes of the endpoint list. The simulator also takes a record with the flag 0,
+// which ends it; no relay writes one.
+func (w ActionWriter) WatchEndpoints() {
 	w.Reply.record(w.Instance, actionWatchEndpoints)
-	var v uint8
-	if on {
-		v = 1
-	}
-	w.Reply.frame = append(w.Reply.frame, v)
+	w.Reply.flag(true)
 }
 
 // FetchEndpoints requests the endpoint list once.
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -248,8 +248,8 @@
 		{"check health", "6e 0a9011f2 1b84", func(w ActionWriter) { w.CheckHealth(0x0a9011f21b84) }},
 		{"release health check", "50 0a9011f2 1b84", func(w ActionWriter) { w.ReleaseHealthCheck(0x0a9011f21b84) }},
 		{"gossip to all", "78 ffff 0004 68692037", func(w ActionWriter) { w.SendGossip(-1, []byte("hi 7")) }},
-		{"watch", "64 01", func(w ActionWriter) { w.WatchEndpoints(true) }},
-		{"stop watching", "64 00", func(w ActionWriter) { w.WatchEndpoints(false) }},
+		{"watch", "64 01", func(w ActionWriter) { w.WatchEndpoints() }},
+		{"stop watching", "64 00", func(w ActionWriter) { writeWatch(w, false) }},
 		{"fetch", "3c", func(w ActionWriter) { w.FetchEndpoints() }},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
