--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -45,7 +45,7 @@
 // Idempotency determines which requests of a class may be sent again once an attempt may have been executed.
 type Idempotency int
 
-// The kinds of idempotency.
+// The kinds of idempotency, in the order of what they allow: a later one allows fewer repeats.
 const (
 	Idempotent        Idempotency = iota // all, up to the attempt limit
 	IdempotentWithKey                    // within Class.DedupWindow, and within a cell if Class.ScopedToCell is set
