--- a/internal/report/html.go
+++ b/internal/report/html.go
@@ -5,7 +5,9 @@
 	_ "embed" // the page's template
 	"fmt"
 	"html/template"
+	"maps"
 	"path/filepath"
+	"slices"
 	"strconv"
 	"time"
 
@@ -91,8 +93,8 @@
 func faultsOf(o *scenario.Outcome) (faults []faultData) {
 	for _, f := range o.Faults {
 		effects := ""
-		for name, n := range f.Counts {
-			effects += fmt.Sprintf("%s: %d ", name, n)
+		for _, name := range slices.Sorted(maps.Keys(f.Counts)) {
+			effects += fmt.Sprintf("%s: %d ", name, f.Counts[name])
 		}
 		faults = append(faults, faultData{f.Kind, formatSeconds(f.StartedAt), formatSeconds(f.EndedAt), effects, strconv.Itoa(f.ScriptLine)})
 	}
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -61,6 +61,24 @@
 	}
 }
 
+// The effects of a fault come from a map. In that order two pages of the same run would differ, and a diff of pages show faults
+// that have not changed.
+func TestPage_ListsEffectsByName(t *testing.T) {
+	outcome := run("/x/a")
+	outcome.Faults[0].Counts = map[string]int{"struck": 3, "held": 1, "delayed": 2, "datagrams lost": 5, "datagrams doubled": 4}
+	const want = "datagrams doubled: 4 datagrams lost: 5 delayed: 2 held: 1 struck: 3"
+	for range 20 { // each walk over a map begins at a random entry
+		dir := t.TempDir()
+		if err := Write(dir, []scenario.Outcome{outcome}); err != nil {
+			t.Fatal(err)
+		}
+		page, err := os.ReadFile(filepath.Join(dir, "report.html"))
+		if err != nil || !strings.Contains(string(page), want) {
+			t.Fatalf("error %v; the page does not contain %q", err, want)
+		}
+	}
+}
+
 func TestReadAndWrite_RejectMissingOutcomes(t *testing.T) {
 	if err := Write(t.TempDir(), nil); err == nil {
 		t.Error("Write accepts an empty list of outcomes")
