--- a/internal/testcluster/link_faults.go
+++ b/internal/testcluster/link_faults.go
@@ -147,10 +147,13 @@
 				a.effects.refused.Add(1)
 				return 0, false
 			}
-			delay += a.link.Delay
+			d := a.link.Delay + links.randomDuration(0, a.link.Jitter)
 			if links.chance(a.link.LossRate) {
+				d += connectRetransmissionTimeout
+			}
+			if d > 0 {
 				a.effects.delayed.Add(1)
-				delay += connectRetransmissionTimeout
+				delay += d
 			}
 		}
 	}
--- a/internal/testcluster/link_faults_test.go
+++ b/internal/testcluster/link_faults_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"testing"
+	"time"
 
 	"aspenbarrow/internal/fault"
 )
@@ -44,3 +45,28 @@
 		t.Error("a fault that has ended affects datagrams")
 	}
 }
+
+// Jitter delays everything that a link carries. Connections were established without it, so that a fault with jitter alone did
+// not affect them at all; nor did the delay of a connection count as an effect of its fault.
+func TestLinkFaults_JitterDelaysConnections(t *testing.T) {
+	const jitter, connections = 40 * time.Millisecond, 1000
+	links := newLinkFaults(1)
+	client, relay := node{fault.Clients, 0}, node{fault.Relays, 0}
+	counters := &effectCounters{}
+	end := links.inject(&fault.Link{From: fault.NodeSet{Kind: fault.Clients}, To: fault.NodeSet{Kind: fault.Relays}, Jitter: jitter}, counters)
+	defer end()
+	var total time.Duration
+	for range connections {
+		delay, ok := links.connectDelay(client, relay)
+		if !ok || delay < 0 || delay >= jitter {
+			t.Fatalf("got delay %v, established %v; want a delay of less than %v", delay, ok, jitter)
+		}
+		total += delay
+	}
+	if mean := total / connections; mean < jitter*45/100 || mean > jitter*55/100 {
+		t.Errorf("mean delay %v at a jitter of up to %v, want about half", mean, jitter)
+	}
+	if n := counters.counts()["delayed"]; n < connections*99/100 {
+		t.Errorf("%d of %d connections count as delayed", n, connections)
+	}
+}
