--- a/internal/simulation/link_faults.go
+++ b/internal/simulation/link_faults.go
@@ -68,7 +68,7 @@
 			if l.link.Partitioned || l.link.Buffered {
 				return 0, true
 			}
-			if delay += l.link.Delay; e.randomChance(l.link.LossRate) {
+			if delay += e.linkDelay(l.link); e.randomChance(l.link.LossRate) {
 				delay += synRetransmissionDelay
 			}
 		}
