--- a/internal/testcluster/backend_session.go
+++ b/internal/testcluster/backend_session.go
@@ -1,7 +1,6 @@
 package testcluster
 
 import (
-	"errors"
 	"fmt"
 	"net"
 	"strconv"
@@ -16,21 +15,19 @@
 
 // serve accepts connections until the listener is closed.
 func (b *backend) serve(l *net.TCPListener) {
-	for {
+	serveUntilClosed(b.cluster.ctx, func() error {
 		c, err := l.AcceptTCP()
-		if errors.Is(err, net.ErrClosed) {
-			return
-		}
 		if err != nil {
-			continue
+			return err
 		}
 		relay, number, ok := backendPair(c.LocalAddr().(*net.TCPAddr).AddrPort().Addr())
 		if !ok || number != b.index || relay >= len(b.cluster.relays) { // a connection made by blackhole, or from no relay
 			_ = c.Close()
-			continue
+			return nil
 		}
 		go b.handleConnection(c, relay)
-	}
+		return nil
+	})
 }
 
 // session is one connection between a relay and a backend. Its fields are guarded by the backend's lock.
--- a/internal/testcluster/datagrams.go
+++ b/internal/testcluster/datagrams.go
@@ -39,24 +39,20 @@
 // serve receives datagrams until the socket is closed.
 func (forwarder *datagramForwarder) serve(ctx context.Context) {
 	buf := make([]byte, 2048)
-	for {
+	serveUntilClosed(ctx, func() error {
 		n, cm, src, err := forwarder.conn.ReadFrom(buf)
 		if err != nil {
-			if ctx.Err() != nil {
-				return
-			}
-			continue
+			return err
 		}
 		from, ok := src.(*net.UDPAddr)
 		if cm == nil || !ok {
-			continue
+			return nil
 		}
-		dst, ok := netip.AddrFromSlice(cm.Dst.To4())
-		if !ok {
-			continue
+		if dst, ok := netip.AddrFromSlice(cm.Dst.To4()); ok {
+			forwarder.route(ctx, from.AddrPort().Addr(), dst, append([]byte(nil), buf[:n]...))
 		}
-		forwarder.route(ctx, from.AddrPort().Addr(), dst, append([]byte(nil), buf[:n]...))
-	}
+		return nil
+	})
 }
 
 // route determines the sender and the receivers of a datagram, and forwards it. A relay is accepted as the sender only from
