--- a/internal/testcluster/settings.go
+++ b/internal/testcluster/settings.go
@@ -67,7 +67,7 @@
 }
 
 // invariantLimits returns the same limits for the invariant checker, plus allowances for observation delays on a busy
-// machine.
+// machine. DiscoveryDelay has none of its own: the checker takes DrainGrace, which has one, from its end on.
 func invariantLimits(f *simulation.Installation) invariant.Limits {
 	const socketDelay = 50 * time.Millisecond
 	allowance := socketDelay + TimingAllowance
