--- a/internal/simulation/conn.go
+++ b/internal/simulation/conn.go
@@ -1,6 +1,7 @@
 package simulation
 
 import (
+	"slices"
 	"time"
 
 	"aspenbarrow/internal/session"
@@ -23,7 +24,8 @@
 	lastArrival   time.Duration   // keeps segments in order
 	unreadByPeer  int             // bytes sent that the peer has not consumed
 	pendingWrites []*pendingWrite
-	writeClosed   bool // a FIN has been sent
+	writeClosed   bool // closeWrite was called: nothing more is written
+	finPending    bool // the FIN waits for the pending writes
 	closed        bool
 	resetSent     bool // a segment has been answered with a reset
 }
@@ -164,7 +166,7 @@
 	c.peer.flushPendingWrites()
 }
 
-// flushPendingWrites sends the pending writes that fit into the peer's receive window.
+// flushPendingWrites sends the pending writes that fit into the peer's receive window, and a FIN that waits for the last one.
 func (c *connEnd) flushPendingWrites() {
 	for len(c.pendingWrites) > 0 && !c.closed {
 		next := c.pendingWrites[0]
@@ -182,6 +184,9 @@
 		c.transmitBytes(next.data)
 		next.done(true)
 	}
+	if c.finPending && !c.closed {
+		c.sendFIN()
+	}
 }
 
 // receiveEnd handles the peer's FIN or reset.
@@ -214,12 +219,22 @@
 	}
 }
 
-// closeWrite sends a FIN behind everything transmitted so far.
+// closeWrite sends a FIN behind everything written so far: where writes are pending, once they are sent.
 func (c *connEnd) closeWrite() {
 	if c.closed || c.writeClosed || c.remoteEnd == session.EndReset {
 		return
 	}
 	c.writeClosed = true
+	if slices.ContainsFunc(c.pendingWrites, func(p *pendingWrite) bool { return !p.cancelled }) {
+		c.finPending = true
+		return
+	}
+	c.sendFIN()
+}
+
+// sendFIN sends a FIN behind everything transmitted so far.
+func (c *connEnd) sendFIN() {
+	c.finPending = false
 	c.observeEnd(session.EndFIN)
 	c.transmit(func(peer *connEnd) { peer.receiveEnd(session.EndFIN) })
 }
@@ -251,7 +266,7 @@
 	})
 }
 
-// close closes the end. As in TCP, it resets the connection if there are unread bytes.
+// close closes the end. As in TCP, it resets the connection if there are unread bytes. Pending writes are lost.
 func (c *connEnd) close() {
 	if c.closed {
 		return
@@ -261,6 +276,9 @@
 		return
 	}
 	c.closeWrite()
+	if c.finPending {
+		c.sendFIN()
+	}
 	c.closed = true
 	c.removeFromHost()
 	if c.observer != nil {
