--- a/internal/testcluster/addresses.go
+++ b/internal/testcluster/addresses.go
@@ -39,7 +39,7 @@
 // ports are the port numbers of a cluster, one for each kind of node.
 type ports struct {
 	relay, peer, discovery, datagram int
-	releaseRelay                     func()
+	releaseRelay, releaseDiscovery   func()
 }
 
 func hostPort(a netip.Addr, port int) string { return netip.AddrPortFrom(a, uint16(port)).String() }
--- a/internal/testcluster/discovery.go
+++ b/internal/testcluster/discovery.go
@@ -3,8 +3,11 @@
 import (
 	"context"
 	"encoding/json"
+	"errors"
+	"fmt"
 	"net"
 	"net/http"
+	"net/netip"
 	"strconv"
 	"sync"
 	"time"
@@ -47,7 +50,8 @@
 	mu         sync.Mutex
 	revision   int
 	extraDelay time.Duration
-	server     *http.Server
+	server     *http.Server // serves the relays' requests; another one after each interruption
+	down       bool         // connections are refused
 }
 
 // agentContextKey is the context key of the agent that a connection belongs to.
@@ -58,9 +62,49 @@
 	for i := range relays {
 		service.agents = append(service.agents, &discoveryAgent{relay: i, changed: make(chan struct{})})
 	}
+	return service
+}
+
+// listen serves requests on the port reserved for discovery until stopListening is called.
+func (service *discoveryService) listen() error {
+	c := service.cluster
+	listenConfig := net.ListenConfig{Control: prepareWildcardSocket}
+	listener, err := listenConfig.Listen(c.ctx, "tcp4", hostPort(netip.IPv4Unspecified(), c.ports.discovery))
+	if err != nil {
+		return fmt.Errorf("discovery: %w", err)
+	}
+	server := service.newServer()
+	service.mu.Lock()
+	service.server, service.down = server, false
+	service.mu.Unlock()
+	go func() {
+		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) && c.ctx.Err() == nil {
+			c.reportError(fmt.Errorf("discovery: %w", err))
+		}
+	}()
+	if c.ctx.Err() != nil { // the cluster has shut down meanwhile
+		service.stopListening()
+	}
+	return nil
+}
+
+// stopListening breaks all connections off and refuses new ones. It returns false if that is already so.
+func (service *discoveryService) stopListening() bool {
+	service.mu.Lock()
+	defer service.mu.Unlock()
+	if service.down || service.server == nil {
+		return false
+	}
+	service.down = true
+	_ = service.server.Close()
+	return true
+}
+
+// newServer returns a server that assigns each connection to the agent with the address that the relay connected to.
+func (service *discoveryService) newServer() *http.Server {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /catalog/members", service.handleMembers)
-	service.server = &http.Server{Handler: mux, ConnContext: func(ctx context.Context, conn net.Conn) context.Context {
+	return &http.Server{Handler: mux, ConnContext: func(ctx context.Context, conn net.Conn) context.Context {
 		if a, ok := conn.LocalAddr().(*net.TCPAddr); ok {
 			if n, ok := indexInNet(a.AddrPort().Addr(), discoveryNet); ok && n < len(service.agents) {
 				return context.WithValue(ctx, agentContextKey{}, service.agents[n])
@@ -68,7 +112,6 @@
 		}
 		return ctx
 	}}
-	return service
 }
 
 // publish sends the new entry of a backend to all agents: to each after a random delay, or to all immediately.
@@ -202,9 +245,16 @@
 	return endpoints
 }
 
+// endpointList is the JSON form of an endpoint list, or of its changes.
+type endpointList struct {
+	Version int        `json:"version"`
+	Full    bool       `json:"full"`
+	Servers []endpoint `json:"servers"`
+}
+
 // reply writes the answer to a request and reports the endpoints in it to the checker.
 func (service *discoveryService) reply(w http.ResponseWriter, agent *discoveryAgent, version int, full bool, list []endpoint) {
-	text, err := json.Marshal(map[string]any{"version": version, "full": full, "servers": list})
+	text, err := json.Marshal(endpointList{version, full, list})
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
--- a/internal/testcluster/discovery_faults.go
+++ b/internal/testcluster/discovery_faults.go
@@ -1,6 +1,7 @@
 package testcluster
 
 import (
+	"fmt"
 	"time"
 
 	"aspenbarrow/internal/fault"
@@ -44,6 +45,31 @@
 	}
 }
 
+// stopDiscovery makes all agents refuse connections, as if no discovery service were running.
+func stopDiscovery(c *cluster, f *fault.Fault, effects *effectCounters) func() {
+	if !c.discovery.stopListening() {
+		return nil
+	}
+	effects.affected.Add(int64(len(c.discovery.agents)))
+	c.reportAgentsSilent(true)
+	return func() {
+		if err := c.discovery.listen(); err != nil {
+			c.reportError(fmt.Errorf("%s: %w", scriptPosition(f), err))
+			return
+		}
+		c.reportAgentsSilent(false)
+	}
+}
+
+// reportAgentsSilent tells the checker that all agents have stopped answering, or answer again.
+func (c *cluster) reportAgentsSilent(silent bool) {
+	c.withChecker(func() {
+		for i := range c.relays {
+			c.checker.SetAgentSilent(i, c.ports.discoveryAddr(i), silent)
+		}
+	})
+}
+
 // freezeDiscovery makes the agents of some relays ignore updates. When the fault ends, they receive the current state of
 // all backends.
 func freezeDiscovery(c *cluster, f *fault.Fault, effects *effectCounters) func() {
--- a/internal/testcluster/faults.go
+++ b/internal/testcluster/faults.go
@@ -42,6 +42,7 @@
 		"backends start": startBackends,
 		"zone cut off":   disconnectZone,
 		"power cut":      cutPower,
+		"discovery down": stopDiscovery,
 		"list late":      delayDiscovery,
 		"list out":       silenceDiscovery,
 		"list differs":   freezeDiscovery,
--- a/internal/testcluster/ports.go
+++ b/internal/testcluster/ports.go
@@ -69,20 +69,25 @@
 func (p ports) release() {
 	assignedPorts.Lock()
 	defer assignedPorts.Unlock()
-	if p.releaseRelay != nil {
-		p.releaseRelay()
+	for _, release := range []func(){p.releaseRelay, p.releaseDiscovery} {
+		if release != nil {
+			release()
+		}
 	}
 	delete(assignedPorts.ports, p.peer)
 }
 
-// newPorts chooses the ports of the relays. The ports of the cluster's own wildcard sockets are chosen when these
-// are bound.
+// newPorts chooses the ports of the relays and of discovery. The ports of the cluster's other wildcard sockets are
+// chosen when these are bound.
 func newPorts() (p ports, err error) {
 	if p.relay, p.releaseRelay, err = reservePort(); err == nil {
+		p.discovery, p.releaseDiscovery, err = reservePort()
+	}
+	if err == nil {
 		p.peer, err = reserveDatagramPort()
 	}
 	if err != nil {
-		return p, fmt.Errorf("reserving a port for the relays: %w", err)
+		return p, fmt.Errorf("reserving the cluster's ports: %w", err)
 	}
 	return p, nil
 }
--- a/internal/testcluster/setup.go
+++ b/internal/testcluster/setup.go
@@ -2,11 +2,8 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"math/rand/v2"
-	"net"
-	"net/http"
 	"path/filepath"
 	"time"
 
@@ -56,13 +53,6 @@
 		return err
 	}
 	c.ports.datagram = port
-	lc := net.ListenConfig{Control: prepareWildcardSocket}
-	discoveryListener, err := lc.Listen(c.ctx, "tcp4", "0.0.0.0:0")
-	if err != nil {
-		forwarder.close()
-		return err
-	}
-	c.ports.discovery = discoveryListener.Addr().(*net.TCPAddr).Port
 	c.traffic = newTrafficCounters(f.Relays, f.Backends+16, c)
 	c.checker = invariant.New(invariantLimits(f), f.Relays, c.now, func(d time.Duration, do func()) { c.runAfter(d, func() { c.withChecker(do) }) })
 	for i := range f.Relays {
@@ -70,24 +60,23 @@
 	}
 	c.discovery = newDiscoveryService(c, f.Relays)
 	c.frontend = newFrontBalancer(c)
-	c.serveUntilDone(forwarder, discoveryListener)
+	if err := c.discovery.listen(); err != nil {
+		forwarder.close()
+		return err
+	}
+	c.serveUntilDone(forwarder)
 	for range f.Backends {
 		c.addBackend(false)
 	}
 	return nil
 }
 
-// serveUntilDone serves datagrams and discovery until the cluster's context is done.
-func (c *cluster) serveUntilDone(forwarder *datagramForwarder, discoveryListener net.Listener) {
+// serveUntilDone serves datagrams, and discovery, which listens already, until the cluster's context is done.
+func (c *cluster) serveUntilDone(forwarder *datagramForwarder) {
 	go forwarder.serve(c.ctx)
-	go func() {
-		if err := c.discovery.server.Serve(discoveryListener); !errors.Is(err, http.ErrServerClosed) && c.ctx.Err() == nil {
-			c.reportError(fmt.Errorf("discovery: %w", err))
-		}
-	}()
 	context.AfterFunc(c.ctx, func() {
 		forwarder.close()
-		_ = c.discovery.server.Close()
+		c.discovery.stopListening()
 	})
 }
 
