--- a/cmd/aspenlab/golden_test.go
+++ b/cmd/aspenlab/golden_test.go
@@ -259,11 +259,13 @@
 func sampleOutcome(program string) scenario.Outcome {
 	return scenario.Outcome{Script: "a <bad> day & night", Seed: 1<<63 + 1, Service: 0.9, WorstWindow: 0.7, WorstWindowStart: 3, Classes: map[string]float64{"fetch": 0.8, "submit": 0.85, "watch": 0.95},
 		Seconds: []simulation.ServiceSecond{sampleService, sampleService}, Evenness: []loadstats.Second{sampleSecond}, Counts: map[string]int{"attempt": 9, "moved": 2}, Program: program,
-		Faults: []testcluster.FaultEffect{{Fault: everyFieldFault("relays paused", 4), StartedAt: 2 * time.Second, EndedAt: 5 * time.Second, Counts: map[string]int{"struck": 3}}},
-		Waits:  &testcluster.LatencySummary{Count: 7, P50: 1.5, P99: 120, P999: 180.5, Max: 200},
-		Rates:  &testcluster.TrafficRates{HealthChecks: 1.5, PeakHealthChecksPerBackend: 2, Handshakes: 3.5, PeakHandshakesPerBackend: 4, Datagrams: 5.5, PeakDatagramsPerRelay: 6, DiscoveryCalls: 7.5},
-		Usage:  &testcluster.ResourceUsage{CPUMedian: 0.25, CPUMax: 0.75, MemoryMedian: 1 << 24, MemoryMax: 1 << 25},
-		Cores:  []float64{0.5, 0.625}, Violations: []string{"drain at 3.000000: sent late"}}
+		Faults:      []testcluster.FaultEffect{{Fault: everyFieldFault("relays paused", 4), StartedAt: 2 * time.Second, EndedAt: 5 * time.Second, Counts: map[string]int{"struck": 3}}},
+		Waits:       &testcluster.LatencySummary{Count: 7, P50: 1.5, P99: 120, P999: 180.5, Max: 200},
+		Rates:       &testcluster.TrafficRates{HealthChecks: 1.5, PeakHealthChecksPerBackend: 2, Handshakes: 3.5, PeakHandshakesPerBackend: 4, Datagrams: 5.5, PeakDatagramsPerRelay: 6, DiscoveryCalls: 7.5},
+		Usage:       &testcluster.ResourceUsage{CPUMedian: 0.25, CPUMax: 0.75, MemoryMedian: 1 << 24, MemoryMax: 1 << 25},
+		FirstStarts: &testcluster.ReadinessSummary{Starts: 9, InTime: 8, NotReady: 1, P50: 60.5, P90: 70, Max: 80},
+		Restarts:    &testcluster.ReadinessSummary{Starts: 4, InTime: 2, NotReady: 1, P50: 6100.5, P90: 6200, Max: 11000},
+		Cores:       []float64{0.5, 0.625}, Violations: []string{"drain at 3.000000: sent late"}}
 }
 
 func TestOutcomes_Golden(t *testing.T) {
@@ -329,6 +331,8 @@
 			Violations: []invariant.Violation{{Rule: "drain", At: 3 * time.Second, Detail: "sent late"}}, Counts: o.Counts, FaultPairs: map[string]int{"a + b": 2}, ServedWeight: 5.5,
 			Answered: 6, Refused: 7, Failed: 8, Attempts: 10, Events: 11, ServiceBySecond: o.Seconds, ServiceByClass: o.Seconds, Evenness: o.Evenness},
 		testcluster.Result{Program: "a", Seed: 9, ReadyAfter: time.Second, Service: o.Seconds, Evenness: o.Evenness, Faults: o.Faults, Violations: o.Violations, Counts: o.Counts,
+			FirstStarts:    []testcluster.RelayStart{{Relay: 5, Start: 7, StartedAt: -2 * time.Second, ReadyAfter: 60 * time.Millisecond}},
+			Restarts:       []testcluster.RelayStart{{Relay: 6, Start: 1, StartedAt: 3 * time.Second, ReadyAfter: 70 * time.Millisecond}},
 			ConnectLatency: *o.Waits, Rates: *o.Rates, Usage: *o.Usage, CPUCores: o.Cores, Attempts: []int{3, 4}},
 	}
 	checkNoZeroFields(t, "results", reflect.ValueOf(all))
--- a/internal/scenario/outcome.go
+++ b/internal/scenario/outcome.go
@@ -30,12 +30,14 @@
 	Counts           map[string]int             `json:"counts"`     // number of events, by name
 
 	// Only for runs on processes; a run on the virtual clock has none of these.
-	Program string                      `json:"program,omitempty"` // the relays'
-	Faults  []testcluster.FaultEffect   `json:"faults,omitempty"`  // the faults as played, with their effects
-	Waits   *testcluster.LatencySummary `json:"waits,omitempty"`   // how long clients waited for a connection
-	Rates   *testcluster.TrafficRates   `json:"rates,omitempty"`   // of what the relays send beside the lines of clients
-	Usage   *testcluster.ResourceUsage  `json:"usage,omitempty"`   // of processor and memory
-	Cores   []float64                   `json:"machine,omitempty"` // processor cores used by all relays, by second
+	Program     string                        `json:"program,omitempty"`      // the relays'
+	FirstStarts *testcluster.ReadinessSummary `json:"first_starts,omitempty"` // how soon the relays' first processes were ready
+	Restarts    *testcluster.ReadinessSummary `json:"restarts,omitempty"`     // likewise the later ones; nil also if there were none
+	Faults      []testcluster.FaultEffect     `json:"faults,omitempty"`       // the faults as played, with their effects
+	Waits       *testcluster.LatencySummary   `json:"waits,omitempty"`        // how long clients waited for a connection
+	Rates       *testcluster.TrafficRates     `json:"rates,omitempty"`        // of what the relays send beside the lines of clients
+	Usage       *testcluster.ResourceUsage    `json:"usage,omitempty"`        // of processor and memory
+	Cores       []float64                     `json:"machine,omitempty"`      // processor cores used by all relays, by second
 
 	Violations []string `json:"broken,omitempty"` // of rules
 }
--- a/internal/scenario/play.go
+++ b/internal/scenario/play.go
@@ -39,11 +39,20 @@
 	result, err := testcluster.Run(ctx, testcluster.Options{Program: program, Seed: seed, Duration: time.Duration(s.Length), Fleet: *s.installation(), Faults: s.faults()})
 	o := Outcome{Script: s.Name, Seed: seed, Program: filepath.Base(program), Seconds: result.Service, Evenness: result.Evenness,
 		Counts: result.Counts, Faults: result.Faults, Violations: result.Violations, Waits: &result.ConnectLatency, Rates: &result.Rates,
-		Usage: &result.Usage, Cores: result.CPUCores}
+		Usage: &result.Usage, Cores: result.CPUCores, FirstStarts: summarizeStarts(result.FirstStarts), Restarts: summarizeStarts(result.Restarts)}
 	o.summarize()
 	return o, err
 }
 
+// summarizeStarts summarizes how soon relay processes were ready; nil if there were none.
+func summarizeStarts(starts []testcluster.RelayStart) *testcluster.ReadinessSummary {
+	if len(starts) == 0 {
+		return nil
+	}
+	summary := testcluster.SummarizeReadiness(starts)
+	return &summary
+}
+
 // Alternate plays a script on processes of each program in turn, on consecutive seeds from firstSeed on, so that
 // each seed is played with every program. progress is called after each run. On an error it also returns
 // the outcomes up to then, with that of the failed run if it has figures.
--- a/internal/scenario/text.go
+++ b/internal/scenario/text.go
@@ -6,6 +6,8 @@
 	"slices"
 	"strings"
 	"time"
+
+	"aspenbarrow/internal/testcluster"
 )
 
 const (
@@ -33,6 +35,8 @@
 	if o.Waits != nil {
 		o.writeProcessFigures(out)
 	}
+	writeReadiness(out, "first starts", o.FirstStarts)
+	writeReadiness(out, "restarts", o.Restarts)
 	for _, f := range o.Faults {
 		fmt.Fprintf(out, "fault %s from %.1f s to %.1f s: %v\n", f.Kind, f.StartedAt.Seconds(), f.EndedAt.Seconds(), f.Counts)
 	}
@@ -77,6 +81,15 @@
 		100*usage.CPUMedian, 100*usage.CPUMax, float64(usage.MemoryMedian)/bytesPerMB, float64(usage.MemoryMax)/bytesPerMB)
 }
 
+// writeReadiness writes how soon relay processes were ready; nothing if there are none.
+func writeReadiness(out io.Writer, name string, starts *testcluster.ReadinessSummary) {
+	if starts == nil {
+		return
+	}
+	fmt.Fprintf(out, "%s: %d of %d ready within %v, %d not ready; median %.0f ms, 90%% %.0f ms, longest %.0f ms\n",
+		name, starts.InTime, starts.Starts, testcluster.ReadinessTarget, starts.NotReady, starts.P50, starts.P90, starts.Max)
+}
+
 // Summary returns the figures of a run on processes in one line.
 func (o *Outcome) Summary() string {
 	e := o.EvennessFrom(warmUpSeconds)
--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -44,6 +44,7 @@
 	mu              sync.Mutex // guards the fields down to connectLatency, and the relays' processes
 	backends        []*backend
 	counts          map[string]int
+	starts          []*relayStart // of all relay processes so far
 	effects         []FaultEffect
 	attempts        []int               // by backend
 	pendingAttempts map[string]*session // open attempts, by request
@@ -179,6 +180,7 @@
 	}
 	length := c.elapsed()
 	after := c.relayUsages()
+	res.FirstStarts, res.Restarts = c.recordedStarts() // before the end of a fault starts more relays
 	for _, end := range endFaults {
 		end()
 	}
--- a/internal/testcluster/discovery.go
+++ b/internal/testcluster/discovery.go
@@ -252,6 +252,18 @@
 	Servers []endpoint `json:"servers"`
 }
 
+// cachedList returns the agent's full list, for the configuration of a relay, and the states of the backends in it.
+func (agent *discoveryAgent) cachedList() (list endpointList, states map[string]string) {
+	agent.mu.Lock()
+	defer agent.mu.Unlock()
+	list = endpointList{agent.version, true, agent.endpointsSince(0, true)}
+	states = map[string]string{}
+	for _, e := range list.Servers {
+		states[e.ID] = e.State
+	}
+	return list, states
+}
+
 // reply writes the answer to a request and reports the endpoints in it to the checker.
 func (service *discoveryService) reply(w http.ResponseWriter, agent *discoveryAgent, version int, full bool, list []endpoint) {
 	text, err := json.Marshal(endpointList{version, full, list})
--- a/internal/testcluster/options.go
+++ b/internal/testcluster/options.go
@@ -24,6 +24,10 @@
 	Observe  func(v *View)           // called every 100 ms during the run; may be nil
 	WorkDir  string                  // for the relays' files; empty: a temporary directory, removed after the run
 
+	// CachedLists gives a relay that restarts the endpoint list that its discovery agent has at that time, as the platform
+	// does with the last list it knows. Otherwise a relay has no list until discovery answers.
+	CachedLists bool
+
 	// ProgramFor returns the absolute path of the program that a relay's process runs: start 0 is the relay's first
 	// process, start 1 the one after its first restart. It must be safe for concurrent use. nil: all run Program.
 	ProgramFor func(relay, start int) string
--- a/internal/testcluster/relays.go
+++ b/internal/testcluster/relays.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"encoding/binary"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"net"
 	"os"
@@ -12,12 +13,8 @@
 	"time"
 )
 
-const (
-	// readyTimeout is how long all relays together may take to become ready.
-	readyTimeout = 20 * time.Second
-	// shutdownTimeout is how long a relay may take to shut down before it is killed.
-	shutdownTimeout = 3700 * time.Millisecond
-)
+// shutdownTimeout is how long a relay may take to shut down before it is killed.
+const shutdownTimeout = 3700 * time.Millisecond
 
 // relay is one relay of the cluster and its current process.
 type relay struct {
@@ -32,22 +29,24 @@
 // startRelays starts every relay except those that a fault starts late, and waits until they accept clients.
 func (c *cluster) startRelays() error {
 	c.markLateRelays()
-	began := time.Now()
-	var started []*relay
+	deadline := c.now() + readyTimeout
+	results := make(chan error, len(c.relays))
+	started := 0
 	for _, target := range c.relays {
 		if target.down {
 			continue
 		}
-		if err := c.startRelay(target); err != nil {
+		start, err := c.startRelay(target)
+		if err != nil {
 			return err
 		}
-		started = append(started, target)
+		started++
+		go func() { results <- c.awaitReady(target, start, deadline) }()
 	}
-	for _, target := range started {
-		if err := c.waitUntilReady(target, began); err != nil {
+	for range started {
+		if err := <-results; err != nil {
 			return err
 		}
-		c.frontend.setAvailable(target.index, true)
 	}
 	return nil
 }
@@ -64,22 +63,6 @@
 	}
 }
 
-// waitUntilReady waits until a relay accepts clients. All relays share one timeout, which runs from began.
-func (c *cluster) waitUntilReady(target *relay, began time.Time) error {
-	for !c.relayReady(target) {
-		if !target.process.running() {
-			return fmt.Errorf("relay %d exited before it was ready: %w; its log ends with %s", target.index, target.process.err, logTail(target.process.log))
-		}
-		if time.Since(began) > readyTimeout {
-			return fmt.Errorf("relay %d is not ready after %v; its log ends with %s", target.index, readyTimeout, logTail(target.process.log))
-		}
-		if !sleepContext(c.ctx, 20*time.Millisecond) {
-			return c.ctx.Err()
-		}
-	}
-	return nil
-}
-
 // relayReady reports whether a relay accepts clients.
 func (c *cluster) relayReady(target *relay) bool {
 	return respondsToPing(c.ports.relayAddr(target.index), time.Second)
@@ -94,26 +77,35 @@
 	return string(text[max(0, len(text)-400):])
 }
 
-// startRelay starts a relay's process.
-func (c *cluster) startRelay(target *relay) error {
+// startRelay starts a relay's process and records the start.
+func (c *cluster) startRelay(target *relay) (*relayStart, error) {
+	orderedAt := c.now()
 	if err := os.MkdirAll(filepath.Join(target.dir, "tmp"), 0o700); err != nil {
-		return err
+		return nil, err
 	}
-	path, err := writeConfig(target.dir, c.relayConfig(target))
+	program, number := c.programFor(target)
+	config := c.relayConfig(target)
+	var states map[string]string
+	if c.options.CachedLists && number > 0 {
+		config["known"], states = c.discovery.agents[target.index].cachedList()
+	}
+	path, err := writeConfig(target.dir, config)
 	if err != nil {
-		return err
+		return nil, err
 	}
-	c.withChecker(func() { c.checker.RelayStarted(target.index, c.ports.discoveryAddr(target.index), nil) })
+	c.withChecker(func() { c.checker.RelayStarted(target.index, c.ports.discoveryAddr(target.index), states) })
 	environment := []string{"PROXY_CONFIG=" + path, "TMPDIR=" + filepath.Join(target.dir, "tmp"), "PATH=/usr/bin:/bin"}
-	p, err := c.launcher.start(c.programFor(target), target.dir, target.index, environment)
+	p, err := c.launcher.start(program, target.dir, target.index, environment)
 	if err != nil {
-		return err
+		return nil, err
 	}
+	start := &relayStart{relay: target.index, number: number, process: p, orderedAt: orderedAt}
 	c.mu.Lock()
 	target.process, target.down, target.paused = p, false, false
+	c.starts = append(c.starts, start)
 	c.mu.Unlock()
 	go c.reportUnexpectedExit(target, p)
-	return nil
+	return start, nil
 }
 
 // relayConfig returns the content of a relay's configuration file.
@@ -158,16 +150,16 @@
 	c.reportError(fmt.Errorf("relay %d exited unexpectedly: %w; its log ends with %s", target.index, p.err, logTail(p.log)))
 }
 
-// programFor returns the path of the program for the next process of a relay.
-func (c *cluster) programFor(target *relay) string {
+// programFor returns the path of the program for the next process of a relay, and that process's number from 0 on.
+func (c *cluster) programFor(target *relay) (program string, number int) {
 	c.mu.Lock()
-	start := target.starts
+	number = target.starts
 	target.starts++
 	c.mu.Unlock()
 	if c.options.ProgramFor == nil {
-		return c.options.Program
+		return c.options.Program, number
 	}
-	return c.options.ProgramFor(target.index, start)
+	return c.options.ProgramFor(target.index, number), number
 }
 
 // markStopping marks a running relay as down, so that its exit is expected, and returns its process; nil if it is not
@@ -218,21 +210,17 @@
 
 // restartRelay starts a relay that is down and makes it available to clients once it is ready.
 func (c *cluster) restartRelay(target *relay) {
-	if err := c.startRelay(target); err != nil {
-		c.reportError(err)
-		return
+	deadline := c.now() + readyTimeout
+	start, err := c.startRelay(target)
+	if err == nil {
+		err = c.awaitReady(target, start, deadline)
 	}
-	began := time.Now()
-	for !c.relayReady(target) {
-		if time.Since(began) > readyTimeout {
-			c.reportError(fmt.Errorf("relay %d is not ready %v after its restart; its log ends with %s", target.index, readyTimeout, logTail(target.process.log)))
-			return
-		}
-		if !sleepContext(c.ctx, 50*time.Millisecond) {
-			return
-		}
+	switch {
+	case err == nil, errors.Is(err, errProcessEnded): // reportUnexpectedExit reports an end that no fault caused
+	case c.ctx.Err() != nil: // the run is over
+	default:
+		c.reportError(err)
 	}
-	c.frontend.setAvailable(target.index, true)
 }
 
 // setRelayPaused pauses a relay's process with SIGSTOP, or resumes it with SIGCONT. It returns false if nothing changed.
--- a/internal/testcluster/result.go
+++ b/internal/testcluster/result.go
@@ -16,6 +16,8 @@
 	Program        string                     `json:"program"`
 	Seed           uint64                     `json:"seed"`
 	ReadyAfter     time.Duration              `json:"ready_ns"` // until all relays accepted clients
+	FirstStarts    []RelayStart               `json:"first_starts"`
+	Restarts       []RelayStart               `json:"restarts"`
 	Service        []simulation.ServiceSecond `json:"service"`  // by second
 	Evenness       []loadstats.Second         `json:"evenness"` // of the load on backends, by second
 	Faults         []FaultEffect              `json:"faults"`
