--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -121,3 +121,16 @@
 func sameMembership(a, b *membership.Settings) bool {
 	return a == b || a != nil && b != nil && *a == *b
 }
+
+// MemberStates returns the state of each relay in this relay's view, by its index in the list of peers; nil if membership
+// is off.
+func (c *Controller) MemberStates() []membership.State {
+	if c.membership.list == nil {
+		return nil
+	}
+	states := make([]membership.State, len(c.config.Peers))
+	for i := range states {
+		states[i] = c.membership.list.State(i)
+	}
+	return states
+}
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,6 +1,7 @@
 // Package invariant is the invariant checker: it checks the externally visible behaviour of relays against a set of
 // rules. Its input is what an observer on the network would see: the bytes on the relays' sides of their
-// connections, when and how those connections end, and which endpoint lists discovery sent to which relay.
+// connections, when and how those connections end, which endpoint lists discovery sent to which relay, the datagrams
+// between relays and what each relay holds of the others.
 //
 // A driver reports events to a Checker (RelayStarted, EndpointsReceived, ClientConn.Received,
 // BackendConn.Written and so on), calls CheckOverdue periodically, and reads Checker.Violations. The package
@@ -110,6 +111,7 @@
 	backendConns []*BackendConn // open ones
 	requests     map[string]*request
 	sessions     map[string]*BackendConn // by the text that the backend sent after UP
+	membership   *membershipState        // nil: not watched
 }
 
 // New returns a checker for the given number of relays. now reads the clock; after schedules a call on that clock.
--- a/internal/simulation/mutations.go
+++ b/internal/simulation/mutations.go
@@ -71,6 +71,17 @@
 	MutationLateClientClose:           {"left"},
 	MutationUpgradeDropsSessions:      {"cut-off", "no-answer"},
 	MutationStaleIdempotency:          {"unsafe-repeat"},
+
+	MutationMembershipNoRefutation:      {"membership-refutation"},
+	MutationMembershipIncarnationKept:   {"membership-refutation"},
+	MutationMembershipNoDeath:           {"membership-completeness"},
+	MutationMembershipWrongTarget:       {"membership-completeness"},
+	MutationMembershipStallUnnoticed:    {"membership-accuracy"},
+	MutationMembershipSilentLeave:       {"membership-leave"},
+	MutationMembershipDeadNotPinged:     {"membership-accuracy", "membership-convergence"},
+	MutationMembershipReturnIgnored:     {"membership-convergence"},
+	MutationMembershipLargeDatagrams:    {"membership-size"},
+	MutationMembershipRepeatedDatagrams: {"membership-size"},
 }
 
 // hasMutation reports whether the relays of the run have the mutation.
--- a/internal/simulation/options.go
+++ b/internal/simulation/options.go
@@ -40,7 +40,7 @@
 	ListsWeights              bool             // discovery lists the sizes as weights
 	NoLoadReports             bool             // backends report no load
 	Gossip                    bool             // relays exchange overload notices
-	Membership                bool             // relays detect failed relays, in tests on processes
+	Membership                bool             // relays detect which of them are running
 	ConnectTimeout            time.Duration    // for connections to backends, in tests on processes; 0: 250 ms
 }
 
--- a/internal/simulation/relay.go
+++ b/internal/simulation/relay.go
@@ -10,6 +10,7 @@
 	"aspenbarrow/internal/discovery"
 	"aspenbarrow/internal/handshake"
 	"aspenbarrow/internal/healthcheck"
+	"aspenbarrow/internal/membership"
 	"aspenbarrow/internal/protocol"
 	"aspenbarrow/internal/session"
 	"aspenbarrow/internal/settings"
@@ -43,6 +44,12 @@
 	reloadCount         int             // configurations accepted by this process
 	rejectedReloads     int             // configurations rejected by this process
 	knownEndpoints      []endpointEntry // delivered by discovery; the next process starts with them as its cached list
+	paused              bool            // the controller's goroutine is stopped
+	pausedAt            time.Duration
+	firstIncarnation    uint64             // of the process, for a mutation
+	oldDatagrams        [][]byte           // by sender, for a mutation
+	waitingEvents       []func()           // of the controller, until the end of the pause
+	heldStates          []membership.State // what this process holds of the relays, as the checker knows; nil: not yet
 }
 
 // mutationSlack is how far beyond the settings' limit a mutation delays an action: 60 ms more than the checker allows.
@@ -55,6 +62,7 @@
 	r.cfg.Seed = engine.rng.Uint64()
 	r.sessions, r.acceptQueue, r.sessionCount, r.lastSession, r.shuttingDown = map[uint64]*sessionDriver{}, nil, 0, 0, false
 	r.reloadCount, r.rejectedReloads = 0, 0
+	r.paused, r.waitingEvents, r.firstIncarnation, r.oldDatagrams = false, nil, 0, nil
 	r.processNumber = r.run.checker.RelayProcess(r.number)
 	r.lastPostAt, r.nextTimerAt, r.discoveryClient = engine.now, 0, nil
 	shares := controller.AllocateDescriptors(r.cfg.MaxDescriptors, r.cfg.MemoryMB, r.cfg.AdminListen != "")
@@ -90,8 +98,11 @@
 func (r *relay) post(handle func(now time.Duration)) {
 	r.lastPostAt = max(r.lastPostAt, r.engine.now+r.engine.goroutineDelay())
 	r.engine.scheduleAt(r.lastPostAt, r.whileRunning(func() {
-		handle(r.engine.now)
-		r.scheduleTimer()
+		r.whileNotPaused(func() {
+			handle(r.engine.now)
+			r.scheduleTimer()
+			r.observeMembers()
+		})
 	}))
 }
 
@@ -107,11 +118,20 @@
 		if r.nextTimerAt == at {
 			r.nextTimerAt = 0
 		}
-		r.controller.FireTimers(r.engine.now)
-		r.scheduleTimer()
+		if !r.paused { // resume fires them
+			r.fireTimers()
+		}
 	}))
 }
 
+// fireTimers fires the controller's timers that are due, and schedules the next.
+func (r *relay) fireTimers() {
+	r.replayDatagrams()
+	r.controller.FireTimers(r.engine.now)
+	r.scheduleTimer()
+	r.observeMembers()
+}
+
 var _ controller.Driver = (*relay)(nil)
 
 // SendCommand delivers a command of the controller to a session.
--- a/internal/simulation/relay_lifecycle.go
+++ b/internal/simulation/relay_lifecycle.go
@@ -26,6 +26,7 @@
 		r.cfg.CachedEndpoints = encodeEndpoints(0, true, r.knownEndpoints)
 	}
 	r.boot()
+	r.joinMembership()
 	run.count("relay up")
 }
 
@@ -58,7 +59,10 @@
 	}
 	r.shuttingDown = true
 	run.count("relay leaves")
-	r.post(r.controller.Shutdown)
+	r.post(func(now time.Duration) {
+		run.checker.RelayLeaves(r.number)
+		r.controller.Shutdown(now)
+	})
 	incarnation := r.incarnation
 	var awaitExit func()
 	awaitExit = func() {
--- a/internal/simulation/run.go
+++ b/internal/simulation/run.go
@@ -1,6 +1,8 @@
 package simulation
 
 import (
+	"math/rand/v2"
+	"slices"
 	"time"
 
 	"aspenbarrow/internal/emulator"
@@ -45,6 +47,10 @@
 	serviceBySecond      []ServiceSecond
 	serviceByClass       []ServiceSecond
 	loadRecorder         loadstats.Recorder // of modelled backends
+	membership           bool               // relays detect which of them are running
+	membershipRand       *rand.Rand         // decides about membership and its faults
+	relayCuts            [][]int            // by sender and receiver, faults of membership that cut the link; nil: no membership
+	datagramImpairment   datagramImpairment
 }
 
 // count counts an occurrence for Result.Counts.
@@ -84,17 +90,20 @@
 // order of the random draws, which recorded seeds rely on.
 func (run *run) setUp() (installationSize, []Fault) {
 	run.drawSettings()
+	run.drawMembership()
 	run.engine.receiveWindow = 1 << (9 + run.engine.rng.IntN(6))
 	size := run.drawSize()
 	if run.options.Installation != nil {
 		run.prepareModel(run.options.Installation)
 	}
 	run.startChecker(size)
+	run.startMembershipChecks(size.relays)
 	run.populate(size)
 	script := run.options.Script
 	drawn := run.drawScript() // even if unused: all later draws come after it
 	if script == nil {
-		script = drawn
+		script = append(drawn, run.drawMembershipFaults()...)
+		slices.SortStableFunc(script, func(a, b Fault) int { return int(a.Start - b.Start) })
 	}
 	run.scheduleFaults(script)
 	run.scheduleDeployments(size.backends)
--- a/internal/simulation/topology.go
+++ b/internal/simulation/topology.go
@@ -10,6 +10,7 @@
 	"aspenbarrow/internal/discovery"
 	"aspenbarrow/internal/emulator"
 	"aspenbarrow/internal/fault"
+	"aspenbarrow/internal/membership"
 )
 
 // zones are the availability zones. Relays and backends are assigned to them in turn.
@@ -155,6 +156,10 @@
 		NewDecider:     baseline.Lookup(run.options.Policy, run.trueLoad),
 	}
 	cfg.Settings.RelayIndex, cfg.Settings.RelayCount, cfg.Settings.Zone = number, count, number%len(zones)
+	if run.membership {
+		membershipSettings := membership.DefaultSettings(membershipFleet)
+		cfg.Membership = &membershipSettings
+	}
 	for peer := range count {
 		cfg.Peers = append(cfg.Peers, gossipAddress(peer).String())
 	}
