--- a/internal/invariant/membership.go
+++ b/internal/invariant/membership.go
@@ -65,6 +65,7 @@
 	since       time.Duration // when its process started or ended
 	lastRun     time.Duration // how long its last process ran
 	leftAt      time.Duration // when it announced its leave; 0: it did not
+	viewSince   time.Duration // when its newest process started, a successor in a hot restart included
 	paused      bool
 	resumedAt   time.Duration
 	incarnation uint64        // highest in its own datagrams
@@ -106,6 +107,7 @@
 	if !hotRestart {
 		*m = memberState{running: true, since: now, incarnation: m.incarnation, sentSince: now}
 	}
+	m.viewSince = now
 	for i := range c.membership.views[relay] {
 		c.membership.views[relay][i] = heldState{since: now}
 	}
@@ -202,7 +204,7 @@
 	if !o.running || o.paused || o.leftAt != 0 {
 		return 0, false
 	}
-	since = max(o.since, o.resumedAt)
+	since = max(o.viewSince, o.resumedAt)
 	for peer := range m.members {
 		if peer == observer || peer == except || !m.members[peer].running {
 			continue
