--- a/internal/relay/forward.go
+++ b/internal/relay/forward.go
@@ -7,12 +7,13 @@
 
 	"go.uber.org/zap"
 
+	"aspenbarrow/internal/handshake"
 	"aspenbarrow/internal/session"
 )
 
 // forwardClient reads the client. Before UP it only detects that the client disconnects or sends data; after UP it
 // forwards the client's lines to the backend.
-func (s *clientSession) forwardClient() {
+func (s *clientSession) forwardClient(pending *handshake.Connection) {
 	defer s.readers.Done()
 	defer func() {
 		if p := recover(); p != nil {
@@ -24,6 +25,9 @@
 	_, err := s.client.peekBeyond(requestLength)
 	if err != nil || !s.isEstablished() { // the client must not send data before the answer
 		s.reportClientClosed(err)
+		if err == nil && !s.isEstablished() { // the final answer has been sent, and the client may still send
+			s.relay.handshakes.discardInput(pending)
+		}
 		return
 	}
 	s.client.discard(requestLength)
--- a/internal/relay/session.go
+++ b/internal/relay/session.go
@@ -58,7 +58,7 @@
 	s.state.Admitted()
 	s.relay.post(func(now time.Duration) { s.relay.sessionOpened(now, s) })
 	s.readers.Add(1)
-	go s.forwardClient()
+	go s.forwardClient(pending)
 	if result := s.awaitAnswer(); result != nil { // awaitAnswer's frame is gone: an established session's stack stays small
 		s.forwardBackend(result)
 	}
@@ -73,10 +73,12 @@
 			_ = s.backend.Close()
 		}
 	}
+	if *admitted {
+		_ = s.client.conn.SetReadDeadline(time.Now().Add(session.CloseTimeout))
+	}
 	close(s.finished)
 	s.state.Ended()
 	if *admitted {
-		_ = s.client.conn.SetReadDeadline(time.Now().Add(session.CloseTimeout))
 		s.readers.Wait()
 	}
 	_ = s.client.conn.Close()
