--- a/cmd/aspenbarrow/harness_test.go
+++ b/cmd/aspenbarrow/harness_test.go
@@ -41,6 +41,7 @@
 	logReloadRejected        = `"msg":"configuration reload rejected, keeping the current configuration"`
 	logCachedListMalformed   = "cached endpoint list is malformed"
 	logShutdownStarted       = `"msg":"graceful shutdown started"`
+	logShutdownFinished      = `"msg":"graceful shutdown finished"`
 	logRestored              = "state restored from predecessor process"
 	logSuccessorExited       = "successor process exited, accepting connections again"
 	logHotRestartUnavailable = "hot restart socket unavailable"
--- a/cmd/aspenbarrow/shutdown_test.go
+++ b/cmd/aspenbarrow/shutdown_test.go
@@ -1,12 +1,14 @@
 package main
 
 import (
+	"io"
 	"strings"
 	"syscall"
 	"testing"
 	"time"
 
 	"aspenbarrow/internal/fake"
+	"aspenbarrow/internal/handshake"
 )
 
 func TestShutdown_AnswersPendingRequestsAndMigratesSessions(t *testing.T) {
@@ -80,6 +82,32 @@
 	}
 }
 
+// TestShutdown_AnswersClientWithBytesUnreadAtExit stops the process, as a busy machine may, after its last answers are due
+// and while a client sends more than the relay reads at full speed. The process exits with bytes unread, which resets the
+// connection; the answer must have been written before.
+func TestShutdown_AnswersClientWithBytesUnreadAtExit(t *testing.T) {
+	process, _, _ := startWithBackends(t, processOptions{}, &fake.Backend{})
+	c := process.dial()
+	if _, err := io.WriteString(c, "PING\r\nOPEN 0000"); err != nil {
+		t.Fatal(err)
+	}
+	c.expect("PONG")
+	process.signal(syscall.SIGTERM)
+	process.waitForLog(logShutdownFinished, 1)
+	_ = process.cmd.Process.Signal(syscall.SIGSTOP) // fails if the process has exited already: then nothing is unread
+	_, _ = io.WriteString(c, strings.Repeat("x", 4*handshake.MaxLingerBytes))
+	stopped := time.Now()
+	waitFor(t, "the time for reading is over", func() bool { return time.Since(stopped) > handshake.LingerTimeout })
+	_ = process.cmd.Process.Signal(syscall.SIGCONT)
+	if err := process.waitForExit(); err != nil {
+		t.Errorf("exit: %v", err)
+	}
+	answer, err := c.reader.ReadString('\n')
+	if answer != "BUSY 1000\r\n" && answer != "ERR\r\n" { // ERR: the line was found to be malformed first
+		t.Errorf("got %q and %v, want BUSY or ERR", answer, err)
+	}
+}
+
 // TestShutdown_KeepsPassThroughSessionsUntilClosed checks that a relay in pass-through mode keeps its sessions after
 // SIGTERM until the clients close them.
 func TestShutdown_KeepsPassThroughSessionsUntilClosed(t *testing.T) {
