--- a/internal/invariant/client.go
+++ b/internal/invariant/client.go
@@ -11,8 +11,9 @@
 	checker    *Checker
 	id         int
 	relay      int
-	restarts   int // of the relay, when the connection was accepted
-	process    int // of the relay that accepted it
+	restarts   int  // of the relay, when the connection was accepted
+	process    int  // of the relay that accepted it
+	killed     bool // the process that accepted it was killed, while another process of the relay runs on
 	acceptedAt time.Duration
 
 	received          lineSplitter // from the client
@@ -58,12 +59,16 @@
 	return client.relayRuns() && !client.closedByRelay
 }
 
-// relayRuns reports whether the relay has been running since it accepted the connection.
+// relayRuns reports whether the process that accepted the connection has been running since.
 func (client *ClientConn) relayRuns() bool {
 	r := &client.checker.relays[client.relay]
-	return r.running && r.restarts == client.restarts
+	return r.running && r.restarts == client.restarts && !client.killed
 }
 
+// ProcessKilled reports that the process that accepted the connection is being killed while another process of the relay
+// runs on, as in a hot restart. The connections of that one are not excused.
+func (client *ClientConn) ProcessKilled() { client.killed = true }
+
 // acceptedByNewestProcess reports whether the relay's newest process accepted the connection.
 func (client *ClientConn) acceptedByNewestProcess() bool {
 	r := &client.checker.relays[client.relay]
--- a/internal/testcluster/addresses.go
+++ b/internal/testcluster/addresses.go
@@ -15,10 +15,13 @@
 	relayNet     = 1  // relays
 	discoveryNet = 2  // discovery, one address for each relay
 	broadcastNet = 3  // datagrams to all relays, one address for each sender
+	adminNet     = 4  // admin endpoints, one address for each of a relay's processes
 	backendNet   = 16 // backends, one address for each pair with a relay
 	peerNet      = 32 // peers, one address for each pair
 	backendBits  = 10
 	peerBits     = 10
+	relayBits    = 10
+	startBits    = 6  // of a process's number in the address of its admin endpoint
 	addressBits  = 16 // bits of the index below the second byte
 )
 
@@ -47,8 +50,11 @@
 // relayAddr is where a relay listens for clients.
 func (p ports) relayAddr(r int) string { return hostPort(loopbackAddress(relayNet, r), p.relay) }
 
-// adminAddr is a relay's admin endpoint. It has the port number of the relay's datagrams, which is free for TCP.
-func (p ports) adminAddr(r int) string { return hostPort(loopbackAddress(relayNet, r), p.peer) }
+// adminAddr is the admin endpoint of a relay's process: start 0 is its first one. It has the port number of the relay's
+// datagrams, which is free for TCP.
+func (p ports) adminAddr(r, start int) string {
+	return hostPort(loopbackAddress(adminNet, start%(1<<startBits)<<relayBits|r), p.peer)
+}
 
 // peerListen is where a relay receives datagrams.
 func (p ports) peerListen(r int) string { return hostPort(loopbackAddress(relayNet, r), p.peer) }
--- a/internal/testcluster/client.go
+++ b/internal/testcluster/client.go
@@ -21,6 +21,7 @@
 	random       *rand.Rand
 	returning    bool
 	attempts     int
+	current      *clientConn // the last connection
 	connected    atomic.Bool
 	slowResponse atomic.Bool
 	pendingSince atomic.Int64 // when the oldest unanswered line was sent; 0: none
@@ -71,6 +72,8 @@
 	cluster.withChecker(func() {
 		observer = cluster.checker.ClientAccepted(int(id), relayIndex, cluster.checker.RelayProcess(relayIndex))
 	})
+	c.current = cluster.clientConns.add(cluster, conn, observer)
+	defer cluster.clientConns.remove(c.current)
 	relayConn := newRelayConn(cluster, conn, node{fault.Relays, relayIndex}, node{fault.Clients, relayIndex}, observer)
 	lines, readDone := receiveLines(relayConn)
 	defer c.closeInBackground(relayConn, lines, readDone)
@@ -78,7 +81,7 @@
 	select {
 	case answer, ok := <-lines:
 		if !ok {
-			cluster.incrementCount("connection ended without an answer")
+			c.countEnd("connection ended without an answer")
 			return c.retryDelay()
 		}
 		return c.handleAnswer(ctx, answer, relayConn, lines, connectStart)
@@ -238,11 +241,20 @@
 
 // connectionLost counts the loss of a connection and returns how long to wait before the next attempt.
 func (c *client) connectionLost(reason string) time.Duration {
-	c.cluster.incrementCount(reason)
+	c.countEnd(reason)
 	c.returning = true
 	return c.reconnectDelay()
 }
 
+// countEnd counts the end of the current connection; under another name if the process that accepted it was killed in a hot
+// restart.
+func (c *client) countEnd(reason string) {
+	if c.cluster.clientConns.wasKilled(c.current) {
+		reason += " to a killed successor"
+	}
+	c.cluster.incrementCount(reason)
+}
+
 // reconnectDelay returns how long a client waits after it has lost a connection.
 func (c *client) reconnectDelay() time.Duration {
 	if d := c.cluster.options.Fleet.ReconnectWindow; d > 0 {
--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -55,6 +55,7 @@
 	checker         *invariant.Checker
 	traffic         trafficCounters
 	clients         clients
+	clientConns     clientConns
 }
 
 // now is the current time on the cluster's clock, which is monotonic and starts at the wall-clock time of its
--- a/internal/testcluster/faults.go
+++ b/internal/testcluster/faults.go
@@ -18,17 +18,21 @@
 
 func init() {
 	faultInjectors = map[string]faultInjector{
-		"link":                linkFault,
-		"relays die together": relayFault(func(c *cluster, target *relay, f *fault.Fault) bool { return c.killRelay(target) }, (*cluster).restartRelay),
-		"relay killed":        relayFault(func(c *cluster, target *relay, f *fault.Fault) bool { return c.killRelay(target) }, (*cluster).restartRelay),
-		"relays paused":       relayFault(func(c *cluster, target *relay, f *fault.Fault) bool { return c.setRelayPaused(target, true) }, func(c *cluster, target *relay) { c.setRelayPaused(target, false) }),
-		"relays start late":   relayFault(func(*cluster, *relay, *fault.Fault) bool { return true }, (*cluster).restartRelay),
-		"relays leave":        relayFault(func(c *cluster, target *relay, f *fault.Fault) bool { return c.drainRelay(target, func() {}) }, (*cluster).restartRelay),
-		"rolling restart":     rollingRestart,
-		"backends slow":       backendFault(func(c *cluster, b *backend, f *fault.Fault) { b.slowDown(4 + 30*f.Severity) }, func(b *backend) { b.slowDown(1) }),
-		"backends paused":     backendFault(func(c *cluster, b *backend, f *fault.Fault) { b.pause() }, func(b *backend) { b.resume() }),
-		"backends die":        backendFault(func(c *cluster, b *backend, f *fault.Fault) { b.crash() }, func(b *backend) { b.launch(true) }),
-		"backends vanished":   backendFault(func(c *cluster, b *backend, f *fault.Fault) { b.disconnect() }, func(b *backend) { b.reconnect() }),
+		"link":                  linkFault,
+		"relays die together":   relayFault(func(c *cluster, target *relay, f *fault.Fault) bool { return c.killRelay(target) }, (*cluster).restartRelay),
+		"relay killed":          relayFault(func(c *cluster, target *relay, f *fault.Fault) bool { return c.killRelay(target) }, (*cluster).restartRelay),
+		"relays paused":         relayFault(func(c *cluster, target *relay, f *fault.Fault) bool { return c.setRelayPaused(target, true) }, func(c *cluster, target *relay) { c.setRelayPaused(target, false) }),
+		"relays start late":     relayFault(func(*cluster, *relay, *fault.Fault) bool { return true }, (*cluster).restartRelay),
+		"relays leave":          relayFault(func(c *cluster, target *relay, f *fault.Fault) bool { return c.drainRelay(target, func() {}) }, (*cluster).restartRelay),
+		"rolling restart":       rollingRestart,
+		kindHotRestart:          hotRestartFault((*cluster).hotRestart, false),
+		kindRollingHotRestart:   hotRestartFault((*cluster).hotRestart, true),
+		kindEarlySuccessorDeath: hotRestartFault((*cluster).killSuccessorEarly, false),
+		kindLateSuccessorDeath:  hotRestartFault((*cluster).killSuccessorLate, false),
+		"backends slow":         backendFault(func(c *cluster, b *backend, f *fault.Fault) { b.slowDown(4 + 30*f.Severity) }, func(b *backend) { b.slowDown(1) }),
+		"backends paused":       backendFault(func(c *cluster, b *backend, f *fault.Fault) { b.pause() }, func(b *backend) { b.resume() }),
+		"backends die":          backendFault(func(c *cluster, b *backend, f *fault.Fault) { b.crash() }, func(b *backend) { b.launch(true) }),
+		"backends vanished":     backendFault(func(c *cluster, b *backend, f *fault.Fault) { b.disconnect() }, func(b *backend) { b.reconnect() }),
 		"backends failing fast": backendFault(func(c *cluster, b *backend, f *fault.Fault) {
 			b.updateModel(func(time.Duration) { b.errorRate = 0.4 + 0.6*f.Severity })
 		}, func(b *backend) { b.updateModel(func(time.Duration) { b.errorRate = 0 }) }),
@@ -66,7 +70,8 @@
 	}
 	n := 1
 	switch f.Kind {
-	case "relays die together", "relays start late", "relays paused", "relays leave":
+	case "relays die together", "relays start late", "relays paused", "relays leave",
+		kindHotRestart, kindRollingHotRestart, kindEarlySuccessorDeath, kindLateSuccessorDeath:
 		n = max(1, int(f.Severity*float64(count)))
 	case "relay killed":
 	default:
--- a/internal/testcluster/options.go
+++ b/internal/testcluster/options.go
@@ -22,7 +22,9 @@
 	Fleet    simulation.Installation // size and properties of the cluster
 	Faults   []fault.Fault           // injected during the run
 	Observe  func(v *View)           // called every 100 ms during the run; may be nil
-	WorkDir  string                  // for the relays' files; empty: a temporary directory, removed after the run
+	// Descriptors is the descriptor limit of each process of a relay, which the system enforces; 0: 1024, by configuration alone.
+	Descriptors int
+	WorkDir     string // for the relays' files; empty: a temporary directory, removed after the run
 
 	// ProgramFor returns the absolute path of the program that a relay's process runs: start 0 is the relay's first
 	// process, start 1 the one after its first restart. It must be safe for concurrent use. nil: all run Program.
--- a/internal/testcluster/processes.go
+++ b/internal/testcluster/processes.go
@@ -16,6 +16,7 @@
 	cmd    *exec.Cmd
 	relay  int
 	log    string
+	admin  string        // address of its admin endpoint; empty: it has none
 	ended  chan struct{} // closed after Wait has returned
 	err    error         // result of Wait; valid once ended is closed
 	killed bool          // its exit is expected
@@ -108,3 +109,15 @@
 		_ = p.cmd.Process.Signal(s)
 	}
 }
+
+// running returns the processes of a relay that have not ended.
+func (launcher *processLauncher) running(relay int) (running []*process) {
+	launcher.mu.Lock()
+	defer launcher.mu.Unlock()
+	for _, p := range launcher.processes {
+		if p.relay == relay && p.running() {
+			running = append(running, p)
+		}
+	}
+	return running
+}
--- a/internal/testcluster/relays.go
+++ b/internal/testcluster/relays.go
@@ -2,14 +2,20 @@
 
 import (
 	"bytes"
+	"cmp"
 	"encoding/binary"
 	"encoding/json"
 	"fmt"
 	"net"
 	"os"
 	"path/filepath"
+	"slices"
 	"syscall"
 	"time"
+
+	"golang.org/x/sys/unix"
+
+	"aspenbarrow/internal/fault"
 )
 
 const (
@@ -17,6 +23,8 @@
 	readyTimeout = 20 * time.Second
 	// shutdownTimeout is how long a relay may take to shut down before it is killed.
 	shutdownTimeout = 3700 * time.Millisecond
+	// defaultDescriptors is the descriptor limit in a relay's configuration unless Options.Descriptors sets another.
+	defaultDescriptors = 1024
 )
 
 // relay is one relay of the cluster and its current process.
@@ -27,6 +35,8 @@
 	paused  bool
 	down    bool // no process is running, or it is ending
 	starts  int  // number of processes started so far
+
+	hotRestarting bool // other faults leave the relay alone until the hot restart is over
 }
 
 // startRelays starts every relay except those that a fault starts late, and waits until they accept clients.
@@ -96,23 +106,67 @@
 
 // startRelay starts a relay's process.
 func (c *cluster) startRelay(target *relay) error {
-	if err := os.MkdirAll(filepath.Join(target.dir, "tmp"), 0o700); err != nil {
+	c.withChecker(func() { c.checker.RelayStarted(target.index, c.ports.discoveryAddr(target.index), nil) })
+	p, err := c.launchProcess(target)
+	if err != nil {
 		return err
 	}
+	c.mu.Lock()
+	target.process, target.down, target.paused = p, false, false
+	c.mu.Unlock()
+	return nil
+}
+
+// launchProcess starts a process of a relay, which takes over from one that is running.
+func (c *cluster) launchProcess(target *relay) (*process, error) {
+	if err := os.MkdirAll(filepath.Join(target.dir, "tmp"), 0o700); err != nil {
+		return nil, err
+	}
 	path, err := writeConfig(target.dir, c.relayConfig(target))
 	if err != nil {
-		return err
+		return nil, err
 	}
-	c.withChecker(func() { c.checker.RelayStarted(target.index, c.ports.discoveryAddr(target.index), nil) })
 	environment := []string{"PROXY_CONFIG=" + path, "TMPDIR=" + filepath.Join(target.dir, "tmp"), "PATH=/usr/bin:/bin"}
+	admin := ""
+	if c.usesAdminEndpoints() {
+		admin = c.adminAddrFor(target)
+		environment = append(environment, "PROXY_MANAGEMENT="+admin)
+	}
 	p, err := c.launcher.start(c.programFor(target), target.dir, target.index, environment)
 	if err != nil {
-		return err
+		return nil, err
+	}
+	p.admin = admin
+	if err := c.limitDescriptors(p); err != nil {
+		return nil, err
 	}
-	c.mu.Lock()
-	target.process, target.down, target.paused = p, false, false
-	c.mu.Unlock()
 	go c.reportUnexpectedExit(target, p)
+	return p, nil
+}
+
+// usesAdminEndpoints reports whether the relays have an admin endpoint.
+func (c *cluster) usesAdminEndpoints() bool {
+	return c.options.Fleet.Membership || slices.ContainsFunc(c.options.Faults, func(f fault.Fault) bool { return isHotRestart(f.Kind) })
+}
+
+// adminAddrFor returns the admin address of the next process of a relay. The processes of a hot restart run at the same
+// time, so each has an address of its own.
+func (c *cluster) adminAddrFor(target *relay) string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.ports.adminAddr(target.index, target.starts)
+}
+
+// limitDescriptors has the system enforce Options.Descriptors on a process.
+func (c *cluster) limitDescriptors(p *process) error {
+	n := uint64(c.options.Descriptors)
+	if n == 0 {
+		return nil
+	}
+	err := unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: n, Max: n}, nil)
+	if err != nil && p.running() {
+		return fmt.Errorf("relay %d: limiting its descriptors to %d: %w", p.relay, n, err)
+	}
 	return nil
 }
 
@@ -133,14 +187,13 @@
 		"discovery":   c.ports.discoveryAddr(target.index),
 		"seed":        fmt.Sprintf("%x", seed),
 		"settings":    relaySettings(f, target.index),
-		"limits":      map[string]any{"cores": 1.0, "memory_mb": 64, "sockets": 1024},
+		"limits":      map[string]any{"cores": 1.0, "memory_mb": 64, "sockets": cmp.Or(c.options.Descriptors, defaultDescriptors)},
 		"peer_listen": c.ports.peerListen(target.index),
 		"peers":       peers,
 		"peers_all":   c.ports.broadcastAddr(target.index),
 	}
 	if f.Membership {
 		config["membership"] = map[string]any{"fleet": "rig"}
-		config["management"] = c.ports.adminAddr(target.index)
 	}
 	return config
 }
@@ -176,7 +229,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p := target.process
-	if p == nil || target.down || !p.running() {
+	if p == nil || target.down || target.hotRestarting || !p.running() {
 		return nil
 	}
 	target.down, p.killed = true, true
@@ -239,7 +292,7 @@
 func (c *cluster) setRelayPaused(target *relay, paused bool) bool {
 	c.mu.Lock()
 	p := target.process
-	changed := p != nil && !target.down && target.paused != paused
+	changed := p != nil && !target.down && !target.hotRestarting && target.paused != paused
 	if changed {
 		target.paused = paused
 	}
--- a/internal/testcluster/view.go
+++ b/internal/testcluster/view.go
@@ -1,6 +1,7 @@
 package testcluster
 
 import (
+	"fmt"
 	"io"
 	"net"
 	"strings"
@@ -21,9 +22,21 @@
 	return target.process != nil && !target.down && !target.paused
 }
 
-// QueryAdmin sends a command to a relay's admin endpoint and returns the lines of the answer.
+// QueryAdmin sends a command to the admin endpoint of a relay's process and returns the lines of the answer. During a hot
+// restart that is the predecessor.
 func (view *View) QueryAdmin(relay int, command string) ([]string, error) {
-	conn, err := net.DialTimeout("tcp", view.cluster.ports.adminAddr(relay), time.Second)
+	view.cluster.mu.Lock()
+	p := view.cluster.relays[relay].process
+	view.cluster.mu.Unlock()
+	if p == nil {
+		return nil, fmt.Errorf("relay %d has not been started", relay)
+	}
+	return p.queryAdmin(command)
+}
+
+// queryAdmin sends a command to the process's admin endpoint and returns the lines of the answer.
+func (p *process) queryAdmin(command string) ([]string, error) {
+	conn, err := net.DialTimeout("tcp", p.admin, time.Second)
 	if err != nil {
 		return nil, err
 	}
@@ -48,3 +61,13 @@
 	}()
 	return func() { <-done }
 }
+
+// DescriptorCount returns how many descriptors the running processes of a relay have together.
+func (view *View) DescriptorCount(relay int) (n int) {
+	for _, p := range view.cluster.launcher.running(relay) {
+		if targets, err := p.descriptors(); err == nil { // else it has just ended
+			n += len(targets)
+		}
+	}
+	return n
+}
