--- a/internal/testcluster/client.go
+++ b/internal/testcluster/client.go
@@ -23,6 +23,7 @@
 	returning    bool
 	flow         string // receipt of the present connection or, between two, of the last one; empty: it does not survive its relay
 	attempts     int
+	current      *clientConn // the last connection
 	connected    atomic.Bool
 	slowResponse atomic.Bool
 	pendingSince atomic.Int64 // when the oldest unanswered line was sent; 0: none
@@ -73,6 +74,8 @@
 	cluster.withChecker(func() {
 		observer = cluster.checker.ClientAccepted(int(id), relayIndex, cluster.checker.RelayProcess(relayIndex))
 	})
+	c.current = cluster.clientConns.add(cluster, conn, observer)
+	defer cluster.clientConns.remove(c.current)
 	relayConn := newRelayConn(cluster, conn, node{fault.Relays, relayIndex}, node{fault.Clients, relayIndex}, observer)
 	lines, readDone := receiveLines(relayConn)
 	defer c.closeInBackground(relayConn, lines, readDone)
@@ -82,7 +85,7 @@
 	select {
 	case answer, ok := <-lines:
 		if !ok {
-			cluster.incrementCount("connection ended without an answer")
+			c.countEnd("connection ended without an answer")
 			c.failFlow()
 			return c.retryDelay()
 		}
@@ -239,11 +242,20 @@
 
 // connectionLost counts the loss of a connection and returns how long to wait before the next attempt.
 func (c *client) connectionLost(reason string) time.Duration {
-	c.cluster.incrementCount(reason)
+	c.countEnd(reason)
 	c.returning = true
 	return c.reconnectDelay()
 }
 
+// countEnd counts the end of the current connection; under another name if the process that accepted it was killed in a hot
+// restart.
+func (c *client) countEnd(reason string) {
+	if c.cluster.clientConns.wasKilled(c.current) {
+		reason += " to a killed successor"
+	}
+	c.cluster.incrementCount(reason)
+}
+
 // reconnectDelay returns how long a client waits after it has lost a connection.
 func (c *client) reconnectDelay() time.Duration {
 	if d := c.cluster.options.Fleet.ReconnectWindow; d > 0 {
--- a/internal/testcluster/relays.go
+++ b/internal/testcluster/relays.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"cmp"
 	"encoding/binary"
 	"encoding/json"
 	"errors"
@@ -9,12 +10,21 @@
 	"net"
 	"os"
 	"path/filepath"
+	"slices"
 	"syscall"
 	"time"
+
+	"golang.org/x/sys/unix"
+
+	"aspenbarrow/internal/fault"
 )
 
-// shutdownTimeout is how long a relay may take to shut down before it is killed.
-const shutdownTimeout = 3700 * time.Millisecond
+const (
+	// shutdownTimeout is how long a relay may take to shut down before it is killed.
+	shutdownTimeout = 3700 * time.Millisecond
+	// defaultDescriptors is the descriptor limit in a relay's configuration unless Options.Descriptors sets another.
+	defaultDescriptors = 1024
+)
 
 // relay is one relay of the cluster and its current process.
 type relay struct {
@@ -24,6 +34,8 @@
 	paused  bool
 	down    bool // no process is running, or it is ending
 	starts  int  // number of processes started so far
+
+	hotRestarting bool // other faults leave the relay alone until the hot restart is over
 }
 
 // startRelays starts every relay except those that a fault starts late, and waits until they accept clients.
@@ -80,34 +92,94 @@
 // startRelay starts a relay's process and records the start.
 func (c *cluster) startRelay(target *relay) (*relayStart, error) {
 	orderedAt := c.now()
-	if err := os.MkdirAll(filepath.Join(target.dir, "tmp"), 0o700); err != nil {
-		return nil, err
-	}
-	program, number := c.programFor(target)
-	config := c.relayConfig(target)
-	var states map[string]string
-	if c.options.CachedLists && number > 0 {
-		config["known"], states = c.discovery.agents[target.index].cachedList()
-	}
-	path, err := writeConfig(target.dir, config)
+	next, err := c.prepareProcess(target)
 	if err != nil {
 		return nil, err
 	}
-	c.withChecker(func() { c.checker.RelayStarted(target.index, c.ports.discoveryAddr(target.index), states) })
-	environment := []string{"PROXY_CONFIG=" + path, "TMPDIR=" + filepath.Join(target.dir, "tmp"), "PATH=/usr/bin:/bin"}
-	p, err := c.launcher.start(program, target.dir, target.index, environment)
+	c.withChecker(func() { c.checker.RelayStarted(target.index, c.ports.discoveryAddr(target.index), next.cachedStates) })
+	p, err := c.launchProcess(target, next)
 	if err != nil {
 		return nil, err
 	}
-	start := &relayStart{relay: target.index, number: number, process: p, orderedAt: orderedAt}
+	start := &relayStart{relay: target.index, number: next.number, process: p, orderedAt: orderedAt}
 	c.mu.Lock()
 	target.process, target.down, target.paused = p, false, false
 	c.starts = append(c.starts, start)
 	c.mu.Unlock()
-	go c.reportUnexpectedExit(target, p)
 	return start, nil
 }
 
+// nextProcess is what a relay's next process is started with.
+type nextProcess struct {
+	program      string
+	number       int               // 0: the relay's first process
+	configPath   string            // of its configuration file
+	cachedStates map[string]string // state of each backend in the cached endpoint list; nil: there is none
+	admin        string            // address of its admin endpoint; empty: it has none
+}
+
+// prepareProcess writes the files of a relay's next process.
+func (c *cluster) prepareProcess(target *relay) (next nextProcess, err error) {
+	if err := os.MkdirAll(filepath.Join(target.dir, "tmp"), 0o700); err != nil {
+		return next, err
+	}
+	next.program, next.number = c.programFor(target)
+	if c.usesAdminEndpoints() { // the processes of a hot restart run at the same time, so each has an address of its own
+		next.admin = c.ports.adminAddr(target.index, next.number)
+	}
+	config := c.relayConfig(target)
+	if c.options.CachedLists && next.number > 0 {
+		config["known"], next.cachedStates = c.discovery.agents[target.index].cachedList()
+	}
+	next.configPath, err = writeConfig(target.dir, config)
+	return next, err
+}
+
+// launchProcess starts a process of a relay, which takes over from one that is running.
+func (c *cluster) launchProcess(target *relay, next nextProcess) (*process, error) {
+	environment := []string{"PROXY_CONFIG=" + next.configPath, "TMPDIR=" + filepath.Join(target.dir, "tmp"), "PATH=/usr/bin:/bin"}
+	if next.admin != "" {
+		environment = append(environment, "PROXY_MANAGEMENT="+next.admin)
+	}
+	p, err := c.launcher.start(next.program, target.dir, target.index, environment)
+	if err != nil {
+		return nil, err
+	}
+	p.admin = next.admin
+	if err := c.limitDescriptors(p); err != nil {
+		return nil, err
+	}
+	go c.reportUnexpectedExit(target, p)
+	return p, nil
+}
+
+// launchSuccessor starts a process beside the running one of a relay.
+func (c *cluster) launchSuccessor(target *relay) (*process, error) {
+	next, err := c.prepareProcess(target)
+	if err != nil {
+		return nil, err
+	}
+	return c.launchProcess(target, next)
+}
+
+// usesAdminEndpoints reports whether the relays have an admin endpoint.
+func (c *cluster) usesAdminEndpoints() bool {
+	return c.options.Fleet.Membership || slices.ContainsFunc(c.options.Faults, func(f fault.Fault) bool { return isHotRestart(f.Kind) })
+}
+
+// limitDescriptors has the system enforce Options.Descriptors on a process.
+func (c *cluster) limitDescriptors(p *process) error {
+	n := uint64(c.options.Descriptors)
+	if n == 0 {
+		return nil
+	}
+	err := unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: n, Max: n}, nil)
+	if err != nil && p.running() {
+		return fmt.Errorf("relay %d: limiting its descriptors to %d: %w", p.relay, n, err)
+	}
+	return nil
+}
+
 // relayConfig returns the content of a relay's configuration file.
 func (c *cluster) relayConfig(target *relay) map[string]any {
 	f := &c.options.Fleet
@@ -125,14 +197,13 @@
 		"discovery":   c.ports.discoveryAddr(target.index),
 		"seed":        fmt.Sprintf("%x", seed),
 		"settings":    relaySettings(f, target.index),
-		"limits":      map[string]any{"cores": 1.0, "memory_mb": 64, "sockets": 1024},
+		"limits":      map[string]any{"cores": 1.0, "memory_mb": 64, "sockets": cmp.Or(c.options.Descriptors, defaultDescriptors)},
 		"peer_listen": c.ports.peerListen(target.index),
 		"peers":       peers,
 		"peers_all":   c.ports.broadcastAddr(target.index),
 	}
 	if f.Membership {
 		config["membership"] = map[string]any{"fleet": "rig"}
-		config["management"] = c.ports.adminAddr(target.index)
 	}
 	return config
 }
@@ -168,7 +239,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p := target.process
-	if p == nil || target.down || !p.running() {
+	if p == nil || target.down || target.hotRestarting || !p.running() {
 		return nil
 	}
 	target.down, p.killed = true, true
@@ -227,7 +298,7 @@
 func (c *cluster) setRelayPaused(target *relay, paused bool) bool {
 	c.mu.Lock()
 	p := target.process
-	changed := p != nil && !target.down && target.paused != paused
+	changed := p != nil && !target.down && !target.hotRestarting && target.paused != paused
 	if changed {
 		target.paused = paused
 	}
