--- a/internal/handshake/pool.go
+++ b/internal/handshake/pool.go
@@ -62,6 +62,10 @@
 // AwaitsAnswer reports whether a connection has not been sent its final answer yet.
 func (c *Connection) AwaitsAnswer() bool { return !c.answered }
 
+// MayBeAnswered reports whether the pool holds a connection that has not been sent its final answer. Whoever removes a
+// connection from the pool answers it.
+func (p *Pool) MayBeAnswered(c *Connection) bool { return c.element != nil && !c.answered }
+
 // Remove removes a connection. It returns false if the connection was evicted or removed before.
 func (p *Pool) Remove(c *Connection) bool {
 	if c.element == nil {
--- a/internal/relay/handshake.go
+++ b/internal/relay/handshake.go
@@ -1,6 +1,7 @@
 package relay
 
 import (
+	"errors"
 	"io"
 	"net"
 	"sync"
@@ -17,6 +18,9 @@
 	lingerReadInterval = handshake.LingerTimeout / 16
 )
 
+// errAnswered is returned for a connection that has been sent its final answer.
+var errAnswered = errors.New("the connection has been sent its final answer")
+
 // handshakePool holds the connections that have not sent a complete OPEN line, and those whose input is discarded after the
 // final answer.
 type handshakePool struct {
@@ -70,6 +74,30 @@
 	return added, wait
 }
 
+// reply answers a line before OPEN, unless the connection has been sent its final answer.
+func (p *handshakePool) reply(connection *handshake.Connection, line string) error {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if !p.pool.MayBeAnswered(connection) {
+		return errAnswered
+	}
+	_, err := io.WriteString(connection.Conn.(*net.TCPConn), line) // never blocks, as in tryAdd
+	return err
+}
+
+// sendFinalAnswer sends a connection its final answer and closes the relay's side, unless the connection has been evicted or
+// closed with an answer before. All final answers to the pool's connections are written under its lock, so that each
+// client receives one.
+func (p *handshakePool) sendFinalAnswer(connection *handshake.Connection, answer string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if !p.pool.MayBeAnswered(connection) {
+		return
+	}
+	sendLastLine(connection.Conn.(*net.TCPConn), answer)
+	p.pool.MarkAnswered(connection)
+}
+
 // remove removes a connection; false: it was evicted or removed before.
 func (p *handshakePool) remove(connection *handshake.Connection) bool {
 	p.mu.Lock()
@@ -84,13 +112,10 @@
 	return true
 }
 
-// discardInput reads what a client still sends after the relay's last line. Closing with unread bytes would reset the
+// discardInput reads what a client still sends after the relay's last line, which has been sent. Closing with unread bytes would reset the
 // connection and lose that line, and every answer before it that the client has not acknowledged. A client that keeps
 // sending is read slowly after MaxLingerBytes, and no longer than LingerTimeout.
 func (p *handshakePool) discardInput(connection *handshake.Connection) {
-	p.mu.Lock()
-	p.pool.MarkAnswered(connection)
-	p.mu.Unlock()
 	conn := connection.Conn.(*net.TCPConn)
 	deadline := time.Now().Add(handshake.LingerTimeout)
 	_ = conn.SetReadDeadline(deadline)
--- a/internal/relay/handshake_test.go
+++ b/internal/relay/handshake_test.go
@@ -36,6 +36,7 @@
 	oldest := pool.add(relayEnd)
 	relayEnd, clientEnd := tcpPipe(t)
 	answered := pool.add(relayEnd)
+	pool.sendFinalAnswer(answered, "ERR\r\n")
 	_ = clientEnd.Close()
 	pool.discardInput(answered)
 	relayEnd, _ = tcpPipe(t)
--- a/internal/relay/session.go
+++ b/internal/relay/session.go
@@ -51,7 +51,7 @@
 	admitted := false
 	defer s.relay.connections.Done()
 	defer s.finish(pending, &admitted)
-	opened, err := s.readHandshake() // called here, not in admit: one frame more would grow each session's stack by 4 KiB
+	opened, err := s.readHandshake(pending) // called here, not in admit: one frame more would grow each session's stack by 4 KiB
 	if admitted = s.admit(pending, opened, err); !admitted {
 		return
 	}
@@ -94,7 +94,7 @@
 func (s *clientSession) admit(pending *handshake.Connection, opened bool, err error) bool {
 	if err != nil {
 		s.relay.logProtocolError(s.client.conn, err)
-		s.sendFinalAnswer(protocol.AnswerFailed)
+		s.relay.handshakes.sendFinalAnswer(pending, protocol.AnswerFailed)
 		s.relay.handshakes.discardInput(pending)
 		return false
 	}
@@ -104,7 +104,7 @@
 	if !s.relay.reserveSession() {
 		s.state.Refused()
 		s.relay.log.Warn("session rejected: descriptor or memory limit reached")
-		s.sendFinalAnswer(s.relay.busyAnswer())
+		s.relay.handshakes.sendFinalAnswer(pending, s.relay.busyAnswer())
 		s.relay.handshakes.discardInput(pending)
 		return false
 	}
@@ -118,7 +118,7 @@
 
 // readHandshake reads up to the OPEN line and answers PING and STATS; an error is a protocol error of the client. The deadline
 // was set when the connection was accepted; lines before OPEN do not extend it.
-func (s *clientSession) readHandshake() (opened bool, err error) {
+func (s *clientSession) readHandshake(pending *handshake.Connection) (opened bool, err error) {
 	for seen := 0; ; {
 		b, err := s.client.peekBeyond(seen)
 		if err != nil {
@@ -138,7 +138,7 @@
 		}
 		seen = 0
 		s.client.discard(line.Consumed)
-		if _, err := io.WriteString(s.client.conn, line.Reply); err != nil {
+		if s.relay.handshakes.reply(pending, line.Reply) != nil {
 			return false, nil
 		}
 	}
@@ -260,13 +260,15 @@
 	}
 }
 
-// sendFinalAnswer sends the last line to the client and closes the relay's side. The caller does not close the connection
+// sendFinalAnswer sends the last line to the client of an admitted session, which the handshake pool no longer holds.
+func (s *clientSession) sendFinalAnswer(answer string) { sendLastLine(s.client.conn, answer) }
+
+// sendLastLine sends the last line to a client and closes the relay's side. The caller does not close the connection
 // at once: forwardClient or discardInput still reads it, for at most CloseTimeout, since closing with unread bytes would
 // reset the connection and lose that line.
-func (s *clientSession) sendFinalAnswer(answer string) {
-	conn := s.client.conn
+func sendLastLine(conn *net.TCPConn, line string) {
 	_ = conn.SetWriteDeadline(time.Now().Add(session.CloseTimeout))
-	_, _ = io.WriteString(conn, answer)
+	_, _ = io.WriteString(conn, line)
 	_ = conn.CloseWrite()
 	_ = conn.SetReadDeadline(time.Now().Add(session.CloseTimeout))
 }
