--- a/internal/invariant/policy_test.go
+++ b/internal/invariant/policy_test.go
@@ -107,3 +107,32 @@
 		t.Errorf("after the window: a class of the previous policy is still known: %+v", class)
 	}
 }
+
+// A relay whose process is paused at a reload loads the new settings when it is resumed. Until then, and for
+// reconfigurationWindow after it, the previous policy may apply; later it must not.
+func TestChecker_PausedRelayLoadsPolicyWhenResumed(t *testing.T) {
+	for _, tc := range []struct {
+		name  string
+		after time.Duration // between the end of the pause and the request
+		want  []string
+	}{
+		{"at the end of the pause", 0, nil},
+		{"within the window", reconfigurationWindow, nil},
+		{"after the window", reconfigurationWindow + 1, []string{RuleAttemptLimit}},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			n := newNetwork()
+			n.RelayReconfigured(0, []Class{limitedAttempts.current}, 4)
+			n.clock += reconfigurationWindow + 1
+			n.SetRelayPaused(0, true)
+			n.RelayReconfigured(0, []Class{limitedAttempts.previous}, 4)
+			n.clock += 3 * reconfigurationWindow
+			n.SetRelayPaused(0, false)
+			n.clock += tc.after
+			n.sendTimes(3)
+			if rules := n.violatedRules(); !slices.Equal(rules, tc.want) {
+				t.Errorf("got violations %v, want violations of rules %q", n.Violations, tc.want)
+			}
+		})
+	}
+}
